--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -1,41 +1,45 @@
-//! Versioned encoding and framing.
+//! Encoding of values behind a version byte, and length-prefixed framing for connections.
 
 use bytes::{Buf, Bytes, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version of every encoding in this crate; the first byte of each encoded value.
+/// Version of the encoding, written as the first byte of each value.
 pub const VERSION: u8 = 1;
 
-/// Largest frame accepted on a connection, in bytes.
+/// Maximum length of a received frame's body, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are not a value of the expected type.
+/// Error returned when bytes can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Nothing was given.
+    /// The input is empty.
     #[error("empty message")]
     Empty,
-    /// Written by a version that this one does not read.
-    #[error("unknown encoding version {0}")]
+    /// The version byte is not [`VERSION`].
+    #[error("unsupported encoding version {0}")]
     UnknownVersion(u8),
-    /// The bytes do not form a value of the expected type, or others follow it.
+    /// The bytes are not a value of the expected type, or are followed by trailing bytes.
     #[error("malformed message")]
     Malformed,
-    /// A frame announces more bytes than [`MAX_FRAME_BYTES`].
-    #[error("frame of {0} bytes is over the limit")]
+    /// The length prefix of a frame exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes exceeds the maximum length")]
     TooLarge(usize),
 }
 
-/// Encodes a value behind its version byte.
+/// Encodes a value, prefixed by the version byte.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let buffer = vec![VERSION];
     postcard::to_extend(value, buffer).expect("plain data always encodes")
 }
 
 /// Decodes a value written by [`encode`].
+///
+/// # Errors
+/// Returns an error if `bytes` is empty, has another version, or is not exactly one value of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let (version, body) = bytes.split_first().ok_or(DecodeError::Empty)?;
     if *version != VERSION {
@@ -47,7 +51,8 @@
     }
 }
 
-/// Encodes a value as a frame: its length as four little-endian bytes, then the value.
+/// Encodes a value as a frame: the body's length as a little-endian `u32`, then the body as
+/// written by [`encode`].
 pub fn frame<T: Serialize>(value: &T) -> Bytes {
     let body = encode(value);
     let length = u32::try_from(body.len()).expect("frame length fits four bytes");
@@ -57,7 +62,12 @@
     frame.freeze()
 }
 
-/// Takes the first whole frame off `buffer`; `None` while it is incomplete.
+/// Removes the first complete frame from `buffer` and decodes it. Returns `None` while the frame is
+/// incomplete.
+///
+/// # Errors
+/// Returns [`DecodeError::TooLarge`] as soon as the length prefix exceeds [`MAX_FRAME_BYTES`], and the
+/// errors of [`decode`] for a malformed body.
 pub fn split_frame<T: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<T>, DecodeError> {
     let Some(header) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,4 +1,5 @@
-//! What nodes that read the log's streams tell the other nodes of their zone.
+//! Messages by which the nodes that read the log's streams (readers) relay their content to the other
+//! nodes of their zone, so that few nodes have to read the log.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,115 +10,117 @@
 
 use crate::gateway::ZoneReport;
 
-/// A reader's heartbeat: how far it has read and how lately. Whoever is behind asks
-/// for the rest.
+/// A reader's heartbeat: its position in each stream. A node that is behind requests what it is
+/// missing with a [`FeedQuestion`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedBeat {
     /// The reader.
     pub node: NodeId,
-    /// Names its start: numbers of an earlier one mean nothing any more.
+    /// Identifies the reader's process start; `workers_revision` is only comparable within one start.
     pub boot: u64,
-    /// Whether the log answers its reads.
+    /// Whether the reader's reads of the log succeed.
     pub reads: bool,
-    /// Time since its last reads were sent that showed all there was, in microseconds.
+    /// Age of the reader's state: time since it sent the last reads that reached the end of the
+    /// streams, in microseconds.
     pub age_us: u64,
-    /// Version of its configuration.
+    /// Version of the reader's configuration.
     pub config_version: u64,
-    /// Where the nodes' entries end that it knows.
+    /// End offset of the node entries that the reader has read.
     pub nodes_end: Offset,
-    /// How many workers there are in all.
+    /// Total number of workers.
     pub worker_count: u32,
-    /// Number of its state of the workers that its zone uses.
+    /// Revision of the reader's set of workers used by its zone.
     pub workers_revision: u64,
-    /// Zones that get no work, and those that do again.
+    /// Evacuation state of zones.
     pub zones: Vec<ZoneReport>,
 }
 
-/// What a listener asks a reader for.
+/// A request from a node that does not read the log to a reader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedQuestion {
-    /// The configuration in force.
+    /// Requests the current configuration.
     Configuration,
-    /// The nodes' entries from an offset on.
+    /// Requests the node entries that changed at or after an offset.
     Nodes {
-        /// The first offset that is not known.
+        /// The first offset unknown to the requesting node.
         since: Offset,
     },
-    /// The workers that the zone uses.
+    /// Requests the workers used by the zone.
     Workers {
-        /// Number of the reader's state that is known, if one is.
+        /// Revision of the reader's set that the requesting node has, if any; the response then
+        /// contains only the changes since.
         since: Option<u64>,
     },
 }
 
-/// A reader's answer.
+/// A reader's response to a [`FeedQuestion`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedAnswer {
-    /// The record of the configuration in force.
+    /// The record of the current configuration.
     Configuration(RecordCopy),
-    /// Entries of nodes that have changed.
+    /// The node entries that have changed.
     Nodes {
-        /// Where the entries end that are known with these.
+        /// End offset of the entries known after applying these.
         end: Offset,
-        /// The newest entry of each node that has changed; empty if it was dropped.
+        /// The latest entry of each changed node; an empty value if the entry was removed.
         entries: Vec<RecordCopy>,
     },
-    /// Workers that have changed.
+    /// The changed workers.
     Workers(WorkersUpdate),
-    /// The node asked has nothing to tell.
+    /// The receiver cannot answer the request.
     Nothing,
 }
 
-/// A record of a stream of the log.
+/// A copy of a record of one of the log's streams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordCopy {
-    /// Its position.
+    /// The record's offset.
     pub offset: Offset,
-    /// Its key.
+    /// The record's key.
     pub key: Option<String>,
-    /// Its content.
+    /// The record's value.
     pub value: Bytes,
 }
 
-/// Changes of the workers in use.
+/// A full or incremental update of the workers used by a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkersUpdate {
-    /// Number of the state that is known with these.
+    /// Revision reached after applying the update.
     pub revision: u64,
-    /// Offset of the last record that the reader had taken.
+    /// Offset of the last record that the reader had processed.
     pub offset: Offset,
-    /// Whether `used` are all workers in use, in place of what was known.
+    /// Whether `used` is the complete set and replaces the previous one.
     pub is_whole: bool,
-    /// Workers that are used or have changed.
+    /// Workers that were added or changed; all of them if `is_whole`.
     pub used: Vec<WorkerRecord>,
-    /// Workers that are not used any more.
+    /// Ids of the workers that are no longer used.
     pub dropped: Vec<String>,
 }
 
-/// A worker's own entry in the directory of workers.
+/// A worker's entry in the worker directory, as written by the worker itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Names the worker. One that starts again may keep it: see [`Self::born`].
+    /// The worker's id. A restarted worker may keep it; [`Self::born`] distinguishes the starts.
     pub id: String,
-    /// Service that it belongs to.
+    /// The service to which the worker belongs.
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which the worker accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether the worker is draining and accepts no new requests.
     pub draining: bool,
-    /// How much longer it is cold, counted from when the entry was written.
+    /// Remaining warm-up time at the moment the entry was written.
     pub cold_left: Duration,
-    /// Names the start of the worker together with the id; larger in later ones. 0 where workers do
-    /// not tell.
+    /// Distinguishes starts of the worker under the same id; larger for later starts. 0 if the worker
+    /// does not report it.
     pub born: u64,
 }
 
 impl WorkerRecord {
-    /// Whether two entries say the same of a worker, but for how long it stays cold.
+    /// Returns whether two entries are equal, ignoring [`Self::cold_left`].
     pub fn is_alike(&self, other: &Self) -> bool {
         let mut other = other.clone();
         other.cold_left = self.cold_left;
--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -1,4 +1,7 @@
-//! Datagrams between gateways.
+//! Datagrams exchanged between gateways.
+//!
+//! Gateways ignore datagrams of kinds that they don't know, so later versions may append variants to
+//! [`GatewayDatagram`].
 
 use elderworks_types::{NodeId, Offset};
 use serde::{Deserialize, Serialize};
@@ -9,214 +12,214 @@
 /// A datagram between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayDatagram {
-    /// Of the failure detector.
+    /// A datagram of the failure detector.
     Gossip(Datagram),
-    /// The sender's load on workers.
+    /// The load that the sender puts on workers.
     Load(LoadReport),
-    /// Asks how lately the receiver's configuration was the newest one. Returned in the answer.
+    /// Requests the age of the receiver's proof that its configuration is current. The number is
+    /// repeated in the reply.
     ProofAsked(u64),
-    /// The answer.
+    /// Reply to [`Self::ProofAsked`].
     ProofTold(ConfigProofAnswer),
-    /// What the sender has sent on for tenants.
+    /// Requests that the sender has forwarded for each tenant.
     Quota(QuotaReport),
-    /// How much the sender's callers ask for first parts of prompts.
+    /// The demand of the sender's callers for prompt prefixes.
     Parts(PartReport),
-    /// What waits at the sender.
+    /// Turns waiting at the sender.
     Demand(DemandReport),
-    /// Which zones' workers are to get nothing more, as far as the sender knows. Nodes of versions
-    /// before this message pass it over.
+    /// Evacuation state of zones, as known to the sender. Ignored by versions before this variant.
     Zones(Vec<ZoneReport>),
-    /// How far a reader of the log's streams has read. Passed over by earlier versions as well, which
-    /// so are never asked for news.
+    /// A log reader's heartbeat. Ignored by earlier versions, which send none and therefore never
+    /// receive a [`FeedQuestion`](crate::feed::FeedQuestion).
     Beat(FeedBeat),
-    /// What engines that the sender reads keep of prompts. Passed over by earlier versions.
+    /// Prompt prefixes held by the engines that the sender polls. Ignored by earlier versions.
     Memory(MemoryReport),
-    /// Whether the log answers the sender. Passed over by earlier versions.
+    /// Whether the log responds to the sender. Ignored by earlier versions.
     Log(LogReport),
-    /// Between nodes that grant requests within tenants' quotas to each other. Passed over by earlier
-    /// versions, which so never say that they grant.
+    /// A message of the protocol by which lessors grant quota. Ignored by earlier versions, which never
+    /// introduce themselves as lessors.
     Lessor(LessorMessage),
 }
 
-/// What engines keep of prompts. It takes the place of earlier reports on the same engines.
+/// Prompt prefixes held by engines. Replaces earlier reports about the same engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryReport {
     /// The sender.
     pub node: NodeId,
-    /// By engine.
+    /// One report per engine.
     pub engines: Vec<EngineMemoryReport>,
 }
 
-/// What one engine keeps.
+/// Prompt prefixes held by one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineMemoryReport {
-    /// Stands for the engine's id.
+    /// Hash of the engine's id.
     pub engine: u32,
-    /// The start of the engine that this is about.
+    /// The start of the engine to which the report applies; larger for later starts.
     pub born: u64,
-    /// How long before the report the engine was heard, in milliseconds.
+    /// Age of the engine's data when the report was sent, in milliseconds.
     pub age_ms: u32,
-    /// Tokens kept of parts that turns ask for, by what stands for the part's name; 0 of those that
-    /// are not kept. Nothing is known of parts that are left out.
+    /// Hash of a prefix's name and the number of its tokens that the engine holds, 0 if it holds none.
+    /// Nothing is known about prefixes that aren't listed.
     pub parts: Vec<(u32, u64)>,
 }
 
-/// What a node knows of the log from its own calls.
+/// What a node has observed about the log's responsiveness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogReport {
     /// The sender.
     pub node: NodeId,
-    /// For how long its earliest unanswered call has waited, if that is longer than usual, in
-    /// microseconds.
+    /// How long the earliest unanswered call has been pending, in microseconds; set only if that is
+    /// longer than usual.
     pub waits_us: Option<u64>,
-    /// Time since the latest call began that it knows to have been answered, its own or another
-    /// node's, in microseconds.
+    /// Time since the start of the latest call, by this or another node, that is known to have been
+    /// answered, in microseconds.
     pub answered_us: Option<u64>,
-    /// Whether it takes the log to be silent. If not, it asks the receiver whether it has been
-    /// answered since.
+    /// Whether the sender considers the log unresponsive. If not, the report asks the receiver whether
+    /// the log has answered it in the meantime.
     pub is_silent: bool,
 }
 
-/// Between nodes that grant requests within tenants' quotas to each other.
+/// A message between nodes that grant each other requests within tenants' quotas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LessorMessage {
-    /// The sender grants requests.
+    /// Announces that the sender grants requests.
     Introduction {
         /// The sender.
         node: NodeId,
-        /// Its boot number.
+        /// Identifies the sender's process start.
         boot: u64,
-        /// Whether the receiver has said the same just now.
+        /// Whether this replies to an introduction by the receiver.
         is_answer: bool,
     },
-    /// Asks the tenant's lessor for one request.
+    /// Asks the tenant's lessor to grant one request.
     Asked {
-        /// Returned in the answer.
+        /// Correlation id, repeated in the reply.
         question: u64,
         /// The sender.
         node: NodeId,
-        /// Stands for the tenant's name.
+        /// Hash of the tenant's name.
         tenant: u64,
-        /// Whether the request begins a program.
+        /// Whether it is the first request of a program.
         begins: bool,
     },
-    /// The answer.
+    /// Reply to [`Self::Asked`].
     Told {
-        /// From the question.
+        /// Correlation id of the request.
         question: u64,
-        /// What the lessor has decided.
+        /// The lessor's decision.
         verdict: GrantVerdict,
     },
 }
 
-/// What a lessor has decided on one request.
+/// A lessor's decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantVerdict {
-    /// It may be sent on, and counts.
+    /// The request may be forwarded and counts towards the quota.
     Granted,
-    /// The quota holds no more now.
+    /// The quota is currently used up.
     Refused {
-        /// When it is likely to hold the request, in milliseconds.
+        /// Time after which the request is likely to fit, in milliseconds.
         pause_ms: u32,
-        /// Whether there is room, but only for programs that have begun.
+        /// Whether the remaining quota is reserved for programs that have already started.
         is_held_back: bool,
     },
-    /// The sender cannot tell.
+    /// The sender cannot decide, for example because it doesn't know the tenant's quota yet.
     Unready,
 }
 
-/// The operator's latest wish for one zone.
+/// The latest evacuation state of one zone, as set by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneReport {
     /// The zone.
     pub zone: String,
-    /// Position of the record on the log that says so; later wishes have larger ones.
+    /// Offset of the record that sets this state; a larger offset takes precedence.
     pub offset: Offset,
-    /// Whether its workers are to get nothing more.
+    /// Whether the zone is evacuated, that is, its workers receive no further work.
     pub is_on: bool,
 }
 
-/// How lately the sender's configuration was the newest one.
+/// Proof of how recently the sender's configuration was known to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigProofAnswer {
-    /// From the question.
+    /// Correlation id of the request.
     pub question: u64,
     /// Version of the sender's configuration.
     pub version: u64,
-    /// Age of the sender's proof when it answered, in microseconds.
+    /// Age of the sender's proof at the time of the reply, in microseconds.
     pub age_us: u64,
 }
 
-/// What one node has under way at workers. It takes the place of the node's earlier reports.
+/// One node's open requests at workers. Replaces the node's earlier reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The sender.
     pub node: NodeId,
-    /// Requests under way by key of the worker; workers without any are left out.
+    /// Hash of a worker's id and the number of open requests; workers without any are omitted.
     pub counts: Vec<(u32, u32)>,
 }
 
-/// What one node has sent on for tenants that have a quota. It takes the place of the node's earlier
+/// Requests that one node has forwarded for tenants with a quota. Replaces the node's earlier
 /// reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The sender.
     pub node: NodeId,
-    /// By tenant; those with little use are left out.
+    /// One report per tenant; tenants with low usage are omitted.
     pub uses: Vec<TenantUseReport>,
 }
 
-/// What one node has sent on for one tenant.
+/// Requests that one node has received and forwarded for one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUseReport {
-    /// Stands for the tenant's name.
+    /// Hash of the tenant's name.
     pub tenant: u64,
-    /// Requests sent on in the last window of quotas.
+    /// Requests forwarded within the last quota window.
     pub sent: u32,
-    /// Requests that were asked for in the last second.
+    /// Requests received in the last second, including refused ones.
     pub asked: u32,
 }
 
-/// How much one node's callers ask for first parts of prompts. It takes the place of the node's
-/// earlier reports on that service.
+/// The demand of one node's callers for prompt prefixes. Replaces the node's earlier reports about
+/// the same service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartReport {
     /// The sender.
     pub node: NodeId,
     /// The service.
     pub service: String,
-    /// By part; those with little demand are left out.
+    /// One report per prefix; prefixes with little demand are omitted.
     pub uses: Vec<PartUseReport>,
 }
 
-/// How much one part is asked for.
+/// Demand for one prompt prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartUseReport {
-    /// Stands for the part's name.
+    /// Hash of the prefix's name.
     pub part: u32,
-    /// Its length in tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// Turns that asked for it lately, in tenths.
+    /// Decaying count of recent turns that use the prefix, in tenths of a turn.
     pub turn_tenths: u32,
 }
 
-/// What waits at one node for places at engines. It takes the place of the node's earlier reports.
+/// Turns waiting at one node for a slot at an engine. Replaces the node's earlier reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// The sender.
     pub node: NodeId,
-    /// Services at which turns wait; none takes the report before back.
+    /// Services with waiting turns; an empty list withdraws the previous report.
     pub services: Vec<ServiceDemandReport>,
-    /// Tokens that the sender served lately, by what stands for the tenant's name; those served
-    /// most.
+    /// Hash of a tenant's name and the number of tokens that the sender served to it recently, for the
+    /// tenants with the most tokens.
     pub served: Vec<(u64, u64)>,
 }
 
-/// What waits at one node for one service.
+/// Turns waiting at one node for one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDemandReport {
-    /// Stands for the service's name.
+    /// Hash of the service's name.
     pub service: u64,
-    /// Turns that wait, by level of urgency; levels without any are left out.
+    /// Priority level and the number of waiting turns; levels without any are omitted.
     pub waiting: Vec<(u8, u32)>,
 }
--- a/crates/protocol/src/gossip.rs
+++ b/crates/protocol/src/gossip.rs
@@ -1,91 +1,91 @@
-//! Datagrams of the failure detector.
+//! Datagrams of the gossip-based failure detector.
 
 use std::net::SocketAddr;
 
 use elderworks_types::{CellId, Incarnation, NodeId, Offset, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded datagram in bytes: fits one Ethernet frame behind any usual encapsulation.
+/// Maximum size of an encoded datagram, in bytes. Fits into one Ethernet frame with common tunnel
+/// headers, so datagrams aren't fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Most representatives named in a [`CellDigest`].
+/// Maximum number of representatives in a [`CellDigest`].
 pub const MAX_REPRESENTATIVES: usize = 3;
 
-/// What one node says of another.
+/// One node's view of a member of its cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// Which start of it; refutations raise `refutation`, not this.
+    /// The node's process start. Refuting a suspicion increments `refutation`, not this.
     pub incarnation: Incarnation,
-    /// Raised by the node itself to refute a suspicion.
+    /// Counter that the node itself increments to refute a suspicion.
     pub refutation: u32,
-    /// Its state as the sender believes.
+    /// The node's state in the sender's view.
     pub state: MemberState,
-    /// Its zone.
+    /// The node's zone.
     pub zone: ZoneId,
-    /// Where it takes gossip datagrams (UDP) and connections (TCP, same port number or the one
-    /// given).
+    /// UDP address for gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// Where it takes connections from sidecars and peers.
+    /// TCP address for connections from sidecars and peers.
     pub address: SocketAddr,
 }
 
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers probes.
+    /// The node replies to probes.
     Alive,
-    /// Answers probes and is leaving in order: owns nothing new.
+    /// The node replies to probes and is shutting down gracefully; it acquires no partitions.
     Draining,
-    /// Missed a probe; may still refute.
+    /// The node missed a probe and may still refute the suspicion.
     Suspect,
-    /// Gone.
+    /// The node has failed or left.
     Dead,
 }
 
 /// A node through which a cell can be reached.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Representative {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// Where it takes gossip datagrams.
+    /// UDP address for gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// Where it takes connections.
+    /// TCP address for connections.
     pub address: SocketAddr,
 }
 
-/// What nodes of other cells know of a cell.
+/// Summary of a cell for nodes of other cells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellDigest {
-    /// Which cell.
+    /// The cell.
     pub cell: CellId,
-    /// Raised by a relay of the cell with each new digest, also to refute a suspicion.
+    /// Version, incremented by a relay of the cell with each new digest and to refute a suspicion.
     pub version: u64,
-    /// Whether the cell can be reached, as the sender believes.
+    /// Reachability of the cell in the sender's view.
     pub state: CellState,
-    /// Its relays, at most [`MAX_REPRESENTATIVES`].
+    /// The cell's relays, at most [`MAX_REPRESENTATIVES`].
     pub representatives: Vec<Representative>,
-    /// Nodes that may own partitions.
+    /// Number of nodes that may own partitions.
     pub nodes: u16,
-    /// How busy it is, in percent.
+    /// The cell's load, in percent.
     pub load_percent: u8,
-    /// The highest control revision applied in the cell when the digest was made, plus one.
+    /// The highest control revision applied in the cell when the digest was created, plus one.
     pub control_next: Offset,
 }
 
-/// Whether a cell can be reached. A later state beats an earlier one of the same digest version.
+/// Reachability of a cell. Among digests of the same version, the state declared later wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CellState {
-    /// A representative answers.
+    /// A representative replies to probes.
     Alive,
-    /// No representative answered a probe; the cell may still refute.
+    /// No representative replied to a probe; the cell may still refute the suspicion.
     Suspect,
-    /// Gone or cut off.
+    /// The cell has failed or is unreachable.
     Dead,
 }
 
-/// One datagram.
+/// A gossip datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// The sender.
@@ -94,37 +94,37 @@
     pub cell: CellId,
     /// The highest control revision that the sender has applied, plus one.
     pub control_next: Offset,
-    /// What it is about.
+    /// The kind of the datagram.
     pub kind: DatagramKind,
-    /// News of members of the sender's cell, piggybacked.
+    /// Piggybacked updates about members of the sender's cell.
     pub updates: Vec<MemberUpdate>,
-    /// News of cells, piggybacked.
+    /// Piggybacked digests of cells.
     pub digests: Vec<CellDigest>,
 }
 
-/// What a datagram is about.
+/// Kind of a gossip datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramKind {
-    /// Are you there?
+    /// Probes the receiver.
     Ping {
-        /// Returned in the answer.
+        /// Number repeated in the acknowledgement.
         nonce: u64,
     },
-    /// Please ask the target on my behalf.
+    /// Asks the receiver to probe the target on the sender's behalf.
     PingRequest {
-        /// Returned in the answer.
+        /// Number repeated in the acknowledgement.
         nonce: u64,
-        /// Whom to ask.
+        /// The node to probe.
         target: NodeId,
     },
-    /// I am here, or the asked target is.
+    /// Confirms that the sender, or the target of a [`Self::PingRequest`], is alive.
     Acknowledge {
-        /// From the ping.
+        /// Number from the ping or ping request.
         nonce: u64,
     },
-    /// I am new (or returning): please send what you know. My own entry is in `updates`, and is
-    /// read whatever my cell.
+    /// Requests the receiver's member list on joining or rejoining. The sender's own entry is in
+    /// `updates` and is processed even if the sender is in another cell.
     Join,
-    /// What I know, in answer to a join or a full exchange; may span several datagrams.
+    /// The sender's member list, in reply to a join or a full exchange; may span several datagrams.
     Members,
 }
--- a/crates/protocol/src/journal.rs
+++ b/crates/protocol/src/journal.rs
@@ -1,4 +1,4 @@
-//! Bodies of records on a partition's stream.
+//! Bodies of the records in a partition's journal.
 
 use elderworks_types::{
     Attempt, CallId, CallSpec, Credits, EngineId, NodeId, Outcome, Refusal, RunId, RunPhase,
@@ -8,65 +8,67 @@
 
 use crate::sidecar::SubmissionId;
 
-/// One step in the life of a partition. Replay in offset order rebuilds its state.
+/// A state transition of a partition. Replaying the records in offset order rebuilds its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalBody {
-    /// Claims ownership at the record's epoch, which must be one above the current.
+    /// Claims ownership of the partition at the record's epoch, which must be the current epoch plus
+    /// one.
     Claim {
         /// The claiming node.
         owner: NodeId,
     },
-    /// The owner lets go in order; the next claim needs no failure to be detected.
+    /// Releases ownership voluntarily, so that another node can claim the partition without waiting for
+    /// failure detection.
     Release {
-        /// Open calls of which surely no back end has seen the present attempt, so that the next
-        /// owner need not charge it.
+        /// Open calls whose current attempt was not sent to a back end, so that the next owner doesn't
+        /// charge for it.
         unsent: Vec<CallId>,
     },
-    /// Changes nothing: once read back it shows its writer that it still owned the partition after
-    /// it was asked something.
+    /// Has no effect. Reading it back proves to its writer that it still owned the partition when the
+    /// record was appended.
     Barrier,
     /// Starts a run.
     RunStarted {
-        /// What the caller fixed.
+        /// The run as specified by its caller.
         spec: RunSpec,
-        /// Limits of the program as they stood, so that replay needs no other stream.
+        /// The program's limits at that time, copied so that replay needs no other stream.
         limits: RunLimits,
-        /// When, by the owner's clock; the run's longest life counts from here.
+        /// Start time by the owner's clock, from which the run's maximum duration is measured.
         started: Timestamp,
     },
-    /// Accepts a call: its place in the order is fixed and the most that it can cost is reserved.
+    /// Accepts a call: fixes its position in the run and reserves its maximum cost.
     CallAccepted {
         /// The run.
         run: RunId,
-        /// The call as made.
+        /// The call as submitted.
         spec: CallSpec,
-        /// Reserved from the run's budget for the first attempt.
+        /// Credits reserved from the run's budget for the first attempt.
         reserved: Credits,
-        /// Prices and limits as they stood, so that another owner can go on with the call.
+        /// Prices and limits at that time, so that another owner can continue the call.
         terms: CallTerms,
     },
-    /// Settles a lost attempt and reserves what the next one can cost. The next attempt is
-    /// dispatched only after this record was read back accepted.
+    /// Settles a lost attempt and reserves the maximum cost of the next one, which is dispatched only
+    /// after this record has been read back as accepted.
     AttemptReserved {
         /// The call.
         call: CallId,
-        /// The attempt that is to follow.
+        /// The next attempt.
         attempt: Attempt,
-        /// What the attempts before it cost, or may have cost where that is not known.
+        /// Cost of the previous attempts; their maximum cost where the actual cost is unknown.
         spent: Credits,
-        /// Reserved for the attempt that is to follow.
+        /// Credits reserved for the next attempt.
         reserved: Credits,
-        /// Text of the answer that earlier attempts delivered and the next one continues.
+        /// Text delivered by earlier attempts, which the next attempt continues.
         continue_text: String,
-        /// How many chunks that text came in.
+        /// Number of chunks of that text.
         continue_chunks: u32,
     },
-    /// An attempt was given to a back end. A call that is not repeatable is sent only after this
-    /// record was read back accepted.
+    /// Records that an attempt is sent to a back end. A call that is not repeatable is sent only after
+    /// this record has been read back as accepted.
     AttemptStarted {
         /// The call.
         call: CallId,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
         /// The engine, for a model call.
         engine: Option<EngineId>,
@@ -75,73 +77,75 @@
     CallEnded {
         /// The call.
         call: CallId,
-        /// Its one outcome. After a refusal the call's number may be used again.
+        /// The call's outcome. After a refusal, the call's number may be reused.
         outcome: Outcome,
-        /// How many chunks the answer had.
+        /// Number of chunks of the answer.
         chunks: u32,
     },
-    /// No owner takes a copy of this submission any more. Other submissions of the call may be.
+    /// Bars a submission of a call: no owner accepts a copy of it from here on. Other submissions of the
+    /// same call may still be accepted.
     SubmissionRefused {
-        /// The call; it is not in the journal.
+        /// The call, which the journal has not accepted.
         call: CallId,
-        /// Which submission of it.
+        /// The barred submission.
         submission: SubmissionId,
-        /// Why; the caller is told so once this record was read back accepted.
+        /// The refusal, sent to the caller after this record has been read back as accepted.
         refusal: Refusal,
     },
-    /// Ends a run. What engines hold for it is to be released.
+    /// Ends a run, after which engines must release the memory held for it.
     RunEnded {
         /// The run.
         run: RunId,
-        /// How.
+        /// The run's final phase.
         phase: RunPhase,
-        /// When, by the owner's clock; the run is kept for reading for some time from here.
+        /// End time by the owner's clock, from which the retention of the ended run is measured.
         at: Timestamp,
     },
-    /// Forgets ended runs whose time for reading is over.
+    /// Drops ended runs whose retention has expired.
     RunsForgotten {
-        /// Which; each has ended and its memory is released.
+        /// The runs, all of which have ended and whose engine memory has been released.
         runs: Vec<RunId>,
     },
-    /// Every engine that held memory for an ended run has acknowledged its release.
+    /// Records that every engine with memory for an ended run has acknowledged its release.
     MemoryReleased {
         /// The run.
         run: RunId,
     },
-    /// A tenant's budget holder sets part of the budget aside for another partition.
+    /// Allots part of a tenant's budget to another partition. Written by the owner of the budget.
     AllotmentGranted {
-        /// Whose budget.
+        /// The tenant.
         tenant: TenantId,
-        /// Asked for by this partition.
+        /// The partition that receives the allotment.
         partition: elderworks_types::PartitionId,
-        /// Number of the request among that partition's, so that a repeat grants nothing more.
+        /// Number of the partition's request, by which a repeated request is detected and granted only
+        /// once.
         request: Sequence,
-        /// How much.
+        /// Amount of the allotment.
         amount: Credits,
     },
-    /// A partition takes a granted allotment into its books.
+    /// Credits a granted allotment to the receiving partition.
     AllotmentReceived {
-        /// Whose budget.
+        /// The tenant.
         tenant: TenantId,
         /// Number of the request.
         request: Sequence,
-        /// How much.
+        /// Amount of the allotment.
         amount: Credits,
     },
-    /// State of the partition after all records before this one, in parts.
+    /// One part of a snapshot of the partition's state after all earlier records.
     Snapshot {
-        /// Which part, from 0.
+        /// Index of the part, from 0.
         part: u32,
-        /// How many there are.
+        /// Total number of parts.
         parts: u32,
-        /// Encoded state.
+        /// Encoded state of this part.
         bytes: Vec<u8>,
     },
-    /// The snapshot whose first part stands at an offset was read back accepted by its writer. A
-    /// reader that begins in the middle of the stream trusts only snapshots confirmed so: one
-    /// written by an owner that had been fenced out is void, and cannot be told by itself.
+    /// Confirms that the writer of a snapshot has read it back as accepted. A reader that starts in the
+    /// middle of the stream uses confirmed snapshots only, since it cannot detect otherwise that a
+    /// snapshot is void because its writer had already lost ownership.
     SnapshotConfirmed {
-        /// Where the first part stands.
+        /// Offset of the snapshot's first part.
         first: elderworks_types::Offset,
     },
 }
@@ -149,19 +153,19 @@
 /// Limits of one run, copied from its `Program` when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLimits {
-    /// Most calls.
+    /// Maximum number of calls.
     pub max_turns: u32,
-    /// Most tokens of history.
+    /// Maximum length of the history, in tokens.
     pub max_history: elderworks_types::Tokens,
-    /// Longest life.
+    /// Maximum duration of the run.
     pub max_duration: std::time::Duration,
-    /// Urgency; larger goes first.
+    /// Priority; larger values are served first.
     pub priority: i32,
-    /// Whether the run draws on its tenant's budget beside its own.
+    /// Whether the run is also charged to its tenant's budget, in addition to its own.
     pub tenant_budget: bool,
 }
 
-/// Prices and limits of one call, from its service.
+/// Prices and limits of one call, copied from its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallTerms {
     /// Price of one prompt token; 0 for a tool.
@@ -170,6 +174,6 @@
     pub per_output_token: Credits,
     /// Price of one invocation; 0 for a model.
     pub per_invocation: Credits,
-    /// Longest time for one attempt.
+    /// Timeout of one attempt.
     pub timeout: std::time::Duration,
 }
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -1,4 +1,7 @@
-//! Records of a partition's ledger on the log, and the requests that nodes make of its owner.
+//! Records of a partition's ledger on the log, and the messages between gateways.
+//!
+//! The ledger of a partition holds the budgets and stored conversations of its programs. Only the
+//! partition's owner appends to it; other nodes send [`LedgerRequest`]s to the owner.
 
 use bytes::Bytes;
 use elderworks_types::{NodeId, Offset, PartitionId};
@@ -6,270 +9,274 @@
 
 use crate::feed::{FeedAnswer, FeedQuestion};
 
-/// A turn of a conversation as it is kept: what it added, not what came before it.
+/// One stored turn of a conversation, without the turns before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptTurn {
-    /// The turn that it goes on from.
+    /// The preceding turn of the conversation, if any.
     pub previous: Option<String>,
-    /// Its own input.
+    /// The input that this turn added.
     pub input: Bytes,
-    /// What it generated.
+    /// The output that this turn generated.
     pub output: Bytes,
 }
 
 /// One record of a partition's ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRecord {
-    /// Tokens of a program's budget were set aside for turns that an owner lets run.
+    /// Reserves tokens of a program's budget for turns that the owner permits to run.
     Reserved {
         /// The program.
         program: String,
-        /// Names the reservation; begins with the owner's name.
+        /// Id of the reservation, prefixed with the owner's name.
         reservation: String,
-        /// Tokens set aside.
+        /// Reserved tokens.
         tokens: u64,
     },
-    /// A reservation ended; what its turns did not use returns to the budget.
+    /// Closes a reservation and returns its unused tokens to the budget.
     Settled {
         /// The program.
         program: String,
-        /// Names the reservation.
+        /// Id of the reservation.
         reservation: String,
-        /// Tokens that its turns generated.
+        /// Tokens that the reservation's turns generated.
         used: u64,
     },
-    /// A turn's input and output are kept.
+    /// Stores a turn's input and output.
     Kept {
         /// The turn.
         turn: String,
-        /// What it added.
+        /// The turn's input and output.
         content: KeptTurn,
     },
-    /// A program's account, written anew before its earlier records leave the log's history.
+    /// State of a program's account, rewritten before its earlier records are trimmed from the log.
     Account {
         /// The program.
         program: String,
-        /// Tokens generated on reservations that have ended.
+        /// Tokens used by closed reservations.
         settled: u64,
-        /// Its other reservations with the tokens of each.
+        /// Ids and tokens of the open reservations.
         open: Vec<(String, u64)>,
     },
-    /// An owner may let turns run before their tokens are set aside, once a majority of the
-    /// witnesses knows that it does. Until the overdraft is closed, others count on its use.
+    /// Opens an overdraft: after activating it at a majority of the witnesses, the owner may permit
+    /// turns to run before their tokens are reserved in the log. Until it is closed, other owners
+    /// assume that it is used.
     Overdraft {
-        /// Names the overdraft; begins with the owner's name.
+        /// Id of the overdraft, prefixed with the owner's name.
         overdraft: String,
-        /// A turn may begin on it if, with it, the program draws no more than one part in so many
-        /// of its budget.
+        /// Divisor of a program's budget: the program's draw on the overdraft, including the new
+        /// turn, must not exceed budget / `share`.
         share: u64,
-        /// The nodes that are told before it is used.
+        /// Nodes at which the overdraft is activated before use.
         witnesses: Vec<Witness>,
-        /// Time since the owner last gave a sign of life in this log, as known to whoever writes
-        /// the record, in milliseconds.
+        /// Time since the owner's last activity in this log as known to the writer of the record, in
+        /// milliseconds.
         idle_ms: u64,
     },
-    /// An overdraft ended: all that was drawn on it stands in the records before.
+    /// Closes an overdraft: everything drawn on it is contained in earlier records.
     OverdraftClosed {
-        /// Names the overdraft.
+        /// Id of the overdraft.
         overdraft: String,
     },
-    /// Which programs an overdraft, opened by the record before, serves; the others need not be
-    /// held back for it.
+    /// Restricts an overdraft opened by an earlier record to some programs. For other programs,
+    /// owners need not assume that it is used.
     OverdraftTerms {
-        /// Names the overdraft.
+        /// Id of the overdraft.
         overdraft: String,
-        /// Programs with smaller budgets may not draw on it.
+        /// Minimum budget, in tokens, of programs that may draw on the overdraft.
         min_budget: u64,
-        /// Whether only programs may draw on it whose account its owner has read in the log.
+        /// Whether only programs whose account the owner has read in the log may draw on it.
         known_programs: bool,
     },
-    /// An overdraft may not be drawn on by an owner that has read this. Where it serves known
-    /// programs alone, those that begin after this record need not be held back for it.
+    /// Ends drawing on an overdraft: its owner stops when it reads this record. If the overdraft is
+    /// limited to known programs, it need not be assumed used for programs whose account appears
+    /// after this record.
     OverdraftSuperseded {
-        /// Names the overdraft.
+        /// Id of the overdraft.
         overdraft: String,
     },
 }
 
-/// A start of a node that remembers whether an overdraft is used.
+/// One process start of a node that remembers whether an overdraft is used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
     /// The node.
     pub node: NodeId,
-    /// Names the start: a node that was restarted remembers nothing of before.
+    /// Identifies the process start; a restarted node has lost what it knew.
     pub boot: u64,
 }
 
-/// What a witness is asked for.
+/// What a witness is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WitnessWish {
-    /// Remember that the overdraft is used.
+    /// Record that the overdraft is used.
     Activate,
-    /// Let it not be activated any more.
+    /// Reject any later activation of the overdraft.
     Fence,
 }
 
-/// A question to a witness of an overdraft.
+/// A request to a witness of an overdraft.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessQuestion {
-    /// The overdraft.
+    /// Id of the overdraft.
     pub overdraft: String,
-    /// The start of the node that is asked.
+    /// The witness's process start for which the request is meant.
     pub boot: u64,
-    /// What it is asked for.
+    /// The requested action.
     pub wish: WitnessWish,
 }
 
-/// What a witness knows of an overdraft after a question.
+/// State of an overdraft at a witness after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WitnessAnswer {
-    /// It is used.
+    /// The overdraft is used.
     Activated,
-    /// It will not be activated here any more.
+    /// The overdraft can no longer be activated at this witness.
     Fenced,
-    /// The question was for an earlier start, or too long ago.
+    /// The request was meant for an earlier start of the node, or the witness no longer has (or has no
+    /// room for) an entry for the overdraft.
     Unknown,
 }
 
 /// A request to the owner of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRequest {
-    /// May this turn run, and what came before it?
+    /// Requests a permit to run a turn, and the conversation before it.
     Begin(BeginTurn),
-    /// This turn has ended.
+    /// Reports that a turn has completed.
     Finish(FinishTurn),
-    /// What was said up to the end of this turn?
+    /// Requests the conversation up to and including a turn.
     Conversation {
         /// The turn.
         turn: String,
     },
-    /// A question to the node as a witness; it need not act for the partition.
+    /// A request to the node as a witness, which need not own the partition.
     Witness(WitnessQuestion),
 }
 
-/// Asks for leave to run a turn.
+/// Requests a permit to run a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginTurn {
     /// The program.
     pub program: String,
     /// The turn.
     pub turn: String,
-    /// Tokens that the program may generate in all; `None` if it has no budget.
+    /// The program's budget in generated tokens; `None` if unlimited.
     pub budget: Option<u64>,
-    /// Tokens that the turn generates at most.
+    /// Maximum number of tokens that the turn may generate.
     pub tokens: u64,
-    /// The kept turn that it goes on from.
+    /// The stored turn that this turn continues.
     pub previous: Option<String>,
-    /// The conversation up to `previous`, if that was found in another partition.
+    /// The conversation up to and including `previous`, if it is stored in another partition.
     pub imported: Option<Bytes>,
 }
 
-/// Tells how a turn ended.
+/// Reports that a turn has completed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishTurn {
     /// The program.
     pub program: String,
     /// The turn.
     pub turn: String,
-    /// Tokens that it generated.
+    /// Tokens that the turn generated.
     pub used: u64,
-    /// Set if the turn ended whole and is to be kept.
+    /// The turn's content, if it completed successfully and is to be stored.
     pub kept: Option<KeptTurn>,
-    /// Whether the owner should let the report wait for a while if the log is down, in place of
-    /// answering at once that it is.
+    /// Whether the owner, if the log is unavailable, holds the report for a while instead of replying
+    /// [`LedgerReply::Unavailable`] immediately.
     pub waits: bool,
 }
 
-/// An answer to a [`LedgerRequest`].
+/// A reply to a [`LedgerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerReply {
-    /// The turn may run; what it may generate is durably set aside. Its end is to be reported to
-    /// the node that gave this reply.
+    /// The turn may run; its maximum number of tokens is accounted for. Its completion must be reported
+    /// to the node that sent this reply.
     Granted {
-        /// Inputs and outputs of the turns before, in order.
+        /// Inputs and outputs of the preceding turns, in order.
         conversation: Bytes,
     },
-    /// The program's budget holds no further turn.
+    /// The rest of the program's budget is too small for the turn.
     BudgetSpent,
-    /// This partition keeps no such turn; the log's end was read to make sure.
+    /// The partition holds no such turn, as confirmed by reading the log to its end.
     UnknownTurn,
-    /// The end of the turn is durable.
+    /// The completion of the turn is durable.
     Finished,
-    /// What was said up to the turn's end.
+    /// The conversation up to and including the turn.
     Conversation {
-        /// Inputs and outputs in order.
+        /// Inputs and outputs, in order.
         conversation: Bytes,
     },
-    /// The log does not answer; nothing is known to have been done.
+    /// The log does not respond; it is unknown whether the request took effect.
     Unavailable,
-    /// Whether the budget holds the turn depends on what another owner has set aside and will soon
-    /// settle; nothing was done.
+    /// Whether the budget suffices depends on reservations of another owner that will be settled soon.
+    /// The request had no effect.
     BudgetUnsure,
-    /// A witness's answer.
+    /// Reply to [`LedgerRequest::Witness`].
     Witness(WitnessAnswer),
-    /// Whether the budget holds the turn depends on what a lost owner may have let run, which may
-    /// not become known for long; nothing was done.
+    /// Whether the budget suffices depends on turns that a failed owner may have permitted, which may
+    /// stay unsettled for a long time. The request had no effect.
     BudgetInDoubt,
 }
 
-/// A frame between gateways: a request, what becomes of it, or news that asks for no reply.
+/// A frame between gateways: a request, its acknowledgement or reply, or a notification.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayFrame {
-    /// A request.
+    /// A request to a partition's owner.
     Request {
-        /// Returned in the reply.
+        /// Correlation id, repeated in the reply.
         id: u64,
-        /// The partition asked.
+        /// The partition.
         partition: PartitionId,
-        /// What is asked.
+        /// The request.
         request: LedgerRequest,
     },
-    /// The request has arrived; its reply takes longer.
+    /// Acknowledges receipt of a request whose reply takes longer.
     Arrived {
-        /// From the request.
+        /// Correlation id of the request.
         id: u64,
     },
-    /// A reply.
+    /// The reply to a request.
     Reply {
-        /// From the request.
+        /// Correlation id of the request.
         id: u64,
-        /// What is answered.
+        /// The reply.
         reply: LedgerReply,
     },
-    /// A worker was ejected by the sender after failures.
+    /// Notifies that the sender ejected a worker after failures.
     WorkerEjected {
         /// The sender.
         node: NodeId,
         /// The worker's id.
         worker: String,
     },
-    /// Asks for the receiver's configuration.
+    /// Requests the receiver's configuration.
     ConfigurationAsked {
-        /// The sender, to whom it is told.
+        /// The sender, to which the configuration is sent.
         node: NodeId,
     },
-    /// The configuration that is in force at the sender, as its record on the log.
+    /// The sender's current configuration, as its record on the log.
     Configuration {
-        /// Position of the record.
+        /// The record's offset.
         offset: Offset,
-        /// Its key.
+        /// The record's key.
         key: Option<String>,
-        /// Its content.
+        /// The record's value.
         value: Bytes,
     },
-    /// Asks a reader of the log's streams for what the sender has missed. Only to nodes that have
-    /// told a [`FeedBeat`](crate::feed::FeedBeat): earlier versions close the connection on it.
+    /// Requests missing content of the log's streams from a reader. Sent only to nodes that have sent
+    /// a [`FeedBeat`](crate::feed::FeedBeat), since earlier versions close the connection on this
+    /// variant.
     FeedAsked {
-        /// Returned in the answer.
+        /// Correlation id, repeated in the response.
         id: u64,
-        /// What is asked.
+        /// The request.
         question: FeedQuestion,
     },
-    /// The answer.
+    /// Response to [`Self::FeedAsked`].
     FeedTold {
-        /// From the question.
+        /// Correlation id of the request.
         id: u64,
-        /// What is told.
+        /// The response.
         answer: FeedAnswer,
     },
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! Messages between elderworks processes and records on the platform's log.
+//! Messages exchanged between elderworks processes and records stored on the platform's log.
 //!
-//! Everything is encoded by `postcard` inside a versioned [`envelope`]. Decoders accept arbitrary
-//! bytes and answer malformed ones with a typed error.
+//! Values are encoded with `postcard` behind a version byte (see [`envelope`]). `postcard` encodes
+//! enum variants and struct fields by position, so their order is part of the format. Decoding never
+//! panics: malformed input returns a [`DecodeError`].
 
 pub mod envelope;
 pub mod feed;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,81 +1,83 @@
-//! Messages between nodes, over the same listener as sidecars use.
+//! Messages between nodes, and the outer message types of a connection to a node. Nodes and sidecars
+//! connect to the same listener.
 
 use elderworks_types::{Credits, Offset, PartitionId, Sequence, TenantId};
 use serde::{Deserialize, Serialize};
 
 use crate::sidecar::{NodeMessage, SidecarMessage};
 
-/// The first message on a connection says who is speaking; it decides what may follow.
+/// The first message on a connection. It identifies the client and determines which messages may
+/// follow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hello {
-    /// A sidecar; [`SidecarMessage`]s follow and [`NodeMessage`]s return.
+    /// The client is a sidecar: it sends [`SidecarMessage`]s and receives [`NodeMessage`]s.
     Sidecar {
-        /// Random, fixed for the life of the sidecar process.
+        /// Random id of the sidecar process.
         sidecar: u64,
     },
-    /// A peer; [`PeerMessage`]s go both ways.
+    /// The client is a node: both sides send [`PeerMessage`]s.
     Peer {
-        /// Which node.
+        /// The connecting node.
         node: elderworks_types::NodeId,
     },
 }
 
-/// Anything that a connection to a node can carry towards it.
+/// A message to a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToNode {
-    /// Introduces the speaker.
+    /// Identifies the client.
     Hello(Hello),
-    /// From a sidecar.
+    /// A message from a sidecar.
     Sidecar(SidecarMessage),
-    /// From a peer.
+    /// A message from another node.
     Peer(PeerMessage),
 }
 
-/// Anything that a node sends back on a connection.
+/// A message from a node to its client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromNode {
-    /// To a sidecar.
+    /// A message to a sidecar.
     Node(NodeMessage),
-    /// To a peer.
+    /// A message to another node.
     Peer(PeerMessage),
 }
 
-/// Between nodes.
+/// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Asks for control records from an offset on, when the log itself cannot be reached or to
-    /// spare it readers.
+    /// Requests control records from a peer, either because the log is unreachable or to reduce the
+    /// number of its readers.
     ControlFetch {
-        /// First offset wanted.
+        /// First requested offset.
         from: Offset,
     },
-    /// Control records in offset order.
+    /// Control records in offset order, in reply to [`Self::ControlFetch`].
     ControlRecords {
-        /// `(offset, encoded batch)` of each.
+        /// Offsets and encoded batches.
         records: Vec<(Offset, Vec<u8>)>,
         /// The highest offset that the sender has applied, plus one.
         next: Offset,
     },
-    /// Asks the owner of a tenant's budget for an allotment.
+    /// Requests an allotment from the owner of a tenant's budget.
     AllotmentRequest {
-        /// Whose budget.
+        /// The tenant.
         tenant: TenantId,
-        /// For this partition.
+        /// The requesting partition.
         partition: PartitionId,
-        /// Number of the request among that partition's for this tenant.
+        /// Number of the request among the partition's requests for this tenant.
         request: Sequence,
-        /// How much is wanted.
+        /// The requested amount.
         amount: Credits,
     },
-    /// Grants an allotment, possibly smaller than asked, possibly nothing.
+    /// Grants an allotment, which may be smaller than requested or zero.
     AllotmentGrant {
-        /// Whose budget.
+        /// The tenant.
         tenant: TenantId,
-        /// To this partition.
+        /// The receiving partition.
         partition: PartitionId,
         /// Number of the request.
         request: Sequence,
-        /// How much.
+        /// The granted amount.
         amount: Credits,
     },
 }
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -1,4 +1,4 @@
-//! What every record on the log carries, whatever its body.
+//! Records of the platform's log, independent of the type of their body.
 
 use elderworks_types::{Epoch, Incarnation, NodeId, PartitionId, Sequence};
 use serde::{Deserialize, Serialize};
@@ -8,35 +8,37 @@
 pub struct Writer {
     /// The node.
     pub node: NodeId,
-    /// Which start of it.
+    /// The node's process start.
     pub incarnation: Incarnation,
 }
 
-/// One record. A repeated append after a lost answer repeats `(writer, sequence)` and is dropped by
-/// every reader; a record whose epoch is not the stream's current one is void for every reader.
+/// One record of a stream.
+///
+/// An append that is retried after a lost reply may store a record twice; readers drop the duplicate by
+/// its `(writer, sequence)`. Readers ignore a record whose epoch is not the current epoch of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record<B> {
-    /// Who wrote it.
+    /// The writer.
     pub writer: Writer,
-    /// Its number among that writer's records on this stream, from 1 without gaps.
+    /// Number of the record among the writer's records on this stream, from 1 without gaps.
     pub sequence: Sequence,
-    /// The ownership epoch under which it was written; 0 on the control stream.
+    /// Ownership epoch of the writer; 0 on the control stream.
     pub epoch: Epoch,
-    /// What it says.
+    /// The content.
     pub body: B,
 }
 
-/// What one append carries: the records that one writer had ready, in order.
+/// The content of one append: consecutive records of one writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordBatch<B> {
-    /// At least one record.
+    /// The records, in sequence order; at least one.
     pub records: Vec<Record<B>>,
 }
 
 /// A stream of the platform's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum StreamName {
-    /// Resources and node incarnations.
+    /// The control stream with resources and node incarnations.
     Control,
     /// The journal of one partition.
     Partition(PartitionId),
--- a/crates/protocol/src/sidecar.rs
+++ b/crates/protocol/src/sidecar.rs
@@ -6,244 +6,247 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// From sidecar to node. Every request may be repeated: nodes recognise repeats by their ids.
+/// A message from a sidecar to a node. Requests are idempotent: nodes detect repeated requests by their
+/// ids.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarMessage {
-    /// Asks which node owns a partition, and how many partitions there are.
+    /// Requests the owner of a partition and the number of partitions.
     Locate {
         /// The partition.
         partition: PartitionId,
     },
     /// Starts a run.
     StartRun {
-        /// What to start.
+        /// The run.
         spec: RunSpec,
     },
-    /// Makes a call, or asks again for the answer of one made before.
+    /// Submits a call, or requests the answer of a call submitted earlier.
     SubmitCall {
-        /// On whose behalf; a run of another tenant is reported as not found.
+        /// The calling tenant; a run of another tenant is reported as not found.
         tenant: TenantId,
         /// The run.
         run: RunId,
         /// The call.
         spec: CallSpec,
-        /// What of the answer was already delivered to the caller.
+        /// The part of the answer that was already delivered to the caller.
         delivered: Delivered,
-        /// How many calls directly before this one the sidecar has given up: it told their callers
-        /// that it cannot know what became of them, and will not ask for them again. Those that
-        /// are not in the journal are passed over.
+        /// Number of calls directly before this one that the sidecar has abandoned: it has reported an
+        /// unknown outcome to their callers and doesn't resubmit them. The node skips those that are
+        /// not in the journal.
         abandoned_before: u32,
-        /// Tells copies of one submission from other submissions of the same call.
+        /// Identifies the submission, to distinguish its copies from other submissions of the same
+        /// call.
         submission: SubmissionTag,
     },
-    /// The whole answer has reached the caller; its chunks may be forgotten.
+    /// Confirms that the whole answer was delivered to the caller, so that the node may drop its chunks.
     Acknowledge {
         /// The call.
         call: CallId,
     },
-    /// Reads a run: its phase, budget and history.
+    /// Requests the state of a run: its phase, budget, history and calls.
     ReadRun {
-        /// Matches the reply.
+        /// Correlation id, repeated in the reply.
         query: u64,
-        /// On whose behalf.
+        /// The calling tenant.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
     /// Ends a run.
     EndRun {
-        /// On whose behalf.
+        /// The calling tenant.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
 }
 
-/// Names one submission of a call by one sidecar; all copies of it carry the same.
+/// Identifies one submission of a call by one sidecar. All copies of the submission carry the same id.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct SubmissionId {
-    /// The sidecar's name on connections.
+    /// The sidecar's id from [`Hello::Sidecar`](crate::peer::Hello::Sidecar).
     pub sidecar: u64,
-    /// Counts the sidecar's submissions, from 1.
+    /// Number of the submission among the sidecar's, from 1.
     pub number: u64,
 }
 
-/// What a copy of a submission says of itself.
+/// Identifies a submission and whether it was sent more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmissionTag {
-    /// Which submission.
+    /// The submission.
     pub id: SubmissionId,
-    /// Whether another copy may have been taken: a refusal is then worth something only if it
-    /// binds every owner.
+    /// Whether an earlier copy may have been accepted by another owner. A refusal is then final only if
+    /// the journal bars the submission for every owner.
     pub resubmitted: bool,
 }
 
 impl SubmissionTag {
-    /// The submission, if a refusal of it must bind every owner.
+    /// Returns the submission's id if it was resubmitted, so that a refusal must bar it in the journal.
     pub fn doubtful(self) -> Option<SubmissionId> {
         self.resubmitted.then_some(self.id)
     }
 }
 
-/// How far an answer has reached its caller.
+/// The part of an answer that was delivered to the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delivered {
     /// The attempt whose chunks were delivered; `None` before the first chunk.
     pub attempt: Option<Attempt>,
-    /// How many of its chunks.
+    /// Number of delivered chunks of that attempt.
     pub chunks: u32,
-    /// Their text, so that another owner can continue the answer where it broke off.
+    /// Text of the delivered chunks, so that another owner can continue the answer.
     pub text: String,
 }
 
-/// From node to sidecar.
+/// A message from a node to a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeMessage {
-    /// Answers [`SidecarMessage::Locate`].
+    /// Reply to [`SidecarMessage::Locate`].
     Located {
         /// The partition.
         partition: PartitionId,
-        /// Its owner as this node believes, with the address to reach it.
+        /// The partition's owner in this node's view, if known.
         owner: Option<NodeAddress>,
-        /// Partitions in all.
+        /// Total number of partitions.
         partition_count: u32,
     },
-    /// The node does not own the run's partition; ask the named one, or locate again.
+    /// The node does not own the run's partition. The sidecar should retry at the given owner, or locate
+    /// the partition again.
     NotOwner {
-        /// The run asked about.
+        /// The run of the request.
         run: RunId,
-        /// Matches a [`SidecarMessage::SubmitCall`], if that was the request.
+        /// The call's number, if the request was a [`SidecarMessage::SubmitCall`].
         number: Option<CallNumber>,
-        /// A better address, if one is known.
+        /// The owner in this node's view, if known.
         owner: Option<NodeAddress>,
     },
-    /// The node no longer owns the partition of a call that it had taken: locate again and ask the
-    /// new owner. The call may be in the journal already, so a refusal by a node that has not read
-    /// it there does not show that it was not run.
+    /// The node lost ownership of the partition of a call that it had received. The sidecar should locate
+    /// the partition again and resubmit the call to the new owner. The call may already be in the
+    /// journal, so a refusal by a node that has not read it there doesn't prove that it was not run.
     CallMoved {
         /// The call.
         call: CallId,
     },
-    /// The run is started (or was, by an earlier request).
+    /// The run has started, by this or an earlier request.
     RunStarted {
         /// The run.
         run: RunId,
     },
-    /// The run was not started.
+    /// The run was refused and has not started.
     RunRefused {
         /// The run.
         run: RunId,
-        /// Why, and when to come back.
+        /// The reason, and when to retry.
         refusal: Refusal,
     },
-    /// A piece of an answer.
+    /// A chunk of an answer.
     Chunk(Chunk),
-    /// The end of a call.
+    /// The outcome of a call.
     CallEnded {
         /// The call.
         call: CallId,
-        /// The attempt that the outcome is of, if one was made.
+        /// The attempt that produced the outcome, if one was made.
         attempt: Option<Attempt>,
-        /// How many chunks that attempt had.
+        /// Number of chunks of that attempt.
         chunks: u32,
-        /// Hash of the whole text ([`answer_digest`]).
+        /// Hash of the whole text, see [`answer_digest`].
         digest: u64,
-        /// The outcome; a completed one repeats the whole answer.
+        /// The outcome. [`Outcome::Completed`] contains the whole answer.
         outcome: Outcome,
-        /// For a refusal: the submission that no owner will run, as the journal shows; `None` if
-        /// the refusal speaks only for the node that sends it.
+        /// For a refusal, the submission that is barred in the journal, so that no owner will run it;
+        /// `None` if the refusal is valid for the sending node only.
         barred: Option<SubmissionId>,
     },
-    /// Answers [`SidecarMessage::ReadRun`].
+    /// Reply to [`SidecarMessage::ReadRun`].
     RunView {
-        /// Matches the question.
+        /// Correlation id of the request.
         query: u64,
-        /// The run, or `None` if it does not exist for that tenant.
+        /// The run, or `None` if the tenant has no such run.
         view: Option<Box<RunView>>,
     },
-    /// The run has ended (or had, by an earlier request).
+    /// The run has ended, by this or an earlier request.
     RunEnded {
         /// The run.
         run: RunId,
-        /// How.
+        /// The run's final phase.
         phase: RunPhase,
     },
-    /// The node is leaving: new calls should go elsewhere; open ones will be finished or moved.
+    /// The node is draining: new calls should be sent to other nodes; open calls are completed or moved.
     Draining,
 }
 
-/// A numbered piece of an answer.
+/// A numbered chunk of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The call.
     pub call: CallId,
-    /// The attempt; chunks of different attempts are never joined.
+    /// The attempt. Chunks of different attempts are never combined.
     pub attempt: Attempt,
-    /// Its position within the attempt, from 0.
+    /// Index of the chunk within the attempt, from 0.
     pub index: u32,
     /// The text.
     pub text: String,
 }
 
-/// Where a node takes connections from sidecars and peers.
+/// Address on which a node accepts connections from sidecars and peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeAddress {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// `IP:port` of its internal listener.
+    /// Address of its internal listener.
     pub address: std::net::SocketAddr,
 }
 
-/// A run as its caller may read it.
+/// The state of a run, as shown to its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunView {
-    /// What the caller fixed.
+    /// The run as specified by its caller.
     pub spec: RunSpec,
-    /// Where it stands.
+    /// The run's phase.
     pub phase: RunPhase,
-    /// Spent so far.
+    /// Credits spent so far.
     pub spent: Credits,
-    /// Reserved by open calls and by sub-agents.
+    /// Credits reserved by open calls and sub-agents.
     pub reserved: Credits,
-    /// Every message in order.
+    /// All messages in order.
     pub history: Vec<Message>,
-    /// Every call in order, with what became of it and why.
+    /// All calls in order, with their outcomes and attempts.
     pub calls: Vec<CallView>,
 }
 
-/// One call as `explain` shows it.
+/// The state of a call, as shown by `explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallView {
-    /// The call as made.
+    /// The call as submitted.
     pub spec: CallSpec,
-    /// Its outcome, once it has one.
+    /// The outcome, once the call has completed.
     pub outcome: Option<Outcome>,
-    /// Each attempt in order.
+    /// All attempts in order.
     pub attempts: Vec<AttemptView>,
-    /// When the owner received it.
+    /// Time at which the owner received the call.
     pub received: Timestamp,
-    /// When it ended.
+    /// Time at which the call completed.
     pub ended: Option<Timestamp>,
-    /// What it waited for and what was decided, one line each.
+    /// Log of what the call waited for and of the decisions made, one line each.
     pub notes: Vec<String>,
 }
 
-/// One attempt of a call.
+/// The state of one attempt of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptView {
-    /// Which.
+    /// The attempt.
     pub attempt: Attempt,
-    /// Where, for a model call.
+    /// The engine, for a model call.
     pub engine: Option<EngineId>,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub started: Timestamp,
-    /// When its first chunk came back.
+    /// Time at which the first chunk was received.
     pub first_chunk: Option<Timestamp>,
 }
 
-/// Hash by which a sidecar checks that it holds the whole of an answer.
+/// Returns the hash of an answer's text, by which a sidecar verifies that it has received all of it.
 pub fn answer_digest(text: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! During an upgrade, nodes of this version and of the one before run side by side: what one writes the
-//! other must read. The bytes here are those of the version before.
+//! Compatibility with the previous version, which runs side by side with this one during a rolling
+//! upgrade. The expected bytes are those that the previous version writes.
 
 use elderworks_protocol::feed::FeedBeat;
 use elderworks_protocol::gateway::{
@@ -14,24 +14,24 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Number of the last kind of datagram that the version before knows.
-const LAST_KNOWN_DATAGRAM: u8 = 6;
+/// Index of the last [`GatewayDatagram`] variant that the previous version knows.
+const LAST_DATAGRAM_INDEX: u8 = 6;
 
-/// The same for frames.
-const LAST_KNOWN_FRAME: u8 = 5;
+/// Index of the last [`GatewayFrame`] variant that the previous version knows.
+const LAST_FRAME_INDEX: u8 = 5;
 
-/// Each kind is numbered by its place, behind the byte of the encoding's version.
-fn kind(bytes: &[u8]) -> u8 {
+/// Returns the index of the encoded variant, which follows the version byte.
+fn variant_index(bytes: &[u8]) -> u8 {
     bytes[1]
 }
 
 #[test]
-fn datagrams_of_the_version_before() {
+fn datagrams_of_the_previous_version_are_unchanged() {
     let load = GatewayDatagram::Load(LoadReport {
         node: NodeId::new("n1"),
         counts: vec![(7, 2)],
     });
-    let told = GatewayDatagram::ProofTold(ConfigProofAnswer {
+    let proof = GatewayDatagram::ProofTold(ConfigProofAnswer {
         question: 9,
         version: 4,
         age_us: 1_000,
@@ -39,7 +39,7 @@
     for (message, recorded) in [
         (load, "0101026e31010702"),
         (GatewayDatagram::ProofAsked(9), "010209"),
-        (told, "01030904e807"),
+        (proof, "01030904e807"),
     ] {
         let bytes = encode(&message);
         assert_eq!(hex(&bytes), recorded);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn frames_of_the_version_before() {
+fn frames_of_the_previous_version_are_unchanged() {
     let request = GatewayFrame::Request {
         id: 3,
         partition: PartitionId(2),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn records_of_the_ledger_of_the_version_before() {
+fn ledger_records_of_the_previous_version_are_unchanged() {
     let record = LedgerRecord::Reserved {
         program: "p".to_owned(),
         reservation: "n1#1".to_owned(),
@@ -86,10 +86,10 @@
     assert_eq!(decode(&bytes), Ok(record));
 }
 
-/// Datagrams of kinds that it does not know are passed over by the version before; a frame of such a kind
-/// would end the connection, so it goes only to nodes that have sent such a datagram.
+/// The previous version ignores datagrams of unknown kinds, but closes the connection on a frame of an
+/// unknown kind. New frames are therefore sent only to nodes that have sent a new datagram.
 #[test]
-fn new_messages_have_kinds_that_the_version_before_does_not_know() {
+fn new_messages_use_variants_unknown_to_the_previous_version() {
     let beat = FeedBeat {
         node: NodeId::new("n1"),
         boot: 1,
@@ -126,9 +126,9 @@
             verdict: GrantVerdict::Granted,
         }),
     ] {
-        assert!(kind(&encode(&datagram)) > LAST_KNOWN_DATAGRAM);
+        assert!(variant_index(&encode(&datagram)) > LAST_DATAGRAM_INDEX);
     }
     let question = elderworks_protocol::feed::FeedQuestion::Configuration;
     let asked = GatewayFrame::FeedAsked { id: 1, question };
-    assert!(kind(&encode(&asked)) > LAST_KNOWN_FRAME);
+    assert!(variant_index(&encode(&asked)) > LAST_FRAME_INDEX);
 }
--- a/crates/protocol/tests/decoding.rs
+++ b/crates/protocol/tests/decoding.rs
@@ -1,4 +1,4 @@
-//! Every decoder of this crate survives whatever arrives, and gives back what was encoded.
+//! Decoders return an error on malformed input, never panic, and round-trip encoded values.
 
 use bytes::BytesMut;
 use elderworks_protocol::gossip::Datagram;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn arbitrary_bytes_never_break_a_decoder() {
+fn decoders_do_not_panic_on_arbitrary_bytes() {
     runner()
         .run(&prop::collection::vec(any::<u8>(), 0..400), |mut bytes| {
             for version in [None, Some(1)] {
@@ -58,11 +58,11 @@
             }
             Ok(())
         })
-        .expect("decoders return errors");
+        .expect("no decoder panics");
 }
 
 #[test]
-fn frames_split_wherever_the_network_cuts_them() {
+fn frames_are_reassembled_from_any_split() {
     let messages = samples();
     let stream: Vec<u8> = messages
         .iter()
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn damaged_messages_are_refused_by_kind() {
+fn malformed_messages_return_a_specific_error() {
     let whole = encode(&samples()[3]);
     let mut longer = whole.clone();
     longer.push(0);
@@ -100,11 +100,11 @@
 }
 
 #[test]
-fn an_oversized_frame_is_refused_before_it_is_read() {
+fn an_oversized_frame_is_rejected_by_its_length_prefix() {
     let announced = u32::try_from(MAX_FRAME_BYTES + 1)
         .expect("fits")
         .to_le_bytes();
     let mut buffer = BytesMut::from(announced.as_slice());
-    let refused = split_frame::<ToNode>(&mut buffer);
-    assert_eq!(refused, Err(DecodeError::TooLarge(MAX_FRAME_BYTES + 1)));
+    let result = split_frame::<ToNode>(&mut buffer);
+    assert_eq!(result, Err(DecodeError::TooLarge(MAX_FRAME_BYTES + 1)));
 }
