--- a/crates/types/src/call.rs
+++ b/crates/types/src/call.rs
@@ -1,4 +1,4 @@
-//! What a program asks for.
+//! Calls to models and tools.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use crate::{CallNumber, ModelName, Timestamp, Tokens, ToolName};
 
-/// Who said a message, in the roles of the chat completion interface.
+/// Author of a message, with the roles of the OpenAI chat completions API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Standing instructions.
+    /// Instructions that apply to the whole conversation.
     System,
-    /// The caller.
+    /// The user on whose behalf the caller acts.
     User,
     /// A model's answer.
     Assistant,
@@ -23,14 +23,14 @@
 /// One message of a run's history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// Who said it.
+    /// The author's role.
     pub role: Role,
     /// The text.
     pub content: String,
 }
 
 impl Message {
-    /// A message of `role` saying `content`.
+    /// Creates a message.
     pub fn new(role: Role, content: impl Into<String>) -> Self {
         Self {
             role,
@@ -42,37 +42,37 @@
 /// A call to a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
-    /// How many messages of the run's history, from its start, the prompt begins with. A caller
-    /// that rewrites its history gives less than all of it.
+    /// Number of messages from the start of the run's history that form the beginning of the prompt. A
+    /// caller that rewrites its history passes fewer than all.
     pub history_prefix: u32,
-    /// What follows that prefix in the prompt; appended to the history when the call is accepted.
+    /// Messages that follow the prefix in the prompt; appended to the history when the call is accepted.
     pub messages: Vec<Message>,
-    /// Most tokens to generate; bounds the call's cost.
+    /// Maximum number of generated tokens, which bounds the call's cost.
     pub max_output: Tokens,
 }
 
 /// A call to a tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToolRequest {
-    /// The tool asked for.
+    /// The requested tool.
     pub tool: ToolName,
     /// The arguments, as JSON text.
     pub arguments: String,
 }
 
-/// Either kind of work.
+/// A call to a model or a tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallRequest {
-    /// Generate text.
+    /// Generates text with a model.
     Model(ModelRequest),
-    /// Invoke a tool.
+    /// Invokes a tool.
     Tool(ToolRequest),
 }
 
 impl CallRequest {
-    /// Which kind it is.
+    /// Returns the kind of the call.
     pub fn kind(&self) -> CallKind {
         match self {
             CallRequest::Model(_) => CallKind::Model,
@@ -85,36 +85,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallKind {
-    /// Answered by an engine.
+    /// A model call, executed by an engine.
     Model,
-    /// Answered by a tool.
+    /// A tool call, executed by a tool service.
     Tool,
 }
 
-/// One call as its caller made it.
+/// One call as submitted by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallSpec {
-    /// Position within the run; calls take effect in this order.
+    /// Position of the call within its run. Calls take effect in this order.
     pub number: CallNumber,
-    /// The work.
+    /// The requested model or tool call.
     pub request: CallRequest,
-    /// Whether running it twice is harmless. A call that is not repeatable runs at most once.
+    /// Whether the call may run more than once. A call that is not repeatable runs at most once.
     pub repeatable: bool,
-    /// Key under which a tool recognises a repeated submission, if the caller gave one.
+    /// Key by which a tool detects a repeated submission, if given by the caller.
     pub idempotency_key: Option<String>,
-    /// When the answer stops being useful, if the caller said so.
+    /// Time after which the caller has no use for the answer, if given by the caller.
     pub deadline: Option<Timestamp>,
-    /// How soon the caller expects to use this prefix again, if it said so.
+    /// Time until the caller expects to use the same prompt prefix again, if given by the caller.
     pub expected_reuse: Option<Duration>,
 }
 
-/// What a call consumed, as the back end reported it.
+/// Tokens consumed by a call, as reported by the back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens in the prompt.
     pub prompt: Tokens,
-    /// Of those, how many were found in the engine's prefix cache.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached: Tokens,
-    /// Tokens generated.
+    /// Generated tokens.
     pub output: Tokens,
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers.
 //!
-//! Names chosen by operators are shared strings; everything the system hands out is a number.
+//! Names chosen by operators are shared strings; identifiers assigned by the system are numbers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,12 +16,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name; cloning the result copies a pointer, not the text.
+            /// Creates an identifier from a name. Clones of it share the text.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
 
-            /// The name as text.
+            /// Returns the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -57,7 +57,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the next number.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -73,88 +73,88 @@
 }
 
 name_type!(
-    /// A machine running `elderworks node`, as named in its settings file.
+    /// The name of a node, as given in its settings file.
     NodeId
 );
 name_type!(
-    /// A zone: machines that share power and network and may fail together.
+    /// The name of a zone: machines that share power and network and may fail together.
     ZoneId
 );
 name_type!(
-    /// A cell: nodes that know each other in detail and keep only digests of other cells. Unique in
-    /// the fleet; the empty name is the single cell of a small fleet.
+    /// The name of a cell, unique in the fleet. The nodes of a cell know each other individually and
+    /// other cells only by digests. A small fleet has a single cell with an empty name.
     CellId
 );
 name_type!(
-    /// A customer on whose behalf runs are made. Runs of different tenants never see each other.
+    /// The name of a tenant: a customer whose runs are isolated from those of other tenants.
     TenantId
 );
 name_type!(
-    /// The name of an operator-created resource, unique within its kind.
+    /// The name of a resource created by an operator, unique within its kind.
     ResourceName
 );
 name_type!(
-    /// One model engine, as named in the `Service` resource that lists it.
+    /// The id of a model engine, as given in the `Service` resource that lists it.
     EngineId
 );
 name_type!(
-    /// A model that engines can load.
+    /// The name of a model that engines can load.
     ModelName
 );
 name_type!(
-    /// A tool service.
+    /// The name of a tool.
     ToolName
 );
 
 number_type!(
-    /// A partition of the run space; each has one stream and at most one valid owner.
+    /// The number of a partition of the runs. Each partition has one stream and at most one valid owner.
     PartitionId(u32)
 );
 number_type!(
-    /// Generation of a partition's ownership. Records of an older epoch are void.
+    /// Generation of a partition's ownership. Records of an older epoch are ignored.
     Epoch(u64)
 );
 number_type!(
-    /// Position of a record in one stream of the platform's log.
+    /// Position of a record in a stream of the platform's log.
     Offset(u64)
 );
 number_type!(
-    /// Start count of one named process; a restarted process takes a larger one.
+    /// Identifies one start of a named process; larger for later starts.
     Incarnation(u64)
 );
 number_type!(
-    /// Number of a record among those of one writer incarnation on one stream, from 1.
+    /// Number of a record among those of one writer incarnation on a stream, from 1.
     Sequence(u64)
 );
 number_type!(
-    /// Position of a call within its run, from 1, assigned by the caller's side.
+    /// Position of a call within its run, from 1, assigned by the caller or its sidecar.
     CallNumber(u32)
 );
 number_type!(
-    /// Dispatch count of one call, from 1. Chunks of different attempts are never mixed.
+    /// Number of an attempt to execute a call, from 1. Chunks of different attempts are never combined.
     Attempt(u32)
 );
 
-/// A program under way.
+/// The id of a run, which is one execution of a program.
 ///
-/// The upper 64 bits name the root run and decide the partition; the lower 64 bits name a sub-agent
-/// below that root (0 for the root itself). A whole tree of runs therefore shares one journal, and
-/// a parent's allotment to a child is one atomic record.
+/// `root` identifies the tree of runs and determines the partition; `child` identifies a sub-agent in
+/// that tree. A whole tree therefore shares one journal, and a parent allots budget to a child with a
+/// single atomic record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId {
-    /// Names the root of the tree.
+    /// Id of the tree's root run.
     pub root: u64,
-    /// Names the sub-agent below the root; 0 is the root itself.
+    /// Id of the sub-agent within the tree; 0 for the root run.
     pub child: u64,
 }
 
 impl RunId {
-    /// The root run with this number.
+    /// Creates the id of a root run.
     pub const fn root(root: u64) -> Self {
         Self { root, child: 0 }
     }
 
-    /// A sub-agent of the same tree.
+    /// Creates the id of a sub-agent in the same tree.
     pub const fn child(self, child: u64) -> Self {
         Self {
             root: self.root,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The partition that journals this run, out of `partition_count`.
+    /// Returns the partition of this run's journal, given the number of partitions.
     pub fn partition(self, partition_count: u32) -> PartitionId {
         let hash = xxhash_rust::xxh3::xxh3_64(&self.root.to_le_bytes());
         PartitionId((hash % u64::from(partition_count.max(1))) as u32)
@@ -179,9 +179,9 @@
     }
 }
 
-/// A text that is not a run id.
+/// Error returned when a string is not a run id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("not a run id: expected run-<16 hex digits>, optionally followed by -<16 hex digits>")]
+#[error("invalid run id: expected run-<16 hex digits>, optionally followed by -<16 hex digits>")]
 pub struct RunIdError;
 
 impl FromStr for RunId {
@@ -209,7 +209,7 @@
 }
 
 impl Serialize for RunId {
-    /// Text in readable formats, two numbers in binary ones.
+    /// Serializes as a string in human-readable formats and as two numbers in binary ones.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
             serializer.collect_str(self)
@@ -231,10 +231,10 @@
     }
 }
 
-/// One call of one run. The pair is the key by which answers find their request.
+/// The id of a call. Answers are matched to requests by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
-    /// The run that made the call.
+    /// The run to which the call belongs.
     pub run: RunId,
     /// The call's position within the run.
     pub number: CallNumber,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers, units, outcomes and resources shared by every elderworks crate.
 //!
-//! This crate is the ground floor: it depends on no other crate of the workspace and performs no
-//! I/O. Everything here is plain data with total, documented conversions.
+//! This crate depends on no other crate of the workspace and performs no I/O. It contains plain data
+//! types and conversions between them.
 
 pub mod call;
 pub mod ids;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a call can end. Outcomes are values: every call gets exactly one.
+//! Outcomes of calls. Every call has exactly one outcome.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 /// The final outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran, and this is the whole answer.
+    /// The call ran and produced a complete answer.
     Completed(Answer),
-    /// It was not run: no back end can have seen it, now or later.
+    /// The call was not run: no back end has received it or will receive it.
     Refused(Refusal),
-    /// It ran, or may have run in part, and ended without an answer.
+    /// The call ran, at least in part, and ended without an answer.
     Failed(Failure),
-    /// Whether it ran cannot be known. Only calls that are not repeatable end so.
+    /// It is unknown whether the call ran. Only calls that are not repeatable have this outcome.
     Unknown(UnknownReason),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// Generated text, or the tool's result as JSON text.
     pub content: String,
-    /// What was consumed.
+    /// Tokens consumed.
     pub usage: Usage,
-    /// What it cost.
+    /// Cost of the call.
     pub cost: Credits,
 }
 
-/// A refusal: the call was not run.
+/// Refusal of a call that was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When asking again may succeed; `None` if it never will.
+    /// Time after which a retry may succeed; `None` if no retry can.
     pub retry_after: Option<Duration>,
 }
 
@@ -43,38 +43,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The platform's log does not answer, so the call's intent cannot be made durable.
+    /// The platform's log is unavailable, so the call cannot be recorded durably.
     LogUnavailable,
-    /// Queues are full, or the call could not be answered by its deadline.
+    /// Queues are full, or the call could not complete before its deadline.
     Overloaded,
-    /// The run's budget cannot cover the most that this call may cost.
+    /// The run's budget does not cover the maximum cost of the call.
     RunBudgetExhausted,
-    /// The tenant's budget cannot cover the most that this call may cost.
+    /// The tenant's budget does not cover the maximum cost of the call.
     TenantBudgetExhausted,
-    /// The run has reached its limit of turns, tokens or time.
+    /// The run has reached its maximum number of turns, history length or duration.
     RunLimitReached,
     /// The run has ended.
     RunEnded,
     /// The run does not exist, or belongs to another tenant.
     RunNotFound,
-    /// No live service offers the model or tool.
+    /// The model or tool has no live back end.
     NoBackend,
-    /// The model or tool is not named by any `Service` resource.
+    /// No `Service` resource names the model or tool.
     UnknownService,
-    /// The call's number was already used by a different call.
+    /// Another call already has the same number.
     CallNumberReused,
-    /// The deadline passed before the call could start.
+    /// The call's deadline expired before the call started.
     DeadlinePassed,
-    /// The call waited too long for earlier calls of its run to arrive.
+    /// Earlier calls of the run did not arrive in time.
     EarlierCallMissing,
-    /// No node could be reached, so the request was never handed over.
+    /// No node could be reached, so the request was not sent.
     NoNodeReachable,
-    /// The call builds on more history than the run has: read the run and make the call anew.
+    /// The call refers to more history than the run has. The caller should read the run and submit the
+    /// call again.
     HistoryMissing,
 }
 
 impl RefusalReason {
-    /// Whether a refusal for this reason may turn into an answer if the same call is made later.
+    /// Returns whether the same call may succeed later, after a refusal for this reason.
     pub fn may_pass(self) -> bool {
         matches!(
             self,
@@ -87,14 +88,14 @@
     }
 }
 
-/// A failure after dispatch.
+/// Failure of a call that was dispatched to a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// Why.
+    /// Reason of the failure.
     pub reason: FailureReason,
-    /// What the back end said, if anything.
+    /// The back end's error message, or empty.
     pub detail: String,
-    /// What the failed attempts cost.
+    /// Cost of the failed attempts.
     pub cost: Credits,
 }
 
@@ -102,24 +103,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureReason {
-    /// The back end answered with an error.
+    /// The back end returned an error.
     BackendError,
-    /// Every permitted attempt was lost.
+    /// All permitted attempts were lost.
     AttemptsExhausted,
-    /// The call ran longer than its limit.
+    /// The call exceeded its timeout.
     TimedOut,
-    /// The caller or an operator ended the run.
+    /// The run was ended by its caller or an operator.
     Cancelled,
 }
 
-/// Why it cannot be known whether a call ran.
+/// Why it is unknown whether a call ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownReason {
-    /// The owner was lost after it may have dispatched the call.
+    /// The partition's owner failed when it may already have dispatched the call.
     OwnerLost,
-    /// The connection to the back end broke after the request was sent.
+    /// The connection to the back end was lost after the request was sent.
     ConnectionLost,
-    /// The back end did not answer within the call's limit.
+    /// The back end did not respond within the call's timeout.
     NoAnswer,
 }
--- a/crates/types/src/resource.rs
+++ b/crates/types/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources that operators create, and the read-only ones that report on the system.
+//! Resources that operators create to configure the system.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,52 +9,52 @@
     Credits, EngineId, ModelName, Offset, ResourceName, TenantId, Tokens, ToolName, ZoneId,
 };
 
-/// The kinds that operators write.
+/// Kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// [`ProgramSpec`].
+    /// A program, see [`ProgramSpec`].
     Program,
-    /// [`ServiceSpec`].
+    /// A service, see [`ServiceSpec`].
     Service,
-    /// [`BudgetSpec`].
+    /// A tenant's budget, see [`BudgetSpec`].
     Budget,
-    /// [`ConfigurationSpec`].
+    /// Settings of all nodes, see [`ConfigurationSpec`].
     Configuration,
 }
 
-/// A resource's identity and its place in the order of changes.
+/// Identity and revision of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Unique within the kind.
+    /// Name of the resource, unique within its kind.
     pub name: ResourceName,
-    /// Offset of the change that made this version; 0 in a file that was never applied.
+    /// Offset of the change that created this version; 0 in a manifest that was not applied.
     pub revision: Offset,
 }
 
-/// One operator-written resource.
+/// A resource created by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resource {
     /// Identity and revision.
     pub metadata: Metadata,
-    /// The wanted state.
+    /// The desired state.
     pub spec: Spec,
 }
 
-/// The wanted state of a resource, by kind.
+/// The desired state of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Spec {
     /// Limits and priority of a program.
     Program(ProgramSpec),
-    /// Back ends offering a model or tool.
+    /// Back ends of a model or tool.
     Service(ServiceSpec),
-    /// What a tenant may spend.
+    /// Spending limit of a tenant.
     Budget(BudgetSpec),
     /// Settings that apply to all nodes.
     Configuration(ConfigurationSpec),
 }
 
 impl Spec {
-    /// Which kind it is.
+    /// Returns the kind of the resource.
     pub fn kind(&self) -> Kind {
         match self {
             Spec::Program(_) => Kind::Program,
@@ -65,49 +65,51 @@
     }
 }
 
-/// A program: a kind of run, with its limits.
+/// A program, which defines the limits of its runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ProgramSpec {
     /// Names of the `Service` resources that its runs may call.
     pub services: Vec<ResourceName>,
-    /// The `Budget` that its runs draw on; `None` leaves only the run's own budget.
+    /// Name of the `Budget` resource to which its runs are charged, in addition to the run's own
+    /// budget.
     #[serde(default)]
     pub budget: Option<ResourceName>,
-    /// Most that one run may spend.
+    /// Maximum spending of one run.
     pub run_budget: Credits,
-    /// Most calls in one run.
+    /// Maximum number of calls in one run.
     pub max_turns: u32,
-    /// Most tokens of history in one run.
+    /// Maximum length of a run's history, in tokens.
     pub max_history: Tokens,
-    /// Longest life of one run.
+    /// Maximum duration of a run.
     #[serde(with = "humantime_serde")]
     pub max_duration: Duration,
-    /// Time by which a run should be done after its start; orders runs, ends none.
+    /// Time after its start by which a run should complete. Used to order runs; a run that exceeds it is
+    /// not ended.
     #[serde(default, with = "humantime_serde")]
     pub deadline: Option<Duration>,
-    /// Larger is more urgent; 0 is ordinary.
+    /// Priority; larger values are served first, 0 is the default.
     #[serde(default)]
     pub priority: i32,
 }
 
-/// Back ends that offer one model or one tool.
+/// Back ends of one model or one tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub enum ServiceSpec {
-    /// Engines that can serve a model.
+    /// Engines that serve a model.
     Model(ModelServiceSpec),
-    /// A tool.
+    /// A tool service.
     Tool(ToolServiceSpec),
 }
 
-/// Engines offering a model.
+/// Engines that serve a model, and its prices.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ModelServiceSpec {
     /// The model.
     pub model: ModelName,
-    /// Where it can be had.
+    /// The engines.
     pub engines: Vec<EngineEndpoint>,
     /// Price of one prompt token.
     pub credits_per_prompt_token: Credits,
@@ -115,41 +117,40 @@
     pub credits_per_output_token: Credits,
 }
 
-/// One engine.
+/// Address of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct EngineEndpoint {
-    /// Its name, unique in the system.
+    /// The engine's id, unique in the system.
     pub id: EngineId,
-    /// Its base URL, `http://IP:port`.
+    /// The engine's base URL, `http://IP:port`.
     pub url: String,
-    /// Where it stands.
+    /// The engine's zone.
     pub zone: ZoneId,
 }
 
-/// A tool service.
+/// A tool service and its price.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ToolServiceSpec {
     /// The tool.
     pub tool: ToolName,
-    /// Its base URL, `http://IP:port`.
+    /// The service's base URL, `http://IP:port`.
     pub url: String,
     /// Price of one invocation.
     pub credits_per_invocation: Credits,
-    /// Longest time to wait for one invocation.
+    /// Timeout of one invocation.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
 }
 
-/// What a tenant may spend in all.
+/// Spending limit of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct BudgetSpec {
-    /// Whose budget it is.
+    /// The tenant.
     pub tenant: TenantId,
-    /// Most that all the tenant's runs may spend. Raising it adds; it never gives back what was
-    /// spent.
+    /// Maximum total spending of all the tenant's runs. Raising the limit doesn't reset what was spent.
     pub limit: Credits,
 }
 
@@ -157,6 +158,6 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct ConfigurationSpec {
-    /// Values by key; the keys are checked against the known ones when the change is proposed.
+    /// Values by key. Unknown keys are rejected when the change is submitted.
     pub values: BTreeMap<String, String>,
 }
--- a/crates/types/src/run.rs
+++ b/crates/types/src/run.rs
@@ -1,37 +1,37 @@
-//! What identifies a program under way.
+//! Specification and state of a run.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Credits, ResourceName, RunId, TenantId, Timestamp};
 
-/// What a caller fixes when it starts a run.
+/// Properties of a run that its caller specifies at the start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSpec {
-    /// Chosen at random by the sidecar, so that a repeated start is recognised.
+    /// The run's id, chosen at random by the sidecar so that a repeated start is detected.
     pub id: RunId,
-    /// On whose behalf.
+    /// The tenant to which the run belongs.
     pub tenant: TenantId,
     /// The `Program` resource whose limits apply.
     pub program: ResourceName,
-    /// The run that spawned this one, of the same tree; `None` for a root run.
+    /// The parent run, which has the same root; `None` for a root run.
     pub parent: Option<RunId>,
-    /// Most that the run may spend, its sub-agents included. For a sub-agent this is carved from
-    /// the parent's budget. The owner lowers it to what the program allows.
+    /// Maximum spending of the run, including its sub-agents. A sub-agent's budget is reserved from its
+    /// parent's. The owner limits it to the program's maximum.
     pub budget: Credits,
-    /// When the whole run should be done, if the caller said so.
+    /// Time by which the run should complete, if given by the caller.
     pub deadline: Option<Timestamp>,
 }
 
-/// Where a run stands.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunPhase {
-    /// Accepting calls.
+    /// The run accepts calls.
     Active,
-    /// Ended by its caller.
+    /// The run was ended by its caller.
     Ended,
-    /// Ended by a limit of its program.
+    /// The run was ended because it reached a limit of its program.
     LimitReached,
-    /// Ended by an operator or by its parent's end.
+    /// The run was ended by an operator or because its parent ended.
     Cancelled,
 }
--- a/crates/types/src/text.rs
+++ b/crates/types/src/text.rs
@@ -1,8 +1,8 @@
 //! Counting tokens and hashing prompt prefixes.
 //!
-//! Engines publish their cache contents as chained block hashes. To compare a prompt with those
-//! events, nodes compute the same hashes. The stand-in engines count one token per
-//! [`BYTES_PER_TOKEN`] bytes of rendered prompt; a real deployment replaces this module by the
+//! Engines publish the contents of their prefix cache as chained block hashes. Nodes compute the same
+//! hashes to find out how much of a prompt an engine has cached. The stand-in engines count one token
+//! per [`BYTES_PER_TOKEN`] bytes of rendered prompt; a real deployment replaces this module with the
 //! model's tokenizer.
 
 use std::collections::{HashMap, HashSet};
@@ -12,21 +12,21 @@
 
 use crate::{Message, Role, Tokens};
 
-/// Bytes of rendered prompt counted as one token.
+/// Number of bytes of rendered prompt that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens in one block of an engine's prefix cache.
+/// Number of tokens in one block of an engine's prefix cache.
 pub const TOKENS_PER_BLOCK: usize = 16;
 
-/// Hash of one full block and everything before it.
+/// Hash of a full block and all blocks before it.
 pub type BlockHash = u64;
 
-/// Tokens that `text` counts as, rounded up.
+/// Returns the number of tokens in `text`, rounded up.
 pub fn token_count(text: &str) -> Tokens {
     Tokens(text.len().div_ceil(BYTES_PER_TOKEN) as u64)
 }
 
-/// The prompt as an engine sees it.
+/// Renders messages as the prompt text that engines process.
 pub fn render_prompt(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -46,7 +46,8 @@
     }
 }
 
-/// Chained hashes of the full blocks of a rendered prompt; a trailing partial block has none.
+/// Returns the chained hashes of the full blocks of a rendered prompt. A trailing partial block has no
+/// hash.
 pub fn block_hashes(prompt: &str) -> Vec<BlockHash> {
     let block_bytes = BYTES_PER_TOKEN * TOKENS_PER_BLOCK;
     let mut parent = 0;
@@ -60,13 +61,13 @@
         .collect()
 }
 
-/// A map by block hash.
+/// A map keyed by block hash.
 pub type BlockMap<V> = HashMap<BlockHash, V, BuildHasherDefault<BlockHasher>>;
 
 /// A set of block hashes.
 pub type BlockSet = HashSet<BlockHash, BuildHasherDefault<BlockHasher>>;
 
-/// Passes a block hash through: it is a hash already.
+/// A [`Hasher`] that returns block hashes unchanged, since they are already uniformly distributed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BlockHasher(u64);
 
--- a/crates/types/src/units.rs
+++ b/crates/types/src/units.rs
@@ -1,4 +1,4 @@
-//! Units.
+//! Timestamps and amounts.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
@@ -6,8 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of a process's clock, in microseconds since the Unix epoch (or since the start of a
-/// simulation). Clocks of different processes may disagree; no safety rests on comparing them.
+/// A time read from a process's clock, in microseconds since the Unix epoch or since the start of a
+/// simulation. Clocks of different processes may differ, so correctness must not depend on comparing
+/// their timestamps.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,7 +16,7 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -49,16 +50,16 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// None of it.
+            /// The zero amount.
             pub const ZERO: Self = Self(0);
 
-            /// The difference, or zero where `other` is larger.
+            /// Returns the difference, or zero if `other` is larger.
             #[must_use]
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
-            /// The difference, or `None` where `other` is larger.
+            /// Returns the difference, or `None` if `other` is larger.
             #[must_use]
             pub fn checked_sub(self, other: Self) -> Option<Self> {
                 self.0.checked_sub(other.0).map(Self)
@@ -83,9 +84,9 @@
             type Output = Self;
 
             /// # Panics
-            /// Where `other` is larger: the caller's books do not balance, a broken invariant.
+            /// Panics if `other` is larger, which means that the caller's accounting is inconsistent.
             fn sub(self, other: Self) -> Self {
-                Self(self.0.checked_sub(other.0).expect("amount below zero"))
+                Self(self.0.checked_sub(other.0).expect("the subtracted amount is not larger"))
             }
         }
 
@@ -104,7 +105,7 @@
 }
 
 amount_type!(
-    /// What budgets are counted in. Prices of services are whole credits per token or per
+    /// The unit of budgets and prices. Services are priced in whole credits per token or per
     /// invocation, so that sums are exact.
     Credits,
     "credits"
--- a/crates/types/tests/identifiers.rs
+++ b/crates/types/tests/identifiers.rs
@@ -1,4 +1,5 @@
-//! Identifiers survive their text and binary forms, and spread evenly over partitions.
+//! Run ids round-trip through their encodings and are distributed evenly over partitions; block hashes
+//! of prompts match up to their common prefix.
 
 use elderworks_types::text::{
     BYTES_PER_TOKEN, TOKENS_PER_BLOCK, block_hashes, render_prompt, token_count,
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn texts_that_are_not_run_ids_are_refused() {
+fn invalid_run_ids_are_rejected() {
     let texts = [
         "",
         "run-",
@@ -39,7 +40,7 @@
         "RUN-0000000000000001",
     ];
     for text in texts {
-        assert!(text.parse::<RunId>().is_err(), "{text:?} was taken");
+        assert!(text.parse::<RunId>().is_err(), "{text:?} was accepted");
     }
 }
 
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn runs_spread_over_all_partitions() {
+fn runs_are_distributed_evenly_over_partitions() {
     let mut runs_by_partition = [0_u32; 16];
     for root in 0..16_000 {
         runs_by_partition[RunId::root(root).partition(16).0 as usize] += 1;
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn prompts_share_hashes_exactly_as_far_as_they_share_blocks() {
+fn prompts_share_as_many_hashes_as_common_blocks() {
     let common = Message::new(Role::System, "x".repeat(4_000));
     let first = render_prompt(&[common.clone(), Message::new(Role::User, "first")]);
     let second = render_prompt(&[common, Message::new(Role::User, "other")]);
