--- a/crates/logstream/src/appender.rs
+++ b/crates/logstream/src/appender.rs
@@ -1,4 +1,4 @@
-//! The append side: numbering, grouping and retries.
+//! Appending: numbers, groups and retries records.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 use crate::stream::StreamSettings;
 
-/// Longest pause before a retry.
+/// Maximum delay before a retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Doublings of the pause after which it grows no further.
+/// Maximum number of times that the delay is doubled; prevents an overflow of the factor.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Numbers, groups and retries the records of one writer on one stream.
+/// Appends the records of one writer to one stream.
 pub(crate) struct Appender<B> {
     writer: Writer,
     next_sequence: Sequence,
@@ -25,18 +25,21 @@
     in_flight: Option<InFlight>,
 }
 
+/// A record that waits to be appended, with its encoded size.
 struct SizedRecord<B> {
     record: Record<B>,
     encoded_bytes: usize,
 }
 
+/// The append that is in flight or waits for a retry.
 struct InFlight {
+    /// Identifies the latest attempt; replies to earlier attempts are ignored.
     token: u64,
     last_sequence: Sequence,
     bytes: Vec<u8>,
     failures: u32,
     first_sent: Timestamp,
-    /// When to append again; `None` while an answer is outstanding.
+    /// Time of the next attempt; `None` while a reply is pending.
     retry_at: Option<Timestamp>,
 }
 
@@ -55,18 +58,19 @@
         self.next_sequence
     }
 
-    /// Records and groups of records not yet read back.
+    /// Returns the number of waiting records, plus one if an append is in flight.
     pub(crate) fn outstanding(&self) -> usize {
         self.waiting.len() + usize::from(self.in_flight.is_some())
     }
 
-    /// When the group in flight was first sent.
+    /// Returns the time at which the append in flight was first sent.
     pub(crate) fn in_flight_since(&self) -> Option<Timestamp> {
         self.in_flight
             .as_ref()
             .map(|in_flight| in_flight.first_sent)
     }
 
+    /// Queues a record for appending.
     pub(crate) fn push(&mut self, epoch: Epoch, body: B) {
         let sequence = self.next_sequence;
         self.next_sequence = sequence.next();
@@ -83,7 +87,7 @@
         });
     }
 
-    /// The next append to send, if one is due.
+    /// Returns the token and bytes of the next append, if one is due.
     pub(crate) fn next_append(
         &mut self,
         now: Timestamp,
@@ -107,6 +111,7 @@
         Some((token, bytes))
     }
 
+    /// Removes waiting records up to `max_group_bytes`, but at least one.
     fn take_group(&mut self, max_group_bytes: usize) -> Vec<Record<B>> {
         let mut records = Vec::new();
         let mut group_bytes = 0;
@@ -139,14 +144,14 @@
         token
     }
 
-    /// The bytes in flight under `token`, unless they were read back meanwhile.
+    /// Returns the bytes in flight under `token`, unless they have been read back or sent again.
     pub(crate) fn in_flight_bytes(&self, token: u64) -> Option<&[u8]> {
         let in_flight = self.in_flight.as_ref()?;
         (in_flight.token == token).then_some(in_flight.bytes.as_slice())
     }
 
-    /// Schedules a retry of the append that got no answer.
-    pub(crate) fn no_answer(&mut self, token: u64, now: Timestamp, settings: &StreamSettings) {
+    /// Schedules a retry of a failed append.
+    pub(crate) fn append_failed(&mut self, token: u64, now: Timestamp, settings: &StreamSettings) {
         let Some(in_flight) = self.in_flight.as_mut() else {
             return;
         };
@@ -159,8 +164,9 @@
         in_flight.retry_at = Some(now + backoff.min(MAX_BACKOFF));
     }
 
-    /// Forgets the append in flight once its last record has been read back.
-    pub(crate) fn read_back(&mut self, writer: &Writer, sequence: Sequence) {
+    /// Handles a record that was read from the stream. The append in flight is complete when its last
+    /// record has been read back.
+    pub(crate) fn on_record_read(&mut self, writer: &Writer, sequence: Sequence) {
         let confirmed = *writer == self.writer
             && self
                 .in_flight
--- a/crates/logstream/src/reader.rs
+++ b/crates/logstream/src/reader.rs
@@ -1,29 +1,31 @@
-//! The read side: position on the stream and when to read next.
+//! Reading: the position in the stream and the time of the next read.
 
 use elderworks_types::{Offset, Timestamp};
 
 use crate::stream::{ReadMode, StreamSettings};
 
-/// Whether what was heard of the stream's end may be out of date.
+/// Whether the known end of the stream is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
-    /// It is as good as the last answer.
-    None,
-    /// It is, and the read that is open was opened before.
-    StaleReadOpen,
-    /// It is, until the next read is answered.
-    Unread,
+enum EndState {
+    /// The known end is current as of the last completed read.
+    Current,
+    /// The known end may be stale, and the open read was started before it became so.
+    StaleWithOpenRead,
+    /// The known end may be stale until the next read completes.
+    Stale,
 }
 
-/// Position on the stream.
+/// Tracks the position in the stream and schedules reads. At most one read is open.
 pub(crate) struct Reader {
+    /// The next offset to deliver.
     next: Offset,
-    /// The largest end of the stream heard of.
+    /// The largest known end of the stream.
     known_end: Offset,
-    /// Whether any read has been answered.
-    end_seen: bool,
-    doubt: Doubt,
+    /// Whether any read has completed.
+    has_read: bool,
+    end_state: EndState,
     read_open: bool,
+    /// Time from which the next read is due.
     read_after: Timestamp,
 }
 
@@ -32,8 +34,8 @@
         Self {
             next: start,
             known_end: start,
-            end_seen: false,
-            doubt: Doubt::None,
+            has_read: false,
+            end_state: EndState::Current,
             read_open: false,
             read_after: Timestamp(0),
         }
@@ -44,17 +46,16 @@
     }
 
     pub(crate) fn caught_up(&self) -> bool {
-        self.doubt == Doubt::None && self.end_seen && self.next >= self.known_end
+        self.end_state == EndState::Current && self.has_read && self.next >= self.known_end
     }
 
-    /// Holds what is known of the stream's end for out of date until a read that is opened from now
-    /// on is answered.
-    pub(crate) fn doubt(&mut self, now: Timestamp) {
-        self.doubt = match self.read_open {
-            true => Doubt::StaleReadOpen,
-            false => Doubt::Unread,
+    /// Marks the known end as stale until a read that starts from now on completes.
+    pub(crate) fn mark_end_stale(&mut self, now: Timestamp) {
+        self.end_state = match self.read_open {
+            true => EndState::StaleWithOpenRead,
+            false => EndState::Stale,
         };
-        self.read_soon(now);
+        self.read_immediately(now);
     }
 
     /// Marks the record at the next offset as delivered.
@@ -62,48 +63,53 @@
         self.next = self.next.next();
     }
 
-    pub(crate) fn learn_end(&mut self, end: Offset) {
+    pub(crate) fn update_known_end(&mut self, end: Offset) {
         self.known_end = self.known_end.max(end);
     }
 
-    pub(crate) fn read_answered(&mut self, end: Offset, now: Timestamp, settings: &StreamSettings) {
+    pub(crate) fn read_completed(
+        &mut self,
+        end: Offset,
+        now: Timestamp,
+        settings: &StreamSettings,
+    ) {
         self.read_open = false;
-        self.end_seen = true;
-        self.learn_end(end);
+        self.has_read = true;
+        self.update_known_end(end);
         self.read_after = match settings.mode {
             ReadMode::Follow => now,
             ReadMode::Poll { interval } => now + interval,
         };
-        self.doubt = match self.doubt {
-            Doubt::StaleReadOpen => Doubt::Unread,
-            Doubt::None | Doubt::Unread => Doubt::None,
+        self.end_state = match self.end_state {
+            EndState::StaleWithOpenRead => EndState::Stale,
+            EndState::Current | EndState::Stale => EndState::Current,
         };
-        if self.doubt != Doubt::None {
-            self.read_soon(now);
+        if self.end_state != EndState::Current {
+            self.read_immediately(now);
         }
     }
 
-    pub(crate) fn read_unanswered(&mut self, now: Timestamp, settings: &StreamSettings) {
+    pub(crate) fn read_failed(&mut self, now: Timestamp, settings: &StreamSettings) {
         self.read_open = false;
         self.read_after = now + settings.retry_backoff;
-        if self.doubt == Doubt::StaleReadOpen {
-            self.doubt = Doubt::Unread;
+        if self.end_state == EndState::StaleWithOpenRead {
+            self.end_state = EndState::Stale;
         }
     }
 
-    /// Brings the next read forward to `latest` if it is due later.
-    pub(crate) fn read_before(&mut self, latest: Timestamp) {
+    /// Reschedules the next read to `latest` if it is due later.
+    pub(crate) fn read_no_later_than(&mut self, latest: Timestamp) {
         self.read_after = self.read_after.min(latest);
     }
 
-    /// Brings the next read forward: an append without an answer may have taken effect.
-    pub(crate) fn read_soon(&mut self, now: Timestamp) {
-        self.read_before(now);
+    /// Makes the next read due immediately, for example because a failed append may have taken effect.
+    pub(crate) fn read_immediately(&mut self, now: Timestamp) {
+        self.read_no_later_than(now);
     }
 
-    /// Opens a read if one is due; the answer comes back for the offset returned.
+    /// Starts a read if one is due and none is open, and returns its offset.
     pub(crate) fn open_read(&mut self, now: Timestamp) -> Option<Offset> {
-        let behind = self.end_seen && self.next < self.known_end;
+        let behind = self.has_read && self.next < self.known_end;
         let due = now >= self.read_after || behind;
         if self.read_open || !due {
             return None;
--- a/crates/logstream/src/stream.rs
+++ b/crates/logstream/src/stream.rs
@@ -1,4 +1,4 @@
-//! The state machine that joins both sides.
+//! The state machine that combines appending and reading.
 
 use std::time::Duration;
 
@@ -11,46 +11,48 @@
 use crate::appender::Appender;
 use crate::reader::Reader;
 
-/// The log did not answer; what was asked may have happened all the same.
+/// Error of a request to the log that failed or got no reply. The request may still have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoAnswer;
 
-/// Records from one read.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadRecords {
-    /// `(offset, bytes)` in offset order, starting with the offset asked for.
+    /// Offsets and bytes in offset order, starting with the requested offset.
     pub records: Vec<(Offset, Vec<u8>)>,
-    /// The stream's end when it was read: the offset that the next append will get, or later.
+    /// The stream's end at the time of the read: the smallest offset that the next append can get.
     pub end: Offset,
 }
 
-/// How eagerly a stream is read.
+/// When a stream is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
-    /// A read is always open, held by the log while there is nothing new.
+    /// Always keep a read open, which the log holds until there are new records.
     Follow,
-    /// Read up to the end, then again after an interval or when an append shows that others wrote.
+    /// Read up to the end, then again after an interval, or earlier if an append returns an offset beyond
+    /// the known end.
     Poll {
-        /// Time between reads at the end of the stream.
+        /// Interval between reads at the end of the stream.
         interval: Duration,
     },
 }
 
-/// Intervals and sizes of one stream client.
+/// Settings of a [`LogStream`].
 #[derive(Clone, Debug)]
 pub struct StreamSettings {
-    /// How eagerly to read.
+    /// When to read.
     pub mode: ReadMode,
-    /// Longest time for which the log may hold a read open in [`ReadMode::Follow`].
+    /// Maximum time for which the log holds a read open in [`ReadMode::Follow`].
     pub follow_wait: Duration,
-    /// First pause after no answer; doubles with each further one.
+    /// Delay before the first retry of a failed append, doubled with each further failure; also the
+    /// delay after a failed read.
     pub retry_backoff: Duration,
-    /// Bytes of records that one append may carry. A single larger record goes alone.
+    /// Maximum size of the records in one append, in bytes. A larger record is appended alone.
     pub max_group_bytes: usize,
-    /// With an append unconfirmed, or a due read unanswered, for this long, the log counts as
-    /// unreachable.
+    /// The log is considered unreachable if an append remains unconfirmed, or a due read without reply,
+    /// for longer than this.
     pub unreachable_after: Duration,
-    /// Whether to give each batch's bytes beside its records, to be relayed to other readers.
+    /// Whether to emit [`Effect::Batch`] with each batch's bytes, to be relayed to other readers.
     pub give_batches: bool,
 }
 
@@ -70,72 +72,72 @@
 /// An input of [`LogStream::handle`].
 #[derive(Clone, Debug)]
 pub enum Event<B> {
-    /// Append a record.
+    /// Requests that a record be appended.
     Propose {
-        /// Its epoch.
+        /// The record's epoch.
         epoch: Epoch,
-        /// Its body.
+        /// The record's body.
         body: B,
     },
-    /// An append was answered, or was not.
+    /// An append completed or failed.
     Appended {
-        /// Which, as in [`Effect::Append`].
+        /// Token from [`Effect::Append`].
         token: u64,
-        /// Its offset.
+        /// The offset of the appended batch.
         result: Result<Offset, NoAnswer>,
     },
-    /// A read was answered, or was not.
+    /// A read completed or failed.
     Read {
-        /// The offset asked for.
+        /// The requested offset.
         from: Offset,
-        /// What was read.
+        /// The result of the read.
         result: Result<ReadRecords, NoAnswer>,
     },
-    /// Another reader of the same stream passes on what it has read, as [`Effect::Batch`] gave it
-    /// there. Says nothing about whether the log answers.
+    /// Another reader of the same stream relayed batches that it obtained with [`Effect::Batch`]. Doesn't
+    /// affect reachability, since it does not involve the log.
     Relayed {
-        /// `(offset, bytes)` in offset order.
+        /// Offsets and bytes in offset order.
         records: Vec<(Offset, Vec<u8>)>,
     },
-    /// Time passed.
+    /// Time has advanced.
     Tick,
 }
 
 /// An output of [`LogStream::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect<B> {
-    /// Append these bytes.
+    /// Append a batch to the log.
     Append {
-        /// Matches the answer.
+        /// Correlation token for [`Event::Appended`].
         token: u64,
-        /// One encoded batch.
+        /// The encoded batch.
         bytes: Vec<u8>,
     },
     /// Read from an offset on.
     Read {
-        /// First offset wanted.
+        /// First requested offset.
         from: Offset,
-        /// How long the log may hold the read while there is nothing new.
+        /// Maximum time for which the log holds the read while there are no new records.
         wait: Duration,
     },
-    /// The next batch of the stream as its bytes stand there; its records follow. Only with
-    /// [`StreamSettings::give_batches`].
+    /// The bytes of the stream's next batch, followed by one [`Self::Deliver`] for each of its records.
+    /// Emitted only with [`StreamSettings::give_batches`].
     Batch {
-        /// Its offset.
+        /// Offset of the batch.
         offset: Offset,
-        /// Its bytes, which need not be a batch.
+        /// Bytes as stored on the stream, which may not decode as a batch.
         bytes: Vec<u8>,
     },
     /// The next record of the stream.
     Deliver {
-        /// Its offset.
+        /// Offset of the record's batch.
         offset: Offset,
-        /// Its position within the batch at that offset, from 0.
+        /// Index of the record within the batch, from 0.
         index: u32,
         /// The record.
         record: Record<B>,
     },
-    /// The log stopped answering (`false`), or answers again (`true`).
+    /// The log became unreachable (`false`) or reachable again (`true`).
     Reachable(bool),
 }
 
@@ -145,16 +147,16 @@
     appender: Appender<B>,
     reader: Reader,
     last_answer: Timestamp,
-    /// Longest pause that may follow the last answer of a healthy log.
-    longest_pause: Duration,
+    /// Expected maximum time from the last reply of a healthy log to the next one.
+    max_answer_gap: Duration,
     reachable: bool,
 }
 
 impl<B: Clone + Serialize + DeserializeOwned> LogStream<B> {
-    /// A client that reads from `start` on.
+    /// Creates a client that reads from offset `start` on.
     ///
     /// `first_sequence` must be above every sequence that the same writer incarnation has used on
-    /// this stream: readers drop lower ones as repeats.
+    /// this stream, since readers drop lower ones as duplicates.
     pub fn new(
         writer: Writer,
         first_sequence: Sequence,
@@ -166,53 +168,54 @@
             appender: Appender::new(writer, first_sequence),
             reader: Reader::new(start),
             last_answer: now,
-            longest_pause: longest_pause(&settings),
+            max_answer_gap: max_answer_gap(&settings),
             settings,
             reachable: true,
         }
     }
 
-    /// Sequence that the next proposed record will carry.
+    /// Returns the sequence of the next proposed record.
     pub fn next_sequence(&self) -> Sequence {
         self.appender.next_sequence()
     }
 
-    /// The next offset to be delivered.
+    /// Returns the next offset to be delivered.
     pub fn next_offset(&self) -> Offset {
         self.reader.next()
     }
 
-    /// Whether everything up to the end heard of last has been delivered.
+    /// Returns whether all records up to the known end of the stream have been delivered.
     pub fn caught_up(&self) -> bool {
         self.reader.caught_up()
     }
 
-    /// Appends not yet read back, in flight or waiting; callers bound what they propose by it.
+    /// Returns the number of waiting records, plus one if an append is in flight. Callers use it to limit
+    /// what they propose.
     pub fn outstanding(&self) -> usize {
         self.appender.outstanding()
     }
 
-    /// Calls in question what is known of the stream's end, as after a pause of the process:
-    /// [`Self::caught_up`] is false until a read that is opened from now on is answered.
+    /// Marks the known end of the stream as stale, for example after the process was suspended.
+    /// [`Self::caught_up`] returns false until a read that starts from now on completes.
     pub fn doubt(&mut self, now: Timestamp) {
-        self.reader.doubt(now);
+        self.reader.mark_end_stale(now);
     }
 
-    /// Polls at another interval from now on; a shorter one also brings the next read forward.
-    /// Without effect in [`ReadMode::Follow`].
+    /// Changes the poll interval. A shorter interval also makes the next read due earlier. Has no effect
+    /// in [`ReadMode::Follow`].
     pub fn set_poll_interval(&mut self, now: Timestamp, interval: Duration) {
-        if let ReadMode::Poll { interval: present } = &mut self.settings.mode {
-            *present = interval;
-            self.reader.read_before(now + interval);
+        if let ReadMode::Poll { interval: current } = &mut self.settings.mode {
+            *current = interval;
+            self.reader.read_no_later_than(now + interval);
         }
     }
 
-    /// Whether the log answers.
+    /// Returns whether the log is considered reachable.
     pub fn reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles an event and returns the resulting effects, which the caller carries out in order.
     pub fn handle(&mut self, now: Timestamp, event: Event<B>) -> Vec<Effect<B>> {
         let mut effects = Vec::new();
         match event {
@@ -222,8 +225,8 @@
             Event::Relayed { records } => self.deliver_contiguous(records, &mut effects),
             Event::Tick => {}
         }
-        self.judge_reachability(now, &mut effects);
-        self.start_work(now, &mut effects);
+        self.update_reachability(now, &mut effects);
+        self.start_due_requests(now, &mut effects);
         effects
     }
 
@@ -235,16 +238,16 @@
         effects: &mut Vec<Effect<B>>,
     ) {
         let Ok(offset) = result else {
-            self.appender.no_answer(token, now, &self.settings);
-            self.reader.read_soon(now);
+            self.appender.append_failed(token, now, &self.settings);
+            self.reader.read_immediately(now);
             return;
         };
-        self.answered(now);
-        self.reader.learn_end(offset.next());
+        self.record_answer(now);
+        self.reader.update_known_end(offset.next());
         let Some(bytes) = self.appender.in_flight_bytes(token) else {
             return;
         };
-        // Everything below `offset` has been delivered, so these bytes are the next on the stream.
+        // All records below `offset` have been delivered, so this batch is the next one.
         if offset == self.reader.next() {
             let bytes = bytes.to_vec();
             self.deliver(offset, &bytes, effects);
@@ -259,17 +262,18 @@
         effects: &mut Vec<Effect<B>>,
     ) {
         let Ok(ReadRecords { records, end }) = result else {
-            self.reader.read_unanswered(now, &self.settings);
+            self.reader.read_failed(now, &self.settings);
             return;
         };
-        self.answered(now);
-        self.reader.read_answered(end, now, &self.settings);
+        self.record_answer(now);
+        self.reader.read_completed(end, now, &self.settings);
         if from > self.reader.next() {
             return;
         }
         self.deliver_contiguous(records, effects);
     }
 
+    /// Delivers the batches that continue the stream at the reader's position and skips all others.
     fn deliver_contiguous(
         &mut self,
         records: Vec<(Offset, Vec<u8>)>,
@@ -282,8 +286,8 @@
         }
     }
 
-    /// Delivers the batch at the reader's next offset. Bytes that are not a batch are void for
-    /// every reader alike and only move the position.
+    /// Delivers the batch at the reader's next offset. All readers ignore bytes that don't decode as a
+    /// batch and only advance their position.
     fn deliver(&mut self, offset: Offset, bytes: &[u8], effects: &mut Vec<Effect<B>>) {
         self.reader.advance();
         if self.settings.give_batches {
@@ -294,7 +298,8 @@
             return;
         };
         for (index, record) in batch.records.into_iter().enumerate() {
-            self.appender.read_back(&record.writer, record.sequence);
+            self.appender
+                .on_record_read(&record.writer, record.sequence);
             let index = u32::try_from(index).expect("a batch is bounded by its size");
             effects.push(Effect::Deliver {
                 offset,
@@ -304,14 +309,14 @@
         }
     }
 
-    /// While an append is in flight the log counts as reachable only as long as that append is
-    /// young: a log that answers reads but takes no appends is of no use to a writer.
-    fn judge_reachability(&mut self, now: Timestamp, effects: &mut Vec<Effect<B>>) {
+    /// Updates the reachability of the log. While an append is in flight, only the age of that append
+    /// counts: a log that serves reads but accepts no appends is of no use to a writer.
+    fn update_reachability(&mut self, now: Timestamp, effects: &mut Vec<Effect<B>>) {
         let silent_for = match self.appender.in_flight_since() {
             Some(first_sent) => now.since(first_sent),
             None => now
                 .since(self.last_answer)
-                .saturating_sub(self.longest_pause),
+                .saturating_sub(self.max_answer_gap),
         };
         let reachable = silent_for <= self.settings.unreachable_after;
         if reachable != self.reachable {
@@ -320,14 +325,15 @@
         }
     }
 
-    /// The log answered. What pause is allowed until its next answer is decided now: the interval
-    /// may become shorter before the next read.
-    fn answered(&mut self, now: Timestamp) {
+    /// Records a reply of the log. The permitted gap until the next reply is fixed here, because the poll
+    /// interval may be shortened before the next read.
+    fn record_answer(&mut self, now: Timestamp) {
         self.last_answer = now;
-        self.longest_pause = longest_pause(&self.settings);
+        self.max_answer_gap = max_answer_gap(&self.settings);
     }
 
-    fn start_work(&mut self, now: Timestamp, effects: &mut Vec<Effect<B>>) {
+    /// Starts the appends and reads that are due.
+    fn start_due_requests(&mut self, now: Timestamp, effects: &mut Vec<Effect<B>>) {
         if let Some((token, bytes)) = self.appender.next_append(now, &self.settings) {
             effects.push(Effect::Append { token, bytes });
         }
@@ -341,8 +347,8 @@
     }
 }
 
-/// Longest time between answers of a healthy log with nothing to append.
-fn longest_pause(settings: &StreamSettings) -> Duration {
+/// Returns the maximum time between replies of a healthy log while there is nothing to append.
+fn max_answer_gap(settings: &StreamSettings) -> Duration {
     match settings.mode {
         ReadMode::Follow => settings.follow_wait,
         ReadMode::Poll { interval } => interval,
--- a/crates/logstream/tests/lost_answers.rs
+++ b/crates/logstream/tests/lost_answers.rs
@@ -1,5 +1,5 @@
-//! Several writers on one stream whose answers are lost, late or crossed: every reader sees the
-//! same records in the same order, and each proposed record counts once.
+//! Several writers append to one stream while requests or replies are lost. All readers must see the same
+//! records in the same order, and each proposed record exactly once after dropping duplicates.
 
 use std::time::Duration;
 
@@ -12,10 +12,12 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 const WRITERS: usize = 3;
+/// Number of steps after which all records are delivered.
 const SETTLE_ROUNDS: u64 = 400;
+/// Simulated time of one step.
 const ROUND: Duration = Duration::from_millis(20);
 
-/// What becomes of one request to the log.
+/// Outcome of the requests to the log in one step.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
     Answered,
@@ -117,8 +119,7 @@
         }
     }
 
-    /// In these tests a read at the end of the stream is answered on a later round only, as a log
-    /// that holds the read would.
+    /// Fails reads at the end of the stream, like a log that holds the read until it times out.
     fn read(&self, from: Offset, fate: Fate) -> Option<Event<u32>> {
         if !matches!(fate, Fate::Answered) {
             return Some(Event::Read {
@@ -142,6 +143,7 @@
         })
     }
 
+    /// Lets all requests succeed until every record is delivered.
     fn settle(&mut self) {
         for _ in 0..SETTLE_ROUNDS {
             self.step(&Step {
@@ -153,8 +155,8 @@
     }
 }
 
-/// Drops repeats by writer and sequence, as the replaying state machines do.
-fn without_repeats(records: &[Record<u32>]) -> Vec<u32> {
+/// Drops duplicates by writer and sequence, like the state machines that replay the stream.
+fn without_duplicates(records: &[Record<u32>]) -> Vec<u32> {
     let mut last: std::collections::BTreeMap<Writer, Sequence> = Default::default();
     let mut bodies = Vec::new();
     for record in records {
@@ -203,22 +205,22 @@
                 prop_assert_eq!(&client.delivered, &world.clients[0].delivered);
                 prop_assert!(client.stream.caught_up() || world.log.is_empty());
                 prop_assert_eq!(client.stream.outstanding(), 0);
-                let mut bodies = without_repeats(&client.delivered);
+                let mut bodies = without_duplicates(&client.delivered);
                 bodies.sort_unstable();
                 prop_assert_eq!(&bodies, &expected);
             }
             Ok(())
         })
-        .expect("every record counts once, in one order");
+        .expect("all readers agree");
 }
 
 #[test]
-fn followers_agree_when_answers_are_lost() {
+fn following_readers_agree_when_replies_are_lost() {
     check(ReadMode::Follow);
 }
 
 #[test]
-fn pollers_agree_when_answers_are_lost() {
+fn polling_readers_agree_when_replies_are_lost() {
     check(ReadMode::Poll {
         interval: Duration::from_millis(100),
     });
@@ -242,7 +244,7 @@
     }
     world.settle();
     assert_eq!(
-        without_repeats(&world.clients[1].delivered),
+        without_duplicates(&world.clients[1].delivered),
         (1..=12).collect::<Vec<u32>>()
     );
 }
--- a/crates/logstream/tests/poll_interval.rs
+++ b/crates/logstream/tests/poll_interval.rs
@@ -1,4 +1,4 @@
-//! Changing how often a polled stream is read.
+//! Changes of the poll interval of a stream.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     Timestamp(millis * 1_000)
 }
 
-/// A stream whose read at time 0 was answered under the given interval.
-fn stream_at_its_end(interval: Duration) -> LogStream<u32> {
+/// Returns a stream that has completed a read at time 0 with the given poll interval.
+fn caught_up_stream(interval: Duration) -> LogStream<u32> {
     let writer = Writer {
         node: NodeId::new("node-a"),
         incarnation: Incarnation(7),
@@ -40,8 +40,9 @@
 }
 
 #[test]
-fn a_shorter_interval_brings_the_next_read_forward_and_a_longer_one_spares_later_reads() {
-    // Interval at the last answer, the interval set and when, and when the next read is sent.
+fn a_shorter_interval_applies_to_the_next_read_and_a_longer_one_to_later_reads() {
+    // Interval during the last read, new interval, time of the change, and time of the next read; times
+    // in milliseconds.
     let cases = [
         (LONG, SHORT, 1_000, 1_500),
         (LONG, SHORT, 4_800, 5_000),
@@ -50,7 +51,7 @@
         (SHORT, SHORT, 100, 500),
     ];
     for (before, after, set_at, read_at) in cases {
-        let mut stream = stream_at_its_end(before);
+        let mut stream = caught_up_stream(before);
         stream.set_poll_interval(at(set_at), after);
         let early = stream.handle(at(read_at - 1), Event::Tick);
         assert_eq!(early, [], "{before:?} to {after:?}");
@@ -64,8 +65,8 @@
 }
 
 #[test]
-fn a_log_that_was_not_asked_does_not_count_as_unreachable() {
-    let mut stream = stream_at_its_end(LONG);
+fn a_log_without_due_reads_stays_reachable() {
+    let mut stream = caught_up_stream(LONG);
     stream.set_poll_interval(at(4_900), SHORT);
     let effects = stream.handle(at(4_900), Event::Tick);
     assert!(!effects.contains(&Effect::Reachable(false)));
--- a/crates/logstream/tests/reachability.rs
+++ b/crates/logstream/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! When a stream calls the log unreachable, and what it keeps meanwhile.
+//! When a stream considers the log unreachable, and how it appends records in the meantime.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_unconfirmed_append_makes_the_log_unreachable_until_it_is_read_back() {
+fn the_log_is_unreachable_while_an_append_remains_unconfirmed() {
     let mut stream = stream();
     let (token, first) = append_of(&stream.handle(at(0), propose(1))).expect("append is sent");
     stream.handle(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn records_that_wait_share_one_append() {
+fn waiting_records_share_one_append() {
     let mut stream = stream();
     let (token, _) = append_of(&stream.handle(at(0), propose(1))).expect("append is sent");
     for body in 2..=50 {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_batch_are_void_for_every_reader() {
+fn bytes_that_are_no_batch_are_skipped() {
     let mut stream = stream();
     stream.handle(at(0), Event::Tick);
     let batch = encode(&RecordBatch::<u32> {
--- a/crates/logstream/tests/relayed.rs
+++ b/crates/logstream/tests/relayed.rs
@@ -1,4 +1,4 @@
-//! Batches passed on from one reader of a stream to another.
+//! Batches relayed from one reader of a stream to another.
 
 use elderworks_logstream::{Effect, Event, LogStream, ReadRecords, StreamSettings};
 use elderworks_protocol::encode;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_one_reader_gives_another_takes_in_order_and_once() {
+fn relayed_batches_are_delivered_once_and_in_order() {
     let mut reader = stream();
     let records = vec![
         (Offset(0), batch(1)),
@@ -68,10 +68,10 @@
         }),
     };
     let given = batches(reader.handle(Timestamp(0), read));
-    assert_eq!(given, records, "bytes that are no batch are passed on too");
+    assert_eq!(given, records, "bytes that are no batch are relayed too");
 
     let mut other = stream();
-    // What is relayed, and the records that must come of it.
+    // Relayed batches and the expected records.
     let cases = [
         (given[1..].to_vec(), Vec::new()),
         (given[..1].to_vec(), vec![1]),
--- a/crates/platform-api/src/engine/command.rs
+++ b/crates/platform-api/src/engine/command.rs
@@ -1,97 +1,99 @@
-//! Fenced commands and an engine's state.
+//! Fenced commands to an engine, and its state.
 
 use elderworks_types::{EngineId, ModelName, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What an engine does with requests, as the operators of the platform order it.
+/// Role of an engine, as assigned by the platform's operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Takes requests.
+    /// The engine accepts requests.
     #[default]
     Serving,
-    /// Takes none; finishes those it has.
+    /// The engine accepts no new requests and completes the current ones.
     Draining,
 }
 
-/// What an engine can be ordered to do.
+/// A command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// Load a model, or another version of it.
+    /// Loads a model, or replaces it with another version.
     LoadModel {
         /// The model.
         model: ModelName,
-        /// The version; the store's newest if none is named.
+        /// The version; by default the latest one in the weight store.
         #[serde(default)]
         version: Option<String>,
     },
-    /// Unload a model.
+    /// Unloads a model.
     UnloadModel {
         /// The model.
         model: ModelName,
     },
-    /// Load an adapter for a loaded model.
+    /// Loads an adapter for a loaded model.
     LoadAdapter {
         /// The model.
         model: ModelName,
         /// The adapter.
         adapter: String,
     },
-    /// Unload an adapter.
+    /// Unloads an adapter.
     UnloadAdapter {
         /// The model.
         model: ModelName,
         /// The adapter.
         adapter: String,
     },
-    /// Change role.
+    /// Changes the engine's role.
     ChangeRole {
         /// The new role.
         role: EngineRole,
     },
 }
 
-/// Body of `POST /v1/commands`. Refused by 409 where an earlier command had a higher fence.
+/// Body of `POST /v1/commands`. Rejected with status 409 if an earlier command had a higher fencing
+/// token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedCommand {
-    /// Fencing token: the authority of the sender grows with it.
+    /// Fencing token. Commands of senders with a higher token take precedence.
     pub fence: u64,
-    /// The order.
+    /// The command.
     pub command: Command,
 }
 
-/// Answer to an accepted command.
+/// Response to an accepted command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandResponse {
-    /// The highest fence seen.
+    /// The highest fencing token received.
     pub fence: u64,
 }
 
-/// Whether an engine takes new work.
+/// Whether an engine accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServingState {
-    /// It does.
+    /// The engine accepts new requests.
     #[default]
     Serving,
-    /// It finishes what it has.
+    /// The engine only completes its current requests.
     Leaving,
 }
 
-/// Answer to `GET /v1/state`.
+/// Response to `GET /v1/state`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The engine's own name.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Whether it takes new work: not where it is being taken away or was ordered to drain.
+    /// Whether the engine accepts new requests. It doesn't if its machine is being removed or its role is
+    /// [`EngineRole::Draining`].
     pub state: ServingState,
-    /// The role that it was ordered into.
+    /// The assigned role.
     pub role: EngineRole,
-    /// Models loaded.
+    /// Loaded models.
     pub models: Vec<ModelName>,
-    /// The highest fence seen.
+    /// The highest fencing token received.
     pub fence: u64,
-    /// The engine's clock.
+    /// Current time by the engine's clock.
     pub now: Timestamp,
 }
--- a/crates/platform-api/src/engine/memory.rs
+++ b/crates/platform-api/src/engine/memory.rs
@@ -1,23 +1,23 @@
-//! An engine's load and memory: what it publishes, and what it holds for runs.
+//! An engine's load, its published cache events, and the cache blocks that it holds for runs.
 
 use elderworks_types::RunId;
 use elderworks_types::text::BlockHash;
 use serde::{Deserialize, Serialize};
 
-/// Answer to `GET /v1/load`.
+/// Response to `GET /v1/load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// How old the figures are, in milliseconds: reports are published with a lag.
+    /// Age of the values, in milliseconds. Engines publish reports with a delay.
     pub age_ms: u64,
-    /// Sequences being decoded.
+    /// Number of sequences being decoded.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Prompt tokens waiting to be prefilled.
+    /// Number of prompt tokens waiting to be prefilled.
     pub waiting_prefill_tokens: u64,
-    /// Cache blocks in use.
+    /// Number of cache blocks in use.
     pub blocks_used: u32,
-    /// Cache blocks in all.
+    /// Total number of cache blocks.
     pub blocks_total: u32,
 }
 
@@ -25,92 +25,92 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// Blocks are now held.
+    /// Blocks were added.
     Stored(Vec<BlockHash>),
-    /// Blocks are no longer held.
+    /// Blocks were evicted.
     Evicted(Vec<BlockHash>),
-    /// Everything was dropped.
+    /// All blocks were dropped.
     Cleared,
 }
 
-/// Most cache events in one answer.
+/// Maximum number of cache events in one response.
 pub const MAX_CACHE_EVENTS: usize = 1_024;
 
-/// One published cache event.
+/// A published cache event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number, from 1. Published numbers may have gaps: those events were lost.
+    /// Number of the event, from 1. A gap between published numbers means that events were lost.
     pub sequence: u64,
     /// The change.
     pub change: CacheChange,
 }
 
-/// Query of `GET /v1/cache/events`.
+/// Query parameters of `GET /v1/cache/events`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventsQuery {
-    /// Number of the last event that the reader has.
+    /// Number of the last event that the client has received.
     #[serde(default)]
     pub after: u64,
 }
 
-/// Answer to `GET /v1/cache/events`.
+/// Response to `GET /v1/cache/events`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventsResponse {
-    /// Changes with the engine's every start; numbers of different starts do not compare.
+    /// Identifies the engine's process start. Event numbers of different starts aren't comparable.
     pub instance: u64,
     /// Published events in order, at most [`MAX_CACHE_EVENTS`].
     pub events: Vec<CacheEvent>,
 }
 
-/// A run of which an engine holds blocks.
+/// Cache blocks that an engine holds for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The run.
     pub run: RunId,
-    /// Blocks held.
+    /// Number of blocks.
     pub blocks: u32,
-    /// Time left of the retention lease, in milliseconds; 0 without one.
+    /// Remaining time of the retention lease, in milliseconds; 0 without a lease.
     pub lease_ms: u64,
 }
 
-/// Answer to `GET /v1/runs`.
+/// Response to `GET /v1/runs`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldingsResponse {
-    /// In order of run id.
+    /// Runs for which the engine holds blocks, ordered by id.
     pub runs: Vec<Holding>,
 }
 
-/// Body of `PUT /v1/runs/{run}/retention`; answered by the [`Holding`] that results.
+/// Body of `PUT /v1/runs/{run}/retention`. The response is the resulting [`Holding`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionRequest {
-    /// Keep the run's blocks for so long from now, in milliseconds; at most [`MAX_LEASE_MS`].
+    /// Time for which the run's blocks are retained, in milliseconds; at most [`MAX_LEASE_MS`].
     pub lease_ms: u64,
 }
 
-/// Longest retention lease, in milliseconds. A longer one is cut to it.
+/// Maximum duration of a retention lease, in milliseconds. Longer leases are limited to it.
 pub const MAX_LEASE_MS: u64 = 3_600_000;
 
-/// Answer to `DELETE /v1/runs/{run}`: the engine holds nothing for the run, and its requests are
-/// cancelled. Succeeds for unknown runs as well.
+/// Response to `DELETE /v1/runs/{run}`, which releases the run's blocks and cancels its requests. Also
+/// succeeds for unknown runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseResponse {
     /// The run.
     pub run: RunId,
-    /// Blocks that were let go by this request.
+    /// Number of blocks released by this request.
     pub blocks: u32,
 }
 
-/// Answer to `POST /v1/runs/{run}/export`, and body of `POST /v1/runs/{run}/import`. Stands for
-/// the KV cache itself.
+/// Response to `POST /v1/runs/{run}/export`, and body of `POST /v1/runs/{run}/import`. Contains the
+/// hashes of the blocks in place of the KV cache itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
     /// Hashes of the run's blocks, in prompt order.
     pub blocks: Vec<BlockHash>,
 }
 
-/// Answer to an import.
+/// Response to an import.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportResponse {
-    /// Blocks that the engine now holds of those offered; a prefix of them.
+    /// Number of imported blocks that the engine holds now; they form a prefix of the offered blocks.
     pub blocks: u32,
 }
--- a/crates/platform-api/src/engine/mod.rs
+++ b/crates/platform-api/src/engine/mod.rs
@@ -1,11 +1,11 @@
-//! A model engine: chat completions in the OpenAI form, with extensions, and the engine's own
-//! resources.
+//! A model engine: the OpenAI chat completions API with extensions, and interfaces for the engine's load,
+//! memory and state.
 //!
-//! A streamed answer is a server-sent event stream. Each event's `id` is the chunk's number,
-//! counted from the request's `first_chunk`, and its data a [`ChatChunk`]. The last chunk carries no
-//! text but the finish reason and usage, and the event after it is `[DONE]`. A broken stream is resumed
-//! at any chunk by `GET /v1/streams/{request_id}?from=N`. A request that nobody reads is cancelled
-//! after [`RESUME_GRACE_MS`]; the stream of a cancelled request ends without a finish reason.
+//! A streamed answer consists of server-sent events. The `id` of an event is the chunk's number, counted
+//! from the request's `first_chunk`, and its data is a [`ChatChunk`]. The last chunk has no text, but
+//! the finish reason and the usage; it is followed by an event with the data `[DONE]`. A broken stream
+//! can be resumed at any chunk with `GET /v1/streams/{request_id}?from=N`. A request without a reader is
+//! cancelled after [`RESUME_GRACE_MS`]. The stream of a cancelled request ends without a finish reason.
 
 mod chat;
 mod command;
--- a/crates/platform-api/src/error.rs
+++ b/crates/platform-api/src/error.rs
@@ -1,69 +1,68 @@
-//! The one shape of error bodies.
+//! Bodies of error responses, common to all interfaces.
 
 use serde::{Deserialize, Serialize};
 
-/// Stable names of errors.
+/// Error codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The path names nothing.
+    /// The path does not exist.
     NotFound,
-    /// The path exists, but not with this method.
+    /// The path does not support the request's method.
     MethodNotAllowed,
-    /// A header, query or body does not have the expected form.
+    /// A header, the query or the body is malformed.
     InvalidRequest,
     /// The body is larger than [`crate::MAX_BODY_BYTES`].
     BodyTooLarge,
-    /// The service is down or slow beyond use.
+    /// The service is down or too slow to be useful.
     Unavailable,
     /// The queue is full.
     QueueFull,
-    /// The engine is leaving and takes no new work.
+    /// The engine is draining and accepts no new requests.
     Leaving,
-    /// The engine has not loaded the model.
+    /// The model is not loaded.
     ModelNotLoaded,
-    /// Prompt and answer do not fit into the engine's memory.
+    /// The prompt and the maximum answer exceed the engine's memory.
     TooLong,
-    /// A request of the same id is known already; nothing is said of whether that one ran.
+    /// Another request has the same id. Whether that request ran is unspecified.
     RequestIdInUse,
-    /// A command carried a lower fence than an earlier one.
+    /// The command's fencing token is lower than that of an earlier command.
     StaleFence,
-    /// Too many requests.
+    /// The rate limit is exceeded.
     RateLimited,
-    /// The work ran and failed.
+    /// The request ran and failed.
     Failed,
-    /// A code that this version does not know.
+    /// A code unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// What went wrong, for people and for programs.
+/// Code and message of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Stable name.
+    /// Error code.
     pub code: ErrorCode,
-    /// Explanation in words.
+    /// Human-readable message.
     pub message: String,
 }
 
-/// Body of every answer with a status of 400 or above.
+/// Body of all responses with status 400 or above.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error.
     pub error: ErrorDetail,
-    /// `false` where the request surely was not run, `true` where it was; absent where the service
-    /// makes no claim.
+    /// Whether the request was run, or absent if the service doesn't say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run: Option<bool>,
 }
 
 impl ErrorBody {
-    /// An error of a request that was not run.
+    /// Creates an error for a request that was not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self::new(code, message, Some(false))
     }
 
-    /// An error of a request that was run.
+    /// Creates an error for a request that was run.
     pub fn run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self::new(code, message, Some(true))
     }
--- a/crates/platform-api/src/headers.rs
+++ b/crates/platform-api/src/headers.rs
@@ -1,16 +1,16 @@
-//! Header names that the interfaces use beside the standard ones.
+//! Names of HTTP headers.
 
-/// Names one request to an engine; chosen by the client, unique per attempt.
+/// Id of a request to an engine, chosen by the client and unique per attempt.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// The run on whose behalf a request is made.
+/// The run to which a request belongs.
 pub const RUN_ID: &str = "x-run-id";
 
-/// Key under which a tool recognises a repeated invocation.
+/// Key by which a tool detects a repeated invocation.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Seconds after which a refused request may be accepted.
+/// Time after which a refused request may be retried, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// The tool that an invocation is for, where one service hosts several.
+/// The invoked tool, for services that host several.
 pub const TOOL: &str = "x-tool";
--- a/crates/platform-api/src/lib.rs
+++ b/crates/platform-api/src/lib.rs
@@ -1,8 +1,7 @@
-//! Wire types of the platform's published interfaces: log, engines, tools, machine list, weight
-//! store.
+//! Wire types of the platform's HTTP interfaces: log, engines, tools, machine list and weight store.
 //!
-//! Everything is JSON over HTTP unless a type says otherwise. Paths are built and taken apart by
-//! [`paths`]; names that callers choose are percent-encoded there, so any text is a valid name.
+//! Bodies are JSON unless documented otherwise. [`paths`] builds and parses paths; names within paths
+//! are percent-encoded, so any string is a valid name.
 
 pub mod engine;
 pub mod error;
@@ -15,5 +14,5 @@
 
 pub use error::{ErrorBody, ErrorCode};
 
-/// Largest body that any interface accepts, in bytes. Larger ones are answered by 413.
+/// Maximum size of a request body on all interfaces, in bytes. Larger ones are rejected with status 413.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
--- a/crates/platform-api/src/log.rs
+++ b/crates/platform-api/src/log.rs
@@ -1,37 +1,37 @@
 //! The append-only log service: `POST` and `GET /v1/streams/{name}/records`.
 //!
-//! An append's body is the record's bytes, unencoded. There is no conditional append and no
-//! trimming. An append that was not answered may still have taken effect.
+//! The body of an append is the record's raw bytes. The log supports neither conditional appends nor
+//! trimming. An append without a response may still have taken effect.
 
 use elderworks_types::Offset;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of one record.
+/// Maximum size of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = crate::MAX_BODY_BYTES;
 
-/// Longest time for which a read may wait for records, in milliseconds.
+/// Maximum time for which a read may wait for records, in milliseconds.
 pub const MAX_WAIT_MS: u64 = 30_000;
 
-/// Most bytes of records in one answer, unless the first record alone is larger.
+/// Maximum size of the records in one response, in bytes, unless the first record alone is larger.
 pub const MAX_READ_BYTES: usize = 4 << 20;
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// Where the record is; offsets start at 0 and are dense in each stream.
+    /// Offset of the record. The offsets of a stream start at 0 and have no gaps.
     pub offset: Offset,
 }
 
-/// Query of a read.
+/// Query parameters of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadQuery {
-    /// First offset wanted.
+    /// First requested offset.
     #[serde(default)]
     pub from: Offset,
-    /// Most bytes of records wanted; at least one record is given where there is one.
+    /// Maximum size of the returned records, in bytes. If a record exists, at least one is returned.
     #[serde(default = "default_max_bytes")]
     pub max_bytes: usize,
-    /// How long to wait for a record where there is none yet, in milliseconds.
+    /// Time to wait if there is no record yet, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
 }
@@ -40,22 +40,22 @@
     crate::MAX_BODY_BYTES
 }
 
-/// One record.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its place in the stream.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Its bytes; base64 in JSON.
+    /// Content of the record, encoded as base64 in JSON.
     #[serde(with = "base64_bytes")]
     pub data: Vec<u8>,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadResponse {
-    /// Records in order of offset, without gaps.
+    /// Records in offset order, without gaps.
     pub records: Vec<LogRecord>,
-    /// The offset that the stream's next record will have.
+    /// Offset of the stream's next record.
     pub end: Offset,
 }
 
--- a/crates/platform-api/src/machines.rs
+++ b/crates/platform-api/src/machines.rs
@@ -1,57 +1,57 @@
-//! The list of machines: `GET /v1/machines`. It lags behind the truth.
+//! The machine list: `GET /v1/machines`. Changes of machines show up in the list with a delay.
 
 use elderworks_types::{EngineId, ModelName, NodeId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// Whether a machine stays.
+/// State of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It is up.
+    /// The machine is running.
     Live,
-    /// It will be taken away soon.
+    /// The machine will be removed soon.
     Leaving,
 }
 
 /// A machine that runs `elderworks node`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeMachine {
-    /// The node's name.
+    /// Name of the node.
     pub id: NodeId,
-    /// Where it stands.
+    /// Zone of the machine.
     pub zone: ZoneId,
-    /// `IP:port` for other nodes.
+    /// Address for other nodes, `IP:port`.
     pub address: String,
-    /// Whether it stays.
+    /// State of the machine.
     pub state: MachineState,
 }
 
 /// A machine that runs an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineMachine {
-    /// The engine's name.
+    /// Id of the engine.
     pub id: EngineId,
-    /// Where it stands.
+    /// Zone of the machine.
     pub zone: ZoneId,
     /// Base URL, `http://IP:port`.
     pub url: String,
-    /// Models that it can serve.
+    /// Models that the engine can serve.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// Whether it stays.
+    /// State of the machine.
     pub state: MachineState,
 }
 
-/// The whole list.
+/// The machine list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Grows with every change.
+    /// Version of the list, larger after each change.
     #[serde(default)]
     pub version: u64,
-    /// Machines for nodes.
+    /// Machines that run nodes.
     #[serde(default)]
     pub nodes: Vec<NodeMachine>,
-    /// Machines for engines.
+    /// Machines that run engines.
     #[serde(default)]
     pub engines: Vec<EngineMachine>,
 }
--- a/crates/platform-api/src/paths.rs
+++ b/crates/platform-api/src/paths.rs
@@ -1,68 +1,68 @@
-//! Paths of the interfaces.
+//! Paths of the HTTP interfaces.
 //!
-//! Functions build a path from names; [`segments`] takes one apart again.
+//! The functions build a path from names; [`segments`] splits a path and decodes its segments.
 
 use elderworks_types::{ModelName, RunId};
 use percent_encoding::{NON_ALPHANUMERIC, percent_decode_str, utf8_percent_encode};
 
-/// Chat completions of an engine.
+/// Path of an engine's chat completions.
 pub const CHAT_COMPLETIONS: &str = "/v1/chat/completions";
-/// An engine's load report.
+/// Path of an engine's load report.
 pub const LOAD: &str = "/v1/load";
-/// An engine's cache events.
+/// Path of an engine's cache events.
 pub const CACHE_EVENTS: &str = "/v1/cache/events";
-/// Runs for which an engine holds memory.
+/// Path of the list of runs for which an engine holds memory.
 pub const RUNS: &str = "/v1/runs";
-/// Fenced commands to an engine.
+/// Path for fenced commands to an engine.
 pub const COMMANDS: &str = "/v1/commands";
-/// An engine's state.
+/// Path of an engine's state.
 pub const STATE: &str = "/v1/state";
-/// Invocations of a tool.
+/// Path of a tool's invocations.
 pub const INVOCATIONS: &str = "/v1/invocations";
-/// The list of machines.
+/// Path of the machine list.
 pub const MACHINES: &str = "/v1/machines";
 
-/// Records of a stream of the log.
+/// Returns the path of the records of a log stream.
 pub fn records(stream: &str) -> String {
     format!("/v1/streams/{}/records", encode(stream))
 }
 
-/// A request's answer stream on an engine.
+/// Returns the path of the answer stream of a request to an engine.
 pub fn answer_stream(request_id: &str) -> String {
     format!("/v1/streams/{}", encode(request_id))
 }
 
-/// A run on an engine.
+/// Returns the path of a run on an engine.
 pub fn run(run: RunId) -> String {
     format!("/v1/runs/{run}")
 }
 
-/// A run's retention lease on an engine.
+/// Returns the path of a run's retention lease on an engine.
 pub fn retention(run: RunId) -> String {
     format!("/v1/runs/{run}/retention")
 }
 
-/// Export of a run's KV cache.
+/// Returns the path for exporting a run's KV cache from an engine.
 pub fn export(run: RunId) -> String {
     format!("/v1/runs/{run}/export")
 }
 
-/// Import of a run's KV cache.
+/// Returns the path for importing a run's KV cache into an engine.
 pub fn import(run: RunId) -> String {
     format!("/v1/runs/{run}/import")
 }
 
-/// One invocation of a tool.
+/// Returns the path of one invocation of a tool.
 pub fn invocation(idempotency_key: &str) -> String {
     format!("/v1/invocations/{}", encode(idempotency_key))
 }
 
-/// A model's weights.
+/// Returns the path of a model's weights.
 pub fn weights(model: &ModelName) -> String {
     format!("/v1/weights/{}", encode(model.as_str()))
 }
 
-/// The decoded segments of a path; `None` where one is not UTF-8.
+/// Splits a path into its percent-decoded segments. Returns `None` if a segment isn't valid UTF-8.
 pub fn segments(path: &str) -> Option<Vec<String>> {
     path.trim_start_matches('/')
         .split('/')
--- a/crates/platform-api/src/tool.rs
+++ b/crates/platform-api/src/tool.rs
@@ -1,40 +1,40 @@
 //! A tool service: `POST /v1/invocations` and `GET /v1/invocations/{key}`.
 //!
-//! The body of an invocation is any JSON value; [`crate::headers::IDEMPOTENCY_KEY`] names it. A
-//! repeated key gives the first invocation's result without running again, unless the tool does
-//! not keep keys at all.
+//! The body of an invocation is any JSON value. Its idempotency key is given by the header
+//! [`IDEMPOTENCY_KEY`](crate::headers::IDEMPOTENCY_KEY). An invocation with a repeated key returns the
+//! first result without running again, unless the tool doesn't store keys.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Answer to an invocation that completed.
+/// Response to an invocation that completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InvocationResponse {
-    /// What the tool returned.
+    /// The tool's result.
     pub result: Value,
-    /// Whether this is the result of an earlier invocation of the same key.
+    /// Whether this is the result of an earlier invocation with the same key.
     pub repeated: bool,
 }
 
-/// Answer to a question after an invocation.
+/// Status of an invocation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "status", rename_all = "snake_case")]
 pub enum InvocationStatus {
-    /// It ran to its end.
+    /// The invocation completed.
     Completed {
-        /// What the tool returned.
+        /// The tool's result.
         result: Value,
     },
-    /// It ran and failed.
+    /// The invocation ran and failed.
     Failed {
-        /// What the tool said.
+        /// The tool's error message.
         message: String,
     },
-    /// It is running, or hangs.
+    /// The invocation is running or hangs.
     Running,
-    /// The tool knows no such key. A tool that does not keep keys always says so.
+    /// The tool doesn't know the key. Always returned by tools that don't store keys.
     Unknown,
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,39 +1,40 @@
-//! Checks of single values that several processes' settings share.
+//! Validation of single values, shared by the settings of several processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::error::Problem;
+use crate::error::InvalidValue;
 
-/// Refuses an empty or blank text.
-pub(crate) fn check_not_empty(key: &str, value: &str) -> Result<(), Problem> {
+/// Returns an error if `value` is empty or blank.
+pub(crate) fn check_not_empty(key: &str, value: &str) -> Result<(), InvalidValue> {
     if value.trim().is_empty() {
-        return Err(Problem::new(key, "must not be empty"));
+        return Err(InvalidValue::new(key, "must not be empty"));
     }
     Ok(())
 }
 
-/// Refuses zero.
-pub(crate) fn check_positive(key: &str, value: u64) -> Result<(), Problem> {
+/// Returns an error if `value` is zero.
+pub(crate) fn check_positive(key: &str, value: u64) -> Result<(), InvalidValue> {
     if value == 0 {
-        return Err(Problem::new(key, "must be at least 1"));
+        return Err(InvalidValue::new(key, "must be at least 1"));
     }
     Ok(())
 }
 
-/// Refuses any URL but `http://IP:port`, optionally with a path: processes talk by IP numbers.
-pub(crate) fn check_url(key: &str, url: &str) -> Result<(), Problem> {
-    let wrong = || Problem::new(key, format!("expected http://IP:port, found `{url}`"));
-    let rest = url.strip_prefix("http://").ok_or_else(wrong)?;
+/// Returns an error unless `url` is `http://IP:port`, optionally with a path. Host names are rejected
+/// because processes don't resolve names.
+pub(crate) fn check_url(key: &str, url: &str) -> Result<(), InvalidValue> {
+    let invalid = || InvalidValue::new(key, format!("expected http://IP:port, found `{url}`"));
+    let rest = url.strip_prefix("http://").ok_or_else(invalid)?;
     let authority = rest.split('/').next().unwrap_or_default();
-    authority.parse::<SocketAddr>().map_err(|_| wrong())?;
+    authority.parse::<SocketAddr>().map_err(|_| invalid())?;
     Ok(())
 }
 
-/// Refuses a duration of zero.
-pub(crate) fn check_duration(key: &str, duration: Duration) -> Result<(), Problem> {
+/// Returns an error if `duration` is zero.
+pub(crate) fn check_duration(key: &str, duration: Duration) -> Result<(), InvalidValue> {
     if duration.is_zero() {
-        return Err(Problem::new(key, "must be longer than zero"));
+        return Err(InvalidValue::new(key, "must be longer than zero"));
     }
     Ok(())
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a settings file.
+//! Errors in settings files and flags.
 
 use std::path::PathBuf;
 
-/// A settings file or flag that cannot be used.
+/// Error returned when a settings file or a `--set` flag is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -10,59 +10,59 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a key or value is not what it should be.
+    /// The file is not valid TOML, or contains an unknown key or a value of the wrong type.
     #[error("{}:{line}: {problem}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
         line: usize,
-        /// What is wrong, with the nearest known key where one is unknown.
+        /// Description of the error; suggests the most similar known key for an unknown one.
         problem: String,
     },
-    /// The file is for another process.
-    #[error("{}: this file is for `{found}`, not for `{expected}`", path.display())]
-    OtherProcess {
+    /// The file contains the settings of another process.
+    #[error("{}: expected settings for `{expected}`, found settings for `{found}`", path.display())]
+    WrongProcess {
         /// The file.
         path: PathBuf,
         /// The process that was started.
         expected: &'static str,
-        /// The process that the file is for.
+        /// The process whose settings the file contains.
         found: &'static str,
     },
-    /// A value parses but is out of its range, or contradicts another.
+    /// A value is out of range or conflicts with another value.
     #[error("{}: {problem}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Which key, and why.
-        problem: Problem,
+        /// The key and the reason.
+        problem: InvalidValue,
     },
-    /// A `--set` flag cannot be laid over the file.
+    /// A `--set` flag is invalid.
     #[error("--set {flag}: {problem}")]
     Flag {
         /// The flag as given.
         flag: String,
-        /// What is wrong with it.
+        /// Description of the error.
         problem: String,
     },
 }
 
-/// A value out of its range.
+/// A value that is out of range or conflicts with another value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
-pub struct Problem {
-    /// Dotted path of the key below the process's table.
+pub struct InvalidValue {
+    /// Dotted path of the key within the process's table.
     pub key: String,
-    /// What is wrong with the value.
+    /// Why the value is invalid.
     pub problem: String,
 }
 
-impl Problem {
-    /// A problem with the value of `key`.
+impl InvalidValue {
+    /// Creates an error for the value of `key`.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
             key: key.into(),
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -1,8 +1,8 @@
-//! The file as a whole: one table, named after its process.
+//! The settings file, which consists of one table named after its process.
 
 use serde::Deserialize;
 
-use crate::error::Problem;
+use crate::error::InvalidValue;
 use crate::node::NodeProcessSettings;
 use crate::sidecar::SidecarProcessSettings;
 use crate::standin::{
@@ -10,7 +10,7 @@
     WeightsStandinSettings,
 };
 
-/// Names of the tables that a file can hold.
+/// Names of the tables that a settings file may contain.
 pub const PROCESSES: [&str; 7] = [
     NodeProcessSettings::PROCESS,
     SidecarProcessSettings::PROCESS,
@@ -25,24 +25,24 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SettingsFile {
-    /// `elderworks node`.
+    /// Settings of `elderworks node`.
     Node(NodeProcessSettings),
-    /// `elderworks sidecar`.
+    /// Settings of `elderworks sidecar`.
     Sidecar(SidecarProcessSettings),
-    /// `elderworks-standin log`.
+    /// Settings of `elderworks-standin log`.
     Log(LogStandinSettings),
-    /// `elderworks-standin engine`.
+    /// Settings of `elderworks-standin engine`.
     Engine(EngineStandinSettings),
-    /// `elderworks-standin tool`.
+    /// Settings of `elderworks-standin tool`.
     Tool(ToolStandinSettings),
-    /// `elderworks-standin machines`.
+    /// Settings of `elderworks-standin machines`.
     Machines(MachinesStandinSettings),
-    /// `elderworks-standin weights`.
+    /// Settings of `elderworks-standin weights`.
     Weights(WeightsStandinSettings),
 }
 
 impl SettingsFile {
-    /// The table's name.
+    /// Returns the name of the table.
     pub fn process(&self) -> &'static str {
         match self {
             SettingsFile::Node(_) => NodeProcessSettings::PROCESS,
@@ -55,8 +55,11 @@
         }
     }
 
-    /// Checks ranges and addresses.
-    pub fn check(&self) -> Result<(), Problem> {
+    /// Validates ranges and addresses.
+    ///
+    /// # Errors
+    /// Returns the first invalid value.
+    pub fn check(&self) -> Result<(), InvalidValue> {
         match self {
             SettingsFile::Node(settings) => settings.check(),
             SettingsFile::Sidecar(settings) => settings.check(),
@@ -71,12 +74,18 @@
 
 /// The settings of one kind of process.
 pub trait ProcessSettings: Sized {
-    /// Name of the table that holds them.
+    /// Name of the table that contains the settings.
     const PROCESS: &'static str;
 
-    /// These settings, if the file is for this process; the file's process otherwise.
+    /// Returns the settings contained in `file`.
+    ///
+    /// # Errors
+    /// Returns the name of the file's table if it belongs to another process.
     fn from_file(file: SettingsFile) -> Result<Self, &'static str>;
 
-    /// Checks ranges and addresses.
-    fn check(&self) -> Result<(), Problem>;
+    /// Validates ranges and addresses.
+    ///
+    /// # Errors
+    /// Returns the first invalid value.
+    fn check(&self) -> Result<(), InvalidValue>;
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings files of every process: TOML, checked, with the nearest known key on a mistake.
+//! Settings of all processes, and logging setup.
 //!
-//! A file holds one table named after its process, for example `[node]`. [`load`] reads it, lays
-//! the `--set` flags over it and checks the result; every problem names the file, the line and,
-//! where a key is unknown, the nearest known one.
+//! A settings file is a TOML file with one table named after its process, for example `[node]`.
+//! [`load`] reads and validates it; [`load_with`] also applies `--set` flags. Errors name the file and
+//! the line, and suggest the most similar known key for an unknown one.
 
 mod check;
 pub mod error;
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging by `log` and `env_logger`, as text or as one JSON object per line.
+//! Setup of logging with `log` and `env_logger`, as text or as JSON lines.
 
 use std::io::Write;
 
@@ -7,32 +7,32 @@
 use log::{LevelFilter, Record};
 use serde::Deserialize;
 
-/// Form of a log line.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
     /// One JSON object per line.
     Json,
 }
 
-/// The `logging` table of any process.
+/// The `logging` table, which the settings of every process contain.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoggingSettings {
-    /// Form of the lines.
+    /// Format of log lines.
     pub format: LogFormat,
 }
 
-/// Sends log lines to standard error. The level is `info`, or what `RUST_LOG` says. A second call
-/// in one process changes nothing.
+/// Initializes logging to standard error. The default level is `info` and can be changed with the
+/// environment variable `RUST_LOG`. Has no effect if logging is already initialized.
 pub fn init_logging(format: LogFormat) {
     init(format, env_logger::Target::Stderr);
 }
 
-/// Like [`init_logging`], with the lines sent to `output`. Each line is one call of `write`.
+/// Initializes logging like [`init_logging`], but writes to `output`, one `write` call per line.
 pub fn init_logging_to(format: LogFormat, output: Box<dyn Write + Send>) {
     init(format, env_logger::Target::Pipe(output));
 }
@@ -45,7 +45,7 @@
     if format == LogFormat::Json {
         builder.format(write_json_line);
     }
-    // A process that embeds several parts sets its logger up once; later calls are harmless.
+    // Fails if logging is already initialized, for example in a process that runs several components.
     let _ = builder.try_init();
 }
 
@@ -55,12 +55,13 @@
     fields.insert("level", record.level().as_str());
     fields.insert("target", record.target());
     fields.insert("message", record.args().to_string());
-    // Collecting into a map cannot fail; a line with fewer fields is better than none.
+    // The visitor returns no errors, and a line with missing fields is still worth writing.
     let _ = record.key_values().visit(&mut fields);
     serde_json::to_writer(&mut *out, &fields.0)?;
     writeln!(out)
 }
 
+/// Collects the key-value pairs of a log record into a JSON object.
 #[derive(Default)]
 struct JsonFields(serde_json::Map<String, serde_json::Value>);
 
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -6,46 +6,46 @@
 use serde::Deserialize;
 
 use crate::check::{check_not_empty, check_positive, check_url};
-use crate::error::Problem;
+use crate::error::InvalidValue;
 use crate::file::{ProcessSettings, SettingsFile};
 use crate::logging::LoggingSettings;
 use crate::sidecar::BearerToken;
 
-/// Partitions of the run space, unless the file says otherwise.
+/// Default number of partitions.
 pub const DEFAULT_PARTITION_COUNT: u32 = 64;
 
-/// Most partitions that a file may ask for.
+/// Maximum number of partitions.
 pub const MAX_PARTITION_COUNT: u32 = 65_536;
 
 /// The `[node]` table.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeProcessSettings {
-    /// Name of this machine, unique in the system and equal to its name on the machine list.
+    /// Name of the node, unique in the system and the same as in the platform's machine list.
     pub name: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// Its cell within the zone, where the zone has several.
+    /// Cell of the node within its zone, if the zone has several.
     #[serde(default)]
     pub cell: Option<String>,
-    /// Where it takes connections from sidecars and peers (TCP).
+    /// TCP address of the listener for sidecars and other nodes.
     pub listen: SocketAddr,
-    /// Where it takes gossip (UDP).
+    /// UDP address for gossip.
     pub gossip: SocketAddr,
-    /// Where it serves operators, metrics and health (HTTP).
+    /// HTTP address of the admin interface, metrics and health checks.
     pub admin: SocketAddr,
-    /// Gossip addresses of other nodes to ask at the start.
+    /// Gossip addresses of nodes to contact at startup.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Base URL of the platform's log service.
     pub log_url: String,
-    /// Base URL of the platform's machine list; without it, gossip alone tells who is there.
+    /// Base URL of the platform's machine list. Without it, nodes are discovered by gossip only.
     #[serde(default)]
     pub machines_url: Option<String>,
-    /// Number of partitions; must be the same on every node.
+    /// Number of partitions; must be the same on all nodes.
     #[serde(default = "default_partition_count")]
     pub partition_count: u32,
-    /// Bearer token that operators must show; without it, the admin interface is open.
+    /// Bearer token required by the admin interface. Without it, no authentication is required.
     #[serde(default)]
     pub operator_token: Option<BearerToken>,
     /// Limits.
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeLimits {
-    /// Attempts of a repeatable call, the first included.
+    /// Maximum number of attempts of a repeatable call, including the first.
     pub max_attempts: u32,
-    /// Largest body of an operator's request, in bytes.
+    /// Maximum size of an admin request's body, in bytes.
     pub max_body_bytes: usize,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    fn check(&self) -> Result<(), Problem> {
+    fn check(&self) -> Result<(), InvalidValue> {
         check_not_empty("name", self.name.as_str())?;
         check_not_empty("zone", self.zone.as_str())?;
         check_url("log_url", &self.log_url)?;
@@ -98,7 +98,7 @@
         }
         if !(1..=MAX_PARTITION_COUNT).contains(&self.partition_count) {
             let problem = format!("must be between 1 and {MAX_PARTITION_COUNT}");
-            return Err(Problem::new("partition_count", problem));
+            return Err(InvalidValue::new("partition_count", problem));
         }
         check_positive("limits.max_attempts", u64::from(self.limits.max_attempts))?;
         check_positive("limits.max_body_bytes", self.limits.max_body_bytes as u64)
--- a/crates/settings/src/overrides.rs
+++ b/crates/settings/src/overrides.rs
@@ -1,4 +1,4 @@
-//! `--set key=value` flags, laid over a settings file.
+//! `--set key=value` flags, which override values of a settings file.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,8 +7,8 @@
 
 use crate::error::SettingsError;
 
-/// One `--set key=value` flag. The key is a dotted path below the process's table, for example
-/// `limits.max_open_calls`; the value is TOML, or plain text where it is not TOML.
+/// One `--set key=value` flag. The key is a dotted path within the process's table, for example
+/// `limits.max_open_calls`. The value is parsed as TOML, or taken as a string if it isn't valid TOML.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
     key: String,
@@ -16,7 +16,7 @@
 }
 
 impl Override {
-    /// Sets `key` to `value`.
+    /// Creates an override that sets `key` to `value`.
     pub fn new(key: impl Into<String>, value: impl Into<String>) -> Self {
         Self {
             key: key.into(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// A flag without `=`.
+/// Error returned when a flag is not of the form `key=value`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected key=value, found `{0}`")]
 pub struct OverrideError(String);
@@ -47,7 +47,10 @@
     }
 }
 
-/// Sets the flag's value in the process's table.
+/// Sets the value of `change` in the table of `process`, creating missing tables.
+///
+/// # Errors
+/// Returns an error if a part of the path exists and is not a table.
 pub(crate) fn apply(
     file: &mut Table,
     process: &str,
@@ -58,7 +61,7 @@
         .collect();
     let (last, tables) = path
         .split_last()
-        .expect("the process's name is always there");
+        .expect("the path starts with the process's name");
     let mut table = file;
     for key in tables {
         let entry = table
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -9,22 +9,22 @@
 use serde::Deserialize;
 
 use crate::check::{check_duration, check_not_empty, check_positive};
-use crate::error::Problem;
+use crate::error::InvalidValue;
 use crate::file::{ProcessSettings, SettingsFile};
 use crate::logging::LoggingSettings;
 
-/// A secret that a caller shows to prove on whose behalf it speaks. Never printed.
+/// A secret that authenticates a caller. Its `Debug` output hides the secret.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(transparent)]
 pub struct BearerToken(String);
 
 impl BearerToken {
-    /// Wraps the secret.
+    /// Creates a token from a secret.
     pub fn new(secret: impl Into<String>) -> Self {
         Self(secret.into())
     }
 
-    /// The secret itself, for comparison with what a caller shows.
+    /// Returns the secret, for comparison with the token in a request.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -40,13 +40,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarProcessSettings {
-    /// Where it serves callers (HTTP).
+    /// HTTP address on which the sidecar accepts calls.
     pub listen: SocketAddr,
-    /// Internal listeners of some nodes, best in its own zone; the rest is learnt from them.
+    /// Listener addresses of some nodes, preferably in the same zone. Other nodes are discovered through
+    /// them.
     pub nodes: Vec<SocketAddr>,
-    /// Its zone.
+    /// Zone of the sidecar.
     pub zone: ZoneId,
-    /// Program under which a call without a run is made.
+    /// Program used for calls that don't name a run.
     #[serde(default)]
     pub default_program: Option<String>,
     /// Bearer token of each tenant.
@@ -63,14 +64,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SidecarLimits {
-    /// Most calls open at once; more are refused.
+    /// Maximum number of concurrent calls; further ones are refused.
     pub max_open_calls: usize,
-    /// Largest body of a caller's request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time that a call without a deadline is kept open.
+    /// Timeout of calls without a deadline.
     #[serde(with = "humantime_serde")]
     pub call_timeout: Duration,
-    /// How long a call waits for a node to take it before it is refused as not run.
+    /// Timeout for handing a call over to a node, after which it is refused as not run.
     #[serde(with = "humantime_serde")]
     pub hand_over_timeout: Duration,
 }
@@ -96,10 +97,10 @@
         }
     }
 
-    fn check(&self) -> Result<(), Problem> {
+    fn check(&self) -> Result<(), InvalidValue> {
         check_not_empty("zone", self.zone.as_str())?;
         if self.nodes.is_empty() {
-            return Err(Problem::new("nodes", "at least one node is needed"));
+            return Err(InvalidValue::new("nodes", "at least one node is needed"));
         }
         check_tenants(&self.tenants)?;
         check_positive("limits.max_open_calls", self.limits.max_open_calls as u64)?;
@@ -109,13 +110,13 @@
     }
 }
 
-fn check_tenants(tenants: &BTreeMap<TenantId, BearerToken>) -> Result<(), Problem> {
+fn check_tenants(tenants: &BTreeMap<TenantId, BearerToken>) -> Result<(), InvalidValue> {
     let mut seen = BTreeSet::new();
     for (tenant, token) in tenants {
         let key = format!("tenants.{tenant}");
         check_not_empty(&key, token.expose())?;
         if !seen.insert(token) {
-            return Err(Problem::new(key, "another tenant has the same token"));
+            return Err(InvalidValue::new(key, "another tenant has the same token"));
         }
     }
     Ok(())
--- a/crates/settings/src/standin.rs
+++ b/crates/settings/src/standin.rs
@@ -1,4 +1,5 @@
-//! Settings of `elderworks-standin`: small services that take the platform's place in tests.
+//! Settings of `elderworks-standin`, which provides replacements of the platform's services for tests
+//! and local use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::check::check_positive;
-use crate::error::Problem;
+use crate::error::InvalidValue;
 use crate::file::{ProcessSettings, SettingsFile};
 use crate::logging::LoggingSettings;
 
@@ -15,7 +16,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogStandinSettings {
-    /// Where it listens (HTTP).
+    /// HTTP address on which the service listens.
     pub listen: SocketAddr,
     /// Logging.
     #[serde(default)]
@@ -26,21 +27,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineStandinSettings {
-    /// Its name, as in the `Service` resource that lists it.
+    /// Id of the engine, the same as in the `Service` resource that lists it.
     pub id: EngineId,
-    /// Where it stands.
+    /// Zone of the engine.
     pub zone: ZoneId,
-    /// Where it listens (HTTP).
+    /// HTTP address on which the service listens.
     pub listen: SocketAddr,
-    /// Models that it has loaded.
+    /// Loaded models.
     pub models: Vec<ModelName>,
-    /// Blocks of its prefix cache.
+    /// Size of the prefix cache, in blocks.
     #[serde(default = "default_memory_blocks")]
     pub memory_blocks: u64,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_max_batch")]
     pub max_batch: u32,
-    /// How much faster than a real engine it runs; 1 is real time.
+    /// Speed relative to a real engine; 1 is real time.
     #[serde(default = "default_speed")]
     pub speed: f64,
     /// Logging.
@@ -52,14 +53,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ToolStandinSettings {
-    /// Where it listens (HTTP).
+    /// HTTP address on which the service listens.
     pub listen: SocketAddr,
-    /// Tools that it answers for.
+    /// Tools that the service provides.
     pub tools: Vec<ToolName>,
-    /// Time of one execution.
+    /// Duration of one invocation.
     #[serde(default = "default_tool_latency", with = "humantime_serde")]
     pub latency: Duration,
-    /// Whether a repeated idempotency key gives the first result without running again.
+    /// Whether a repeated idempotency key returns the first result without another execution.
     #[serde(default = "default_keeps_keys")]
     pub keeps_keys: bool,
     /// Logging.
@@ -71,15 +72,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachinesStandinSettings {
-    /// Where it listens (HTTP).
+    /// HTTP address on which the service listens.
     pub listen: SocketAddr,
-    /// Time after which a change shows.
+    /// Delay after which a change becomes visible.
     #[serde(default = "default_machines_lag", with = "humantime_serde")]
     pub lag: Duration,
-    /// Machines for nodes, listed as live at the start.
+    /// Node machines, initially listed as live.
     #[serde(default)]
     pub nodes: Vec<ListedNode>,
-    /// Machines for engines, listed as live at the start.
+    /// Engine machines, initially listed as live.
     #[serde(default)]
     pub engines: Vec<ListedEngine>,
     /// Logging.
@@ -87,29 +88,29 @@
     pub logging: LoggingSettings,
 }
 
-/// One of `[[machines.nodes]]`.
+/// An entry of `[[machines.nodes]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedNode {
-    /// The node's name.
+    /// Name of the node.
     pub id: NodeId,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub address: SocketAddr,
 }
 
-/// One of `[[machines.engines]]`.
+/// An entry of `[[machines.engines]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedEngine {
-    /// The engine's name.
+    /// Id of the engine.
     pub id: EngineId,
-    /// Where it stands.
+    /// Zone of the engine.
     pub zone: ZoneId,
     /// Base URL, `http://IP:port`.
     pub url: String,
-    /// Models that it can serve.
+    /// Models that the engine can serve.
     #[serde(default)]
     pub models: Vec<ModelName>,
 }
@@ -118,15 +119,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightsStandinSettings {
-    /// Where it listens (HTTP).
+    /// HTTP address on which the service listens.
     pub listen: SocketAddr,
-    /// Requests that may be made at once.
+    /// Maximum number of requests in a burst, before rate limiting.
     #[serde(default = "default_weights_burst")]
     pub burst: u32,
-    /// Time after which one more request may be made.
+    /// Interval at which one further request is permitted.
     #[serde(default = "default_weights_interval", with = "humantime_serde")]
     pub interval: Duration,
-    /// What it holds.
+    /// Stored models.
     #[serde(default)]
     pub models: Vec<StoredWeights>,
     /// Logging.
@@ -134,13 +135,13 @@
     pub logging: LoggingSettings,
 }
 
-/// One of `[[weights.models]]`.
+/// An entry of `[[weights.models]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredWeights {
     /// The model.
     pub model: ModelName,
-    /// Its newest version.
+    /// Latest version.
     pub version: String,
     /// Size in bytes.
     pub bytes: u64,
@@ -190,8 +191,8 @@
                 }
             }
 
-            fn check(&self) -> Result<(), Problem> {
-                let check: fn(&$settings) -> Result<(), Problem> = $check;
+            fn check(&self) -> Result<(), InvalidValue> {
+                let check: fn(&$settings) -> Result<(), InvalidValue> = $check;
                 check(self)
             }
         }
@@ -209,12 +210,15 @@
     check_positive("interval", settings.interval.as_millis() as u64)
 });
 
-fn check_engine(settings: &EngineStandinSettings) -> Result<(), Problem> {
+fn check_engine(settings: &EngineStandinSettings) -> Result<(), InvalidValue> {
     check_positive("models", settings.models.len() as u64)?;
     check_positive("memory_blocks", settings.memory_blocks)?;
     check_positive("max_batch", u64::from(settings.max_batch))?;
     if !settings.speed.is_finite() || settings.speed <= 0.0 {
-        return Err(Problem::new("speed", "must be a number above 0"));
+        return Err(InvalidValue::new(
+            "speed",
+            "must be a finite number greater than 0",
+        ));
     }
     Ok(())
 }
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The files under `examples/` are right.
+//! The settings files in `examples/` are valid.
 
 use std::path::{Path, PathBuf};
 
@@ -6,14 +6,14 @@
 
 fn example_files(directory: &str) -> Vec<PathBuf> {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    let entries = std::fs::read_dir(examples.join(directory)).expect("the directory is there");
+    let entries = std::fs::read_dir(examples.join(directory)).expect("the directory exists");
     entries
         .map(|entry| entry.expect("readable").path())
         .collect()
 }
 
 #[test]
-fn every_example_file_passes_the_check() {
+fn example_files_are_valid() {
     let expected = [("nodes", 3), ("sidecars", 2), ("platform", 7)];
     for (directory, count) in expected {
         let files = example_files(directory);
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -1,4 +1,4 @@
-//! What a settings file may say, and what is said about a wrong one.
+//! Loading of settings files and flags, and the error messages for invalid ones.
 
 use std::path::PathBuf;
 
@@ -33,7 +33,7 @@
 call_timeout = "5m"
 "#;
 
-/// A file in the test's own temporary directory; `name` keeps tests apart.
+/// Writes a file to the temporary directory that the tests share; `name` must be unique per test.
 fn write(name: &str, text: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = directory.join(format!("{name}.toml"));
@@ -42,27 +42,27 @@
 }
 
 #[test]
-fn whole_files_load_with_their_defaults() {
-    let node: NodeProcessSettings = load(&write("node", NODE)).expect("a right file");
+fn files_load_with_defaults() {
+    let node: NodeProcessSettings = load(&write("node", NODE)).expect("valid settings");
     assert_eq!(node.name.as_str(), "node-a");
     assert_eq!(node.limits.max_attempts, 3);
     assert_eq!(node.partition_count, 64);
-    let sidecar: SidecarProcessSettings = load(&write("sidecar", SIDECAR)).expect("a right file");
+    let sidecar: SidecarProcessSettings = load(&write("sidecar", SIDECAR)).expect("valid settings");
     assert_eq!(sidecar.limits.call_timeout.as_secs(), 300);
     assert_eq!(
-        check_file(&write("any", SIDECAR)).expect("a right file"),
+        check_file(&write("any", SIDECAR)).expect("valid settings"),
         "sidecar"
     );
 }
 
 #[test]
 fn secrets_are_not_printed() {
-    let sidecar: SidecarProcessSettings = load(&write("secret", SIDECAR)).expect("a right file");
+    let sidecar: SidecarProcessSettings = load(&write("secret", SIDECAR)).expect("valid settings");
     assert!(!format!("{sidecar:?}").contains("office-token"));
 }
 
 #[test]
-fn a_mistake_is_reported_with_its_line_and_the_nearest_key() {
+fn errors_name_the_line_and_suggest_a_key() {
     let cases = [
         (
             "zone = ",
@@ -113,16 +113,16 @@
     ];
     for (index, (from, to, expected)) in cases.into_iter().enumerate() {
         let path = write(&format!("mistake-{index}"), &NODE.replace(from, to));
-        let error = load::<NodeProcessSettings>(&path).expect_err("a wrong file");
+        let error = load::<NodeProcessSettings>(&path).expect_err("invalid settings");
         assert!(
             error.to_string().contains(expected),
-            "{error} lacks {expected}"
+            "`{error}` does not contain `{expected}`"
         );
     }
 }
 
 #[test]
-fn wrong_sidecar_values_are_refused() {
+fn invalid_sidecar_values_are_rejected() {
     let cases = [
         ("\"5m\"", "\"5 parsecs\"", ":11: "),
         (
@@ -146,20 +146,21 @@
             &format!("sidecar-mistake-{index}"),
             &SIDECAR.replace(from, to),
         );
-        let error = load::<SidecarProcessSettings>(&path).expect_err("a wrong file");
+        let error = load::<SidecarProcessSettings>(&path).expect_err("invalid settings");
         assert!(
             error.to_string().contains(expected),
-            "{error} lacks {expected}"
+            "`{error}` does not contain `{expected}`"
         );
     }
 }
 
 #[test]
-fn a_file_of_another_process_is_refused() {
-    let error = load::<NodeProcessSettings>(&write("other", SIDECAR)).expect_err("not a node");
+fn a_file_of_another_process_is_rejected() {
+    let error =
+        load::<NodeProcessSettings>(&write("other", SIDECAR)).expect_err("not a node's settings");
     assert!(matches!(
         error,
-        SettingsError::OtherProcess {
+        SettingsError::WrongProcess {
             found: "sidecar",
             ..
         }
@@ -167,20 +168,20 @@
 }
 
 #[test]
-fn flags_go_over_the_file() {
+fn flags_override_the_file() {
     let path = write("flags", NODE);
     let flags: Vec<Override> = ["zone=zone-b", "limits.max_attempts=7", "admin=127.0.0.1:9"]
         .iter()
-        .map(|flag| flag.parse().expect("a right flag"))
+        .map(|flag| flag.parse().expect("a valid flag"))
         .collect();
-    let node: NodeProcessSettings = load_with(&path, &flags).expect("right flags");
+    let node: NodeProcessSettings = load_with(&path, &flags).expect("valid flags");
     assert_eq!(node.zone.as_str(), "zone-b");
     assert_eq!(node.limits.max_attempts, 7);
     assert_eq!(node.admin.port(), 9);
 }
 
 #[test]
-fn a_wrong_flag_is_reported_as_a_flag() {
+fn errors_in_flags_name_the_flag() {
     let path = write("wrong-flag", NODE);
     let cases = [
         (
@@ -191,7 +192,7 @@
     ];
     for (flag, expected) in cases {
         let flags = [flag.parse().expect("key=value")];
-        let error = load_with::<NodeProcessSettings>(&path, &flags).expect_err("a wrong flag");
+        let error = load_with::<NodeProcessSettings>(&path, &flags).expect_err("an invalid flag");
         assert_eq!(error.to_string(), expected);
     }
     assert!("zone".parse::<Override>().is_err());
--- a/crates/types/src/units.rs
+++ b/crates/types/src/units.rs
@@ -86,7 +86,7 @@
             /// # Panics
             /// Panics if `other` is larger, which means that the caller's accounting is inconsistent.
             fn sub(self, other: Self) -> Self {
-                Self(self.0.checked_sub(other.0).expect("the subtracted amount is not larger"))
+                Self(self.0.checked_sub(other.0).expect("amount must not become negative"))
             }
         }
 
