--- a/crates/platform-api/src/error.rs
+++ b/crates/platform-api/src/error.rs
@@ -51,7 +51,8 @@
 pub struct ErrorBody {
     /// The error.
     pub error: ErrorDetail,
-    /// Whether the request was run, or absent if the service doesn't say.
+    /// Whether the request was run: `false` only if it certainly was not; absent if the service doesn't
+    /// say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run: Option<bool>,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings of all processes, and logging setup.
 //!
 //! A settings file is a TOML file with one table named after its process, for example `[node]`.
-//! [`load`] reads and validates it; [`load_with`] also applies `--set` flags. Errors name the file and
+//! [`load()`] reads and validates it; [`load_with`] also applies `--set` flags. Errors name the file and
 //! the line, and suggest the most similar known key for an unknown one.
 
 mod check;
