--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -117,7 +117,7 @@
 pub enum GrantVerdict {
     /// The request may be forwarded and counts towards the quota.
     Granted,
-    /// The quota is currently used up.
+    /// The quota currently has no room for the request.
     Refused {
         /// Time after which the request is likely to fit, in milliseconds.
         pause_ms: u32,
