--- a/crates/gateway-core/src/append_pace.rs
+++ b/crates/gateway-core/src/append_pace.rs
@@ -12,46 +12,46 @@
 
 /// What waits for the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
+pub enum AppendUrgency {
     /// Somebody waits for leave, or for an answer that needs a read.
-    Leave,
+    Permit,
     /// Ends of turns at most.
-    Ends,
+    Completions,
 }
 
 /// Shortest times between the begins of two calls, by what waits for the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Paces {
+pub struct AppendIntervals {
     /// If somebody waits for leave.
-    pub leave: Duration,
+    pub permits: Duration,
     /// If only ends wait.
-    pub ends: Duration,
+    pub completions: Duration,
 }
 
 /// When a partition's last call began.
 #[derive(Clone, Copy, Debug)]
-pub struct AppendPace {
-    paces: Paces,
+pub struct AppendPacer {
+    paces: AppendIntervals,
     began: Option<Timestamp>,
 }
 
-impl AppendPace {
+impl AppendPacer {
     /// At least these times from the begin of one call to that of the next.
-    pub fn new(paces: Paces) -> Self {
+    pub fn new(paces: AppendIntervals) -> Self {
         Self { paces, began: None }
     }
 
     /// A call begins.
-    pub fn note(&mut self, now: Timestamp) {
+    pub fn call_started(&mut self, now: Timestamp) {
         self.began = Some(now);
     }
 
     /// How long what has come still waits for more; `None` if it does not.
-    pub fn wait(&self, now: Timestamp, urgency: Urgency) -> Option<Duration> {
+    pub fn wait(&self, now: Timestamp, urgency: AppendUrgency) -> Option<Duration> {
         let began = self.began?;
         let pace = match urgency {
-            Urgency::Leave => self.paces.leave,
-            Urgency::Ends => self.paces.ends,
+            AppendUrgency::Permit => self.paces.permits,
+            AppendUrgency::Completions => self.paces.completions,
         };
         let left = pace.saturating_sub(now.since(began));
         (!left.is_zero()).then_some(left)
--- a/crates/gateway-core/src/ledger/calls.rs
+++ b/crates/gateway-core/src/ledger/calls.rs
@@ -75,7 +75,7 @@
 
 /// A question that the driver is to put to a witness; it reports the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Inquiry {
+pub struct WitnessQuery {
     /// Whom to ask.
     pub witness: Witness,
     /// What to ask.
--- a/crates/gateway-core/src/ledger/mod.rs
+++ b/crates/gateway-core/src/ledger/mod.rs
@@ -19,15 +19,17 @@
 mod witness;
 
 pub use account::Account;
-pub use calls::{Action, AppendOutcome, CallNumber, Inquiry, ReadOutcome, Ticket};
-pub use overdraft::{FEWEST_WITNESSES, MOST_WITNESSES, OverdraftUse, SLOW_CALL};
+pub use calls::{Action, AppendOutcome, CallNumber, ReadOutcome, Ticket, WitnessQuery};
+pub use overdraft::{FEWEST_WITNESSES, MOST_WITNESSES, OverdraftStatus, SLOW_CALL_THRESHOLD};
 pub use owner::{
     DOWN_PAUSE, FAILURE_PAUSE, FAILURES_BEFORE_DOWN, GIVES_WAY_FOR, HOLD_BACK, HOLD_WHILE_DOWN,
     PartitionOwner,
 };
 pub use pieces::{MAX_APPEND_BYTES, MAX_CONTENT_BYTES, approximate_bytes, kept_records};
 pub use plan::OTHERS_PATIENCE;
-pub use state::{ACCOUNT_RETENTION, LedgerState, OVERDRAFT_RETENTION, OpenOverdraft, RETENTION};
+pub use state::{
+    ACCOUNT_RETENTION, LedgerState, OVERDRAFT_RETENTION, OpenOverdraft, TURN_RETENTION,
+};
 pub use wallet::{Advance, IDLE_BEFORE_SETTLING, SpentAdvance, Wallet};
 pub use witness::WitnessMemory;
 
--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -22,7 +22,7 @@
 pub const FEWEST_WITNESSES: usize = 2;
 
 /// A call to the log that takes longer is not waited for if an overdraft can be used.
-pub const SLOW_CALL: Duration = Duration::from_millis(40);
+pub const SLOW_CALL_THRESHOLD: Duration = Duration::from_millis(40);
 
 /// The log has answered fast for this long before an overdraft that was used is replaced.
 const CALM: Duration = Duration::from_secs(1);
@@ -46,7 +46,7 @@
 
 /// What an owner's overdraft is good for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverdraftUse {
+pub enum OverdraftStatus {
     /// The log is not known to hold one.
     None,
     /// It stands in the log unused.
@@ -146,7 +146,7 @@
     /// Notes an answer of the log to a call that took `took`.
     pub(super) fn note_answer(&mut self, now: Timestamp, took: Duration) {
         self.last_answer = now;
-        if took >= SLOW_CALL {
+        if took >= SLOW_CALL_THRESHOLD {
             self.note_trouble();
             return;
         }
@@ -166,13 +166,13 @@
     }
 
     /// What it is good for.
-    pub(super) fn present_use(&self) -> OverdraftUse {
+    pub(super) fn present_use(&self) -> OverdraftStatus {
         match self.mode {
-            Mode::None => OverdraftUse::None,
-            Mode::Standing { .. } => OverdraftUse::Standing,
-            Mode::Activating { .. } => OverdraftUse::Activating,
-            Mode::Active { .. } => OverdraftUse::Active,
-            Mode::Closing { .. } => OverdraftUse::Closing,
+            Mode::None => OverdraftStatus::None,
+            Mode::Standing { .. } => OverdraftStatus::Standing,
+            Mode::Activating { .. } => OverdraftStatus::Activating,
+            Mode::Active { .. } => OverdraftStatus::Active,
+            Mode::Closing { .. } => OverdraftStatus::Closing,
         }
     }
 
--- a/crates/gateway-core/src/ledger/owner.rs
+++ b/crates/gateway-core/src/ledger/owner.rs
@@ -12,9 +12,9 @@
 use elderworks_types::{Offset, Timestamp};
 
 use super::LedgerState;
-use super::calls::{Action, AppendOutcome, CallNumber, Inquiry, ReadOutcome, Ticket};
+use super::calls::{Action, AppendOutcome, CallNumber, ReadOutcome, Ticket, WitnessQuery};
 use super::fencing::Fencing;
-use super::overdraft::{OwnOverdraft, SLOW_CALL};
+use super::overdraft::{OwnOverdraft, SLOW_CALL_THRESHOLD};
 use super::pieces::{MAX_APPEND_BYTES, approximate_bytes};
 use super::plan::{Credit, Plan, Planned, answer_at_once};
 use super::turn_size::TypicalTurn;
@@ -97,7 +97,7 @@
     typical_turn: TypicalTurn,
     /// Nodes that can witness an overdraft now, the foremost first.
     witnesses: Rc<[Witness]>,
-    inquiries: Vec<Inquiry>,
+    inquiries: Vec<WitnessQuery>,
 }
 
 impl PartitionOwner {
@@ -548,7 +548,7 @@
         let took = if call == self.last_call {
             now.since(self.call_began)
         } else {
-            SLOW_CALL
+            SLOW_CALL_THRESHOLD
         };
         self.overdraft.note_answer(now, took);
     }
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -8,8 +8,8 @@
 };
 use elderworks_types::Timestamp;
 
-use super::super::calls::Inquiry;
-use super::super::overdraft::{FEWEST_WITNESSES, OverdraftUse, majority};
+use super::super::calls::WitnessQuery;
+use super::super::overdraft::{FEWEST_WITNESSES, OverdraftStatus, majority};
 use super::super::plan::Plan;
 use super::PartitionOwner;
 use crate::ledger::OpenOverdraft;
@@ -54,17 +54,17 @@
                 wish,
             };
             let witness = witness.clone();
-            self.inquiries.push(Inquiry { witness, question });
+            self.inquiries.push(WitnessQuery { witness, question });
         }
     }
 
     /// Questions to witnesses, each once.
-    pub fn take_inquiries(&mut self) -> Vec<Inquiry> {
+    pub fn take_witness_queries(&mut self) -> Vec<WitnessQuery> {
         std::mem::take(&mut self.inquiries)
     }
 
     /// Reports a witness's answer; `None` if it gave none.
-    pub fn on_inquiry(
+    pub fn on_witness_answer(
         &mut self,
         now: Timestamp,
         question: &WitnessQuestion,
@@ -94,7 +94,7 @@
     }
 
     /// What the overdraft of this owner is good for.
-    pub fn overdraft_use(&self) -> OverdraftUse {
+    pub fn overdraft_status(&self) -> OverdraftStatus {
         self.overdraft.present_use()
     }
 
--- a/crates/gateway-core/src/ledger/state.rs
+++ b/crates/gateway-core/src/ledger/state.rs
@@ -13,7 +13,7 @@
 
 /// Turns are held this long after they were last touched, unless the configuration keeps them for
 /// longer.
-pub const RETENTION: Duration = Duration::from_secs(75);
+pub const TURN_RETENTION: Duration = Duration::from_secs(75);
 
 /// Accounts are held this long after they were last touched: a program may wait for a tool for
 /// minutes, and must not find its budget whole again. Longer where turns are held longer.
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -5,13 +5,11 @@
 //! turn, and which turns a conversation consists of. The driver is `elderworks-gateway`.
 
 pub mod access;
-pub mod acting;
 pub mod admission;
 pub mod append_pace;
 pub mod attempt;
 pub mod balancer;
 pub mod call;
-pub mod change_batch;
 pub mod cold;
 pub mod config;
 pub mod config_proof;
@@ -24,17 +22,19 @@
 pub mod events;
 pub mod feed;
 pub mod ledger;
-pub mod log_causes;
+pub mod log_call_purpose;
 pub mod log_outage;
-pub mod log_reach;
+pub mod log_reachability;
 pub mod nodes;
 pub mod outage_wait;
 pub mod ownership;
+pub mod partition_failover;
 pub mod peer_loads;
 pub mod placement;
 pub mod policy;
 pub mod pressure;
 pub mod quota;
+pub mod recompute_throttle;
 pub mod response_time;
 pub mod run_moves;
 pub mod split;
--- a/crates/gateway-core/src/log_causes.rs
+++ b/crates/gateway-core/src/log_call_purpose.rs
@@ -4,7 +4,7 @@
 
 /// What a call to the log is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LogCause {
+pub enum LogCallPurpose {
     /// Tokens are set aside for turns that wait.
     Reserve,
     /// The end of a kept turn waits until it is durable; no tokens are set aside.
@@ -23,7 +23,7 @@
     Prove,
 }
 
-impl LogCause {
+impl LogCallPurpose {
     /// Why records are appended: what somebody waits for comes first.
     pub fn of_append(records: &[LedgerRecord]) -> Self {
         let causes = records.iter().map(|record| match record {
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -14,7 +14,7 @@
 use elderworks_types::{NodeId, Timestamp};
 
 /// Interval at which the driver looks while calls are under way.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A look that comes later than this shows that the process was held up.
 const HELD_UP: Duration = Duration::from_millis(25);
@@ -43,7 +43,7 @@
 pub enum LogState {
     /// It answers as usual, or nobody waits for it.
     #[default]
-    Usual,
+    Normal,
     /// A call has waited for longer than usual.
     Late {
         /// Since when.
@@ -65,7 +65,7 @@
     /// Since when an answer has been missing.
     pub fn since(self) -> Option<Timestamp> {
         match self {
-            Self::Usual => None,
+            Self::Normal => None,
             Self::Late { since } | Self::Silent { since } => Some(since),
         }
     }
@@ -73,9 +73,9 @@
 
 /// What a node says of its calls to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LogWord {
+pub struct LogStatus {
     /// For how long its earliest unanswered call has waited; `None` if it waits for none.
-    pub waits: Option<Duration>,
+    pub oldest_wait: Option<Duration>,
     /// Time since the latest call began that it knows to have been answered.
     pub answered: Option<Duration>,
     /// Whether it takes the log to be silent, and does not merely ask.
@@ -113,7 +113,7 @@
 
 /// Watches one node's calls to the log, and what others say of theirs.
 #[derive(Debug)]
-pub struct LogWatch {
+pub struct LogOutageDetector {
     usual: Option<UsualTime>,
     /// Calls without an answer by when they began; those that were given up stay until one that began
     /// later is answered.
@@ -127,7 +127,7 @@
     state: LogState,
 }
 
-impl Default for LogWatch {
+impl Default for LogOutageDetector {
     fn default() -> Self {
         Self {
             usual: None,
@@ -136,14 +136,14 @@
             heard: None,
             words: BTreeMap::new(),
             needed: CONFIRMING_NODES,
-            state: LogState::Usual,
+            state: LogState::Normal,
         }
     }
 }
 
-impl LogWatch {
+impl LogOutageDetector {
     /// Tells how many other nodes there are.
-    pub fn set_others(&mut self, others: usize) {
+    pub fn set_peer_count(&mut self, others: usize) {
         self.needed = others.clamp(1, CONFIRMING_NODES);
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// A call begins.
-    pub fn begin(&mut self, now: Timestamp, call: u64) {
+    pub fn call_started(&mut self, now: Timestamp, call: u64) {
         if self.unanswered.is_empty() {
             self.looked = now;
         }
@@ -164,7 +164,7 @@
 
     /// A call was answered, if only by a refusal, `took` after its begin: those that began before it
     /// have been lost, or are slow for a reason of their own.
-    pub fn answered(&mut self, now: Timestamp, call: u64, took: Duration) {
+    pub fn call_answered(&mut self, now: Timestamp, call: u64, took: Duration) {
         self.usual = Some(UsualTime::note(self.usual, took));
         let began = self.unanswered.remove(&call).unwrap_or(now - took);
         self.note_answered(began);
@@ -172,11 +172,11 @@
     }
 
     /// To be called each [`LOOK_INTERVAL`] while calls are under way, and now and then otherwise.
-    pub fn look(&mut self, now: Timestamp) {
+    pub fn poll(&mut self, now: Timestamp) {
         let gap = now.since(self.looked);
         self.looked = now;
         if gap > HELD_UP {
-            let lost = gap - LOOK_INTERVAL;
+            let lost = gap - POLL_INTERVAL;
             for began in self.unanswered.values_mut() {
                 *began = (*began + lost).min(now);
             }
@@ -187,10 +187,10 @@
     }
 
     /// What this node says to others: only its own calls speak for silence.
-    pub fn word(&self, now: Timestamp) -> LogWord {
+    pub fn status(&self, now: Timestamp) -> LogStatus {
         let late = self.own_late(now);
-        LogWord {
-            waits: late.map(|since| now.since(since)),
+        LogStatus {
+            oldest_wait: late.map(|since| now.since(since)),
             answered: self.heard.map(|heard| now.since(heard)),
             is_silent: self.state.is_silent() && late.is_some(),
         }
@@ -198,11 +198,11 @@
 
     /// Takes another node's word. Tells whether this one knows of a later answer, so that the other
     /// should be told.
-    pub fn take(&mut self, now: Timestamp, node: NodeId, word: LogWord) -> bool {
+    pub fn on_peer_status(&mut self, now: Timestamp, node: NodeId, word: LogStatus) -> bool {
         if let Some(age) = word.answered {
             self.note_answered(now - age);
         }
-        let since = word.waits.map(|waits| now - waits);
+        let since = word.oldest_wait.map(|waits| now - waits);
         let is_refuted = self
             .heard
             .is_some_and(|heard| since.is_some_and(|since| since <= heard));
@@ -264,7 +264,7 @@
             None if is_told => LogState::Silent {
                 since: self.told_since().unwrap_or(now),
             },
-            None => LogState::Usual,
+            None => LogState::Normal,
         };
     }
 
--- a/crates/gateway-core/src/log_reach.rs
+++ b/crates/gateway-core/src/log_reachability.rs
@@ -5,11 +5,11 @@
 
 /// What the node's last calls to the log have shown, whichever stream they were for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogReach {
+pub struct LogReachability {
     failures_in_a_row: u32,
 }
 
-impl LogReach {
+impl LogReachability {
     /// Notes that the log has answered a call.
     pub fn note_answer(&mut self) {
         self.failures_in_a_row = 0;
@@ -28,7 +28,7 @@
     /// Whether the node should act for a partition after the candidates before it have failed.
     /// One that the log does not answer can do nothing for others, and once the log is back it
     /// would only get in the candidates' way.
-    pub fn may_act(&self, is_candidate: bool) -> bool {
+    pub fn may_serve(&self, is_candidate: bool) -> bool {
         is_candidate || !self.is_lost()
     }
 }
--- a/crates/gateway-core/src/outage_wait.rs
+++ b/crates/gateway-core/src/outage_wait.rs
@@ -8,7 +8,7 @@
 
 /// When to come back after a wait in vain: an outage lasts seconds rather than moments, and a caller
 /// with less time comes back sooner.
-pub const COME_BACK: Duration = Duration::from_millis(900);
+pub const RETRY_AFTER: Duration = Duration::from_millis(900);
 
 /// What a turn needs at least once the log is back.
 const TIME_TO_RUN: Duration = Duration::from_millis(150);
--- a/crates/gateway-core/src/ownership.rs
+++ b/crates/gateway-core/src/ownership.rs
@@ -25,7 +25,7 @@
 
 /// The first of [`rank_owners`], without the work of an order: of 984 nodes it takes 25 us in place of 90
 /// (release build, one core).
-pub fn foremost_owner<'a>(
+pub fn preferred_owner<'a>(
     partition: PartitionId,
     nodes: impl Iterator<Item = (&'a NodeId, u32)>,
 ) -> Option<&'a NodeId> {
--- a/crates/gateway-core/src/acting.rs
+++ b/crates/gateway-core/src/partition_failover.rs
@@ -17,7 +17,7 @@
 
 /// Why a candidate has not carried a request out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum SkipReason {
     /// It says that it cannot now.
     Unavailable,
     /// It cannot be reached, or shows no sign of life.
@@ -26,24 +26,24 @@
 
 /// What a node knows of itself when a candidate before it has not carried a request out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct StartupGrace {
     /// Time since its start.
     pub age: Duration,
 }
 
-impl Standing {
+impl StartupGrace {
     /// Whether to ask the next candidate, or to act in its place. If not, the request is made again
     /// after a pause, as long as its caller has time.
-    pub fn may_pass_over(&self, reason: PassedOver) -> bool {
+    pub fn may_skip(&self, reason: SkipReason) -> bool {
         match reason {
             // It reads the partition, as everybody would have to.
-            PassedOver::Unavailable => self.age >= OTHERS_READ,
-            PassedOver::Absent => self.age >= OTHERS_START,
+            SkipReason::Unavailable => self.age >= OTHERS_READ,
+            SkipReason::Absent => self.age >= OTHERS_START,
         }
     }
 
     /// Whether to act without any candidate before this node: it may know no other yet.
-    pub fn may_act_alone(&self, has_joined: bool) -> bool {
+    pub fn may_serve_alone(&self, has_joined: bool) -> bool {
         has_joined || self.age >= OTHERS_START
     }
 }
--- a/crates/gateway-core/src/change_batch.rs
+++ b/crates/gateway-core/src/recompute_throttle.rs
@@ -10,17 +10,17 @@
 
 /// Shortest time between two recomputations: ten milliseconds of work on a small machine stay a
 /// tenth of its time, and it is a small part of the time after which a silent node is given up.
-pub const RECOMPUTING_PACE: Duration = Duration::from_millis(100);
+pub const MIN_RECOMPUTE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Changes that have not been acted on, and when the last ones were.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangeBatch {
+pub struct RecomputeThrottle {
     pace: Duration,
     acted: Option<Timestamp>,
     is_waiting: bool,
 }
 
-impl ChangeBatch {
+impl RecomputeThrottle {
     /// Acts no more often than once per `pace`; without one, on each change.
     pub fn new(pace: Duration) -> Self {
         Self {
@@ -31,7 +31,7 @@
     }
 
     /// Notes a change. Tells whether to act on it now, together with those that have waited.
-    pub fn note(&mut self, now: Timestamp) -> bool {
+    pub fn on_change(&mut self, now: Timestamp) -> bool {
         self.is_waiting = true;
         self.take_due(now)
     }
@@ -42,12 +42,12 @@
         if !self.is_waiting || self.acted.is_some_and(is_recent) {
             return false;
         }
-        self.act(now);
+        self.mark_recomputed(now);
         true
     }
 
     /// Everything that has waited is acted on now.
-    pub fn act(&mut self, now: Timestamp) {
+    pub fn mark_recomputed(&mut self, now: Timestamp) {
         self.acted = Some(now);
         self.is_waiting = false;
     }
--- a/crates/gateway-core/src/start.rs
+++ b/crates/gateway-core/src/start.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether a milestone is reached.
-    pub fn has(&self, milestone: Milestone) -> bool {
+    pub fn has_reached(&self, milestone: Milestone) -> bool {
         self.at(milestone).is_some()
     }
 
@@ -74,7 +74,7 @@
         let reached = *self;
         Milestone::ALL
             .into_iter()
-            .filter(move |milestone| !reached.has(*milestone))
+            .filter(move |milestone| !reached.has_reached(*milestone))
     }
 }
 
@@ -98,7 +98,7 @@
 
 /// How long a request waits for the rest of its node's start, given the time it has left if that is
 /// known.
-pub fn starting_patience(left: Option<Duration>) -> Duration {
+pub fn start_wait(left: Option<Duration>) -> Duration {
     let share = left.map(|left| left.mul_f64(PATIENT_SHARE));
     share.map_or(STARTING_PATIENCE, |share| share.min(STARTING_PATIENCE))
 }
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -26,7 +26,7 @@
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
 /// Times of a read of the nodes' entries, which gossip makes less urgent.
-const NODES_TIMES: ReadTimes = ReadTimes {
+const NODES_TIMES: ReadTimeouts = ReadTimeouts {
     wait: Duration::from_secs(4),
     answer: LONGEST_ANSWER,
 };
@@ -56,7 +56,7 @@
 
 /// How soon news of the streams must be acted on, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsDeadlines {
+pub struct UpdateDeadlines {
     /// Time within which a configuration must be in force.
     pub apply: Duration,
     /// Time within which a draining worker must be left alone.
@@ -65,16 +65,16 @@
 
 /// How one read is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadTimes {
+pub struct ReadTimeouts {
     /// How long the log waits for news before it answers that there are none.
     pub wait: Duration,
     /// Longest wait for the answer beyond that.
     pub answer: Duration,
 }
 
-impl ReadTimes {
+impl ReadTimeouts {
     /// For a read that only asks for what there is.
-    pub fn at_once(answer: Duration) -> Self {
+    pub fn immediate(answer: Duration) -> Self {
         Self {
             wait: Duration::ZERO,
             answer,
@@ -84,16 +84,16 @@
 
 /// The reads of one stream's follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StreamReads {
-    news: ReadTimes,
+pub struct StreamReadSchedule {
+    news: ReadTimeouts,
     recovery: Duration,
     pause: Duration,
     failures: u32,
 }
 
-impl StreamReads {
+impl StreamReadSchedule {
     /// Nothing was read yet.
-    pub fn new(stream: Stream, deadlines: &NewsDeadlines) -> Self {
+    pub fn new(stream: Stream, deadlines: &UpdateDeadlines) -> Self {
         let (news, recovery) = match stream {
             Stream::Configuration => times_within(deadlines.apply),
             Stream::Workers => times_within(deadlines.drain),
@@ -113,10 +113,10 @@
     }
 
     /// How the next read is made.
-    pub fn next_read(&self) -> ReadTimes {
+    pub fn next_read(&self) -> ReadTimeouts {
         match self.failures {
             0 => self.news,
-            failures => ReadTimes::at_once(self.recovery * failures.min(MOST_PATIENCE)),
+            failures => ReadTimeouts::immediate(self.recovery * failures.min(MOST_PATIENCE)),
         }
     }
 
@@ -147,9 +147,9 @@
 
 /// Times of a read that waits for news which must be acted on within `deadline`, and the longest wait
 /// for the answer to a read after a first failure.
-fn times_within(deadline: Duration) -> (ReadTimes, Duration) {
+fn times_within(deadline: Duration) -> (ReadTimeouts, Duration) {
     let part = |share: f64, longest| deadline.mul_f64(share).clamp(SHORTEST, longest);
-    let news = ReadTimes {
+    let news = ReadTimeouts {
         wait: part(WAIT_SHARE, LONGEST_WAIT),
         answer: part(ANSWER_SHARE, LONGEST_ANSWER),
     };
--- a/crates/gateway-core/tests/acting.rs
+++ b/crates/gateway-core/tests/acting.rs
@@ -2,13 +2,15 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::acting::{OTHERS_READ, OTHERS_START, PassedOver, Standing};
+use elderworks_gateway_core::partition_failover::{
+    OTHERS_READ, OTHERS_START, SkipReason, StartupGrace,
+};
 
 const MOMENT: Duration = Duration::from_millis(1);
 
 #[test]
 fn a_node_that_starts_leaves_the_others_time_to_start_too() {
-    use PassedOver::{Absent, Unavailable};
+    use SkipReason::{Absent, Unavailable};
     let table = [
         (Duration::ZERO, Absent, false),
         (OTHERS_START - MOMENT, Absent, false),
@@ -19,9 +21,9 @@
         (OTHERS_READ, Absent, true),
     ];
     for (age, reason, expected) in table {
-        let standing = Standing { age };
+        let standing = StartupGrace { age };
         assert_eq!(
-            standing.may_pass_over(reason),
+            standing.may_skip(reason),
             expected,
             "{standing:?} {reason:?}"
         );
@@ -37,8 +39,12 @@
         (OTHERS_START, false, true),
     ];
     for (age, has_joined, expected) in table {
-        let standing = Standing { age };
-        assert_eq!(standing.may_act_alone(has_joined), expected, "{standing:?}");
+        let standing = StartupGrace { age };
+        assert_eq!(
+            standing.may_serve_alone(has_joined),
+            expected,
+            "{standing:?}"
+        );
     }
 }
 
@@ -53,13 +59,13 @@
         let mut now = starts(*node);
         while now < foremost_ready {
             let reason = match now < foremost_there {
-                true => PassedOver::Absent,
-                false => PassedOver::Unavailable,
+                true => SkipReason::Absent,
+                false => SkipReason::Unavailable,
             };
-            let standing = Standing {
+            let standing = StartupGrace {
                 age: now - starts(*node),
             };
-            if !limited || standing.may_pass_over(reason) {
+            if !limited || standing.may_skip(reason) {
                 return true;
             }
             now += step;
--- a/crates/gateway-core/tests/append_pace.rs
+++ b/crates/gateway-core/tests/append_pace.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::append_pace::{AppendPace, Paces, Urgency};
+use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_types::Timestamp;
 
-const PACES: Paces = Paces {
-    leave: Duration::from_millis(20),
-    ends: Duration::from_millis(80),
+const PACES: AppendIntervals = AppendIntervals {
+    permits: Duration::from_millis(20),
+    completions: Duration::from_millis(80),
 };
 
-const NONE: Paces = Paces {
-    leave: Duration::ZERO,
-    ends: Duration::ZERO,
+const NONE: AppendIntervals = AppendIntervals {
+    permits: Duration::ZERO,
+    completions: Duration::ZERO,
 };
 
 fn at(millis: u64) -> Timestamp {
@@ -21,18 +21,18 @@
 
 #[test]
 fn the_first_call_after_a_rest_goes_at_once() {
-    let mut pace = AppendPace::new(PACES);
-    for urgency in [Urgency::Leave, Urgency::Ends] {
+    let mut pace = AppendPacer::new(PACES);
+    for urgency in [AppendUrgency::Permit, AppendUrgency::Completions] {
         assert_eq!(pace.wait(at(0), urgency), None);
     }
-    pace.note(at(0));
+    pace.call_started(at(0));
     let table = [
-        (5, Urgency::Leave, Some(15)),
-        (5, Urgency::Ends, Some(75)),
-        (20, Urgency::Leave, None),
-        (20, Urgency::Ends, Some(60)),
-        (80, Urgency::Ends, None),
-        (500, Urgency::Leave, None),
+        (5, AppendUrgency::Permit, Some(15)),
+        (5, AppendUrgency::Completions, Some(75)),
+        (20, AppendUrgency::Permit, None),
+        (20, AppendUrgency::Completions, Some(60)),
+        (80, AppendUrgency::Completions, None),
+        (500, AppendUrgency::Permit, None),
     ];
     for (now, urgency, expected) in table {
         let expected = expected.map(Duration::from_millis);
@@ -42,10 +42,10 @@
 
 #[test]
 fn without_a_pace_nothing_waits() {
-    let mut pace = AppendPace::new(NONE);
-    pace.note(at(3));
-    assert_eq!(pace.wait(at(3), Urgency::Ends), None);
-    assert_eq!(pace.wait(at(3), Urgency::Leave), None);
+    let mut pace = AppendPacer::new(NONE);
+    pace.call_started(at(3));
+    assert_eq!(pace.wait(at(3), AppendUrgency::Completions), None);
+    assert_eq!(pace.wait(at(3), AppendUrgency::Permit), None);
 }
 
 /// What has come and waits for a call.
@@ -64,8 +64,8 @@
 }
 
 /// Requests for leave and ends at these times; each call takes `took`.
-fn play(leaves: &[u64], ends: &[u64], took: u64, paces: Paces) -> Played {
-    let mut pace = AppendPace::new(paces);
+fn play(leaves: &[u64], ends: &[u64], took: u64, paces: AppendIntervals) -> Played {
+    let mut pace = AppendPacer::new(paces);
     let mut played = Played::default();
     let mut waiting = Waiting::default();
     let mut busy_until = 0;
@@ -77,8 +77,8 @@
             waiting.ends.get_or_insert(now);
         }
         let urgency = match waiting.leave {
-            Some(_) => Urgency::Leave,
-            None => Urgency::Ends,
+            Some(_) => AppendUrgency::Permit,
+            None => AppendUrgency::Completions,
         };
         let is_wanted = waiting.leave.or(waiting.ends).is_some();
         let may_call = now >= busy_until && pace.wait(at(now), urgency).is_none();
@@ -89,7 +89,7 @@
         played.leave = played.leave.max(waited(waiting.leave));
         played.ends = played.ends.max(waited(waiting.ends));
         played.calls += 1;
-        pace.note(at(now));
+        pace.call_started(at(now));
         busy_until = now + took;
         waiting = Waiting::default();
     }
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -6,7 +6,7 @@
     ConfigProof, ProofAsking, Told, asking_age, denial_lease_of, lease_of, proving_pause,
 };
 use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
+use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
 
 fn at(ms: u64) -> Timestamp {
@@ -165,9 +165,9 @@
 fn without_keys_nodes_ask_only_when_their_own_reads_are_late() {
     for apply in [2_000, 3_000, 5_000] {
         let age = asking_age(None, ms(apply), true);
-        let reads = StreamReads::new(
+        let reads = StreamReadSchedule::new(
             Stream::Configuration,
-            &NewsDeadlines {
+            &UpdateDeadlines {
                 apply: ms(apply),
                 drain: ms(apply),
             },
--- a/crates/gateway-core/tests/ledger/overdrafts.rs
+++ b/crates/gateway-core/tests/ledger/overdrafts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::ledger::{
-    Action, AppendOutcome, Inquiry, LedgerState, OVERDRAFT_RETENTION, OverdraftUse, PartitionOwner,
-    ReadOutcome, SLOW_CALL, Ticket, WitnessMemory,
+    Action, AppendOutcome, LedgerState, OVERDRAFT_RETENTION, OverdraftStatus, PartitionOwner,
+    ReadOutcome, SLOW_CALL_THRESHOLD, Ticket, WitnessMemory, WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_protocol::ledger::{
@@ -48,12 +48,17 @@
     let records = appended(&mut owner, START);
     assert!(matches!(records[..], [LedgerRecord::Overdraft { .. }]));
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     owner
 }
 
-fn answer(owner: &mut PartitionOwner, now: Timestamp, inquiry: &Inquiry, answer: WitnessAnswer) {
-    owner.on_inquiry(now, &inquiry.question, Some(answer));
+fn answer(
+    owner: &mut PartitionOwner,
+    now: Timestamp,
+    inquiry: &WitnessQuery,
+    answer: WitnessAnswer,
+) {
+    owner.on_witness_answer(now, &inquiry.question, Some(answer));
 }
 
 /// An owner whose overdraft is active while a call to the log is under way.
@@ -62,12 +67,12 @@
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     assert_eq!(inquiries.len(), 3);
     for inquiry in &inquiries[..2] {
         answer(&mut owner, START, inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     owner
 }
 
@@ -184,22 +189,22 @@
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     answer(&mut owner, START, &inquiries[0], WitnessAnswer::Activated);
     answer(&mut owner, START, &inquiries[1], WitnessAnswer::Unknown);
-    owner.on_inquiry(START, &inquiries[2].question, None);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    owner.on_witness_answer(START, &inquiries[2].question, None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     assert_eq!(granted(&mut owner), 0);
     owner.note_slow_call(START + Duration::from_millis(100));
-    assert_eq!(owner.take_inquiries(), [], "too soon");
+    assert_eq!(owner.take_witness_queries(), [], "too soon");
     owner.note_slow_call(START + Duration::from_millis(600));
-    assert_eq!(owner.take_inquiries().len(), 3);
+    assert_eq!(owner.take_witness_queries().len(), 3);
 }
 
 #[test]
 fn a_log_that_answers_fast_again_ends_the_use() {
     let mut owner = active();
-    owner.on_append(START + SLOW_CALL / 2, AppendOutcome::Refused);
+    owner.on_append(START + SLOW_CALL_THRESHOLD / 2, AppendOutcome::Refused);
     // What was drawn is recorded as soon as the log takes it.
     let mut now = START + Duration::from_millis(200);
     let records = appended(&mut owner, now);
@@ -224,7 +229,7 @@
         .position(|record| matches!(record, LedgerRecord::Overdraft { .. }));
     assert!(closed.is_some() && closed < opened, "{records:?}");
     owner.on_append(now, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
 }
 
 #[test]
@@ -237,7 +242,7 @@
         [LedgerRecord::OverdraftClosed { .. }]
     ));
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
     assert!(matches!(owner.next_action(START), Action::Wait { .. }));
 }
 
@@ -284,7 +289,7 @@
     owner.next_action(START);
     owner.on_append(START, AppendOutcome::Done);
     assert_eq!(granted(&mut owner), 1);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     assert!(
         inquiries
             .iter()
@@ -358,7 +363,7 @@
     for case in cases {
         let mut owner = successor();
         owner.next_action(START);
-        let inquiries = owner.take_inquiries();
+        let inquiries = owner.take_witness_queries();
         if let Some(given) = case.answer {
             answer(&mut owner, START, &inquiries[0], given);
         }
@@ -468,7 +473,7 @@
     owner.next_action(START);
     owner.on_read(START, lost_overdraft(min_budget));
     owner.next_action(START);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, START, &inquiry, WitnessAnswer::Unknown);
     }
     owner
@@ -493,7 +498,7 @@
         "{terms:?}"
     );
     owner.on_append(until, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     assert!(matches!(owner.next_action(until), Action::Wait { .. }));
 }
 
@@ -516,10 +521,10 @@
     owner.submit(now, Ticket(3), begin("three", 90, 10));
     appended(&mut owner, now);
     owner.note_slow_call(now);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, now, &inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     assert_eq!(granted(&mut owner), 1, "a third of 90 holds the third turn");
     owner.submit(now, Ticket(5), begin_of("new", "first", 90, 10));
     assert_eq!(
@@ -598,7 +603,11 @@
     };
     owner.on_read(START, outcome);
     owner.next_action(START);
-    assert_eq!(owner.take_inquiries().len(), 9, "the witnesses of all");
+    assert_eq!(
+        owner.take_witness_queries().len(),
+        9,
+        "the witnesses of all"
+    );
     let action = owner.next_action(START + FENCING);
     assert!(matches!(action, Action::Wait { .. }), "{action:?}");
 }
@@ -669,10 +678,10 @@
     owner.submit(START, Ticket(3), begin("three", 900, 300));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, START, &inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     for (budget, expected) in [(29, 0), (30, 1)] {
         let program = format!("of {budget}");
         owner.take_replies();
@@ -701,7 +710,7 @@
             .collect();
         let end = Offset(1 + records.len() as u64);
         // The log answers, but slowly, so that the overdraft would still be of use.
-        let now = START + SLOW_CALL;
+        let now = START + SLOW_CALL_THRESHOLD;
         owner.on_read(now, ReadOutcome::Records { records, end });
         owner.submit(now, Ticket(2), begin("two", 90, 10));
         let expected = usize::from(!is_superseded);
@@ -723,7 +732,7 @@
     };
     owner.on_read(now, page);
     owner.expire(now, Duration::from_secs(75));
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
 }
 
 #[test]
@@ -747,7 +756,7 @@
 #[test]
 fn an_overdraft_is_closed_before_its_witnesses_forget_it_though_the_log_stays_slow() {
     let mut owner = active();
-    owner.on_append(START + SLOW_CALL, AppendOutcome::Done);
+    owner.on_append(START + SLOW_CALL_THRESHOLD, AppendOutcome::Done);
     let old = START + OVERDRAFT_RETENTION;
     let Action::Append { records, .. } = owner.next_action(old) else {
         panic!("it is to be closed");
@@ -795,7 +804,7 @@
         "{records:?}"
     );
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries(), []);
+    assert_eq!(owner.take_witness_queries(), []);
     assert_eq!(granted(&mut owner), 0, "the turn waits for the log");
     owner.on_append(START, AppendOutcome::Done);
     assert_eq!(granted(&mut owner), 1);
@@ -811,7 +820,7 @@
         "{records:?}"
     );
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
     assert!(matches!(owner.next_action(START), Action::Wait { .. }));
 }
 
@@ -822,11 +831,11 @@
     appended(&mut owner, START);
     owner.set_serves_without_log(false);
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries(), []);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.take_witness_queries(), []);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     owner.set_serves_without_log(true);
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries().len(), 3);
+    assert_eq!(owner.take_witness_queries().len(), 3);
 }
 
 #[test]
@@ -835,7 +844,7 @@
     assert_eq!(granted(&mut owner), 1);
     owner.set_serves_without_log(false);
     owner.on_append(START, AppendOutcome::Done);
-    let calm = START + SLOW_CALL;
+    let calm = START + SLOW_CALL_THRESHOLD;
     let mut records = Vec::new();
     let mut now = calm;
     for _ in 0..6 {
@@ -853,7 +862,7 @@
     let is_opening = |record: &LedgerRecord| matches!(record, LedgerRecord::Overdraft { .. });
     assert!(records.iter().any(is_closing), "{records:?}");
     assert!(!records.iter().any(is_opening), "{records:?}");
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
 }
 
 /// All machines are lost after a program's first turn, of a budget that holds nine; whoever takes the
--- a/crates/gateway-core/tests/ledger_model.rs
+++ b/crates/gateway-core/tests/ledger_model.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::ledger::{
-    Action, AppendOutcome, CallNumber, Inquiry, LedgerState, OverdraftUse, PartitionOwner,
-    ReadOutcome, Ticket, WitnessMemory,
+    Action, AppendOutcome, CallNumber, LedgerState, OverdraftStatus, PartitionOwner, ReadOutcome,
+    Ticket, WitnessMemory, WitnessQuery,
 };
 use elderworks_protocol::ledger::{
     BeginTurn, FinishTurn, KeptTurn, LedgerRecord, LedgerReply, LedgerRequest, Witness,
@@ -247,7 +247,7 @@
     /// What each node witnesses; empty if there are no witnesses.
     witnesses: Vec<WitnessMemory>,
     /// Questions that have not been answered, with who asks.
-    inquiries: Vec<(usize, Inquiry)>,
+    inquiries: Vec<(usize, WitnessQuery)>,
     boots: u64,
     /// Turns that were granted by an owner whose overdraft was in use.
     overdraft_turns: u64,
@@ -307,7 +307,7 @@
         let node: usize = inquiry.witness.node.as_str().parse().expect("a number");
         let answer = is_asked.then(|| self.witnesses[node].answer(self.now, &inquiry.question));
         let heard = answer.filter(|_| is_heard);
-        self.owners[owner].on_inquiry(self.now, &inquiry.question, heard);
+        self.owners[owner].on_witness_answer(self.now, &inquiry.question, heard);
     }
 
     fn tell_witnesses(&mut self, owner: usize) {
@@ -349,7 +349,7 @@
         self.note_whether_full();
         for owner in 0..OWNERS {
             self.take_replies(owner);
-            let asked = self.owners[owner].take_inquiries();
+            let asked = self.owners[owner].take_witness_queries();
             let asked = asked.into_iter().map(|inquiry| (owner, inquiry));
             self.inquiries.extend(asked);
         }
@@ -467,8 +467,8 @@
             };
             match (asked, reply) {
                 (Asked::Begin { program, turn, .. }, LedgerReply::Granted { .. }) => {
-                    let present = self.owners[owner].overdraft_use();
-                    self.overdraft_turns += u64::from(present == OverdraftUse::Active);
+                    let present = self.owners[owner].overdraft_status();
+                    self.overdraft_turns += u64::from(present == OverdraftStatus::Active);
                     self.seen.running.push(Granted {
                         owner,
                         program,
@@ -626,8 +626,8 @@
         });
         world.step(Step::Learn { owner: 0 });
     }
-    let present = world.owners[0].overdraft_use();
-    assert_eq!(present, OverdraftUse::Standing);
+    let present = world.owners[0].overdraft_status();
+    assert_eq!(present, OverdraftStatus::Standing);
 }
 
 /// While the close of an overdraft is in doubt, nothing may be drawn on it: it can be carried out
@@ -638,7 +638,7 @@
     open_overdraft(&mut world);
     world.cut_off(0);
     world.hear(vec![(true, true); 4]);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Active);
     let act = |world: &mut World, fate| {
         world.step(Step::Act { owner: 0, fate });
         world.step(Step::Learn { owner: 0 });
@@ -649,17 +649,17 @@
     }
     world.step(Step::Pass { steps: 60 });
     act(&mut world, Fate::LostAndDoneLater);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     world.step(Step::Pass { steps: 10 });
     act(&mut world, Fate::Works);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     // A later append that the log refuses says nothing of the close.
     world.step(Step::Begin {
         owner: 0,
         program: 3,
     });
     act(&mut world, Fate::Refused);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     // The log falls silent, and turns are asked for.
     for _ in 0..6 {
         world.step(Step::Begin {
@@ -710,7 +710,7 @@
         }
     }
     assert!(world.overdraft_turns > 0);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Active);
     // Once the log answers, what was drawn is recorded and the overdraft replaced.
     world.step(Step::Learn { owner: 0 });
     for _ in 0..8 {
@@ -721,7 +721,10 @@
         });
         world.step(Step::Learn { owner: 0 });
     }
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(
+        world.owners[0].overdraft_status(),
+        OverdraftStatus::Standing
+    );
     let state = world.replayed();
     let account = state.account(PROGRAMS[1]).expect("an account");
     assert!(account.committed() >= world.most_generated(PROGRAMS[1]));
--- a/crates/gateway-core/tests/log_causes.rs
+++ b/crates/gateway-core/tests/log_causes.rs
@@ -1,6 +1,6 @@
 //! What appends are counted as.
 
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
 use elderworks_protocol::ledger::LedgerRecord;
 
 fn reserved() -> LedgerRecord {
@@ -36,13 +36,13 @@
 #[test]
 fn an_append_counts_as_what_somebody_waits_for() {
     let table = [
-        (vec![settled(), reserved()], LogCause::Reserve),
-        (vec![closed(), settled()], LogCause::Overdraft),
-        (vec![settled()], LogCause::Settle),
-        (vec![account()], LogCause::Rewrite),
-        (vec![account(), settled()], LogCause::Settle),
+        (vec![settled(), reserved()], LogCallPurpose::Reserve),
+        (vec![closed(), settled()], LogCallPurpose::Overdraft),
+        (vec![settled()], LogCallPurpose::Settle),
+        (vec![account()], LogCallPurpose::Rewrite),
+        (vec![account(), settled()], LogCallPurpose::Settle),
     ];
     for (records, expected) in table {
-        assert_eq!(LogCause::of_append(&records), expected, "{records:?}");
+        assert_eq!(LogCallPurpose::of_append(&records), expected, "{records:?}");
     }
 }
--- a/crates/gateway-core/tests/log_outage.rs
+++ b/crates/gateway-core/tests/log_outage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::log_outage::{LOOK_INTERVAL, LogState, LogWatch, LogWord};
+use elderworks_gateway_core::log_outage::{LogOutageDetector, LogState, LogStatus, POLL_INTERVAL};
 use elderworks_types::{NodeId, Timestamp};
 
 /// Milliseconds since the model's begin.
@@ -23,7 +23,7 @@
 
 /// One node's calls, answered after a time that depends on when they began; `None` for never.
 struct Model {
-    watch: LogWatch,
+    watch: LogOutageDetector,
     open: Vec<(u64, Millis, Millis)>,
     next_call: u64,
 }
@@ -31,7 +31,7 @@
 impl Model {
     fn new() -> Self {
         Self {
-            watch: LogWatch::default(),
+            watch: LogOutageDetector::default(),
             open: Vec::new(),
             next_call: 0,
         }
@@ -50,26 +50,26 @@
                 continue;
             }
             // A process that was held up looks before it reads its sockets, at worst.
-            if now.is_multiple_of(LOOK_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
+            if now.is_multiple_of(POLL_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
             {
-                self.watch.look(at(now));
+                self.watch.poll(at(now));
             }
             let due: Vec<_> = self
                 .open
                 .extract_if(.., |(_, _, due)| *due <= now)
                 .collect();
             for (call, began, _) in due {
-                self.watch.answered(at(now), call, ms(now - began));
+                self.watch.call_answered(at(now), call, ms(now - began));
             }
             if now.is_multiple_of(PACE) {
                 self.next_call += 1;
-                self.watch.begin(at(now), self.next_call);
+                self.watch.call_started(at(now), self.next_call);
                 if let Some(takes) = takes(now) {
                     self.open.push((self.next_call, now, now + takes));
                 }
             }
             match self.watch.state() {
-                LogState::Usual => {}
+                LogState::Normal => {}
                 LogState::Late { .. } => {
                     late.get_or_insert(now);
                 }
@@ -87,9 +87,9 @@
 }
 
 /// A word of a node that has waited for a while, when the last answered call began so long ago.
-fn waiting(waits: Millis, answered: Millis, is_silent: bool) -> LogWord {
-    LogWord {
-        waits: Some(ms(waits)),
+fn waiting(waits: Millis, answered: Millis, is_silent: bool) -> LogStatus {
+    LogStatus {
+        oldest_wait: Some(ms(waits)),
         answered: Some(ms(answered)),
         is_silent,
     }
@@ -106,7 +106,7 @@
     assert_eq!(model.watch.state().since(), Some(at(1_000)));
     // The first answer ends it, though the lost calls never end.
     model.play(2_000..2_010, |_| Some(USUAL), always);
-    assert_eq!(model.watch.state(), LogState::Usual);
+    assert_eq!(model.watch.state(), LogState::Normal);
     let after = model.play(2_010..3_000, |_| Some(USUAL), always);
     assert_eq!(after, (None, None));
 }
@@ -117,21 +117,21 @@
     model.play(0..1_000, |_| Some(USUAL), always);
     model.play(1_000..1_041, |_| None, always);
     assert!(matches!(model.watch.state(), LogState::Late { .. }));
-    let asked = model.watch.word(at(1_041));
-    assert!(asked.waits.is_some() && !asked.is_silent);
+    let asked = model.watch.status(at(1_041));
+    assert!(asked.oldest_wait.is_some() && !asked.is_silent);
     assert!(
         !model
             .watch
-            .take(at(1_041), NodeId::new("n2"), waiting(35, 45, false))
+            .on_peer_status(at(1_041), NodeId::new("n2"), waiting(35, 45, false))
     );
     assert!(!model.watch.state().is_silent());
     assert!(
         !model
             .watch
-            .take(at(1_042), NodeId::new("n3"), waiting(35, 45, false))
+            .on_peer_status(at(1_042), NodeId::new("n3"), waiting(35, 45, false))
     );
     assert!(model.watch.state().is_silent());
-    assert!(model.watch.word(at(1_042)).is_silent);
+    assert!(model.watch.status(at(1_042)).is_silent);
 }
 
 #[test]
@@ -142,51 +142,61 @@
     for round in 0..50 {
         let from = 1_000 + round * 20;
         silent = silent.or(model.play(from..from + 20, |_| None, always).1);
-        let word = LogWord {
-            waits: None,
+        let word = LogStatus {
+            oldest_wait: None,
             answered: Some(ms(5)),
             is_silent: false,
         };
-        model.watch.take(at(from + 20), NodeId::new("n2"), word);
+        model
+            .watch
+            .on_peer_status(at(from + 20), NodeId::new("n2"), word);
     }
     assert_eq!(silent, None);
     // And it denies others' silence itself.
     let word = waiting(500, 510, true);
-    assert!(model.watch.take(at(2_000), NodeId::new("n3"), word));
-    assert!(model.watch.take(at(2_000), NodeId::new("n4"), word));
+    assert!(
+        model
+            .watch
+            .on_peer_status(at(2_000), NodeId::new("n3"), word)
+    );
+    assert!(
+        model
+            .watch
+            .on_peer_status(at(2_000), NodeId::new("n4"), word)
+    );
     assert!(!model.watch.state().is_silent());
 }
 
 #[test]
 fn a_node_without_calls_believes_two_others_for_a_while() {
-    let mut watch = LogWatch::default();
-    watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
-    watch.take(at(101), NodeId::new("n2"), waiting(91, 96, true));
+    let mut watch = LogOutageDetector::default();
+    watch.on_peer_status(at(100), NodeId::new("n2"), waiting(90, 95, true));
+    watch.on_peer_status(at(101), NodeId::new("n2"), waiting(91, 96, true));
     assert!(!watch.state().is_silent(), "one alone");
-    watch.take(at(102), NodeId::new("n3"), waiting(60, 95, false));
+    watch.on_peer_status(at(102), NodeId::new("n3"), waiting(60, 95, false));
     assert!(!watch.state().is_silent(), "a question is no news");
-    watch.take(at(103), NodeId::new("n3"), waiting(61, 96, true));
+    watch.on_peer_status(at(103), NodeId::new("n3"), waiting(61, 96, true));
     assert!(watch.state().is_silent());
-    watch.look(at(500));
+    watch.poll(at(500));
     assert!(watch.state().is_silent());
-    watch.look(at(900));
-    assert_eq!(watch.state(), LogState::Usual, "nobody repeats it");
-    watch.take(at(1_000), NodeId::new("n2"), waiting(90, 95, true));
-    watch.take(at(1_000), NodeId::new("n3"), waiting(90, 95, true));
-    let back = LogWord {
-        waits: None,
+    watch.poll(at(900));
+    assert_eq!(watch.state(), LogState::Normal, "nobody repeats it");
+    watch.on_peer_status(at(1_000), NodeId::new("n2"), waiting(90, 95, true));
+    watch.on_peer_status(at(1_000), NodeId::new("n3"), waiting(90, 95, true));
+    let back = LogStatus {
+        oldest_wait: None,
         answered: Some(Duration::ZERO),
         is_silent: false,
     };
-    watch.take(at(1_010), NodeId::new("n4"), back);
-    assert_eq!(watch.state(), LogState::Usual, "it has answered");
+    watch.on_peer_status(at(1_010), NodeId::new("n4"), back);
+    assert_eq!(watch.state(), LogState::Normal, "it has answered");
 }
 
 #[test]
 fn of_two_nodes_one_believes_the_other() {
-    let mut watch = LogWatch::default();
-    watch.set_others(1);
-    watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
+    let mut watch = LogOutageDetector::default();
+    watch.set_peer_count(1);
+    watch.on_peer_status(at(100), NodeId::new("n2"), waiting(90, 95, true));
     assert!(watch.state().is_silent());
 }
 
--- a/crates/gateway-core/tests/log_reach.rs
+++ b/crates/gateway-core/tests/log_reach.rs
@@ -1,6 +1,6 @@
 //! When a node acts for a partition that is not its own.
 
-use elderworks_gateway_core::log_reach::LogReach;
+use elderworks_gateway_core::log_reachability::LogReachability;
 
 /// What a call to the log has come to.
 #[derive(Clone, Copy)]
@@ -43,7 +43,7 @@
         case("not in a row", &[Failed, Answered, Failed], false, true),
     ];
     for case in cases {
-        let mut reach = LogReach::default();
+        let mut reach = LogReachability::default();
         for call in case.calls {
             match call {
                 Answered => reach.note_answer(),
@@ -51,7 +51,7 @@
             }
         }
         assert_eq!(
-            reach.may_act(case.is_candidate),
+            reach.may_serve(case.is_candidate),
             case.may_act,
             "{}",
             case.name
--- a/crates/gateway-core/tests/outage_load.rs
+++ b/crates/gateway-core/tests/outage_load.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::outage_wait::{COME_BACK, outage_wait};
+use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
 use elderworks_gateway_core::policy::Policy;
 
 /// Seconds.
@@ -107,7 +107,7 @@
             }
             now = waits_until;
             if tries_left > 0 {
-                now += COME_BACK
+                now += RETRY_AFTER
                     .as_secs_f64()
                     .min((deadline - now) * LONGEST_RETURN);
             }
--- a/crates/gateway-core/tests/ownership.rs
+++ b/crates/gateway-core/tests/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use elderworks_gateway_core::ownership::{foremost_owner, rank_owners};
+use elderworks_gateway_core::ownership::{preferred_owner, rank_owners};
 use elderworks_types::{NodeId, PartitionId};
 
 const PARTITIONS: u32 = 4_000;
@@ -80,7 +80,7 @@
         for partition in (0..24).map(PartitionId) {
             let all = || nodes.iter().zip([500, 120].into_iter().cycle());
             let ranked = rank_owners(partition, all());
-            assert_eq!(foremost_owner(partition, all()), ranked.first().copied());
+            assert_eq!(preferred_owner(partition, all()), ranked.first().copied());
         }
     }
 }
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
 use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::start::{
-    Milestone, STARTING_PATIENCE, StartProgress, presumes_alive, starting_patience,
+    Milestone, STARTING_PATIENCE, StartProgress, presumes_alive, start_wait,
 };
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
+use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
 
 /// Milliseconds since the model's begin.
@@ -52,7 +52,7 @@
         (Some(Duration::from_secs(60)), STARTING_PATIENCE),
     ];
     for (left, expected) in table {
-        assert_eq!(starting_patience(left), expected, "{left:?}");
+        assert_eq!(start_wait(left), expected, "{left:?}");
     }
 }
 
@@ -96,12 +96,12 @@
 
 /// What a node does that writes its entry at `written`, given when all entries are written.
 fn play(written: Millis, entries: &[Millis], pace: Duration) -> Node {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
-    let reads = StreamReads::new(Stream::Nodes, &deadlines);
-    let mut batch = ChangeBatch::new(pace);
+    let reads = StreamReadSchedule::new(Stream::Nodes, &deadlines);
+    let mut batch = RecomputeThrottle::new(pace);
     let mut node = Node {
         written,
         known: 0,
@@ -116,7 +116,7 @@
             node.reads += 1;
             if shown > node.known {
                 node.known = shown;
-                node.recomputed += u32::from(batch.note(at(now)));
+                node.recomputed += u32::from(batch.on_change(at(now)));
             }
             let pause = Millis::try_from(reads.pause().as_millis()).expect("short");
             let (answered, shown) = follow(entries, now + pause, node.known);
@@ -150,7 +150,7 @@
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
         for written in entries.iter().copied().step_by(7) {
-            let node = play(written, &entries, RECOMPUTING_PACE);
+            let node = play(written, &entries, MIN_RECOMPUTE_INTERVAL);
             assert_eq!(node.known, entries.len(), "every entry is learned");
             assert!(node.reads <= 6, "{count} nodes: {} reads", node.reads);
             assert!(
@@ -166,12 +166,12 @@
 fn gossip_of_many_nodes_costs_as_many_recomputations_as_time_allows() {
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
-        let mut batch = ChangeBatch::new(RECOMPUTING_PACE);
+        let mut batch = RecomputeThrottle::new(MIN_RECOMPUTE_INTERVAL);
         let mut recomputed = 0;
         for now in 0..END {
             let heard = entries.iter().filter(|heard| **heard == now).count();
             for _ in 0..heard {
-                recomputed += u32::from(batch.note(at(now)));
+                recomputed += u32::from(batch.on_change(at(now)));
             }
             recomputed += u32::from(now % LOOK == 0 && batch.take_due(at(now)));
         }
--- a/crates/gateway-core/tests/stream_reads.rs
+++ b/crates/gateway-core/tests/stream_reads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, ReadTimes, StreamReads};
+use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule, UpdateDeadlines};
 
 /// Milliseconds since the test's begin.
 type Millis = u64;
@@ -27,7 +27,7 @@
 
 impl Log {
     /// When a read that is sent at `sent` would be answered.
-    fn answers(&self, sent: Millis, times: ReadTimes) -> Millis {
+    fn answers(&self, sent: Millis, times: ReadTimeouts) -> Millis {
         let waited = self.change.clamp(sent, sent + millis(times.wait));
         waited + ROUND_TRIP
     }
@@ -42,8 +42,8 @@
 }
 
 /// When a follower whose first read is sent at `first` learns of the change.
-fn learned_at(stream: Stream, deadlines: &NewsDeadlines, first: Millis, log: &Log) -> Millis {
-    let mut reads = StreamReads::new(stream, deadlines);
+fn learned_at(stream: Stream, deadlines: &UpdateDeadlines, first: Millis, log: &Log) -> Millis {
+    let mut reads = StreamReadSchedule::new(stream, deadlines);
     let mut sent = first;
     loop {
         let times = reads.next_read();
@@ -72,7 +72,7 @@
         (Stream::Workers, 2.0),
         (Stream::Workers, 3.0),
     ] {
-        let deadlines = NewsDeadlines {
+        let deadlines = UpdateDeadlines {
             apply: seconds(within),
             drain: seconds(within),
         };
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_change_is_learned_at_once_while_the_log_answers() {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
@@ -117,11 +117,11 @@
 
 #[test]
 fn a_log_that_answers_late_is_given_more_time_once_it_has_failed_again() {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
-    let mut reads = StreamReads::new(Stream::Configuration, &deadlines);
+    let mut reads = StreamReadSchedule::new(Stream::Configuration, &deadlines);
     assert!(!reads.next_read().wait.is_zero(), "it waits for news");
     assert_eq!(reads.note_failure(), 1);
     let first = reads.next_read();
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -23,7 +23,7 @@
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::call::CallAttributes;
 use elderworks_gateway_core::config::{Route, RouteKind, ServingConfig};
-use elderworks_gateway_core::start::starting_patience;
+use elderworks_gateway_core::start::start_wait;
 
 use crate::caller::{Caller, Progress};
 use crate::clock::millis;
@@ -107,7 +107,7 @@
     if gateway.start.is_complete() || !gateway.settings.policy.starting_patience {
         return;
     }
-    let longest = starting_patience(attributes.deadline);
+    let longest = start_wait(attributes.deadline);
     gateway.start.wait(longest).await;
 }
 
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::ledger::partition_of;
-use elderworks_gateway_core::outage_wait::{COME_BACK, outage_wait};
+use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
 use elderworks_gateway_core::pressure::HeldFor;
 use elderworks_gateway_core::tenants::scoped;
 use elderworks_protocol::ledger::{BeginTurn, FinishTurn, KeptTurn, LedgerReply, LedgerRequest};
@@ -396,6 +396,6 @@
 
     /// Leave is asked for before the first attempt.
     fn refusal(self) -> Refusal {
-        Refusal::not_run_until(NotRun::before_any_attempt(), self.reason(), COME_BACK)
+        Refusal::not_run_until(NotRun::before_any_attempt(), self.reason(), RETRY_AFTER)
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,14 +7,14 @@
 
 use actix_http::ServiceConfig;
 use elderworks_gateway_core::access::KeyLeases;
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
 use elderworks_gateway_core::cold::ColdSenders;
 use elderworks_gateway_core::config::{ActiveConfig, ServingConfig};
 use elderworks_gateway_core::config_proof::{ConfigProof, asking_age, denial_lease_of, lease_of};
 use elderworks_gateway_core::evacuations::Evacuations;
-use elderworks_gateway_core::log_reach::LogReach;
+use elderworks_gateway_core::log_reachability::LogReachability;
 use elderworks_gateway_core::nodes::NodeDirectory;
 use elderworks_gateway_core::quota::{BegunPrograms, Division, Fleet, QuotaBook};
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_gateway_core::run_moves::backups::Backups;
 use elderworks_gateway_core::split::SplitState;
@@ -94,7 +94,7 @@
     /// Response times of the log's reads for the ledger, which may bring many records.
     pub(crate) log_read_timer: RefCell<ResponseTimer>,
     /// Whether the log answers this node.
-    pub(crate) log_reach: RefCell<LogReach>,
+    pub(crate) log_reach: RefCell<LogReachability>,
     /// Whether the log answers anybody.
     pub(crate) log_outage: LogOutage,
     pub(crate) metrics: Metrics,
@@ -114,7 +114,7 @@
     /// What this node knows already, and what it still needs to serve.
     pub(crate) start: Start,
     /// Changes of nodes that wait to be acted on together.
-    node_changes: RefCell<ChangeBatch>,
+    node_changes: RefCell<RecomputeThrottle>,
     sequence: Cell<u64>,
 }
 
@@ -134,7 +134,7 @@
         };
         let metrics = Metrics::new();
         let pace = match policy.batched_changes {
-            true => RECOMPUTING_PACE,
+            true => MIN_RECOMPUTE_INTERVAL,
             false => Duration::ZERO,
         };
         let quotas = QuotaBook::new(settings.quotas, division, rand::random(), clock.now())
@@ -180,7 +180,7 @@
             serving: RefCell::default(),
             in_flight: Cell::new(0),
             start: Start::default(),
-            node_changes: RefCell::new(ChangeBatch::new(pace)),
+            node_changes: RefCell::new(RecomputeThrottle::new(pace)),
             sequence: Cell::new(0),
         })
     }
@@ -228,7 +228,7 @@
 
     /// Notes that nodes have come, gone or changed. What follows from it is worked out now or soon.
     pub(crate) fn note_node_changes(&self) {
-        if self.node_changes.borrow_mut().note(self.now()) {
+        if self.node_changes.borrow_mut().on_change(self.now()) {
             self.recompute_nodes();
         }
     }
@@ -242,7 +242,7 @@
 
     /// Acts on changes of nodes without delay: what follows must not rest on what was known before.
     pub(crate) fn act_on_node_changes_now(&self) {
-        self.node_changes.borrow_mut().act(self.now());
+        self.node_changes.borrow_mut().mark_recomputed(self.now());
         self.recompute_nodes();
     }
 
--- a/crates/gateway/src/ledger/log_calls.rs
+++ b/crates/gateway/src/ledger/log_calls.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::ledger::{AppendOutcome, CallNumber, ReadOutcome};
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_protocol::ledger::LedgerRecord;
 use elderworks_protocol::{decode, encode};
@@ -112,8 +112,8 @@
         let gateway = self.gateway.clone();
         let stream = Stream::Ledger(self.partition);
         let cause = match self.is_behind {
-            true => LogCause::CatchUp,
-            false => LogCause::Verify,
+            true => LogCallPurpose::CatchUp,
+            false => LogCallPurpose::Verify,
         };
         let limits = ReadLimits {
             wait: Duration::ZERO,
@@ -125,7 +125,7 @@
             let read = gateway.platform.read(stream, from, limits);
             let read = match cause {
                 // A page takes as long as its bytes do.
-                LogCause::CatchUp => read.await,
+                LogCallPurpose::CatchUp => read.await,
                 _ => gateway.log_outage.observe(&gateway, read).await,
             };
             gateway.metrics.note_log_call(cause, outcome(&read));
@@ -169,7 +169,7 @@
         .iter()
         .map(|record| Bytes::from(encode(record)))
         .collect();
-    let cause = LogCause::of_append(records);
+    let cause = LogCallPurpose::of_append(records);
     let appending = {
         let gateway = gateway.clone();
         async move {
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::acting::{PassedOver, Standing};
 use elderworks_gateway_core::ledger::WitnessMemory;
+use elderworks_gateway_core::partition_failover::{SkipReason, StartupGrace};
 use elderworks_gateway_core::start::Milestone;
 use elderworks_protocol::ledger::{LedgerReply, LedgerRequest};
 use elderworks_types::{NodeId, PartitionId};
@@ -104,9 +104,9 @@
         asked.note(&by);
         let reason = match ask_peer(gateway, &by, partition, request.clone()).await {
             // The log may refuse that node alone.
-            Ok(LedgerReply::Unavailable) => PassedOver::Unavailable,
+            Ok(LedgerReply::Unavailable) => SkipReason::Unavailable,
             Ok(reply) => return Answered { reply, by },
-            Err(NoReply::Unreachable | NoReply::Silent) => PassedOver::Absent,
+            Err(NoReply::Unreachable | NoReply::Silent) => SkipReason::Absent,
             // The log is slow; a second node at the same partition would not help.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
@@ -118,7 +118,7 @@
             return Answered { reply, by };
         }
     }
-    let may_act = gateway.log_reach.borrow().may_act(is_candidate) && may_act_alone(gateway);
+    let may_act = gateway.log_reach.borrow().may_serve(is_candidate) && may_act_alone(gateway);
     let reply = if may_act {
         asked.note(own);
         carry_out(gateway, partition, request).await
@@ -129,18 +129,18 @@
     Answered { reply, by }
 }
 
-fn standing(gateway: &Gateway) -> Standing {
-    Standing { age: gateway.age() }
+fn standing(gateway: &Gateway) -> StartupGrace {
+    StartupGrace { age: gateway.age() }
 }
 
 /// Whether to go on past a candidate; for a moment after the start, one that is left out stays so.
-fn may_pass_over(gateway: &Gateway, reason: PassedOver) -> bool {
-    !gateway.settings.policy.starting_restraint || standing(gateway).may_pass_over(reason)
+fn may_pass_over(gateway: &Gateway, reason: SkipReason) -> bool {
+    !gateway.settings.policy.starting_restraint || standing(gateway).may_skip(reason)
 }
 
 fn may_act_alone(gateway: &Gateway) -> bool {
     let has_joined = gateway.start.has(Milestone::Joined);
-    !gateway.settings.policy.starting_restraint || standing(gateway).may_act_alone(has_joined)
+    !gateway.settings.policy.starting_restraint || standing(gateway).may_serve_alone(has_joined)
 }
 
 /// Makes a request, which should say that it waits, of the first node that should act for a
@@ -240,7 +240,7 @@
             "peer did not answer for a partition"
         );
         // Else the next try would pass it over.
-        if may_pass_over(gateway, PassedOver::Absent) {
+        if may_pass_over(gateway, SkipReason::Absent) {
             gateway.peers.avoid(gateway, node, *reason);
             gateway.peers.stop_presuming(gateway, node);
         }
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -4,10 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::append_pace::{AppendPace, Paces, Urgency};
+use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_gateway_core::config::Route;
 use elderworks_gateway_core::ledger::{
-    Action, Inquiry, OverdraftUse, PartitionOwner, RETENTION, SLOW_CALL, Ticket,
+    Action, OverdraftStatus, PartitionOwner, SLOW_CALL_THRESHOLD, TURN_RETENTION, Ticket,
+    WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessQuestion};
@@ -37,18 +38,18 @@
         waiting: HashMap::new(),
         conflicts_counted: 0,
         reads: Some(PartitionReads::new(gateway, partition)),
-        overdraft_use: OverdraftUse::None,
+        overdraft_use: OverdraftStatus::None,
         heard,
-        pace: AppendPace::new(paces(&gateway.settings.policy)),
+        pace: AppendPacer::new(paces(&gateway.settings.policy)),
     };
     actix_rt::spawn(driver.run(Inbox { jobs, answers }));
     sender
 }
 
-fn paces(policy: &Policy) -> Paces {
-    Paces {
-        leave: Duration::from_millis(policy.leave_pace_ms),
-        ends: Duration::from_millis(policy.end_pace_ms),
+fn paces(policy: &Policy) -> AppendIntervals {
+    AppendIntervals {
+        permits: Duration::from_millis(policy.leave_pace_ms),
+        completions: Duration::from_millis(policy.end_pace_ms),
     }
 }
 
@@ -69,7 +70,7 @@
 /// Who waits for a reply.
 struct Waiting {
     reply: oneshot::Sender<LedgerReply>,
-    urgency: Urgency,
+    urgency: AppendUrgency,
 }
 
 struct Driver {
@@ -81,11 +82,11 @@
     /// Taken while a read is under way.
     reads: Option<PartitionReads>,
     /// As last logged.
-    overdraft_use: OverdraftUse,
+    overdraft_use: OverdraftStatus,
     /// Where answers of witnesses go.
     heard: mpsc::UnboundedSender<Heard>,
     /// When the next append may begin.
-    pace: AppendPace,
+    pace: AppendPacer,
 }
 
 impl Driver {
@@ -135,32 +136,33 @@
         }
     }
 
-    fn urgency(&self) -> Urgency {
+    fn urgency(&self) -> AppendUrgency {
         let mut waiting = self.waiting.values();
-        match waiting.any(|waiting| waiting.urgency == Urgency::Leave) {
-            true => Urgency::Leave,
-            false => Urgency::Ends,
+        match waiting.any(|waiting| waiting.urgency == AppendUrgency::Permit) {
+            true => AppendUrgency::Permit,
+            false => AppendUrgency::Completions,
         }
     }
 
     fn submit(&mut self, (request, reply): Job) {
         let ticket = Ticket(self.gateway.next_sequence());
         let urgency = match &request {
-            LedgerRequest::Finish(_) => Urgency::Ends,
-            _ => Urgency::Leave,
+            LedgerRequest::Finish(_) => AppendUrgency::Completions,
+            _ => AppendUrgency::Permit,
         };
         self.waiting.insert(ticket, Waiting { reply, urgency });
         self.owner.submit(self.gateway.now(), ticket, request);
     }
 
     fn hear(&mut self, (question, answer): &Heard) {
-        self.owner.on_inquiry(self.gateway.now(), question, *answer);
+        self.owner
+            .on_witness_answer(self.gateway.now(), question, *answer);
     }
 
     /// Hands on what the owner has decided: replies, and questions to witnesses.
     fn hand_on(&mut self) {
         self.hand_on_replies();
-        for inquiry in self.owner.take_inquiries() {
+        for inquiry in self.owner.take_witness_queries() {
             let asking = inquire(self.gateway.clone(), self.partition, inquiry);
             let heard = self.heard.clone();
             actix_rt::spawn(async move {
@@ -172,7 +174,7 @@
     }
 
     fn log_overdraft(&mut self) {
-        let present = self.owner.overdraft_use();
+        let present = self.owner.overdraft_status();
         if present == self.overdraft_use {
             return;
         }
@@ -181,7 +183,7 @@
             end = self.owner.end().0;
             "use of the overdraft changed"
         );
-        if present == OverdraftUse::Active {
+        if present == OverdraftStatus::Active {
             self.gateway.metrics.overdrafts_activated.inc();
         }
         self.overdraft_use = present;
@@ -203,7 +205,7 @@
                 let mut reads = self.reads.take().expect("one call at a time");
                 // Whoever catches up does so without a pause.
                 if !reads.is_behind() {
-                    self.pace.note(self.gateway.now());
+                    self.pace.call_started(self.gateway.now());
                 }
                 let reading = reads.read(self.owner.last_call(), from);
                 let (call, outcome) = self.attend_until(reading, inbox).await;
@@ -213,7 +215,7 @@
             }
             Action::Append { at, records } => {
                 let gateway = self.gateway.clone();
-                self.pace.note(gateway.now());
+                self.pace.call_started(gateway.now());
                 let appending = append(&gateway, self.partition, at, &records);
                 let outcome = self.attend_until(appending, inbox).await;
                 self.owner.on_append(self.gateway.now(), outcome);
@@ -230,7 +232,7 @@
     /// needs no call.
     async fn attend_until<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
         let mut call = std::pin::pin!(call);
-        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL));
+        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL_THRESHOLD));
         let mut is_slow = false;
         loop {
             tokio::select! {
@@ -283,13 +285,13 @@
             let times = config.routes.iter().map(|route| route.keep_for);
             times.max()
         });
-        longest.map_or(RETENTION, |time| RETENTION.max(time + time / 4))
+        longest.map_or(TURN_RETENTION, |time| TURN_RETENTION.max(time + time / 4))
     }
 }
 
 /// Puts a question to a witness, which may be this node.
-async fn inquire(gateway: Rc<Gateway>, partition: PartitionId, inquiry: Inquiry) -> Heard {
-    let Inquiry { witness, question } = inquiry;
+async fn inquire(gateway: Rc<Gateway>, partition: PartitionId, inquiry: WitnessQuery) -> Heard {
+    let WitnessQuery { witness, question } = inquiry;
     let request = LedgerRequest::Witness(question.clone());
     let reply = if witness.node == gateway.settings.node {
         super::carry_out(&gateway, partition, request).await
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::log_outage::{LOOK_INTERVAL, LogState, LogWatch, LogWord};
+use elderworks_gateway_core::log_outage::{LogOutageDetector, LogState, LogStatus, POLL_INTERVAL};
 use elderworks_types::NodeId;
 use tokio::sync::watch;
 
@@ -14,7 +14,7 @@
 /// What this node knows of the log's silence.
 #[derive(Debug)]
 pub(crate) struct LogOutage {
-    watch: RefCell<LogWatch>,
+    watch: RefCell<LogOutageDetector>,
     state: watch::Sender<LogState>,
 }
 
@@ -22,7 +22,7 @@
     fn default() -> Self {
         Self {
             watch: RefCell::default(),
-            state: watch::Sender::new(LogState::Usual),
+            state: watch::Sender::new(LogState::Normal),
         }
     }
 }
@@ -46,13 +46,16 @@
     }
 
     /// What this node tells others.
-    pub(crate) fn word(&self, gateway: &Gateway) -> LogWord {
-        self.watch.borrow().word(gateway.now())
+    pub(crate) fn word(&self, gateway: &Gateway) -> LogStatus {
+        self.watch.borrow().status(gateway.now())
     }
 
     /// Takes another node's word; tells whether it is to be told that the log has answered since.
-    pub(crate) fn take(&self, gateway: &Gateway, node: NodeId, word: LogWord) -> bool {
-        let is_refuted = self.watch.borrow_mut().take(gateway.now(), node, word);
+    pub(crate) fn take(&self, gateway: &Gateway, node: NodeId, word: LogStatus) -> bool {
+        let is_refuted = self
+            .watch
+            .borrow_mut()
+            .on_peer_status(gateway.now(), node, word);
         self.publish(gateway);
         is_refuted
     }
@@ -60,8 +63,8 @@
     /// Drops what is too old.
     pub(crate) fn look(&self, gateway: &Gateway) {
         let mut watch = self.watch.borrow_mut();
-        watch.set_others(gateway.peers.count_others());
-        watch.look(gateway.now());
+        watch.set_peer_count(gateway.peers.count_others());
+        watch.poll(gateway.now());
         drop(watch);
         self.publish(gateway);
     }
@@ -77,19 +80,19 @@
         }
         let number = gateway.next_sequence();
         let began = Instant::now();
-        self.watch.borrow_mut().begin(gateway.now(), number);
+        self.watch.borrow_mut().call_started(gateway.now(), number);
         let mut call = std::pin::pin!(call);
         let ended = loop {
             tokio::select! {
                 biased;
                 ended = &mut call => break ended,
-                () = actix_rt::time::sleep(LOOK_INTERVAL) => self.look(gateway),
+                () = actix_rt::time::sleep(POLL_INTERVAL) => self.look(gateway),
             }
         };
         // A refusal or a failure leaves open whether others are served.
         if let Ok(_) | Err(StoreError::Conflict { .. } | StoreError::Gone { .. }) = &ended {
             let mut watch = self.watch.borrow_mut();
-            watch.answered(gateway.now(), number, began.elapsed());
+            watch.call_answered(gateway.now(), number, began.elapsed());
             drop(watch);
             self.publish(gateway);
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
 use elderworks_gateway_core::pressure::HeldFor;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -392,7 +392,7 @@
     }
 
     /// Counts another call to the log.
-    pub(crate) fn note_log_call(&self, cause: LogCause, outcome: &'static str) {
+    pub(crate) fn note_log_call(&self, cause: LogCallPurpose, outcome: &'static str) {
         self.count_log_call(cause.name(), outcome);
     }
 
--- a/crates/gateway/src/peers/outages.rs
+++ b/crates/gateway/src/peers/outages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::log_outage::{LogState, LogWord};
+use elderworks_gateway_core::log_outage::{LogState, LogStatus};
 use elderworks_gateway_core::peer_loads::Rota;
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{GatewayDatagram, LogReport};
@@ -47,7 +47,7 @@
                 send(gateway, socket, word, owners(gateway));
             }
             LogState::Silent { .. }
-                if word.waits.is_some()
+                if word.oldest_wait.is_some()
                     && (!self.was_silent || is_due(self.told, TELLING_INTERVAL)) =>
             {
                 self.was_silent = true;
@@ -55,7 +55,7 @@
                 let others = self.rota.pick(others(gateway), MOST_TOLD);
                 send(gateway, socket, word, others);
             }
-            LogState::Usual if self.was_silent => {
+            LogState::Normal if self.was_silent => {
                 self.was_silent = false;
                 let others = self.rota.pick(others(gateway), MOST_TOLD);
                 send(gateway, socket, word, others);
@@ -70,8 +70,8 @@
     if report.node == gateway.settings.node || !gateway.settings.policy.silence_watch {
         return;
     }
-    let word = LogWord {
-        waits: report.waits_us.map(Duration::from_micros),
+    let word = LogStatus {
+        oldest_wait: report.waits_us.map(Duration::from_micros),
         answered: report.answered_us.map(Duration::from_micros),
         is_silent: report.is_silent,
     };
@@ -81,11 +81,11 @@
     }
 }
 
-fn send(gateway: &Gateway, socket: &UdpSocket, word: LogWord, to: Vec<SocketAddr>) {
+fn send(gateway: &Gateway, socket: &UdpSocket, word: LogStatus, to: Vec<SocketAddr>) {
     let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     let report = LogReport {
         node: gateway.settings.node.clone(),
-        waits_us: word.waits.map(micros),
+        waits_us: word.oldest_wait.map(micros),
         answered_us: word.answered.map(micros),
         is_silent: word.is_silent,
     };
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -6,7 +6,7 @@
 
 use elderworks_gateway_core::ledger::MOST_WITNESSES;
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::ownership::{foremost_owner, rank_owners};
+use elderworks_gateway_core::ownership::{preferred_owner, rank_owners};
 use elderworks_gateway_core::zone_health::ZonePart;
 use elderworks_gateway_core::zone_spread::{Placed, spread_candidates, spread_witnesses};
 use elderworks_protocol::ledger::Witness;
@@ -60,7 +60,7 @@
         let asked = alive
             .iter()
             .filter(|node| !is_avoided(node) && !is_lost(node));
-        let foremost = foremost_owner(partition, asked.map(|node| (node, capacity(node))));
+        let foremost = preferred_owner(partition, asked.map(|node| (node, capacity(node))));
         foremost == Some(&self.own)
     }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::cold::ColdRules;
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::quota::QuotaRules;
-use elderworks_gateway_core::stream_reads::NewsDeadlines;
+use elderworks_gateway_core::stream_reads::UpdateDeadlines;
 use elderworks_types::{NodeId, ZoneId};
 
 /// Settings of a gateway process, as its adapter reads them from the platform.
@@ -57,8 +57,8 @@
 
 impl GatewaySettings {
     /// How soon news of the platform's streams must be acted on.
-    pub(crate) fn news_deadlines(&self) -> NewsDeadlines {
-        NewsDeadlines {
+    pub(crate) fn news_deadlines(&self) -> UpdateDeadlines {
+        UpdateDeadlines {
             apply: self.apply_within,
             drain: self.drain_notice,
         }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -34,7 +34,7 @@
 
     /// Whether a step is done.
     pub(crate) fn has(&self, milestone: Milestone) -> bool {
-        self.progress.get().has(milestone)
+        self.progress.get().has_reached(milestone)
     }
 
     /// Waits until nothing is missing, `longest` at most.
@@ -50,7 +50,7 @@
     /// Notes that a step of the start is done.
     pub(crate) fn reach(&self, milestone: Milestone) {
         let mut progress = self.start.progress.get();
-        if progress.has(milestone) {
+        if progress.has_reached(milestone) {
             return;
         }
         let now = self.now();
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -7,9 +7,9 @@
 use elderworks_gateway_core::config_proof::proving_pause;
 use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::evacuations::ZoneWish;
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
 use elderworks_gateway_core::start::Milestone;
-use elderworks_gateway_core::stream_reads::ReadTimes;
+use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_types::{Offset, Timestamp};
 
 use super::{Follower, PROOF_TIMEOUT, follow, limits, read_more};
@@ -42,11 +42,13 @@
             continue;
         };
         let sent = gateway.now();
-        let limits = limits(ReadTimes::at_once(PROOF_TIMEOUT));
+        let limits = limits(ReadTimeouts::immediate(PROOF_TIMEOUT));
         // Failures are told by the follower of the configuration.
         let read = read_more::<ConfigurationFollower>(&gateway, from, limits).await;
         let outcome = if read.is_ok() { "ok" } else { "failed" };
-        gateway.metrics.note_log_call(LogCause::Prove, outcome);
+        gateway
+            .metrics
+            .note_log_call(LogCallPurpose::Prove, outcome);
         if let Ok(progress) = read
             && progress.is_complete
         {
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{ReadTimes, StreamReads};
+use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule};
 use elderworks_types::{Offset, Timestamp};
 
 use crate::clock::millis;
@@ -77,14 +77,14 @@
 /// reads the streams.
 async fn follow<F: Follower>(gateway: Rc<Gateway>, from: Option<Offset>) {
     let mut next = from;
-    let mut reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+    let mut reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
     let mut known = gateway.now();
     let mut term = None;
     loop {
         let present = gateway.feed.until_reading().await;
         if term.replace(present) != Some(present) {
             next = F::resume_at(&gateway).or(from);
-            reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+            reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
             known = gateway.now();
         }
         let sent = gateway.now();
@@ -206,7 +206,7 @@
     }
 }
 
-fn limits(times: ReadTimes) -> ReadLimits {
+fn limits(times: ReadTimeouts) -> ReadLimits {
     ReadLimits {
         wait: times.wait,
         timeout: times.answer,
--- a/crates/gateway/src/watch/nodes.rs
+++ b/crates/gateway/src/watch/nodes.rs
@@ -4,7 +4,7 @@
 
 use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::nodes::NodeRecord;
-use elderworks_gateway_core::stream_reads::ReadTimes;
+use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_protocol::decode;
 use elderworks_types::{Incarnation, NodeId, Offset, Timestamp};
 
@@ -28,7 +28,7 @@
         return Ok(end);
     };
     loop {
-        let limits = limits(ReadTimes::at_once(PROOF_TIMEOUT));
+        let limits = limits(ReadTimeouts::immediate(PROOF_TIMEOUT));
         let progress = read_more::<NodeFollower>(gateway, next, limits).await?;
         next = progress.next;
         if progress.is_complete {
