--- a/crates/gateway-core/examples/placement_time.rs
+++ b/crates/gateway-core/examples/placement_time.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::workers::{WorkerDirectory, WorkerRecord};
 use elderworks_types::Timestamp;
@@ -32,10 +32,10 @@
     for number in 0..DECISIONS {
         let now = Timestamp(1) + Duration::from_millis(number.into());
         let turn = EngineTurn {
-            part: PartKey(number % 16),
-            part_tokens: 12_600,
-            private_tokens: 2_000,
-            answer_tokens: 200,
+            prefix: PrefixKey(number % 16),
+            prefix_tokens: 12_600,
+            suffix_tokens: 2_000,
+            max_output_tokens: 200,
             memory_tokens: 280_000,
             slots: 12,
         };
@@ -47,7 +47,7 @@
             repeatable: false,
             tried: &[],
             turn: Some(turn),
-            spread: 1,
+            seed: 1,
             is_connected: &|_| false,
         };
         workers.note_turn("engines", &turn, now);
--- a/crates/gateway-core/src/admission/allotment.rs
+++ b/crates/gateway-core/src/admission/allotment.rs
@@ -1,6 +1,6 @@
 //! A node's share of the places that all nodes see free.
 
-use super::demand::{LEVELS, Waiting};
+use super::demand::{URGENCY_LEVELS, Waiting};
 
 /// What waits for a service at the other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 fn by_urgency(free: f64, own: Waiting, elsewhere: PeerWaiting) -> f64 {
     let mut left = free;
     let mut share = 0.0;
-    for level in 0..LEVELS {
+    for level in 0..URGENCY_LEVELS {
         let (here, there) = (own.0[level], elsewhere.0.0[level]);
         let taken = left.min(f64::from(here) + f64::from(there));
         share += taken * own_part(here, there);
--- a/crates/gateway-core/src/admission/demand.rs
+++ b/crates/gateway-core/src/admission/demand.rs
@@ -8,11 +8,11 @@
 use crate::peer_loads::REPORT_LIFETIME;
 
 /// Levels of urgency that are told apart; ranks beyond them count as the last.
-pub const LEVELS: usize = 10;
+pub const URGENCY_LEVELS: usize = 10;
 
 /// The level of a rank.
 pub(super) fn level_of(urgency: u8) -> usize {
-    usize::from(urgency).min(LEVELS - 1)
+    usize::from(urgency).min(URGENCY_LEVELS - 1)
 }
 
 /// Stands for a service's name in reports.
@@ -28,7 +28,7 @@
 
 /// How many turns wait, by level of urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Waiting(pub [u32; LEVELS]);
+pub struct Waiting(pub [u32; URGENCY_LEVELS]);
 
 impl Waiting {
     /// All levels together.
--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -10,7 +10,7 @@
 use super::pace::{Inflow, Pace};
 use super::queue::{Queue, Ticket, Usage};
 use super::room::Room;
-use super::turn::{QueuedTurn, Standing};
+use super::turn::{ProgramState, QueuedTurn};
 use super::{AdmissionMode, AdmissionRules};
 
 /// Time over which free places are handed out: nodes tell each other of their load as often, so
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
     /// It goes now and counts as under way.
-    Go,
+    Admit,
     /// It waits.
     Wait {
         /// Names it.
@@ -345,8 +345,8 @@
 fn longest_wait(claim: &QueuedTurn, now: Timestamp) -> Duration {
     let patience = claim.patience(now);
     match claim.standing {
-        Standing::Begun => patience,
-        Standing::New => patience.mul_f64(NEWCOMERS_PART),
+        ProgramState::Started => patience,
+        ProgramState::New => patience.mul_f64(NEWCOMERS_PART),
     }
 }
 
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -26,11 +26,11 @@
 
 use crate::tenants::TenantKey;
 
-pub use demand::{LEVELS, ServiceKey, Waiting};
+pub use demand::{ServiceKey, URGENCY_LEVELS, Waiting};
 pub use gate::{Arrival, Decision, Refused};
 pub use queue::{QueueLimits, Ticket};
 pub use room::Room;
-pub use turn::{Standing, Turn};
+pub use turn::{ProgramState, Turn};
 
 use allotment::PeerWaiting;
 use demand::PeerDemand;
@@ -111,7 +111,7 @@
         let gate = self.gates.entry(service.to_owned()).or_default();
         if gate.passes(&context, turn.urgency) {
             self.shares.charge(now, tenant, turn.prompt_tokens);
-            return Decision::from(Arrival::Go);
+            return Decision::from(Arrival::Admit);
         }
         let excess = match self.rules.fair_share {
             true => self.shares.excess(now, tenant),
@@ -153,7 +153,7 @@
     /// A turn that went has left its engine, or will not go to one.
     ///
     /// `took` is its time there if it was run to its end.
-    pub fn end(&mut self, service: &str, took: Option<Duration>) {
+    pub fn complete(&mut self, service: &str, took: Option<Duration>) {
         if let Some(gate) = self.gates.get_mut(service) {
             gate.end(took);
         }
@@ -203,7 +203,7 @@
     }
 
     /// Takes what another node tells, in place of what it told before.
-    pub fn take_demand(&mut self, now: Timestamp, node: NodeId, demand: Demand) {
+    pub fn apply_peer_demand(&mut self, now: Timestamp, node: NodeId, demand: Demand) {
         self.shares.take(now, node.clone(), demand.served);
         self.peers.take(now, node, demand.waiting);
     }
--- a/crates/gateway-core/src/admission/pace.rs
+++ b/crates/gateway-core/src/admission/pace.rs
@@ -4,7 +4,7 @@
 
 use elderworks_types::Timestamp;
 
-use super::demand::LEVELS;
+use super::demand::URGENCY_LEVELS;
 
 /// Weight of the latest turn in the mean. Some thirty turns outweigh the past; a node sees as many
 /// in a second of load.
@@ -73,7 +73,7 @@
 /// How many turns arrive in a second, by level of urgency.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Inflow {
-    recent: [f64; LEVELS],
+    recent: [f64; URGENCY_LEVELS],
     at: Timestamp,
 }
 
--- a/crates/gateway-core/src/admission/queue.rs
+++ b/crates/gateway-core/src/admission/queue.rs
@@ -4,7 +4,7 @@
 
 use elderworks_types::Timestamp;
 
-use super::demand::{LEVELS, Waiting, level_of};
+use super::demand::{URGENCY_LEVELS, Waiting, level_of};
 use super::turn::{Order, QueuedTurn};
 
 /// Names a turn that asked for a place.
@@ -117,7 +117,7 @@
 
     /// How many turns wait, by urgency.
     pub(super) fn waiting(&self) -> Waiting {
-        let mut waiting = [0; LEVELS];
+        let mut waiting = [0; URGENCY_LEVELS];
         for (_, claim) in &self.entries {
             waiting[level_of(claim.urgency)] += 1;
         }
--- a/crates/gateway-core/src/admission/turn.rs
+++ b/crates/gateway-core/src/admission/turn.rs
@@ -8,10 +8,10 @@
 
 /// Whether work was done for a turn's program already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ProgramState {
     /// Earlier turns of the program have run, or its caller came back after a refusal: what was
     /// done or waited for is lost if it fails now.
-    Begun,
+    Started,
     /// Nothing has been done for it.
     New,
 }
@@ -24,7 +24,7 @@
     /// Whose it is; `None` where the configuration has no tenants.
     pub tenant: Option<TenantKey>,
     /// Whether its program has begun.
-    pub standing: Standing,
+    pub program_state: ProgramState,
     /// When the whole program should be over.
     pub finish: Option<Timestamp>,
     /// When the turn is of no use any more if it has not gone: its caller gives up, or its
@@ -35,7 +35,7 @@
     /// Memory that it holds while it waits, in bytes.
     pub bytes: usize,
     /// Differs between turns, to spread those who are asked to come back.
-    pub spread: u64,
+    pub seed: u64,
 }
 
 /// A turn that waits.
@@ -43,7 +43,7 @@
 pub struct QueuedTurn {
     pub(super) urgency: u8,
     pub(super) excess: u8,
-    pub(super) standing: Standing,
+    pub(super) standing: ProgramState,
     pub(super) finish: Option<Timestamp>,
     pub(super) arrived: Timestamp,
     pub(super) latest_start: Timestamp,
@@ -56,7 +56,7 @@
 /// Urgency comes first. Within it, a program that can no longer end in time gives way to those that
 /// can; then come tenants that had less than their share, then programs that have begun, then the
 /// one whose time is over first.
-pub(super) type Order = (u8, bool, u8, Standing, Timestamp, Timestamp);
+pub(super) type Order = (u8, bool, u8, ProgramState, Timestamp, Timestamp);
 
 impl QueuedTurn {
     /// `excess` is by how much its tenant has had more than its share.
@@ -64,12 +64,12 @@
         Self {
             urgency: turn.urgency,
             excess,
-            standing: turn.standing,
+            standing: turn.program_state,
             finish: turn.finish,
             arrived: now,
             latest_start: turn.latest_start,
             bytes: turn.bytes,
-            spread: turn.spread,
+            spread: turn.seed,
         }
     }
 
--- a/crates/gateway-core/src/attempt.rs
+++ b/crates/gateway-core/src/attempt.rs
@@ -58,9 +58,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Try another worker.
-    TryAgain,
+    Retry,
     /// Try the same worker once more, on another connection: the route allows no other.
-    TrySameWorker,
+    RetrySameWorker,
     /// Answer. Whether that may promise that the request was not run, [`AttemptHistory::not_run`]
     /// tells.
     GiveUp,
@@ -68,7 +68,7 @@
 
 impl AttemptHistory {
     /// Begins an attempt. The mark is to be set before the first byte goes out.
-    pub fn begin(&mut self) -> SendMark {
+    pub fn start_attempt(&mut self) -> SendMark {
         self.earlier |= self.present.0.get();
         self.present = SendMark::default();
         self.present.clone()
@@ -96,12 +96,12 @@
         if self.possibly_run >= max_attempts {
             let is_last_worker = self.possibly_run == max_attempts;
             return match failure {
-                AttemptFailure::Unknown if is_last_worker => NextStep::TrySameWorker,
+                AttemptFailure::Unknown if is_last_worker => NextStep::RetrySameWorker,
                 _ => NextStep::GiveUp,
             };
         }
         match self.not_run <= MAX_HARMLESS_FAILURES {
-            true => NextStep::TryAgain,
+            true => NextStep::Retry,
             false => NextStep::GiveUp,
         }
     }
--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -11,7 +11,7 @@
 use elderworks_types::Timestamp;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::placement::demand::{EngineTurn, PartKey};
+use crate::placement::demand::{EngineTurn, PrefixKey};
 use crate::placement::homes::{home_count, place};
 use crate::workers::{Worker, WorkerDirectory};
 
@@ -31,7 +31,7 @@
     /// Set for turns of which an engine reads a prompt that begins with a shared part.
     pub turn: Option<EngineTurn>,
     /// A number that differs between requests, to spread those without a key.
-    pub spread: u64,
+    pub seed: u64,
     /// Whether this node has a connection at rest to the worker of that id.
     pub is_connected: &'a dyn Fn(&str) -> bool,
 }
@@ -48,13 +48,13 @@
         .or_else(|| {
             workers
                 .accepting(query.service)
-                .filter(|worker| !workers.is_held_back(worker, now))
+                .filter(|worker| !workers.is_throttled(worker, now))
                 .min_by_key(|worker| rank(workers, worker, query, now))
         })
         .or_else(|| {
             workers
                 .last_resort(query.service, now)
-                .filter(|worker| !workers.is_held_back(worker, now))
+                .filter(|worker| !workers.is_throttled(worker, now))
                 .min_by_key(|worker| rank(workers, worker, query, now))
         })
 }
@@ -85,9 +85,9 @@
     let is_near = |worker: &&Worker| worker.record.zone == query.zone;
     let is_good = |worker: &&'a Worker| {
         !query.tried.contains(&worker.record.id)
-            && !worker.is_unfit(now, query.repeatable)
+            && !worker.should_avoid(now, query.repeatable)
             && !worker.is_full(now)
-            && !workers.is_held_back(worker, now)
+            && !workers.is_throttled(worker, now)
             && !workers.is_doubtful(worker, spread_of(query), now)
     };
     let homes = Homes::of(workers, query);
@@ -134,7 +134,7 @@
     /// The first ones in the part's order.
     Some {
         /// The part.
-        part: PartKey,
+        part: PrefixKey,
         /// Place of the last home.
         last: u64,
     },
@@ -148,7 +148,7 @@
         };
         let accepting = workers.accepting(query.service);
         let mut places: Vec<u64> = accepting
-            .map(|worker| place(turn.part, &worker.record.id))
+            .map(|worker| place(turn.prefix, &worker.record.id))
             .collect();
         places.sort_unstable();
         let homes = home_count(workers.home_share(query.service, &turn), places.len());
@@ -157,7 +157,7 @@
         }
         let last = homes.checked_sub(1).and_then(|index| places.get(index));
         Self::Some {
-            part: turn.part,
+            part: turn.prefix,
             last: last.copied().unwrap_or(u64::MAX),
         }
     }
@@ -226,7 +226,7 @@
         tried,
         workers.is_doubtful(worker, spread_of(query), now),
         worker.is_ejected(now),
-        worker.is_unfit(now, query.repeatable),
+        worker.should_avoid(now, query.repeatable),
         worker.is_full(now),
         rounds,
         load(worker, query),
@@ -253,6 +253,6 @@
 fn spread_of(query: &PlacementQuery<'_>) -> u64 {
     match query.key {
         Some(key) => xxh3_64_with_seed(key.as_bytes(), 0),
-        None => query.spread,
+        None => query.seed,
     }
 }
--- a/crates/gateway-core/src/call.rs
+++ b/crates/gateway-core/src/call.rs
@@ -33,7 +33,7 @@
     /// Tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
     /// Tokens that this turn generates at most.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// The kept turn that this one goes on from.
     pub previous_turn: Option<String>,
     /// The prompt's parts in order.
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -7,7 +7,7 @@
 
 use crate::config::MemoryMoves;
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// Tokens that an engine is taken to read in a millisecond.
 const READ_TOKENS_PER_MS: u64 = 200;
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// The part.
-    pub part: PartKey,
+    pub part: PrefixKey,
     /// Its length.
     pub tokens: u64,
     /// Whether it comes from another zone.
@@ -73,7 +73,7 @@
 /// Fetches of late, by the engine that takes the part.
 #[derive(Clone, Debug, Default)]
 pub struct FetchBook {
-    fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PartKey, u64)>>,
+    fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PrefixKey, u64)>>,
 }
 
 impl FetchBook {
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::engines::{MemoryEvent, MemoryEvents, MemoryListing};
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// Most parts of one engine that are told apart; the shortest are forgotten first. An engine keeps
 /// fewer: each conversation of its memory has one part of its own.
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogChange {
     /// Nothing beyond what its events say.
-    Went,
+    Applied,
     /// The engine has started again: nothing of what was known holds.
     Restarted,
     /// Events are missing: what is not known to be kept may be.
@@ -25,7 +25,7 @@
 pub struct EngineLog {
     epoch: Option<u64>,
     next: u64,
-    parts: BTreeMap<PartKey, u64>,
+    parts: BTreeMap<PrefixKey, u64>,
     /// Whether a part that is not known is not kept.
     is_whole: bool,
 }
@@ -60,7 +60,7 @@
         self.take(&answer.events);
         match answer.has_gap {
             true => LogChange::Gap,
-            false => LogChange::Went,
+            false => LogChange::Applied,
         }
     }
 
@@ -76,13 +76,13 @@
         self.take(&listing.parts);
         match has_restarted {
             true => LogChange::Restarted,
-            false => LogChange::Went,
+            false => LogChange::Applied,
         }
     }
 
     fn take(&mut self, events: &[MemoryEvent]) {
         for event in events {
-            let part = PartKey::of(&event.part);
+            let part = PrefixKey::of(&event.part);
             match event.tokens {
                 0 => self.parts.remove(&part),
                 tokens => self.parts.insert(part, tokens),
@@ -97,7 +97,7 @@
     }
 
     /// Tokens of a part that the engine keeps; `None` if that is not known.
-    pub fn held(&self, part: PartKey) -> Option<u64> {
+    pub fn held(&self, part: PrefixKey) -> Option<u64> {
         let known = self.parts.get(&part).copied();
         known.or_else(|| (self.is_whole && self.epoch.is_some()).then_some(0))
     }
--- a/crates/gateway-core/src/engine_memory/mod.rs
+++ b/crates/gateway-core/src/engine_memory/mod.rs
@@ -8,9 +8,9 @@
 //! where a request runs, only whether its engine takes a part of the prompt from another one
 //! ([`fetching`]).
 
-pub mod beliefs;
 pub mod fetching;
 pub mod log;
 pub mod readers;
 pub mod reading;
-pub mod telling;
+pub mod reporting;
+pub mod snapshots;
--- a/crates/gateway-core/src/engine_memory/reading.rs
+++ b/crates/gateway-core/src/engine_memory/reading.rs
@@ -120,7 +120,7 @@
                 }
                 self.failures += 1;
                 self.next_call = now + self.jittered(self.backoff());
-                return LogChange::Went;
+                return LogChange::Applied;
             }
         };
         self.failures = 0;
@@ -128,7 +128,7 @@
         self.wants_list |= change == LogChange::Gap;
         let pause = match change {
             LogChange::Restarted => Duration::ZERO,
-            LogChange::Went | LogChange::Gap => READ_PAUSE,
+            LogChange::Applied | LogChange::Gap => READ_PAUSE,
         };
         self.next_call = now + self.jittered(pause);
         change
@@ -140,7 +140,7 @@
     }
 
     /// When the last call that was answered was sent; `None` if none was.
-    pub fn heard(&self) -> Option<Timestamp> {
+    pub fn observed_at(&self) -> Option<Timestamp> {
         self.heard
     }
 
--- a/crates/gateway-core/src/engine_memory/beliefs.rs
+++ b/crates/gateway-core/src/engine_memory/snapshots.rs
@@ -6,7 +6,7 @@
 use elderworks_types::Timestamp;
 
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// A belief counts for this long after the engine was heard; readers repeat theirs more often.
 pub const BELIEF_LIFETIME: Duration = Duration::from_secs(10);
@@ -16,13 +16,13 @@
 
 /// What is believed of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct MemorySnapshot {
     /// The start of the engine that it is about.
     pub born: u64,
     /// When the engine was heard.
-    pub heard: Timestamp,
+    pub observed_at: Timestamp,
     /// Tokens kept of each part that is known, 0 of those that are not kept.
-    pub parts: BTreeMap<PartKey, u64>,
+    pub prefixes: BTreeMap<PrefixKey, u64>,
 }
 
 /// Whether an engine keeps a part.
@@ -39,14 +39,14 @@
 /// The latest belief of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineMemories {
-    beliefs: BTreeMap<WorkerKey, Belief>,
+    beliefs: BTreeMap<WorkerKey, MemorySnapshot>,
 }
 
 impl EngineMemories {
     /// Takes a belief unless a later one is known; tells whether it did.
-    pub fn take(&mut self, engine: WorkerKey, belief: Belief) -> bool {
+    pub fn take(&mut self, engine: WorkerKey, belief: MemorySnapshot) -> bool {
         if let Some(known) = self.beliefs.get(&engine)
-            && (known.born, known.heard) > (belief.born, belief.heard)
+            && (known.born, known.observed_at) > (belief.born, belief.observed_at)
         {
             return false;
         }
@@ -62,7 +62,7 @@
     /// Forgets what is too old.
     pub fn drop_old(&mut self, now: Timestamp) {
         self.beliefs
-            .retain(|_, belief| now.since(belief.heard) < BELIEF_LIFETIME);
+            .retain(|_, belief| now.since(belief.observed_at) < BELIEF_LIFETIME);
     }
 
     /// Whether an engine, in its start at `born`, keeps a part of so many tokens.
@@ -70,15 +70,14 @@
         &self,
         engine: WorkerKey,
         born: u64,
-        part: PartKey,
+        part: PrefixKey,
         tokens: u64,
         now: Timestamp,
     ) -> Holding {
-        let belief = self
-            .beliefs
-            .get(&engine)
-            .filter(|belief| belief.born == born && now.since(belief.heard) < BELIEF_LIFETIME);
-        let held = belief.and_then(|belief| belief.parts.get(&part));
+        let belief = self.beliefs.get(&engine).filter(|belief| {
+            belief.born == born && now.since(belief.observed_at) < BELIEF_LIFETIME
+        });
+        let held = belief.and_then(|belief| belief.prefixes.get(&part));
         match held {
             Some(held) if held * 4 >= tokens * HELD_QUARTERS => Holding::Holds,
             Some(_) => Holding::Lacks,
@@ -87,14 +86,17 @@
     }
 
     /// How many parts are believed to be kept, at all engines together.
-    pub fn parts_held(&self) -> usize {
-        let parts = self.beliefs.values().flat_map(|belief| &belief.parts);
+    pub fn held_prefixes(&self) -> usize {
+        let parts = self.beliefs.values().flat_map(|belief| &belief.prefixes);
         parts.filter(|(_, tokens)| **tokens > 0).count()
     }
 
     /// Age of the oldest belief.
-    pub fn oldest(&self, now: Timestamp) -> Option<Duration> {
-        let ages = self.beliefs.values().map(|belief| now.since(belief.heard));
+    pub fn oldest_age(&self, now: Timestamp) -> Option<Duration> {
+        let ages = self
+            .beliefs
+            .values()
+            .map(|belief| now.since(belief.observed_at));
         ages.max()
     }
 
--- a/crates/gateway-core/src/evacuations.rs
+++ b/crates/gateway-core/src/evacuations.rs
@@ -14,7 +14,7 @@
 
 /// The operator's latest wish for one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ZoneWish {
+pub struct EvacuationOrder {
     /// Position of the record that says so.
     pub offset: Offset,
     /// Whether the zone's workers are to get nothing more.
@@ -24,12 +24,12 @@
 /// The latest wish for every zone that there was one for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    wishes: BTreeMap<String, ZoneWish>,
+    wishes: BTreeMap<String, EvacuationOrder>,
 }
 
 impl Evacuations {
     /// Takes a wish; tells whether it changes what holds for the zone.
-    pub fn note(&mut self, zone: &str, wish: ZoneWish) -> bool {
+    pub fn note(&mut self, zone: &str, wish: EvacuationOrder) -> bool {
         let known = self.wishes.get(zone).copied();
         if known.is_some_and(|known| known.offset >= wish.offset) {
             return false;
@@ -43,12 +43,12 @@
 
     /// Takes what a reading of all records has shown: `listed` are the zones to be emptied, and those
     /// known before `end` that are not among them are lifted. Returns those that are.
-    pub fn lift_all_but(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
+    pub fn lift_unlisted(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
         let mut lifted = Vec::new();
         for (zone, wish) in &mut self.wishes {
             let is_over = wish.is_on && wish.offset < end && !listed.contains(zone.as_str());
             if is_over {
-                *wish = ZoneWish {
+                *wish = EvacuationOrder {
                     offset: end,
                     is_on: false,
                 };
@@ -72,7 +72,7 @@
     }
 
     /// Every wish, also those that are over, for other nodes.
-    pub fn wishes(&self) -> impl Iterator<Item = (&str, ZoneWish)> {
+    pub fn orders(&self) -> impl Iterator<Item = (&str, EvacuationOrder)> {
         let wishes = self.wishes.iter();
         wishes.map(|(zone, wish)| (zone.as_str(), *wish))
     }
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -44,9 +44,9 @@
 
 /// Stands for a first part of prompts: equal keys mean equal text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PartKey(pub u32);
+pub struct PrefixKey(pub u32);
 
-impl PartKey {
+impl PrefixKey {
     /// The key of the part of that name.
     pub fn of(name: &str) -> Self {
         let hash = xxh3_64(name.as_bytes());
@@ -58,13 +58,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineTurn {
     /// The first part of its prompt.
-    pub part: PartKey,
+    pub prefix: PrefixKey,
     /// Length of that part in tokens.
-    pub part_tokens: u64,
+    pub prefix_tokens: u64,
     /// Tokens of the prompt behind its first part.
-    pub private_tokens: u64,
+    pub suffix_tokens: u64,
     /// Tokens that the turn generates at most.
-    pub answer_tokens: u64,
+    pub max_output_tokens: u64,
     /// Tokens that one engine's memory holds.
     pub memory_tokens: u64,
     /// Requests that one engine runs at once.
@@ -74,13 +74,13 @@
 impl EngineTurn {
     /// Tokens that it holds at most while it runs.
     pub fn held_tokens(&self) -> u64 {
-        self.part_tokens + self.private_tokens + self.answer_tokens
+        self.prefix_tokens + self.suffix_tokens + self.max_output_tokens
     }
 }
 
 /// Demand for one part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PartUse {
+pub struct PrefixUsage {
     /// Its length in tokens.
     pub tokens: u64,
     /// Turns that asked for it, past ones counted less.
@@ -91,15 +91,15 @@
 #[derive(Clone, Debug)]
 struct Told {
     at: Timestamp,
-    uses: Vec<(PartKey, PartUse)>,
+    uses: Vec<(PrefixKey, PrefixUsage)>,
 }
 
 /// Demand for the parts of one service, and the share of engines that is home to each.
 #[derive(Clone, Debug, Default)]
 pub struct PartDemand {
-    own: BTreeMap<PartKey, PartUse>,
+    own: BTreeMap<PrefixKey, PrefixUsage>,
     told: BTreeMap<NodeId, Told>,
-    shares: BTreeMap<PartKey, f64>,
+    shares: BTreeMap<PrefixKey, f64>,
     /// Mean of the tokens that turns hold.
     held_mean: f64,
     refreshed: Option<Timestamp>,
@@ -114,15 +114,15 @@
         }
         self.held_mean += (held - self.held_mean) * MEAN_STEP;
         let is_due = |at: Timestamp| now.since(at) >= REFRESH;
-        let is_due = self.refreshed.is_none_or(is_due) || !self.shares.contains_key(&turn.part);
+        let is_due = self.refreshed.is_none_or(is_due) || !self.shares.contains_key(&turn.prefix);
         if is_due {
             self.decay(now);
         }
-        let part = self.own.entry(turn.part).or_insert(PartUse {
-            tokens: turn.part_tokens,
+        let part = self.own.entry(turn.prefix).or_insert(PrefixUsage {
+            tokens: turn.prefix_tokens,
             turns: 0.0,
         });
-        part.tokens = turn.part_tokens;
+        part.tokens = turn.prefix_tokens;
         part.turns += 1.0;
         if is_due {
             self.refresh(turn, engines);
@@ -130,13 +130,13 @@
     }
 
     /// Takes another node's demand in place of what it told before.
-    pub fn take_told(&mut self, now: Timestamp, node: NodeId, uses: Vec<(PartKey, PartUse)>) {
+    pub fn take_told(&mut self, now: Timestamp, node: NodeId, uses: Vec<(PrefixKey, PrefixUsage)>) {
         self.told.insert(node, Told { at: now, uses });
     }
 
     /// What other nodes are told: this node's own demand.
-    pub fn own_demand(&self) -> Vec<(PartKey, PartUse)> {
-        let mut uses: Vec<(PartKey, PartUse)> =
+    pub fn own_demand(&self) -> Vec<(PrefixKey, PrefixUsage)> {
+        let mut uses: Vec<(PrefixKey, PrefixUsage)> =
             self.own.iter().map(|(key, used)| (*key, *used)).collect();
         uses.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
         uses.truncate(MOST_TOLD);
@@ -144,18 +144,18 @@
     }
 
     /// Parts that turns ask for here or elsewhere, those asked for most.
-    pub fn most_wanted(&self, most: usize) -> Vec<PartKey> {
+    pub fn most_wanted(&self, most: usize) -> Vec<PrefixKey> {
         if self.shares.len() <= most {
             return self.shares.keys().copied().collect();
         }
-        let mut wanted: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
+        let mut wanted: Vec<(PrefixKey, PrefixUsage)> = self.all_demand().into_iter().collect();
         wanted.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
         wanted.truncate(most);
         wanted.into_iter().map(|(part, _)| part).collect()
     }
 
     /// Share of the engines that is home to a part; all of them if nothing is known of it.
-    pub fn share(&self, part: PartKey) -> f64 {
+    pub fn share(&self, part: PrefixKey) -> f64 {
         self.shares.get(&part).copied().unwrap_or(1.0)
     }
 
@@ -188,10 +188,10 @@
     }
 
     /// Demand of all nodes that have told, and of this one.
-    fn all_demand(&self) -> BTreeMap<PartKey, PartUse> {
+    fn all_demand(&self) -> BTreeMap<PrefixKey, PrefixUsage> {
         let mut all = self.own.clone();
         for (key, used) in self.told.values().flat_map(|told| &told.uses) {
-            let sum = all.entry(*key).or_insert(PartUse {
+            let sum = all.entry(*key).or_insert(PrefixUsage {
                 tokens: used.tokens,
                 turns: 0.0,
             });
@@ -212,7 +212,7 @@
             })
             .collect();
         loads.push(PartLoad {
-            tokens: turn.part_tokens as f64,
+            tokens: turn.prefix_tokens as f64,
             weight: UNMET_TURNS,
         });
         let shares = home_shares(&loads, room, engines);
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::demand::PartKey;
+use super::demand::PrefixKey;
 
 /// Fewest homes of a part, so that one engine's loss or spell of noise leaves another one.
 const FEWEST_HOMES: f64 = 2.0;
@@ -53,7 +53,7 @@
 }
 
 /// Place of an engine in a part's order; the least is the part's first home.
-pub fn place(part: PartKey, engine: &str) -> u64 {
+pub fn place(part: PrefixKey, engine: &str) -> u64 {
     xxh3_64_with_seed(engine.as_bytes(), u64::from(part.0))
 }
 
--- a/crates/gateway-core/src/run_moves/targets.rs
+++ b/crates/gateway-core/src/run_moves/targets.rs
@@ -32,9 +32,9 @@
         worker.record.id != own
             && !tried.contains(&worker.record.id)
             && workers.load(worker) < worker.record.slots
-            && !worker.is_unfit(now, false)
+            && !worker.should_avoid(now, false)
             && !worker.is_full(now)
-            && !workers.is_held_back(worker, now)
+            && !workers.is_throttled(worker, now)
     };
     workers
         .iter()
--- a/crates/gateway-core/src/worker_health.rs
+++ b/crates/gateway-core/src/worker_health.rs
@@ -86,7 +86,7 @@
     }
 
     /// Notes that another node has ejected the worker; tells whether it is ejected now.
-    pub fn note_report(&mut self, now: Timestamp, node: NodeId) -> bool {
+    pub fn note_ejection_report(&mut self, now: Timestamp, node: NodeId) -> bool {
         self.reports
             .retain(|_, reported| now.since(*reported) < REPORT_LIFETIME);
         self.reports.insert(node, now);
--- a/crates/gateway-core/src/workers/demand.rs
+++ b/crates/gateway-core/src/workers/demand.rs
@@ -3,7 +3,7 @@
 use elderworks_types::{NodeId, Timestamp};
 
 use super::WorkerDirectory;
-use crate::placement::demand::{EngineTurn, PartDemand, PartKey, PartUse};
+use crate::placement::demand::{EngineTurn, PartDemand, PrefixKey, PrefixUsage};
 
 impl WorkerDirectory {
     /// Counts the demand of a turn for the first part of its prompt.
@@ -18,18 +18,18 @@
     }
 
     /// Demand for first parts that other nodes are told of, by service.
-    pub fn own_demand(&self) -> impl Iterator<Item = (&str, Vec<(PartKey, PartUse)>)> {
+    pub fn own_demand(&self) -> impl Iterator<Item = (&str, Vec<(PrefixKey, PrefixUsage)>)> {
         let parts = self.parts.iter();
         parts.map(|(service, demand)| (service.as_str(), demand.own_demand()))
     }
 
     /// Takes what another node tells of its demand; of no more services than have workers here.
-    pub fn take_demand(
+    pub fn apply_peer_demand(
         &mut self,
         now: Timestamp,
         node: NodeId,
         service: &str,
-        uses: Vec<(PartKey, PartUse)>,
+        uses: Vec<(PrefixKey, PrefixUsage)>,
     ) {
         if self.accepting(service).next().is_none() {
             return;
@@ -41,6 +41,6 @@
     /// Share of a service's engines that is home to the first part of a turn's prompt.
     pub fn home_share(&self, service: &str, turn: &EngineTurn) -> f64 {
         let parts = self.parts.get(service);
-        parts.map_or(1.0, |parts| parts.share(turn.part))
+        parts.map_or(1.0, |parts| parts.share(turn.prefix))
     }
 }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -7,17 +7,17 @@
 
 use super::{Worker, WorkerDirectory};
 use crate::config::MemoryMoves;
-use crate::engine_memory::beliefs::{Belief, EngineMemories, Holding};
 use crate::engine_memory::fetching::Fetch;
 use crate::engine_memory::log::EngineLog;
-use crate::engine_memory::telling::MOST_PARTS_TOLD;
+use crate::engine_memory::reporting::MAX_REPORTED_PREFIXES;
+use crate::engine_memory::snapshots::{EngineMemories, Holding, MemorySnapshot};
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::{EngineTurn, PartKey};
+use crate::placement::demand::{EngineTurn, PrefixKey};
 
 impl WorkerDirectory {
     /// Takes a belief on an engine unless a later one is known or the engine is not; tells whether it
     /// did.
-    pub fn take_memory(&mut self, engine: WorkerKey, belief: Belief) -> bool {
+    pub fn apply_memory_snapshot(&mut self, engine: WorkerKey, belief: MemorySnapshot) -> bool {
         let is_known = self.workers.values().any(|worker| worker.key == engine);
         is_known && self.memories.take(engine, belief)
     }
@@ -33,17 +33,22 @@
     }
 
     /// What a reader of an engine believes of it: the parts that turns ask for, those asked for most.
-    pub fn belief_of(&self, worker: &Worker, heard: Timestamp, log: &EngineLog) -> Belief {
+    pub fn snapshot_of(
+        &self,
+        worker: &Worker,
+        heard: Timestamp,
+        log: &EngineLog,
+    ) -> MemorySnapshot {
         let demand = self.parts.get(&worker.record.service);
-        let wanted = demand.map(|demand| demand.most_wanted(MOST_PARTS_TOLD));
+        let wanted = demand.map(|demand| demand.most_wanted(MAX_REPORTED_PREFIXES));
         let wanted = wanted.into_iter().flatten();
-        let parts: BTreeMap<PartKey, u64> = wanted
+        let parts: BTreeMap<PrefixKey, u64> = wanted
             .filter_map(|part| Some((part, log.held(part)?)))
             .collect();
-        Belief {
+        MemorySnapshot {
             born: worker.record.born,
-            heard,
-            parts,
+            observed_at: heard,
+            prefixes: parts,
         }
     }
 
@@ -51,7 +56,7 @@
     pub fn holding(&self, worker: &Worker, turn: &EngineTurn, now: Timestamp) -> Holding {
         let (key, born) = (worker.key, worker.record.born);
         self.memories
-            .holding(key, born, turn.part, turn.part_tokens, now)
+            .holding(key, born, turn.prefix, turn.prefix_tokens, now)
     }
 
     /// The engine from which a worker is to take the first part of a turn's prompt, with the bytes that
@@ -69,8 +74,8 @@
         }
         let source = self.source_for(target, turn, now)?;
         let fetch = Fetch {
-            part: turn.part,
-            tokens: turn.part_tokens,
+            part: turn.prefix,
+            tokens: turn.prefix_tokens,
             crosses_zones: source.record.zone != target.record.zone,
         };
         let (address, engine) = (source.record.address, target.key);
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -12,8 +12,8 @@
 use elderworks_types::{NodeId, Timestamp};
 
 use crate::cold::ColdSenders;
-use crate::engine_memory::beliefs::EngineMemories;
 use crate::engine_memory::fetching::FetchBook;
+use crate::engine_memory::snapshots::EngineMemories;
 use crate::peer_loads::{PeerLoads, WorkerKey};
 use crate::placement::demand::PartDemand;
 use crate::policy::Policy;
@@ -22,20 +22,20 @@
 
 /// What taking a worker's entry has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum UpsertOutcome {
     /// Nothing.
     Known,
     /// The worker is new, or something of it has changed.
     Changed,
     /// The worker has started again: what was known of it holds no more.
-    Reborn,
+    Restarted,
     /// Nothing: the entry is of an earlier start than the one that is known.
     Outdated,
 }
 
 /// A start of a worker at which a request runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerLife {
+pub struct WorkerInstance {
     /// The worker.
     pub id: String,
     born: u64,
@@ -50,7 +50,7 @@
 
 /// How many connections at rest a node may keep to a worker that takes `max_connections` from all
 /// callers together, so that the nodes do not take the worker's connections from each other.
-pub fn idle_connections_share(max_connections: u32, nodes: u32) -> u32 {
+pub fn max_idle_connections(max_connections: u32, nodes: u32) -> u32 {
     let for_all = max_connections / 4 * IDLE_QUARTERS;
     (for_all / nodes.max(1)).clamp(1, MOST_IDLE_CONNECTIONS)
 }
@@ -94,7 +94,7 @@
 
     /// Whether a request is to be kept from it while there are others: it is ejected, or on
     /// probation and the request is not one to try it with.
-    pub fn is_unfit(&self, now: Timestamp, repeatable: bool) -> bool {
+    pub fn should_avoid(&self, now: Timestamp, repeatable: bool) -> bool {
         match self.health.standing(now) {
             Standing::Good => false,
             Standing::OnProbation => !repeatable || self.in_flight > 0,
@@ -161,11 +161,11 @@
     }
 
     /// Takes a worker's record.
-    pub fn upsert(&mut self, record: WorkerRecord, now: Timestamp) -> Taken {
+    pub fn upsert(&mut self, record: WorkerRecord, now: Timestamp) -> UpsertOutcome {
         let cold_until = now + record.cold_left;
         if let Some(known) = self.workers.get_mut(&record.id) {
             if record.born < known.record.born {
-                return Taken::Outdated;
+                return UpsertOutcome::Outdated;
             }
             if record.born == known.record.born {
                 let is_same = known.record.is_alike(&record) && known.missing_until.is_none();
@@ -173,9 +173,9 @@
                 known.missing_until = None;
                 known.cold_until = cold_until;
                 return if is_same {
-                    Taken::Known
+                    UpsertOutcome::Known
                 } else {
-                    Taken::Changed
+                    UpsertOutcome::Changed
                 };
             }
         }
@@ -194,9 +194,9 @@
             Some(_) => {
                 self.peer_loads.forget_worker(key);
                 self.memories.forget(key);
-                Taken::Reborn
+                UpsertOutcome::Restarted
             }
-            None => Taken::Changed,
+            None => UpsertOutcome::Changed,
         }
     }
 
@@ -334,8 +334,8 @@
 
     /// Notes that a request goes to a worker; the start of it at which the request runs is to be
     /// named at its end.
-    pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerLife {
-        let mut life = WorkerLife {
+    pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerInstance {
+        let mut life = WorkerInstance {
             id: id.to_owned(),
             born: 0,
         };
@@ -352,7 +352,7 @@
     }
 
     /// Notes that a request no longer occupies a worker.
-    pub fn note_end(&mut self, life: &WorkerLife) {
+    pub fn note_completion(&mut self, life: &WorkerInstance) {
         let worker = self.workers.get_mut(&life.id);
         if let Some(worker) = worker.filter(|worker| worker.record.born == life.born) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
@@ -360,7 +360,7 @@
     }
 
     /// Takes what another node says of its requests under way.
-    pub fn take_peer_load(
+    pub fn apply_peer_load(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -407,8 +407,8 @@
     }
 
     /// Notes that another node has ejected a worker; tells whether it is ejected here now.
-    pub fn note_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
+    pub fn note_ejection_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
         let worker = self.workers.get_mut(id).filter(|_| self.policy.ejection);
-        worker.is_some_and(|worker| worker.health.note_report(now, node))
+        worker.is_some_and(|worker| worker.health.note_ejection_report(now, node))
     }
 }
--- a/crates/gateway-core/src/workers/zones.rs
+++ b/crates/gateway-core/src/workers/zones.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{Worker, WorkerDirectory};
-use crate::zone_health::{Source, ZoneHealth, ZonePart, ZoneStanding};
+use crate::zone_health::{FailureSource, ZoneHealth, ZonePart, ZoneStanding};
 
 impl WorkerDirectory {
     /// The same, with this node's zone, which is never taken for lost.
@@ -24,7 +24,7 @@
     }
 
     /// Notes that something was heard from a worker.
-    pub fn note_heard(&mut self, id: &str, now: Timestamp) {
+    pub fn note_response(&mut self, id: &str, now: Timestamp) {
         if !self.policy.zone_suspicion {
             return;
         }
@@ -40,7 +40,7 @@
             return;
         }
         if let Some(worker) = self.workers.get(id) {
-            let source = Source::worker(id);
+            let source = FailureSource::worker(id);
             self.zone_health
                 .note_failure(now, &worker.record.zone, source);
         }
--- a/crates/gateway-core/src/zone_health.rs
+++ b/crates/gateway-core/src/zone_health.rs
@@ -56,9 +56,9 @@
 
 /// A machine or worker that has failed to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Source(ZonePart, u64);
+pub struct FailureSource(ZonePart, u64);
 
-impl Source {
+impl FailureSource {
     /// A worker, by its id.
     pub fn worker(id: &str) -> Self {
         Self(ZonePart::Workers, xxh3_64(id.as_bytes()))
@@ -105,7 +105,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct ZoneState {
-    failures: BTreeMap<Source, Timestamp>,
+    failures: BTreeMap<FailureSource, Timestamp>,
     workers: PartState,
     nodes: PartState,
 }
@@ -160,7 +160,7 @@
     }
 
     /// Notes that a machine or worker of a zone did not answer, or is held to be gone.
-    pub fn note_failure(&mut self, now: Timestamp, zone: &str, source: Source) {
+    pub fn note_failure(&mut self, now: Timestamp, zone: &str, source: FailureSource) {
         let Some(state) = self.state_of(zone) else {
             return;
         };
--- a/crates/gateway-core/src/zone_spread.rs
+++ b/crates/gateway-core/src/zone_spread.rs
@@ -11,7 +11,7 @@
 const FEWEST_SAFE: usize = 3;
 
 /// A node with its zone.
-pub type Placed<'a> = (&'a NodeId, &'a str);
+pub type NodeInZone<'a> = (&'a NodeId, &'a str);
 
 /// Up to `most` witnesses for an owner in `own_zone`, of the others in their `ranked` order.
 ///
@@ -19,7 +19,11 @@
 /// an odd number, no zone has more than a minority. With fewer zones, the loss of the owner's zone
 /// leaves a majority, if the others have enough nodes: that loss takes the owner too, and its
 /// overdraft has to be fenced.
-pub fn spread_witnesses<'a>(ranked: &[Placed<'a>], own_zone: &str, most: usize) -> Vec<&'a NodeId> {
+pub fn spread_witnesses<'a>(
+    ranked: &[NodeInZone<'a>],
+    own_zone: &str,
+    most: usize,
+) -> Vec<&'a NodeId> {
     let odd_counts = (FEWEST_SAFE..=most).rev().filter(|count| count % 2 == 1);
     for count in odd_counts {
         let minority = (count - 1) / 2;
@@ -32,7 +36,7 @@
 }
 
 fn witnesses_of_few_zones<'a>(
-    ranked: &[Placed<'a>],
+    ranked: &[NodeInZone<'a>],
     own_zone: &str,
     most: usize,
 ) -> Vec<&'a NodeId> {
@@ -53,8 +57,12 @@
 }
 
 /// The first `most` of the order, of each zone no more than its cap.
-fn capped<'a>(ranked: &[Placed<'a>], most: usize, cap: impl Fn(&str) -> usize) -> Vec<Placed<'a>> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(most);
+fn capped<'a>(
+    ranked: &[NodeInZone<'a>],
+    most: usize,
+    cap: impl Fn(&str) -> usize,
+) -> Vec<NodeInZone<'a>> {
+    let mut chosen: Vec<NodeInZone<'a>> = Vec::with_capacity(most);
     for placed in ranked {
         if chosen.len() == most {
             break;
@@ -67,7 +75,7 @@
     chosen
 }
 
-fn names<'a>(placed: &[Placed<'a>]) -> Vec<&'a NodeId> {
+fn names<'a>(placed: &[NodeInZone<'a>]) -> Vec<&'a NodeId> {
     placed.iter().map(|(node, _)| *node).collect()
 }
 
@@ -77,11 +85,11 @@
 /// The places before it stay: the foremost is the owner in the eyes of all nodes, and the next one
 /// becomes the owner when it is lost alone.
 pub fn spread_candidates<'a>(
-    ranked: impl Iterator<Item = Placed<'a>>,
+    ranked: impl Iterator<Item = NodeInZone<'a>>,
     asked: usize,
     most: usize,
 ) -> Vec<&'a NodeId> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(most);
+    let mut chosen: Vec<NodeInZone<'a>> = Vec::with_capacity(most);
     let mut next_elsewhere = None;
     for placed in ranked {
         let is_elsewhere = chosen.first().is_some_and(|first| first.1 != placed.1);
--- a/crates/gateway-core/tests/admission.rs
+++ b/crates/gateway-core/tests/admission.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::admission::{
-    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, QueueLimits, Room, ServiceKey,
-    Standing, Ticket, Turn, Waiting,
+    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, ProgramState, QueueLimits, Room,
+    ServiceKey, Ticket, Turn, Waiting,
 };
 use elderworks_gateway_core::peer_loads::REPORT_LIFETIME;
 use elderworks_gateway_core::tenants::TenantKey;
@@ -45,12 +45,12 @@
     Turn {
         urgency,
         tenant: None,
-        standing: Standing::Begun,
+        program_state: ProgramState::Started,
         finish: None,
         latest_start: START + PATIENCE,
         prompt_tokens: 1_000,
         bytes: 10,
-        spread: 1,
+        seed: 1,
     }
 }
 
@@ -60,11 +60,11 @@
     // The pace is known: turns take 250 ms.
     for _ in 0..8 {
         admission.arrive(START, SERVICE, ROOM, turn(9));
-        admission.end(SERVICE, Some(Duration::from_millis(250)));
+        admission.complete(SERVICE, Some(Duration::from_millis(250)));
     }
     for _ in 0..ROOM.slots {
         let decision = admission.arrive(START, SERVICE, ROOM, turn(9));
-        assert_eq!(decision.arrival, Arrival::Go);
+        assert_eq!(decision.arrival, Arrival::Admit);
     }
     admission
 }
@@ -80,7 +80,7 @@
 fn order_of(admission: &mut Admission, count: usize) -> Vec<Ticket> {
     let mut order = Vec::new();
     for _ in 0..count {
-        admission.end(SERVICE, None);
+        admission.complete(SERVICE, None);
         order.extend(admission.release(START, SERVICE, ROOM));
     }
     order
@@ -96,10 +96,10 @@
         let mut admission = Admission::new(rules(mode));
         for _ in 0..ROOM.slots {
             let decision = admission.arrive(START, SERVICE, ROOM, turn(5));
-            assert_eq!(decision.arrival, Arrival::Go, "{mode:?}");
+            assert_eq!(decision.arrival, Arrival::Admit, "{mode:?}");
         }
         let decision = admission.arrive(START, SERVICE, ROOM, turn(0));
-        let goes = decision.arrival == Arrival::Go;
+        let goes = decision.arrival == Arrival::Admit;
         assert_eq!(goes, mode == AdmissionMode::Off, "{mode:?}");
     }
 }
@@ -118,7 +118,7 @@
     let waiting = waits(&mut admission, turn(0));
     let none = Room::default();
     let decision = admission.arrive(START, SERVICE, none, turn(0));
-    assert_eq!(decision.arrival, Arrival::Go);
+    assert_eq!(decision.arrival, Arrival::Admit);
     assert_eq!(admission.release(START, SERVICE, none), [waiting]);
 }
 
@@ -126,7 +126,7 @@
 fn the_order_is_urgency_then_standing_then_slack() {
     let finish = |milliseconds| Some(after(milliseconds));
     let with = |urgency, standing, finish| Turn {
-        standing,
+        program_state: standing,
         finish,
         ..turn(urgency)
     };
@@ -134,23 +134,23 @@
         ("urgency", turn(2), turn(0)),
         (
             "standing",
-            with(1, Standing::New, finish(900)),
-            with(1, Standing::Begun, finish(2_000)),
+            with(1, ProgramState::New, finish(900)),
+            with(1, ProgramState::Started, finish(2_000)),
         ),
         (
             "slack",
-            with(1, Standing::Begun, finish(2_000)),
-            with(1, Standing::Begun, finish(900)),
+            with(1, ProgramState::Started, finish(2_000)),
+            with(1, ProgramState::Started, finish(900)),
         ),
         (
             "a program that ends late anyhow gives way",
-            with(1, Standing::Begun, finish(20)),
-            with(1, Standing::New, finish(2_000)),
+            with(1, ProgramState::Started, finish(20)),
+            with(1, ProgramState::New, finish(2_000)),
         ),
         (
             "but not to what is less urgent",
-            with(2, Standing::Begun, finish(2_000)),
-            with(0, Standing::New, finish(20)),
+            with(2, ProgramState::Started, finish(2_000)),
+            with(0, ProgramState::New, finish(20)),
         ),
     ];
     for (what, later, first) in cases {
@@ -236,7 +236,7 @@
         match admission.arrive(START, SERVICE, ROOM, turn(1)).arrival {
             Arrival::Wait { .. } => waiting += 1,
             Arrival::Refuse(refused) => break refused,
-            Arrival::Go => panic!("every place is taken"),
+            Arrival::Admit => panic!("every place is taken"),
         }
     };
     assert_eq!(waiting, 12);
@@ -267,7 +267,7 @@
         waits(&mut admission, turn(1));
     }
     let newcomer = Turn {
-        standing: Standing::New,
+        program_state: ProgramState::New,
         ..turn(1)
     };
     let decision = admission.arrive(START, SERVICE, ROOM, newcomer);
@@ -283,7 +283,10 @@
     }
     let mut pauses: Vec<Duration> = (0..8)
         .map(|spread| {
-            let turn = Turn { spread, ..turn(1) };
+            let turn = Turn {
+                seed: spread,
+                ..turn(1)
+            };
             match admission.arrive(START, SERVICE, ROOM, turn).arrival {
                 Arrival::Refuse(refused) => refused.retry_after,
                 other => panic!("{other:?}"),
@@ -360,7 +363,7 @@
         let decision = admission.arrive(START, SERVICE, taken, turn(urgency));
         assert!(matches!(decision.arrival, Arrival::Wait { .. }));
     }
-    admission.take_demand(START, NodeId::from("other"), elsewhere);
+    admission.apply_peer_demand(START, NodeId::from("other"), elsewhere);
     admission.drop_old(at);
     admission.release(at, SERVICE, free).len()
 }
--- a/crates/gateway-core/tests/admission_load.rs
+++ b/crates/gateway-core/tests/admission_load.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::admission::{
-    Admission, AdmissionMode, AdmissionRules, Arrival, QueueLimits, Room, Standing, Ticket, Turn,
+    Admission, AdmissionMode, AdmissionRules, Arrival, ProgramState, QueueLimits, Room, Ticket,
+    Turn,
 };
 use elderworks_gateway_core::tenants::TenantKey;
 use elderworks_types::{NodeId, Timestamp};
@@ -168,12 +169,12 @@
         let turn = Turn {
             urgency: kind.urgency,
             tenant: Some(TenantKey(kind.tenant)),
-            standing: Standing::Begun,
+            program_state: ProgramState::Started,
             finish: None,
             latest_start: at(now + PATIENCE),
             prompt_tokens: 1_000,
             bytes: 1_000,
-            spread,
+            seed: spread,
         };
         self.outcomes[index].asked += 1;
         let room = self.room(node, now);
@@ -183,7 +184,7 @@
             self.outcomes[waiting.kind].refused += 1;
         }
         match decision.arrival {
-            Arrival::Go => {
+            Arrival::Admit => {
                 let waits = self.send(node, now);
                 self.outcomes[index].waits.push(waits);
             }
@@ -203,7 +204,7 @@
         self.running[node].retain(|end| *end > now);
         for _ in 0..ended {
             let took = Duration::from_millis(TURN);
-            self.nodes[node].end(SERVICE, Some(took));
+            self.nodes[node].complete(SERVICE, Some(took));
         }
         self.nodes[node].drop_old(at(now));
         let room = self.room(node, now);
@@ -236,7 +237,7 @@
                 let is_cut = other == 0 && trouble.is_silent(now);
                 if other != node && !is_cut {
                     let name = NodeId::from(format!("n{node}").as_str());
-                    self.nodes[other].take_demand(at(now), name, demand.clone());
+                    self.nodes[other].apply_peer_demand(at(now), name, demand.clone());
                 }
             }
         }
--- a/crates/gateway-core/tests/admission_room.rs
+++ b/crates/gateway-core/tests/admission_room.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::admission::{
-    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, QueueLimits, Room, ServiceKey,
-    Standing, Turn, Waiting,
+    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, ProgramState, QueueLimits, Room,
+    ServiceKey, Turn, Waiting,
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::workers::{WorkerDirectory, WorkerRecord};
@@ -108,12 +108,12 @@
     Turn {
         urgency: 1,
         tenant: None,
-        standing: Standing::Begun,
+        program_state: ProgramState::Started,
         finish: None,
         latest_start: NOW + Duration::from_millis(1_500),
         prompt_tokens: 1_000,
         bytes: 10,
-        spread,
+        seed: spread,
     }
 }
 
@@ -149,7 +149,7 @@
         let mut admission = Admission::new(rules());
         let decision = admission.arrive(NOW, SERVICE, full, turn(play * 1_000 + node));
         assert!(matches!(decision.arrival, Arrival::Wait { .. }));
-        admission.take_demand(NOW, NodeId::from("others"), waiting_elsewhere(NODES - 1));
+        admission.apply_peer_demand(NOW, NodeId::from("others"), waiting_elsewhere(NODES - 1));
         let free = Room { told: 0, ..full };
         for round in 1..=rounds {
             let at = NOW + Duration::from_millis(100) * round;
@@ -180,9 +180,9 @@
     for _ in 0..8 {
         let free = Room { told: 0, ..room };
         admission.arrive(NOW, SERVICE, free, with_urgency(9));
-        admission.end(SERVICE, Some(Duration::from_millis(250)));
+        admission.complete(SERVICE, Some(Duration::from_millis(250)));
     }
-    admission.take_demand(NOW, NodeId::from("others"), waiting_elsewhere(400));
+    admission.apply_peer_demand(NOW, NodeId::from("others"), waiting_elsewhere(400));
     admission.arrive(NOW, SERVICE, room, with_urgency(0));
     let decision = admission.arrive(NOW, SERVICE, room, with_urgency(1));
     assert!(
--- a/crates/gateway-core/tests/attempts.rs
+++ b/crates/gateway-core/tests/attempts.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use AttemptFailure::{NotSent, RefusedByWorker, Unknown};
-use NextStep::{GiveUp, TryAgain, TrySameWorker};
+use NextStep::{GiveUp, Retry, RetrySameWorker};
 
 /// Whether the answer may promise that the request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         repeatable: false,
         max_attempts: 1,
         failures: &[NotSent],
-        last_step: TryAgain,
+        last_step: Retry,
         promise: Holds,
     },
     Case {
@@ -39,7 +39,7 @@
         repeatable: false,
         max_attempts: 1,
         failures: &[RefusedByWorker, NotSent, RefusedByWorker],
-        last_step: TryAgain,
+        last_step: Retry,
         promise: Holds,
     },
     Case {
@@ -63,7 +63,7 @@
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown],
-        last_step: TryAgain,
+        last_step: Retry,
         promise: Open,
     },
     Case {
@@ -71,7 +71,7 @@
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown, Unknown],
-        last_step: TrySameWorker,
+        last_step: RetrySameWorker,
         promise: Open,
     },
     Case {
@@ -109,7 +109,7 @@
         repeatable: true,
         max_attempts: 3,
         failures: &[Unknown],
-        last_step: TryAgain,
+        last_step: Retry,
         promise: Open,
     },
     Case {
@@ -133,7 +133,7 @@
 fn next_step_after_failures() {
     for case in CASES {
         let mut history = AttemptHistory::default();
-        let mut step = TryAgain;
+        let mut step = Retry;
         for failure in case.failures {
             step = history.after_failure(*failure, case.repeatable, case.max_attempts);
         }
@@ -181,7 +181,7 @@
             match event {
                 Event::Attempt { sent } => {
                     may_have_run |= present_sent;
-                    let mark = history.begin();
+                    let mark = history.start_attempt();
                     if sent {
                         mark.note_sending();
                     }
--- a/crates/gateway-core/tests/cold.rs
+++ b/crates/gateway-core/tests/cold.rs
@@ -8,7 +8,7 @@
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
 use elderworks_gateway_core::cold::{ColdRules, ColdSenders};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{Taken, WorkerDirectory, WorkerRecord};
+use elderworks_gateway_core::workers::{UpsertOutcome, WorkerDirectory, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -46,7 +46,7 @@
         repeatable: true,
         tried: &[],
         turn: None,
-        spread,
+        seed: spread,
         is_connected: &|_| false,
     };
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
@@ -153,11 +153,11 @@
     let mut workers = WorkerDirectory::default();
     assert_eq!(
         workers.upsert(record("w", Duration::ZERO, 5), START),
-        Taken::Changed
+        UpsertOutcome::Changed
     );
     let earlier = workers.note_start("w", START);
     let key = workers.own_load().into_keys().next().expect("its key");
-    workers.take_peer_load(START, NodeId::new("n2"), BTreeMap::from([(key, 3)]));
+    workers.apply_peer_load(START, NodeId::new("n2"), BTreeMap::from([(key, 3)]));
     workers.note_failure("w", START);
     workers.note_failure("w", START);
     assert!(
@@ -167,20 +167,20 @@
     );
     assert_eq!(
         workers.upsert(record("w", Duration::ZERO, 9), START),
-        Taken::Reborn
+        UpsertOutcome::Restarted
     );
     let worker = workers.get("w").expect("known");
     assert_eq!(workers.load(worker), 0, "nothing runs there");
     assert!(!worker.is_ejected(START));
     let later = workers.note_start("w", START);
-    workers.note_end(&earlier);
+    workers.note_completion(&earlier);
     assert_eq!(workers.get("w").map(|worker| worker.in_flight), Some(1));
     assert_eq!(
         workers.upsert(record("w", Duration::ZERO, 5), START),
-        Taken::Outdated
+        UpsertOutcome::Outdated
     );
     assert_eq!(workers.get("w").map(|worker| worker.record.born), Some(9));
-    workers.note_end(&later);
+    workers.note_completion(&later);
     assert_eq!(workers.get("w").map(|worker| worker.in_flight), Some(0));
 }
 
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::config::MemoryMoves;
-use elderworks_gateway_core::engine_memory::beliefs::{
-    BELIEF_LIFETIME, Belief, EngineMemories, Holding,
-};
 use elderworks_gateway_core::engine_memory::fetching::{Fetch, FetchBook};
 use elderworks_gateway_core::engine_memory::log::{EngineLog, LogChange};
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{EngineReader, ReadOutcome, Step};
-use elderworks_gateway_core::engine_memory::telling::{MOST_ENGINES_TOLD, MemoryTeller};
+use elderworks_gateway_core::engine_memory::reporting::{MOST_ENGINES_TOLD, MemoryReporter};
+use elderworks_gateway_core::engine_memory::snapshots::{
+    BELIEF_LIFETIME, EngineMemories, Holding, MemorySnapshot,
+};
 use elderworks_gateway_core::engines::{MemoryEvent, MemoryEvents, MemoryListing};
 use elderworks_gateway_core::peer_loads::WorkerKey;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{Taken, WorkerDirectory, WorkerRecord};
+use elderworks_gateway_core::workers::{UpsertOutcome, WorkerDirectory, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -57,8 +57,8 @@
     }
 }
 
-fn key(part: &str) -> PartKey {
-    PartKey::of(part)
+fn key(part: &str) -> PrefixKey {
+    PrefixKey::of(part)
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let mut log = EngineLog::default();
     assert_eq!(log.held(key("a")), None, "nothing was read yet");
     let first = events(1, 2, &[("a", 100), ("b", 50)]);
-    assert_eq!(log.take_events(&first), LogChange::Went);
+    assert_eq!(log.take_events(&first), LogChange::Applied);
     assert_eq!(log.next(), 2);
     assert_eq!(log.held(key("a")), Some(100));
     assert_eq!(log.held(key("c")), Some(0), "all events were read");
@@ -101,7 +101,7 @@
     assert_eq!(log.held(key("c")), Some(70));
     assert_eq!(
         log.take_listing(&listing(1, 41, &[("b", 50)])),
-        LogChange::Went
+        LogChange::Applied
     );
     assert_eq!(log.held(key("a")), Some(0));
     assert_eq!(log.held(key("b")), Some(50));
@@ -133,7 +133,7 @@
     assert_eq!(reader.next(START), Step::Events { since: 0 });
     let answer = ReadOutcome::Events(events(1, 5, &[("a", 100)]));
     reader.take(START, at(40), &answer);
-    assert_eq!(reader.heard(), Some(START));
+    assert_eq!(reader.observed_at(), Some(START));
     let pause = pause_of(reader.next(at(40)));
     let range = Duration::from_millis(300)..=Duration::from_millis(375);
     assert!(range.contains(&pause), "{pause:?}");
@@ -155,7 +155,7 @@
     assert!(pauses[0] >= Duration::from_millis(500));
     assert!(pauses[2] >= Duration::from_secs(2), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= Duration::from_secs(10)));
-    assert_eq!(reader.heard(), None);
+    assert_eq!(reader.observed_at(), None);
     let answer = ReadOutcome::Events(events(1, 0, &[]));
     reader.take(now, now, &answer);
     reader.take(now, now, &ReadOutcome::Failed);
@@ -171,7 +171,7 @@
         &ReadOutcome::Events(events(1, 1, &[("a", 9)])),
     );
     reader.take(at(1_500), at(3_100), &ReadOutcome::Failed);
-    assert_eq!(reader.heard(), Some(START));
+    assert_eq!(reader.observed_at(), Some(START));
 }
 
 #[test]
@@ -266,11 +266,11 @@
     );
 }
 
-fn belief(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> Belief {
-    Belief {
+fn belief(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> MemorySnapshot {
+    MemorySnapshot {
         born,
-        heard,
-        parts: parts
+        observed_at: heard,
+        prefixes: parts
             .iter()
             .map(|(part, tokens)| (key(part), *tokens))
             .collect(),
@@ -312,12 +312,12 @@
     assert!(!memories.take(engine, belief(5, at(400), &[])));
     assert!(!memories.take(engine, belief(4, at(900), &[])));
     assert!(memories.take(engine, belief(6, at(100), &[])));
-    assert_eq!(memories.parts_held(), 0);
+    assert_eq!(memories.held_prefixes(), 0);
 }
 
 #[test]
 fn others_are_told_what_has_changed_and_now_and_then_the_rest() {
-    let mut teller = MemoryTeller::default();
+    let mut teller = MemoryReporter::default();
     let present = |heard, tokens| {
         let engine = WorkerKey::of("engine");
         BTreeMap::from([(engine, belief(1, heard, &[("a", tokens)]))])
@@ -348,8 +348,8 @@
 proptest! {
     #[test]
     fn what_is_told_is_bounded_and_nothing_waits_for_ever(engines in 1_usize..200) {
-        let mut teller = MemoryTeller::default();
-        let present: BTreeMap<WorkerKey, Belief> = (0..engines)
+        let mut teller = MemoryReporter::default();
+        let present: BTreeMap<WorkerKey, MemorySnapshot> = (0..engines)
             .map(|number| (WorkerKey::of(&number.to_string()), belief(1, START, &[("a", 1)])))
             .collect();
         let mut told = BTreeSet::new();
@@ -372,7 +372,7 @@
         let mut book = FetchBook::default();
         let mut begun: Vec<(Timestamp, u64)> = Vec::new();
         for (millis, part) in calls {
-            let fetch = Fetch { part: PartKey(part), tokens: PART_TOKENS, crosses_zones: false };
+            let fetch = Fetch { part: PrefixKey(part), tokens: PART_TOKENS, crosses_zones: false };
             if book.begin(engine, &fetch, &moves(), at(millis)) {
                 begun.push((at(millis), fetch.bytes(&moves())));
             }
@@ -440,10 +440,10 @@
 
 fn turn(part: &str) -> EngineTurn {
     EngineTurn {
-        part: key(part),
-        part_tokens: PART_TOKENS,
-        private_tokens: 2_000,
-        answer_tokens: 200,
+        prefix: key(part),
+        prefix_tokens: PART_TOKENS,
+        suffix_tokens: 2_000,
+        max_output_tokens: 200,
         memory_tokens: 300_000,
         slots: SLOTS,
     }
@@ -472,7 +472,7 @@
     for number in 0..ENGINES {
         let id = record(number).id;
         let tokens = if id == holder { PART_TOKENS } else { 0 };
-        workers.take_memory(WorkerKey::of(&id), belief(0, now, &[(part, tokens)]));
+        workers.apply_memory_snapshot(WorkerKey::of(&id), belief(0, now, &[(part, tokens)]));
     }
 }
 
@@ -490,23 +490,24 @@
         born: 9,
         ..record(0)
     };
-    assert_eq!(workers.upsert(reborn, START), Taken::Reborn);
+    assert_eq!(workers.upsert(reborn, START), UpsertOutcome::Restarted);
     assert_eq!(holding(&workers), Holding::Unknown);
     let key = WorkerKey::of(&id);
-    workers.take_memory(key, belief(0, START, &[("a", PART_TOKENS)]));
+    workers.apply_memory_snapshot(key, belief(0, START, &[("a", PART_TOKENS)]));
     assert_eq!(
         holding(&workers),
         Holding::Unknown,
         "a word on the start before"
     );
-    workers.take_memory(key, belief(9, START, &[("a", 0)]));
+    workers.apply_memory_snapshot(key, belief(9, START, &[("a", 0)]));
     assert_eq!(holding(&workers), Holding::Lacks);
 }
 
 #[test]
 fn beliefs_on_engines_that_are_not_known_are_not_kept() {
     let mut workers = fleet(Policy::default());
-    let taken = workers.take_memory(WorkerKey::of("stranger"), belief(0, START, &[("a", 1)]));
+    let taken =
+        workers.apply_memory_snapshot(WorkerKey::of("stranger"), belief(0, START, &[("a", 1)]));
     assert!(!taken && workers.memories().is_empty());
 }
 
@@ -528,7 +529,7 @@
     );
     for (number, tokens) in [(0, 0), (1, PART_TOKENS), (2, PART_TOKENS), (4, PART_TOKENS)] {
         let engine = WorkerKey::of(&record(number).id);
-        workers.take_memory(engine, belief(0, START, &[("a", tokens)]));
+        workers.apply_memory_snapshot(engine, belief(0, START, &[("a", tokens)]));
     }
     assert_eq!(
         source(&mut workers, "engine-2", START),
--- a/crates/gateway-core/tests/evacuations.rs
+++ b/crates/gateway-core/tests/evacuations.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::evacuations::{Evacuations, ZoneWish};
+use elderworks_gateway_core::evacuations::{EvacuationOrder, Evacuations};
 use elderworks_gateway_core::workers::WorkerDirectory;
 use elderworks_types::{Offset, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn wish(offset: u64, is_on: bool) -> ZoneWish {
-    ZoneWish {
+fn wish(offset: u64, is_on: bool) -> EvacuationOrder {
+    EvacuationOrder {
         offset: Offset(offset),
         is_on,
     }
@@ -49,7 +49,7 @@
     evacuations.note("dropped", wish(3, true));
     evacuations.note("kept", wish(4, true));
     evacuations.note("newer", wish(12, true));
-    let lifted = evacuations.lift_all_but(&BTreeSet::from(["kept"]), Offset(10));
+    let lifted = evacuations.lift_unlisted(&BTreeSet::from(["kept"]), Offset(10));
     assert_eq!(lifted, ["dropped"]);
     let zones: Vec<&str> = evacuations.zones().collect();
     assert_eq!(zones, ["kept", "newer"], "a wish behind the reading stands");
@@ -63,7 +63,7 @@
         evacuations.note(&format!("zone-{number}"), wish(number * 2, true));
         evacuations.note(&format!("zone-{number}"), wish(number * 2 + 1, false));
     }
-    assert!(evacuations.wishes().count() <= 256);
+    assert!(evacuations.orders().count() <= 256);
     assert!(
         evacuations.note("a", wish(30_000, true)),
         "one more is taken"
@@ -78,7 +78,7 @@
         repeatable: true,
         tried,
         turn: None,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     }
 }
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -7,10 +7,10 @@
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose, is_at_home};
 use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartDemand, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PartDemand, PrefixKey};
 use elderworks_gateway_core::placement::homes::{PartLoad, home_count, home_shares, place};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
+use elderworks_gateway_core::workers::{WorkerDirectory, WorkerInstance, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -23,10 +23,10 @@
 
 fn turn(part: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{part}")),
-        part_tokens: PART_TOKENS,
-        private_tokens: PRIVATE_TOKENS,
-        answer_tokens: 200,
+        prefix: PrefixKey::of(&format!("part-{part}")),
+        prefix_tokens: PART_TOKENS,
+        suffix_tokens: PRIVATE_TOKENS,
+        max_output_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
     }
@@ -60,7 +60,7 @@
         repeatable: false,
         tried: &[],
         turn: Some(turn),
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
@@ -106,7 +106,7 @@
     let engines: Vec<String> = (0..ENGINES)
         .map(|engine| format!("engine-{engine}"))
         .collect();
-    let homes = |part: PartKey, engines: &[String]| -> BTreeSet<String> {
+    let homes = |part: PrefixKey, engines: &[String]| -> BTreeSet<String> {
         let mut order: Vec<&String> = engines.iter().collect();
         order.sort_by_key(|engine| place(part, engine));
         let count = home_count(0.3, engines.len());
@@ -115,7 +115,7 @@
     let gone = &engines[7];
     let left: Vec<String> = engines.iter().filter(|id| *id != gone).cloned().collect();
     for number in 0..PARTS {
-        let part = PartKey::of(&format!("part-{number}"));
+        let part = PrefixKey::of(&format!("part-{number}"));
         let before = homes(part, &engines);
         let after = homes(part, &left);
         let moved = after.difference(&before).count();
@@ -142,7 +142,7 @@
     one.note_turn(&turn(0), ENGINES, later);
     other.note_turn(&turn(0), ENGINES, later);
     for part in 0..PARTS {
-        let key = turn(part).part;
+        let key = turn(part).prefix;
         let (one, other) = (one.share(key), other.share(key));
         assert!(
             (one - other).abs() < 1.0 / ENGINES as f64,
@@ -204,14 +204,14 @@
 
 /// The parts that an engine keeps, the latest last.
 #[derive(Default)]
-struct Kept(VecDeque<PartKey>);
+struct Kept(VecDeque<PrefixKey>);
 
 /// Parts that an engine keeps beside the requests that it runs.
 const KEPT_PARTS: usize = 6;
 
 impl Kept {
     /// Whether the part had to be read.
-    fn read(&mut self, part: PartKey) -> bool {
+    fn read(&mut self, part: PrefixKey) -> bool {
         let kept = self.0.iter().position(|known| *known == part);
         if let Some(index) = kept {
             self.0.remove(index);
@@ -245,21 +245,21 @@
     };
     for burst in 0..BURSTS {
         let now = START + Duration::from_millis(burst * 400);
-        let mut running: Vec<WorkerLife> = Vec::new();
+        let mut running: Vec<WorkerInstance> = Vec::new();
         for number in burst * BURST..(burst + 1) * BURST {
             let turn = turn(skewed_part(number));
             workers.note_turn("engines", &turn, now);
             let program = format!("program-{}", number / 4);
             let engine = chosen(&workers, &program, turn, now).expect("an engine");
             running.push(workers.note_start(&engine, now));
-            seen.read += u32::from(kept.entry(engine).or_default().read(turn.part));
+            seen.read += u32::from(kept.entry(engine).or_default().read(turn.prefix));
         }
         let busiest = running.iter().filter_map(|life| workers.get(&life.id));
         seen.busiest = seen
             .busiest
             .max(busiest.map(|worker| worker.in_flight).max().unwrap_or(0));
         for life in &running {
-            workers.note_end(life);
+            workers.note_completion(life);
         }
     }
     seen
@@ -306,7 +306,7 @@
         repeatable: true,
         tried: &[],
         turn,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     let of_turn = choose(&workers, &query(Some(turn(12))), START).expect("an engine");
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -57,7 +57,7 @@
 #[test]
 fn after_a_report_one_failure_of_our_own_ejects() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
     assert_eq!(
         health.standing(START),
         Standing::Good,
@@ -69,17 +69,17 @@
 #[test]
 fn two_nodes_reports_eject_and_one_nodes_do_not() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
-    assert!(!health.note_report(after(10), NodeId::new("n2")));
-    assert!(health.note_report(after(20), NodeId::new("n3")));
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(after(10), NodeId::new("n2")));
+    assert!(health.note_ejection_report(after(20), NodeId::new("n3")));
     assert_eq!(health.standing(after(20)), Standing::Ejected);
 }
 
 #[test]
 fn an_old_report_confirms_nothing() {
     let mut health = WorkerHealth::default();
-    health.note_report(START, NodeId::new("n2"));
-    assert!(!health.note_report(after(2_000), NodeId::new("n3")));
+    health.note_ejection_report(START, NodeId::new("n2"));
+    assert!(!health.note_ejection_report(after(2_000), NodeId::new("n3")));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let mut health = ejected();
     for (number, milliseconds) in [(2, 250), (3, 260), (4, 270)] {
         let node = NodeId::new(format!("n{number}"));
-        assert!(!health.note_report(after(milliseconds), node));
+        assert!(!health.note_ejection_report(after(milliseconds), node));
     }
     assert_eq!(health.standing(after(300)), Standing::OnProbation);
 }
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -8,7 +8,7 @@
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
 use elderworks_gateway_core::peer_loads::{REPORT_LIFETIME, WorkerKey};
 use elderworks_gateway_core::workers::{
-    Taken, WorkerDirectory, WorkerRecord, idle_connections_share,
+    UpsertOutcome, WorkerDirectory, WorkerRecord, max_idle_connections,
 };
 use elderworks_types::{NodeId, Timestamp};
 
@@ -37,7 +37,7 @@
         repeatable: true,
         tried,
         turn: None,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     }
 }
@@ -78,7 +78,7 @@
     ];
     assert_ne!(chosen(&workers, Some("p"), &[]), Some(first.clone()));
     for life in &lives {
-        workers.note_end(life);
+        workers.note_completion(life);
     }
     assert_eq!(chosen(&workers, Some("p"), &[]), Some(first));
 }
@@ -99,7 +99,7 @@
     workers.upsert(record("near", "a"), START);
     for spread in 0..20 {
         let query = PlacementQuery {
-            spread,
+            seed: spread,
             ..query(None, &[])
         };
         let worker = choose(&workers, &query, START).expect("a worker");
@@ -110,7 +110,7 @@
 /// Tells a directory what another node has under way.
 fn tell(workers: &mut WorkerDirectory, now: Timestamp, node: &str, counts: &[(&str, u32)]) {
     let counts = counts.iter().map(|(id, count)| (WorkerKey::of(id), *count));
-    workers.take_peer_load(now, NodeId::new(node), counts.collect());
+    workers.apply_peer_load(now, NodeId::new(node), counts.collect());
 }
 
 /// Workers that 64 programs meet.
@@ -128,7 +128,7 @@
     let mut workers = directory(&["w1", "w2", "w3"]);
     let met = |workers: &WorkerDirectory| -> BTreeSet<String> {
         let query = |spread| PlacementQuery {
-            spread,
+            seed: spread,
             is_connected: &|worker| worker == "w2",
             ..query(None, &[])
         };
@@ -253,7 +253,7 @@
     workers.mark_missing("w1", START);
     assert_eq!(
         workers.upsert(record("w1", "a"), START),
-        Taken::Changed,
+        UpsertOutcome::Changed,
         "believed anew"
     );
     let later = START + Duration::from_secs(5);
@@ -323,7 +323,7 @@
         (u32::MAX, 12, 16),
     ];
     for (max_connections, nodes, expected) in cases {
-        let share = idle_connections_share(max_connections, nodes);
+        let share = max_idle_connections(max_connections, nodes);
         assert_eq!(
             share, expected,
             "{max_connections} connections, {nodes} nodes"
@@ -342,7 +342,7 @@
             .map(|spread| {
                 let query = PlacementQuery {
                     repeatable,
-                    spread,
+                    seed: spread,
                     ..query(None, &[])
                 };
                 let chosen = choose(workers, &query, now).expect("a worker");
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::zone_health::{Source, ZoneHealth, ZonePart, ZoneStanding};
+use elderworks_gateway_core::zone_health::{FailureSource, ZoneHealth, ZonePart, ZoneStanding};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -12,17 +12,17 @@
     START + Duration::from_millis(ms)
 }
 
-fn worker(number: u64) -> Source {
-    Source::worker(&format!("w{number}"))
+fn worker(number: u64) -> FailureSource {
+    FailureSource::worker(&format!("w{number}"))
 }
 
-fn node(number: u64) -> Source {
-    Source::node(&NodeId::new(format!("n{number}")))
+fn node(number: u64) -> FailureSource {
+    FailureSource::node(&NodeId::new(format!("n{number}")))
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Seen {
-    Fails(Source),
+    Fails(FailureSource),
     Answers(ZonePart),
 }
 
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
+use elderworks_gateway_core::workers::{WorkerDirectory, WorkerInstance, WorkerRecord};
 use elderworks_types::Timestamp;
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -21,10 +21,10 @@
 
 fn turn(part: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{part}")),
-        part_tokens: PART_TOKENS,
-        private_tokens: 2_000,
-        answer_tokens: 200,
+        prefix: PrefixKey::of(&format!("part-{part}")),
+        prefix_tokens: PART_TOKENS,
+        suffix_tokens: 2_000,
+        max_output_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
     }
@@ -54,7 +54,7 @@
         repeatable: false,
         tried: &[],
         turn: Some(turn(part)),
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     let worker = choose(workers, &query, now).expect("an engine");
@@ -73,14 +73,14 @@
 /// So many turns that all run at once, of programs that ask for each part alike.
 fn replay(policy: Policy, sizes: &[usize], parts: u64, turns: u64) -> Replay {
     let mut workers = fleet(policy, sizes);
-    let mut running: Vec<WorkerLife> = Vec::new();
+    let mut running: Vec<WorkerInstance> = Vec::new();
     for number in 0..turns {
         let part = number % parts;
         workers.note_turn("engines", &turn(part), START);
         let engine = chosen(&workers, &format!("program-{number}"), part, START);
         running.push(workers.note_start(&engine, START));
     }
-    let load = |life: &WorkerLife| workers.get(&life.id).map_or(0, |worker| worker.in_flight);
+    let load = |life: &WorkerInstance| workers.get(&life.id).map_or(0, |worker| worker.in_flight);
     Replay {
         crossed: running
             .iter()
@@ -164,7 +164,7 @@
     );
 
     let back = START + Duration::from_millis(700);
-    workers.note_heard("b-9", back);
+    workers.note_response("b-9", back);
     let after = |ms| share_of_b(&workers, back + Duration::from_millis(ms));
     let shares = [0, 500, 1_000, 1_500, 2_000].map(after);
     assert!(shares.is_sorted(), "{shares:?}");
--- a/crates/gateway-core/tests/zone_spread.rs
+++ b/crates/gateway-core/tests/zone_spread.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderworks_gateway_core::zone_spread::{Placed, spread_candidates, spread_witnesses};
+use elderworks_gateway_core::zone_spread::{NodeInZone, spread_candidates, spread_witnesses};
 use elderworks_types::NodeId;
 use proptest::prelude::*;
 
@@ -18,7 +18,7 @@
         .collect()
 }
 
-fn placed(fleet: &[(NodeId, String)]) -> Vec<Placed<'_>> {
+fn placed(fleet: &[(NodeId, String)]) -> Vec<NodeInZone<'_>> {
     fleet
         .iter()
         .map(|(node, zone)| (node, zone.as_str()))
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -115,7 +115,7 @@
             core.withdraw(&self.service, self.ticket);
         } else if self.heard.try_recv() == Ok(Verdict::Go) {
             // It was let go and left at the same moment.
-            driver.core.borrow_mut().end(&self.service, None);
+            driver.core.borrow_mut().complete(&self.service, None);
             release(&self.gateway, &self.service);
         }
         self.gateway.note_waiting();
@@ -151,7 +151,7 @@
     fn drop(&mut self) {
         let took = self.has_ended.then(|| self.since.elapsed());
         let driver = &self.gateway.admission;
-        driver.core.borrow_mut().end(&self.service, took);
+        driver.core.borrow_mut().complete(&self.service, took);
         release(&self.gateway, &self.service);
     }
 }
@@ -176,7 +176,7 @@
     };
     for ticket in released {
         if !driver.call(ticket, Verdict::Go) {
-            driver.core.borrow_mut().end(service, None);
+            driver.core.borrow_mut().complete(service, None);
         }
     }
     gateway.note_waiting();
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -8,12 +8,12 @@
 
 use actix_rt::task::JoinHandle;
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::engine_memory::beliefs::Belief;
 use elderworks_gateway_core::engine_memory::log::LogChange;
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{
     EVENT_WAIT, EngineReader, ReadOutcome, Step,
 };
+use elderworks_gateway_core::engine_memory::snapshots::MemorySnapshot;
 use elderworks_gateway_core::peer_loads::WorkerKey;
 use elderworks_types::{NodeId, Timestamp};
 
@@ -70,13 +70,13 @@
     }
 
     /// What this node knows of the engines that it reads.
-    pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, Belief> {
+    pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, MemorySnapshot> {
         let workers = gateway.workers.borrow();
         let readings = self.readings.borrow();
         let known = readings.iter().filter_map(|(start, reading)| {
             let worker = workers.get(&start.worker)?;
-            let heard = reading.reader.heard()?;
-            let belief = workers.belief_of(worker, heard, reading.reader.log());
+            let heard = reading.reader.observed_at()?;
+            let belief = workers.snapshot_of(worker, heard, reading.reader.log());
             Some((worker.key(), belief))
         });
         known.collect()
@@ -203,6 +203,6 @@
         Some(LogChange::Gap) => {
             log::info!(worker = start.worker.as_str(); "events of an engine's memory are missing: its list is read");
         }
-        Some(LogChange::Went) | None => {}
+        Some(LogChange::Applied) | None => {}
     }
 }
--- a/crates/gateway/src/feed/workers.rs
+++ b/crates/gateway/src/feed/workers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use elderworks_gateway_core::feed::catalog::Change;
-use elderworks_gateway_core::workers::{Taken, WorkerRecord};
+use elderworks_gateway_core::workers::{UpsertOutcome, WorkerRecord};
 use elderworks_protocol::feed::WorkersUpdate;
 use elderworks_types::Offset;
 
@@ -82,13 +82,13 @@
     let cold_ms = millis(Some(record.cold_left));
     let now = gateway.now();
     let taken = gateway.workers.borrow_mut().upsert(record, now);
-    if taken == Taken::Reborn {
+    if taken == UpsertOutcome::Restarted {
         gateway.pool.forget(&id);
     }
-    if matches!(taken, Taken::Changed | Taken::Reborn) {
+    if matches!(taken, UpsertOutcome::Changed | UpsertOutcome::Restarted) {
         log::info!(
             worker = id.as_str(), service = service.as_str(), draining = draining,
-            cold_ms = cold_ms, has_restarted = taken == Taken::Reborn, offset = offset.0;
+            cold_ms = cold_ms, has_restarted = taken == UpsertOutcome::Restarted, offset = offset.0;
             "worker changed"
         );
     }
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::admission::{AdmissionMode, Arrival, Standing, Turn};
+use elderworks_gateway_core::admission::{AdmissionMode, Arrival, ProgramState, Turn};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::tenants::TenantKey;
 
@@ -36,7 +36,7 @@
         let arrived = Instant::now();
         let latest_start = self.latest_start();
         let turn = self.turn(latest_start);
-        let (urgency, spread) = (turn.urgency, turn.spread);
+        let (urgency, spread) = (turn.urgency, turn.seed);
         let room = admission::room_of(gateway, &self.service);
         let decision = {
             let mut core = gateway.admission.core.borrow_mut();
@@ -49,7 +49,7 @@
             slots: room.slots,
         };
         match decision.arrival {
-            Arrival::Go => {
+            Arrival::Admit => {
                 self.place = Some(AdmittedTurn::begin(gateway, &self.service));
                 Ok(())
             }
@@ -113,9 +113,9 @@
         Turn {
             urgency: self.sender.priority.unwrap_or(self.route.priority),
             tenant: self.tenant_key(),
-            standing: match has_begun {
-                true => Standing::Begun,
-                false => Standing::New,
+            program_state: match has_begun {
+                true => ProgramState::Started,
+                false => ProgramState::New,
             },
             finish: attributes
                 .finish
@@ -123,7 +123,7 @@
             latest_start: now + latest_start.saturating_duration_since(Instant::now()),
             prompt_tokens: prompt.sum(),
             bytes: self.body.as_ref().map_or(0, bytes::Bytes::len),
-            spread: self.gateway.next_sequence(),
+            seed: self.gateway.next_sequence(),
         }
     }
 
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -12,8 +12,8 @@
 use elderworks_gateway_core::call::CallAttributes;
 use elderworks_gateway_core::config::{MemoryMoves, Route, ServingConfig};
 use elderworks_gateway_core::engines::PromptSource;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
-use elderworks_gateway_core::workers::idle_connections_share;
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
+use elderworks_gateway_core::workers::max_idle_connections;
 
 use super::access::Sender;
 use super::occupied::{Occupied, RunningAnswer};
@@ -193,7 +193,7 @@
             platform: &*self.gateway.platform,
             connections_made: &self.gateway.metrics.worker_connections,
             most_idle: self.most_idle_connections(),
-            mark: self.history.begin(),
+            mark: self.history.start_attempt(),
         };
         self.gateway.metrics.attempts.inc();
         if let Some(counted) = &mut self.counted {
@@ -241,7 +241,7 @@
     fn most_idle_connections(&self) -> usize {
         let service = self.config.service(&self.service);
         let max_connections = service.map_or(u32::MAX, |service| service.max_connections);
-        let share = idle_connections_share(max_connections, self.gateway.nodes_serving.get());
+        let share = max_idle_connections(max_connections, self.gateway.nodes_serving.get());
         usize::try_from(share).unwrap_or(usize::MAX)
     }
 
@@ -284,7 +284,7 @@
             repeatable: self.route.is_repeatable(),
             tried: &tried,
             turn: self.engine_turn(),
-            spread: self.gateway.next_sequence(),
+            seed: self.gateway.next_sequence(),
             is_connected: &|worker| prefers_resting && self.gateway.pool.has(worker),
         };
         let now = self.gateway.now();
@@ -305,7 +305,7 @@
             if let Some((source, bytes)) = source {
                 target.prompt_source = PromptSource::Engine(source);
                 self.gateway.metrics.note_prompt_fetch(bytes);
-                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.part_tokens; "an engine takes a prompt's part from another one");
+                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.prefix_tokens; "an engine takes a prompt's part from another one");
             }
         }
         Ok(target)
@@ -324,10 +324,10 @@
         let engine = self.config.service(&self.service)?.engine.as_ref()?;
         let (first, private) = self.attributes.prompt.split_first()?;
         Some(EngineTurn {
-            part: PartKey::of(&first.id),
-            part_tokens: first.tokens,
-            private_tokens: private.iter().map(|segment| segment.tokens).sum(),
-            answer_tokens: self.attributes.most_tokens,
+            prefix: PrefixKey::of(&first.id),
+            prefix_tokens: first.tokens,
+            suffix_tokens: private.iter().map(|segment| segment.tokens).sum(),
+            max_output_tokens: self.attributes.max_tokens,
             memory_tokens: engine.memory_tokens,
             slots: engine.slots,
         })
@@ -350,8 +350,8 @@
             .history
             .after_failure(failure, repeatable, self.route.attempts);
         match step {
-            NextStep::TryAgain => Ok(()),
-            NextStep::TrySameWorker => {
+            NextStep::Retry => Ok(()),
+            NextStep::RetrySameWorker => {
                 self.retry_at = self.target_unless_ejected(worker);
                 match self.retry_at {
                     Some(_) => Ok(()),
@@ -374,7 +374,7 @@
         let now = self.gateway.now();
         let workers = self.gateway.workers.borrow();
         let known = workers.get(worker)?;
-        let may_get = workers.is_open(known) && !workers.is_held_back(known, now);
+        let may_get = workers.is_open(known) && !workers.is_throttled(known, now);
         let is_fit = may_get && !known.is_ejected(now);
         is_fit.then(|| Target::plain(&known.record))
     }
--- a/crates/gateway/src/forward/occupied.rs
+++ b/crates/gateway/src/forward/occupied.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use elderworks_gateway_core::run_moves::Engine;
-use elderworks_gateway_core::workers::WorkerLife;
+use elderworks_gateway_core::workers::WorkerInstance;
 
 use crate::gateway::Gateway;
 use crate::upstream::Answer;
@@ -13,7 +13,7 @@
 pub(super) struct Occupied {
     gateway: Rc<Gateway>,
     pub(super) worker: String,
-    life: WorkerLife,
+    life: WorkerInstance,
 }
 
 impl Occupied {
@@ -31,7 +31,7 @@
 impl Drop for Occupied {
     fn drop(&mut self) {
         let mut workers = self.gateway.workers.borrow_mut();
-        workers.note_end(&self.life);
+        workers.note_completion(&self.life);
     }
 }
 
--- a/crates/gateway/src/forward/outliving.rs
+++ b/crates/gateway/src/forward/outliving.rs
@@ -304,7 +304,7 @@
         let prompt = self.attributes.prompt.iter().map(|segment| segment.tokens);
         Some(RunSize {
             tokens: prompt.sum(),
-            left_tokens: self.attributes.most_tokens,
+            left_tokens: self.attributes.max_tokens,
             token_bytes: moves.token_bytes,
         })
     }
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -214,7 +214,7 @@
             program: program.clone(),
             turn: turn.clone(),
             budget: self.attributes.token_budget,
-            tokens: self.attributes.most_tokens,
+            tokens: self.attributes.max_tokens,
             previous: previous.filter(|_| self.route.keeps_turns),
             imported: None,
         };
--- a/crates/gateway/src/forward/zones.rs
+++ b/crates/gateway/src/forward/zones.rs
@@ -23,7 +23,7 @@
     /// Notes that a worker has begun to answer.
     pub(super) fn note_heard(&self, worker: &str) {
         let now = self.gateway.now();
-        self.gateway.workers.borrow_mut().note_heard(worker, now);
+        self.gateway.workers.borrow_mut().note_response(worker, now);
     }
 
     fn count_far(&self, worker: &str, kind: FarKind, bytes: usize) {
--- a/crates/gateway/src/peers/demand.rs
+++ b/crates/gateway/src/peers/demand.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use elderworks_gateway_core::admission::{AdmissionMode, Demand, LEVELS, ServiceKey, Waiting};
+use elderworks_gateway_core::admission::{
+    AdmissionMode, Demand, ServiceKey, URGENCY_LEVELS, Waiting,
+};
 use elderworks_gateway_core::tenants::TenantKey;
 use elderworks_protocol::gateway::{DemandReport, GatewayDatagram, ServiceDemandReport};
 use tokio::net::UdpSocket;
@@ -103,11 +105,11 @@
     };
     let now = gateway.now();
     let mut core = gateway.admission.core.borrow_mut();
-    core.take_demand(now, report.node, demand);
+    core.apply_peer_demand(now, report.node, demand);
 }
 
 fn waiting_of(levels: &[(u8, u32)]) -> Waiting {
-    let mut waiting = [0; LEVELS];
+    let mut waiting = [0; URGENCY_LEVELS];
     for (level, count) in levels {
         if let Some(known) = waiting.get_mut(usize::from(*level)) {
             *known = *count;
--- a/crates/gateway/src/peers/far.rs
+++ b/crates/gateway/src/peers/far.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::zone_health::{Source, ZonePart};
+use elderworks_gateway_core::zone_health::{FailureSource, ZonePart};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::GatewayDatagram;
 use elderworks_types::NodeId;
@@ -59,7 +59,7 @@
             let now = gateway.now();
             let mut workers = gateway.workers.borrow_mut();
             let zones = workers.zone_health_mut();
-            zones.note_failure(now, &known.record.zone, Source::node(node));
+            zones.note_failure(now, &known.record.zone, FailureSource::node(node));
         }
     }
 
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -124,5 +124,5 @@
     let counts = counts.map(|(key, count)| (WorkerKey(key), count)).collect();
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
-    workers.take_peer_load(now, report.node, counts);
+    workers.apply_peer_load(now, report.node, counts);
 }
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::engine_memory::beliefs::Belief;
-use elderworks_gateway_core::engine_memory::telling::{MOST_PARTS_TOLD, MemoryTeller};
+use elderworks_gateway_core::engine_memory::reporting::{MAX_REPORTED_PREFIXES, MemoryReporter};
+use elderworks_gateway_core::engine_memory::snapshots::MemorySnapshot;
 use elderworks_gateway_core::peer_loads::{Rota, WorkerKey};
-use elderworks_gateway_core::placement::demand::PartKey;
+use elderworks_gateway_core::placement::demand::PrefixKey;
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{EngineMemoryReport, GatewayDatagram, MemoryReport};
 use elderworks_types::Timestamp;
@@ -20,7 +20,7 @@
 /// What was told last, and whose turn is next.
 #[derive(Debug, Default)]
 pub(super) struct MemorySender {
-    teller: MemoryTeller,
+    teller: MemoryReporter,
     rota: Rota,
 }
 
@@ -65,22 +65,22 @@
 fn note_beliefs<'a>(
     gateway: &Gateway,
     now: Timestamp,
-    present: impl IntoIterator<Item = (&'a WorkerKey, &'a Belief)>,
+    present: impl IntoIterator<Item = (&'a WorkerKey, &'a MemorySnapshot)>,
 ) {
     let mut workers = gateway.workers.borrow_mut();
     for (engine, belief) in present {
-        workers.take_memory(*engine, belief.clone());
+        workers.apply_memory_snapshot(*engine, belief.clone());
     }
     workers.drop_old_memories(now);
     let memories = workers.memories();
     gateway
         .metrics
-        .note_memories(memories.parts_held(), memories.oldest(now));
+        .note_memories(memories.held_prefixes(), memories.oldest_age(now));
 }
 
-fn told(now: Timestamp, engine: WorkerKey, belief: Belief) -> EngineMemoryReport {
-    let age = now.since(belief.heard).as_millis();
-    let parts = belief.parts.into_iter();
+fn told(now: Timestamp, engine: WorkerKey, belief: MemorySnapshot) -> EngineMemoryReport {
+    let age = now.since(belief.observed_at).as_millis();
+    let parts = belief.prefixes.into_iter();
     EngineMemoryReport {
         engine: engine.0,
         born: belief.born,
@@ -97,14 +97,14 @@
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
     for told in report.engines {
-        let parts = told.parts.into_iter().take(MOST_PARTS_TOLD);
-        let belief = Belief {
+        let parts = told.parts.into_iter().take(MAX_REPORTED_PREFIXES);
+        let belief = MemorySnapshot {
             born: told.born,
-            heard: now - Duration::from_millis(u64::from(told.age_ms)),
-            parts: parts
-                .map(|(part, tokens)| (PartKey(part), tokens))
+            observed_at: now - Duration::from_millis(u64::from(told.age_ms)),
+            prefixes: parts
+                .map(|(part, tokens)| (PrefixKey(part), tokens))
                 .collect(),
         };
-        workers.take_memory(WorkerKey(told.engine), belief);
+        workers.apply_memory_snapshot(WorkerKey(told.engine), belief);
     }
 }
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -8,7 +8,7 @@
 use elderworks_gateway_core::nodes::NodeDirectory;
 use elderworks_gateway_core::ownership::{preferred_owner, rank_owners};
 use elderworks_gateway_core::zone_health::ZonePart;
-use elderworks_gateway_core::zone_spread::{Placed, spread_candidates, spread_witnesses};
+use elderworks_gateway_core::zone_spread::{NodeInZone, spread_candidates, spread_witnesses};
 use elderworks_protocol::ledger::Witness;
 use elderworks_types::{NodeId, PartitionId};
 
@@ -32,7 +32,8 @@
         let ranking = self.ranking(gateway, partition);
         let asked = ranking.iter().filter(|node| !is_avoided(node));
         let nodes = gateway.nodes.borrow();
-        let mut placed: Vec<Placed<'_>> = asked.map(|node| (node, zone_of(&nodes, node))).collect();
+        let mut placed: Vec<NodeInZone<'_>> =
+            asked.map(|node| (node, zone_of(&nodes, node))).collect();
         let suspected = suspected_zones(gateway);
         if !suspected.is_empty() {
             placed.sort_by_key(|(_, zone)| suspected.contains(*zone));
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{PartKey, PartUse};
+use elderworks_gateway_core::placement::demand::{PrefixKey, PrefixUsage};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{GatewayDatagram, PartReport, PartUseReport};
 use elderworks_types::Timestamp;
@@ -72,7 +72,7 @@
     }
 }
 
-fn told(part: PartKey, used: &PartUse) -> PartUseReport {
+fn told(part: PrefixKey, used: &PrefixUsage) -> PartUseReport {
     PartUseReport {
         part: part.0,
         tokens: used.tokens,
@@ -86,13 +86,13 @@
         return;
     }
     let uses = report.uses.iter().map(|told| {
-        let used = PartUse {
+        let used = PrefixUsage {
             tokens: told.tokens,
             turns: f64::from(told.turn_tenths) / 10.0,
         };
-        (PartKey(told.part), used)
+        (PrefixKey(told.part), used)
     });
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
-    workers.take_demand(now, report.node, &report.service, uses.collect());
+    workers.apply_peer_demand(now, report.node, &report.service, uses.collect());
 }
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -97,7 +97,10 @@
 fn take_report(gateway: &Gateway, node: NodeId, worker: &str) {
     let now = gateway.now();
     log::info!(worker = worker, node = node.as_str(); "another node has ejected a worker");
-    let ejected = gateway.workers.borrow_mut().note_report(worker, now, node);
+    let ejected = gateway
+        .workers
+        .borrow_mut()
+        .note_ejection_report(worker, now, node);
     if ejected {
         log::warn!(worker = worker; "worker ejected on the word of other nodes");
     }
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::config::ServingConfig;
 use elderworks_gateway_core::config_proof::proving_pause;
 use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::evacuations::ZoneWish;
+use elderworks_gateway_core::evacuations::EvacuationOrder;
 use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_gateway_core::stream_reads::ReadTimeouts;
@@ -73,7 +73,7 @@
             .filter_map(|record| evacuated_zone(gateway, record))
             .collect();
         let zones = zones.iter().map(String::as_str).collect();
-        let lifted = gateway.evacuations.borrow_mut().lift_all_but(&zones, end);
+        let lifted = gateway.evacuations.borrow_mut().lift_unlisted(&zones, end);
         for zone in &lifted {
             log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone takes work again");
         }
@@ -104,7 +104,7 @@
         Ok(Publication::Configuration(config)) => take_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
-            take_zone_wish(gateway, &zone, ZoneWish { offset, is_on }, "log");
+            take_zone_wish(gateway, &zone, EvacuationOrder { offset, is_on }, "log");
         }
         Ok(Publication::Other) => {}
         Err(error) => {
@@ -115,7 +115,7 @@
 }
 
 /// Takes the operator's wish for a zone, whoever has told it, unless it is older than what is known.
-pub(crate) fn take_zone_wish(gateway: &Gateway, zone: &str, wish: ZoneWish, by: &str) {
+pub(crate) fn take_zone_wish(gateway: &Gateway, zone: &str, wish: EvacuationOrder, by: &str) {
     if !gateway.evacuations.borrow_mut().note(zone, wish) {
         return;
     }
