--- a/crates/gateway-core/src/access.rs
+++ b/crates/gateway-core/src/access.rs
@@ -35,9 +35,9 @@
     /// It bears no key that any configuration in force knows.
     Denied,
     /// Its key is unknown here, but may have been added lately.
-    KeyUnsure,
+    KeyUnverified,
     /// Its key is known here, but may have been taken away lately.
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// Decides on a request with `credential` on a route.
@@ -54,13 +54,13 @@
         KeyCheck::Tenant(id) => {
             let is_over = |lease| !proof.holds(now, lease);
             if leases.acting.is_some_and(is_over) {
-                return Access::LeaseOver;
+                return Access::LeaseExpired;
             }
             Access::Allowed(config.tenants.get(id))
         }
         // No later configuration can make a key of it.
         KeyCheck::Denied if !matches!(credential, Credential::Key(_)) => Access::Denied,
         KeyCheck::Denied if leases.may_deny(proof, now) => Access::Denied,
-        KeyCheck::Denied => Access::KeyUnsure,
+        KeyCheck::Denied => Access::KeyUnverified,
     }
 }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether its answers are streams that end without a record of what was said.
-    pub fn is_unkept_stream(&self) -> bool {
+    pub fn is_unrecorded_stream(&self) -> bool {
         self.kind == RouteKind::Streaming && !self.keeps_turns
     }
 }
@@ -84,7 +84,7 @@
     /// Tokens that each event of an answer stands for.
     pub tokens_per_event: u32,
     /// Longest time that an engine pins a finished request's memory.
-    pub longest_pin: Duration,
+    pub max_pin_time: Duration,
     /// What engines can do with the memory of each other.
     pub memory_moves: MemoryMoves,
 }
@@ -101,9 +101,9 @@
     /// Whether a run's memory can be copied to another engine while it runs.
     pub backs_up_runs: bool,
     /// How long an engine keeps a copy that nobody uses.
-    pub copies_last: Duration,
+    pub copy_lifetime: Duration,
     /// Calls for memory events that one engine holds at a time.
-    pub most_event_calls: u32,
+    pub max_event_calls: u32,
 }
 
 impl MemoryMoves {
@@ -113,8 +113,8 @@
         link_mbps: 0.0,
         moves_runs: false,
         backs_up_runs: false,
-        copies_last: Duration::ZERO,
-        most_event_calls: 0,
+        copy_lifetime: Duration::ZERO,
+        max_event_calls: 0,
     };
 }
 
--- a/crates/gateway-core/src/config_proof.rs
+++ b/crates/gateway-core/src/config_proof.rs
@@ -47,7 +47,7 @@
 /// Age of its proof at which a node asks others for a younger one, given the lease on keys if there
 /// are any, the time within which a configuration must be in force, and whether the node reads the
 /// configuration itself.
-pub fn asking_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
+pub fn proof_request_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
     let share = match reads {
         true => ASKING_SHARE_AT_REST,
         false => ASKING_SHARE_OF_LISTENERS,
@@ -66,18 +66,18 @@
 const PROVING_PAUSES: (Duration, Duration) = (Duration::from_millis(800), Duration::from_secs(20));
 
 /// Mean pause between two proofs by one of `nodes` nodes that ask each other for theirs.
-pub fn proving_pause(nodes: u32) -> Duration {
+pub fn proof_interval(nodes: u32) -> Duration {
     let (shortest, longest) = PROVING_PAUSES;
     PROVING_PACE.saturating_mul(nodes).clamp(shortest, longest)
 }
 
 /// Decides when a node that cannot prove its configuration by reads of its own asks other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ProofAsking {
+pub struct ProofRequestTimer {
     asked: Option<Timestamp>,
 }
 
-impl ProofAsking {
+impl ProofRequestTimer {
     /// Whether to ask now, since the proof is of the given age or older; notes that it is done.
     pub fn is_due(&mut self, proof: &ConfigProof, now: Timestamp, age: Duration) -> bool {
         let needs_proof = !proof.holds(now, age);
@@ -92,7 +92,7 @@
 
 /// What another node's proof comes to here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum PeerProof {
     /// It is of the configuration in force here, and counts.
     Counts,
     /// The other node has a newer configuration: this one is to be replaced.
@@ -142,7 +142,7 @@
 
     /// There is a newer configuration, and it cannot be read: reads prove nothing until another
     /// one is in force.
-    pub fn obscure(&mut self) {
+    pub fn note_unreadable(&mut self) {
         self.is_obscured = true;
     }
 
@@ -157,19 +157,24 @@
     /// Another node, asked at `asked`, has told of a configuration and of the `age` of its proof
     /// when it answered. It answered after it was asked, so an age that is counted from the
     /// question never makes the proof younger than it is, however long the answer took.
-    pub fn note_told(&mut self, version: u64, asked: Timestamp, age: Duration) -> Told {
+    pub fn record_peer_proof(
+        &mut self,
+        version: u64,
+        asked: Timestamp,
+        age: Duration,
+    ) -> PeerProof {
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         let newest_at = signed_micros(asked).saturating_sub(age);
         match version.cmp(&self.version) {
-            Ordering::Less => Told::Older,
+            Ordering::Less => PeerProof::Older,
             Ordering::Greater => {
                 // Later versions come first, then later proofs of the same.
                 self.news = self.news.max(Some(News { version, newest_at }));
-                Told::Newer
+                PeerProof::Newer
             }
             Ordering::Equal => {
                 self.note_at(newest_at);
-                Told::Counts
+                PeerProof::Counts
             }
         }
     }
@@ -177,7 +182,7 @@
     /// A node that reads for others has said that its last reads, so long ago, showed this
     /// configuration. How long its heartbeat took is not known, so that it proves nothing for keys; it
     /// shows that this node is not cut off.
-    pub fn note_heard(&mut self, now: Timestamp, age: Duration) {
+    pub fn record_heartbeat(&mut self, now: Timestamp, age: Duration) {
         let at = Timestamp(
             now.0
                 .saturating_sub(u64::try_from(age.as_micros()).unwrap_or(u64::MAX)),
@@ -201,7 +206,7 @@
     }
 
     /// Time since this node itself has last read the configuration's stream to its end.
-    pub fn own_age(&self, now: Timestamp) -> Option<Duration> {
+    pub fn last_read_age(&self, now: Timestamp) -> Option<Duration> {
         self.read_at.map(|at| now.since(at))
     }
 
--- a/crates/gateway-core/src/feed/roles.rs
+++ b/crates/gateway-core/src/feed/roles.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedTimes {
     /// Pause between two heartbeats of a reader.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A reader that has said nothing for this long is taken for lost.
     pub lifetime: Duration,
     /// Oldest news of a reader that counts as working.
@@ -98,7 +98,7 @@
             deadline.mul_f64(share).min(longest)
         };
         Self {
-            beat: share(0.05, 250),
+            heartbeat_interval: share(0.05, 250),
             lifetime: share(0.2, 1_000),
             // A read that waits for news proves what held when it was sent: at rest news is up to two
             // waits of three tenths old.
@@ -216,7 +216,7 @@
     }
 
     /// Takes a reader's heartbeat: the age of its news, and whether its reads are answered.
-    pub fn note_heard(&mut self, now: Timestamp, node: &NodeId, age: Duration, reads: bool) {
+    pub fn record_heartbeat(&mut self, now: Timestamp, node: &NodeId, age: Duration, reads: bool) {
         self.heard_any = Some(now);
         self.heard.insert(
             node.clone(),
@@ -246,7 +246,7 @@
 
     /// Takes whether any reader works; tells whether one does again, after a time in which none did: the
     /// log was away.
-    pub fn note_return(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
+    pub fn detect_recovery(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
         let works = self.source(now, ranking).is_some();
         let is_back = works && self.is_dark;
         self.has_worked |= works;
--- a/crates/gateway-core/src/pressure.rs
+++ b/crates/gateway-core/src/pressure.rs
@@ -8,7 +8,7 @@
 
 /// What memory is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum HeldFor {
+pub enum BufferKind {
     /// Bodies of requests, as they came.
     Bodies,
     /// Answers that callers have not taken yet.
@@ -23,7 +23,7 @@
     Peers,
 }
 
-impl HeldFor {
+impl BufferKind {
     /// All of them.
     pub const ALL: [Self; 6] = [
         Self::Bodies,
@@ -78,7 +78,7 @@
 
 /// Bytes at which each step is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Marks {
+pub struct MemoryThresholds {
     /// Most bytes of bodies.
     pub bodies: usize,
     /// All that is held, from which bodies are refused.
@@ -89,7 +89,7 @@
     pub full: usize,
 }
 
-impl Marks {
+impl MemoryThresholds {
     /// For a process that is killed at so many bytes.
     pub fn of(process_bytes: usize) -> Self {
         let percent = |share: usize| process_bytes / 100 * share;
@@ -129,20 +129,20 @@
 const SMALL_ANSWER: usize = 64 * 1024;
 
 /// Whether more of an answer that is passed on whole is read from its worker.
-pub fn reads_answer(collected: usize, pressure: Pressure) -> bool {
+pub fn should_read_answer(collected: usize, pressure: Pressure) -> bool {
     collected < SMALL_ANSWER || pressure < Pressure::Full
 }
 
 /// Whether more of a stream is read from its worker, with `unsent` bytes left for its caller.
 /// `buffer` is the room of one stream; without any, a worker waits for the caller.
-pub fn reads_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
+pub fn should_read_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
     unsent == 0 || (unsent < buffer && pressure < Pressure::Full)
 }
 
 /// A caller that takes nothing for so long while its worker waits for it has left its stream: the
 /// pauses that callers bear are far shorter, and workers cut answers off that stay unread for some
 /// seconds.
-pub const LONGEST_STALL: Duration = Duration::from_secs(2);
+pub const MAX_STALL: Duration = Duration::from_secs(2);
 
 /// What becomes of a stream whose worker waits for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -150,18 +150,18 @@
     /// Both wait on.
     Wait,
     /// The worker is let go; another attempt goes on once the caller has read what is held.
-    LetWorkerGo,
+    ReleaseWorker,
     /// The stream ends.
     GiveUp,
 }
 
 /// Decides on a stream whose caller has taken nothing for `stalled`.
 pub fn after_stall(stalled: Duration, is_resumable: bool) -> StallStep {
-    if stalled < LONGEST_STALL {
+    if stalled < MAX_STALL {
         return StallStep::Wait;
     }
     match is_resumable {
-        true => StallStep::LetWorkerGo,
+        true => StallStep::ReleaseWorker,
         false => StallStep::GiveUp,
     }
 }
@@ -183,7 +183,7 @@
 
 /// The stream that is ended when memory is full: the one that holds most for a caller that reads
 /// nothing.
-pub fn stream_to_end(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
+pub fn stream_to_abort(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
     streams
         .into_iter()
         .filter(|stream| stream.unsent > 0 && stream.stalled >= READS_NOTHING)
--- a/crates/gateway-core/src/quota/begun.rs
+++ b/crates/gateway-core/src/quota/begun.rs
@@ -14,13 +14,13 @@
 
 /// Programs that have begun, as far as this node has seen.
 #[derive(Clone, Debug, Default)]
-pub struct BegunPrograms {
+pub struct StartedPrograms {
     since: Timestamp,
     newer: HashSet<u64>,
     older: HashSet<u64>,
 }
 
-impl BegunPrograms {
+impl StartedPrograms {
     /// Notes that a request of a program is sent on.
     pub fn note(&mut self, now: Timestamp, program: &str) {
         let is_over = now.since(self.since) >= REMEMBERED;
--- a/crates/gateway-core/src/quota/lessor.rs
+++ b/crates/gateway-core/src/quota/lessor.rs
@@ -12,7 +12,8 @@
 use crate::tenants::{Quota, TenantKey};
 
 use super::{
-    Basis, DEMAND_SPAN, Fleet, HEARING_TIME, HELD_BACK_SHARE, Order, OverQuota, QuotaBook, Ticket,
+    Basis, DEMAND_SPAN, Fleet, HEARING_TIME, HELD_BACK_SHARE, Order, OverQuota, QuotaTracker,
+    Ticket,
 };
 
 /// Time from a grant until it counts in the reports of the node that has it.
@@ -111,9 +112,9 @@
     }
 }
 
-impl QuotaBook {
+impl QuotaTracker {
     /// Counts a request if the tenant has used so little that nobody need be asked.
-    pub fn admit_calm(
+    pub fn admit_low_usage(
         &mut self,
         now: Timestamp,
         tenant: TenantKey,
@@ -173,7 +174,7 @@
     }
 
     /// Counts a request that the lessor has granted.
-    pub fn take_granted(&mut self, now: Timestamp, tenant: TenantKey, quota: Quota) -> Ticket {
+    pub fn record_granted(&mut self, now: Timestamp, tenant: TenantKey, quota: Quota) -> Ticket {
         self.account(now, tenant, quota);
         self.count(now, tenant)
     }
@@ -184,7 +185,7 @@
         let Some(account) = self.accounts.get(&tenant) else {
             return 1.0;
         };
-        if order == Order::Later || !self.orders {
+        if order == Order::Continuation || !self.orders {
             return 1.0;
         }
         let heard = self.reports.values();
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -28,7 +28,7 @@
 use sliding::{SlidingCount, Slots};
 use widths::Widths;
 
-pub use begun::BegunPrograms;
+pub use begun::StartedPrograms;
 pub use lessor::lessor_of;
 pub use sliding::Slot;
 pub use turns::ReportTurns;
@@ -100,9 +100,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// It begins a program.
-    First,
+    NewProgram,
     /// It goes on with a program that has begun, or belongs to none.
-    Later,
+    Continuation,
 }
 
 /// What a refusal rests on.
@@ -174,7 +174,7 @@
 
 /// One node's account of every tenant's quota.
 #[derive(Clone, Debug)]
-pub struct QuotaBook {
+pub struct QuotaTracker {
     rules: QuotaRules,
     division: Division,
     slots: Slots,
@@ -193,7 +193,7 @@
     widths: Widths,
 }
 
-impl QuotaBook {
+impl QuotaTracker {
     /// Knows of no request yet. `seed` should differ between nodes.
     pub fn new(rules: QuotaRules, division: Division, seed: u64, started: Timestamp) -> Self {
         Self {
@@ -213,7 +213,7 @@
 
     /// While a quota is short, requests that begin programs leave some of it to the others.
     #[must_use]
-    pub fn with_order(mut self, is_on: bool) -> Self {
+    pub fn with_program_priority(mut self, is_on: bool) -> Self {
         self.orders = is_on;
         self
     }
@@ -238,12 +238,12 @@
         fleet: Fleet,
     ) -> Result<Ticket, OverQuota> {
         self.note_asked(now, tenant, quota);
-        self.admit_told(now, tenant, quota, fleet)
+        self.admit_by_reports(now, tenant, quota, fleet)
     }
 
     /// Decides without a lessor whether a request may be sent on, and counts it if so. It was noted
     /// with [`Self::note_asked`].
-    pub fn admit_told(
+    pub fn admit_by_reports(
         &mut self,
         now: Timestamp,
         tenant: TenantKey,
@@ -283,7 +283,7 @@
     }
 
     /// An admitted request is sent on once more, to another worker or to take a stream up.
-    pub fn note_further_send(&mut self, now: Timestamp, ticket: Ticket) {
+    pub fn note_resend(&mut self, now: Timestamp, ticket: Ticket) {
         let slot = self.slots.at(now);
         if let Some(account) = self.accounts.get_mut(&ticket.tenant) {
             account.sent.add(slot);
@@ -333,7 +333,7 @@
     }
 
     /// Nodes that have told within the last window.
-    pub fn tellers(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn reporting_nodes(&self) -> impl Iterator<Item = &NodeId> {
         self.reports.keys()
     }
 
--- a/crates/gateway-core/src/quota/standing.rs
+++ b/crates/gateway-core/src/quota/standing.rs
@@ -8,7 +8,7 @@
 use crate::tenants::TenantKey;
 
 use super::{
-    ALONE_SHARE, Basis, Division, Fleet, HEARING_TIME, QuotaBook, REPORT_INTERVAL, TOLD_AT_ONCE,
+    ALONE_SHARE, Basis, Division, Fleet, HEARING_TIME, QuotaTracker, REPORT_INTERVAL, TOLD_AT_ONCE,
     UNTOLD_SHARE,
 };
 
@@ -28,7 +28,7 @@
 /// Share of the operator's tolerance that was surely not used before a start.
 const SURELY_UNUSED: f64 = 0.06;
 
-impl QuotaBook {
+impl QuotaTracker {
     /// As every node that decides without a lessor counts, with `limit` requests in a window.
     pub(super) fn standing(
         &self,
@@ -80,7 +80,7 @@
         let own = f64::from(account.sent.total()) + unknown;
         let nodes = f64::from(fleet.nodes.max(1));
         let mut told = 0.0;
-        let mut tellers = 0.0;
+        let mut reporting_nodes = 0.0;
         let asked_here = f64::from(account.asked.total()) + 1.0;
         let mut asked = asked_here;
         for report in self.reports.values() {
@@ -90,12 +90,12 @@
             let Some(used) = report.uses.get(&tenant) else {
                 continue;
             };
-            tellers += 1.0;
+            reporting_nodes += 1.0;
             told += f64::from(used.sent);
             // Also of one that has fallen silent: it may be cut off and go on with its part.
             asked += f64::from(used.asked);
         }
-        let untold = (nodes - 1.0 - tellers).max(0.0) * most_untold(account.limit, fleet);
+        let untold = (nodes - 1.0 - reporting_nodes).max(0.0) * most_untold(account.limit, fleet);
         Standing {
             free: limit - (own - recent) - told - untold,
             part: asked_here / asked,
--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -6,13 +6,13 @@
 
 use elderworks_types::Timestamp;
 
-/// What backups may cost; a `most_bytes_per_token` of 0 means none.
+/// What backups may cost; a `max_bytes_per_token` of 0 means none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackupRules {
     /// Bytes moved for each token yet to be generated, at most.
-    pub most_bytes_per_token: u64,
+    pub max_bytes_per_token: u64,
     /// Runs of one node that have a backup at the same time.
-    pub most_at_once: u32,
+    pub max_concurrent: u32,
     /// Bytes that backups of one node move, on average over [`BURST_S`] seconds.
     pub bytes_per_s: u64,
 }
@@ -26,7 +26,7 @@
     /// Tokens of its prompt and of what it has generated.
     pub tokens: u64,
     /// Tokens that it has yet to generate, at most.
-    pub left_tokens: u64,
+    pub remaining_tokens: u64,
     /// Bytes of one token in memory.
     pub token_bytes: u64,
 }
@@ -34,7 +34,7 @@
 impl RunSize {
     /// Bytes that a backup moves if the run goes to its end.
     pub fn backup_bytes(&self) -> u64 {
-        let tokens = self.tokens.saturating_add(self.left_tokens);
+        let tokens = self.tokens.saturating_add(self.remaining_tokens);
         tokens.saturating_mul(self.token_bytes)
     }
 }
@@ -53,8 +53,10 @@
     /// once it is over. Returns the bytes.
     pub fn begin(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
         let bytes = run.backup_bytes();
-        let most = rules.most_bytes_per_token.saturating_mul(run.left_tokens);
-        if bytes == 0 || bytes > most || self.at_once >= rules.most_at_once {
+        let most = rules
+            .max_bytes_per_token
+            .saturating_mul(run.remaining_tokens);
+        if bytes == 0 || bytes > most || self.at_once >= rules.max_concurrent {
             return None;
         }
         let charged = self.still_charged(rules, now).saturating_add(bytes);
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -16,7 +16,7 @@
 mod steps;
 pub mod targets;
 
-pub use steps::{AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason};
+pub use steps::{AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction};
 
 use crate::engines::{MoveOutcome, RunCopy};
 
@@ -36,7 +36,7 @@
     Running,
     /// Its memory is copied, or it is being stopped.
     Leaving {
-        reason: Reason,
+        reason: MigrationReason,
         target: Engine,
         stop_calls: u32,
     },
@@ -53,10 +53,10 @@
 
 /// One run from its first event to the end of its answer.
 #[derive(Debug)]
-pub struct RunLife {
+pub struct RunMigration {
     request_id: String,
     /// Most engines that it may run on; lost ones do not count.
-    most_engines: usize,
+    max_engines: usize,
     at: Engine,
     backup: Option<Engine>,
     /// Engines that may have run it and are not lost.
@@ -69,7 +69,7 @@
     unused: Vec<RunCopy>,
 }
 
-impl RunLife {
+impl RunMigration {
     /// A run whose stream is read from an engine; `ran_at` are all that may have run it so far.
     /// With `backup`, its memory is sent there as it grows.
     pub fn new(
@@ -77,11 +77,11 @@
         at: Engine,
         backup: Option<Engine>,
         ran_at: Vec<String>,
-        most_engines: u32,
+        max_engines: u32,
     ) -> Self {
         Self {
             request_id,
-            most_engines: usize::try_from(most_engines).unwrap_or(usize::MAX),
+            max_engines: usize::try_from(max_engines).unwrap_or(usize::MAX),
             at,
             backup,
             ran_at,
@@ -103,7 +103,7 @@
     }
 
     /// Copies that exist and will not be used: to be freed at their source.
-    pub fn take_unused(&mut self) -> Vec<RunCopy> {
+    pub fn take_unused_copies(&mut self) -> Vec<RunCopy> {
         std::mem::take(&mut self.unused)
     }
 
@@ -114,8 +114,8 @@
 
     /// The run is to leave its engine. `candidate` is another one with room. A stream that breaks
     /// off while the run leaves for another reason is told here too.
-    pub fn leave(&mut self, reason: Reason, candidate: Option<Engine>) -> Order {
-        let is_unforced = reason != Reason::Broken;
+    pub fn leave(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
+        let is_unforced = reason != MigrationReason::Broken;
         if self.moves >= MOST_MOVES || (is_unforced && self.unforced >= MOST_UNFORCED) {
             return self.fall_back(reason, EndReason::MovedOften);
         }
@@ -135,30 +135,32 @@
             stop_calls,
         };
         match reason {
-            Reason::Broken | Reason::Silent => self.stop(),
-            Reason::Draining | Reason::TakenSoon | Reason::Slow => Order::Copy(hop),
+            MigrationReason::Broken | MigrationReason::Silent => self.stop(),
+            MigrationReason::Draining | MigrationReason::TakenSoon | MigrationReason::Slow => {
+                RunAction::Copy(hop)
+            }
         }
     }
 
     /// [`Order::Copy`] has ended.
-    pub fn after_copy(&mut self, end: CallEnd) -> Order {
+    pub fn after_copy(&mut self, end: CallEnd) -> RunAction {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
-            return Order::Read;
+            return RunAction::Read;
         };
         self.note_copy(handle);
         self.stop()
     }
 
     /// [`Order::Stop`] has ended.
-    pub fn after_stop(&mut self, end: CallEnd) -> Order {
+    pub fn after_stop(&mut self, end: CallEnd) -> RunAction {
         let Step::Leaving {
             reason,
             target,
             stop_calls,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::InDoubt);
+            return RunAction::End(EndReason::InDoubt);
         };
         match end {
             CallEnd::Answered(MoveOutcome::Copied { handle, .. }) => {
@@ -171,7 +173,7 @@
                 let copy = self.note_copy(handle);
                 self.go_on(self.at.clone(), copy, None)
             }
-            CallEnd::Answered(MoveOutcome::NoSuchRun) if reason == Reason::Broken => {
+            CallEnd::Answered(MoveOutcome::NoSuchRun) if reason == MigrationReason::Broken => {
                 self.go_on_with_backup(reason)
             }
             CallEnd::NotReached if reason.has_lost_stream() => {
@@ -191,14 +193,14 @@
     }
 
     /// The attempt of [`Order::GoOn`] has ended. `candidate` is another engine with room.
-    pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> Order {
+    pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> RunAction {
         let Step::GoingOn {
             at,
             copy,
             stopped_at,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::InDoubt);
+            return RunAction::End(EndReason::InDoubt);
         };
         match end {
             AttemptEnd::NotRun => match stopped_at {
@@ -207,32 +209,32 @@
             },
             AttemptEnd::Answered => {
                 self.note_runs_at(at, &copy);
-                Order::Read
+                RunAction::Read
             }
             AttemptEnd::Unknown => {
                 self.note_runs_at(at, &copy);
-                self.leave(Reason::Broken, candidate)
+                self.leave(MigrationReason::Broken, candidate)
             }
         }
     }
 
-    fn hop(&self, target: &Engine) -> Hop {
-        Hop {
+    fn hop(&self, target: &Engine) -> CopyPath {
+        CopyPath {
             source: self.at.address,
             target: target.address,
         }
     }
 
-    fn stop(&mut self) -> Order {
+    fn stop(&mut self) -> RunAction {
         let Step::Leaving {
             target, stop_calls, ..
         } = &mut self.step
         else {
-            return Order::End(EndReason::InDoubt);
+            return RunAction::End(EndReason::InDoubt);
         };
         *stop_calls += 1;
         let target = target.clone();
-        Order::Stop(self.hop(&target))
+        RunAction::Stop(self.hop(&target))
     }
 
     fn note_copy(&mut self, handle: String) -> RunCopy {
@@ -247,7 +249,7 @@
     }
 
     /// The run has stopped and its copy is whole at the target; its engine keeps the memory too.
-    fn go_on_with(&mut self, target: Engine, copy: RunCopy) -> Order {
+    fn go_on_with(&mut self, target: Engine, copy: RunCopy) -> RunAction {
         let source = self.at.clone();
         match self.may_run_at(&target) {
             true => self.go_on(target, copy, Some(source)),
@@ -255,7 +257,7 @@
         }
     }
 
-    fn go_on_with_backup(&mut self, reason: Reason) -> Order {
+    fn go_on_with_backup(&mut self, reason: MigrationReason) -> RunAction {
         let Some(engine) = self.backup.take() else {
             return self.fall_back(reason, EndReason::NoCopy);
         };
@@ -269,17 +271,17 @@
         self.go_on(engine, copy, None)
     }
 
-    fn go_on(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> Order {
+    fn go_on(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> RunAction {
         self.step = Step::GoingOn {
             at: at.clone(),
             copy: copy.clone(),
             stopped_at,
         };
-        Order::GoOn { at, copy }
+        RunAction::Resume { at, copy }
     }
 
     fn may_run_at(&self, engine: &Engine) -> bool {
-        self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.most_engines
+        self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.max_engines
     }
 
     /// An attempt with the copy runs, or may: the copy is used up, and a backup is one of a run
@@ -296,16 +298,16 @@
     }
 
     /// Without a stream the answer ends; else the stream shows what becomes of the run.
-    fn fall_back(&mut self, reason: Reason, end: EndReason) -> Order {
-        if reason == Reason::Broken {
+    fn fall_back(&mut self, reason: MigrationReason, end: EndReason) -> RunAction {
+        if reason == MigrationReason::Broken {
             return self.end_for(end);
         }
         self.step = Step::Running;
-        Order::Read
+        RunAction::Read
     }
 
-    fn end_for(&mut self, reason: EndReason) -> Order {
+    fn end_for(&mut self, reason: EndReason) -> RunAction {
         self.step = Step::Ended;
-        Order::End(reason)
+        RunAction::End(reason)
     }
 }
--- a/crates/gateway-core/src/run_moves/steps.rs
+++ b/crates/gateway-core/src/run_moves/steps.rs
@@ -15,7 +15,7 @@
 
 /// Why a run leaves its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum MigrationReason {
     /// Its stream broke off.
     Broken,
     /// Its stream is silent.
@@ -28,7 +28,7 @@
     Slow,
 }
 
-impl Reason {
+impl MigrationReason {
     /// Whether nothing more is expected from the stream.
     pub(super) fn has_lost_stream(self) -> bool {
         matches!(self, Self::Broken | Self::Silent)
@@ -37,7 +37,7 @@
 
 /// Between which engines a copy is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hop {
+pub struct CopyPath {
     /// Where the run is.
     pub source: SocketAddr,
     /// Where the copy goes.
@@ -46,13 +46,13 @@
 
 /// What is to be done next for a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum RunAction {
     /// Have the memory copied while the run goes on.
-    Copy(Hop),
+    Copy(CopyPath),
     /// Have the run stopped behind the last event that went to the caller, and its memory copied.
-    Stop(Hop),
+    Stop(CopyPath),
     /// Send the request with the copy and the last event's id.
-    GoOn {
+    Resume {
         /// To this engine.
         at: Engine,
         /// With this copy.
--- a/crates/gateway-core/src/run_moves/targets.rs
+++ b/crates/gateway-core/src/run_moves/targets.rs
@@ -6,7 +6,7 @@
 
 /// Which zone is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneWish {
+pub enum ZonePreference {
     /// The engine's own: copies between zones take twice as long, and their bytes cost.
     Same,
     /// Another one, which does not fail with the engine's.
@@ -20,13 +20,13 @@
     service: &str,
     own: &str,
     tried: &[String],
-    wish: ZoneWish,
+    wish: ZonePreference,
     now: Timestamp,
 ) -> Option<&'a Worker> {
     let own_zone = workers.get(own).map(|worker| worker.record.zone.as_str());
     let is_wished = |worker: &Worker| {
         let is_same = Some(worker.record.zone.as_str()) == own_zone;
-        is_same == (wish == ZoneWish::Same)
+        is_same == (wish == ZonePreference::Same)
     };
     let has_room = |worker: &Worker| {
         worker.record.id != own
--- a/crates/gateway-core/src/split.rs
+++ b/crates/gateway-core/src/split.rs
@@ -7,7 +7,7 @@
 /// Smooth weighted round robin for each route: after any number of requests, each service has had
 /// its share to within one request.
 #[derive(Debug, Default)]
-pub struct SplitState {
+pub struct WeightedRoundRobin {
     seed: u64,
     credits: HashMap<String, Vec<Credit>>,
 }
@@ -19,7 +19,7 @@
     value: i64,
 }
 
-impl SplitState {
+impl WeightedRoundRobin {
     /// Starts at a point of the cycle that `seed` decides, so that nodes do not run in step.
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::directory::Stream;
+use crate::log_streams::Stream;
 
 /// Share of the time within which news must be acted on for which one read waits for them. A lost
 /// read and a first one after it that is lost too take this and the next two shares, four fifths
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -3,9 +3,10 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::config_proof::{
-    ConfigProof, ProofAsking, Told, asking_age, denial_lease_of, lease_of, proving_pause,
+    ConfigProof, PeerProof, ProofRequestTimer, denial_lease_of, lease_of, proof_interval,
+    proof_request_age,
 };
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
 
@@ -51,10 +52,19 @@
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(1_000));
-    assert_eq!(proof.note_told(2, at(9_000), ms(0)), Told::Older);
-    assert_eq!(proof.note_told(4, at(9_000), ms(0)), Told::Newer);
+    assert_eq!(
+        proof.record_peer_proof(2, at(9_000), ms(0)),
+        PeerProof::Older
+    );
+    assert_eq!(
+        proof.record_peer_proof(4, at(9_000), ms(0)),
+        PeerProof::Newer
+    );
     assert_eq!(proof.age(at(9_000)), Some(ms(8_000)));
-    assert_eq!(proof.note_told(3, at(9_000), ms(500)), Told::Counts);
+    assert_eq!(
+        proof.record_peer_proof(3, at(9_000), ms(500)),
+        PeerProof::Counts
+    );
     assert_eq!(proof.age(at(9_000)), Some(ms(500)));
 }
 
@@ -99,7 +109,10 @@
         proof.replace(3);
         proof.note_read(at(1_000));
         for (version, age) in case.told {
-            assert_eq!(proof.note_told(*version, at(9_000), ms(*age)), Told::Newer);
+            assert_eq!(
+                proof.record_peer_proof(*version, at(9_000), ms(*age)),
+                PeerProof::Newer
+            );
         }
         assert_eq!(proof.age(at(9_200)), Some(ms(8_200)), "{}", case.name);
         proof.replace(case.in_force);
@@ -111,7 +124,7 @@
 fn a_proof_may_be_older_than_the_process() {
     let mut proof = ConfigProof::default();
     proof.replace(3);
-    proof.note_told(3, at(1_000), ms(4_000));
+    proof.record_peer_proof(3, at(1_000), ms(4_000));
     assert_eq!(proof.age(at(1_200)), Some(ms(4_200)));
 }
 
@@ -120,7 +133,7 @@
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(1_000));
-    proof.obscure();
+    proof.note_unreadable();
     proof.note_read(at(9_000));
     assert_eq!(proof.age(at(9_000)), Some(ms(8_000)));
     proof.replace(4);
@@ -133,21 +146,21 @@
 #[test]
 fn the_proofs_of_listeners_count_for_refusing_unknown_routes() {
     for apply in [3_000, 5_000, 14_000] {
-        let asked_at = asking_age(None, ms(apply), false);
+        let asked_at = proof_request_age(None, ms(apply), false);
         let answered = asked_at + ms(400);
         assert!(answered < denial_lease_of(ms(apply)), "{apply}");
-        assert!(asked_at > proving_pause(1), "a question gains something");
-        assert!(asked_at <= asking_age(None, ms(apply), true));
+        assert!(asked_at > proof_interval(1), "a question gains something");
+        assert!(asked_at <= proof_request_age(None, ms(apply), true));
     }
 }
 
 #[test]
 fn other_nodes_are_asked_once_the_own_proof_grows_old() {
-    let lease = asking_age(Some(ms(4_500)), ms(3_000), true);
+    let lease = proof_request_age(Some(ms(4_500)), ms(3_000), true);
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(10_000));
-    let mut asking = ProofAsking::default();
+    let mut asking = ProofRequestTimer::default();
     assert!(!asking.is_due(&proof, at(10_900), lease));
     assert!(asking.is_due(&proof, at(11_000), lease));
     assert!(
@@ -155,7 +168,7 @@
         "one round at a time"
     );
     assert!(asking.is_due(&proof, at(11_200), lease));
-    proof.note_told(3, at(11_200), ms(0));
+    proof.record_peer_proof(3, at(11_200), ms(0));
     assert!(!asking.is_due(&proof, at(12_000), lease));
 }
 
@@ -164,7 +177,7 @@
 #[test]
 fn without_keys_nodes_ask_only_when_their_own_reads_are_late() {
     for apply in [2_000, 3_000, 5_000] {
-        let age = asking_age(None, ms(apply), true);
+        let age = proof_request_age(None, ms(apply), true);
         let reads = StreamReadSchedule::new(
             Stream::Configuration,
             &UpdateDeadlines {
@@ -174,18 +187,18 @@
         );
         assert!(age > reads.next_read().wait * 2, "{apply}");
         let mut proof = ConfigProof::default();
-        assert!(ProofAsking::default().is_due(&proof, at(90_000), age));
+        assert!(ProofRequestTimer::default().is_due(&proof, at(90_000), age));
         proof.replace(3);
         proof.note_read(at(10_000));
         let late = 10_000 + apply * 7 / 10;
-        assert!(!ProofAsking::default().is_due(&proof, at(late - 1), age));
-        assert!(ProofAsking::default().is_due(&proof, at(late), age));
+        assert!(!ProofRequestTimer::default().is_due(&proof, at(late - 1), age));
+        assert!(ProofRequestTimer::default().is_due(&proof, at(late), age));
     }
 }
 
 #[test]
 fn many_nodes_prove_the_configuration_in_turns() {
-    assert_eq!(proving_pause(1), ms(800));
-    assert_eq!(proving_pause(60), ms(9_000));
-    assert_eq!(proving_pause(3_200), ms(20_000));
+    assert_eq!(proof_interval(1), ms(800));
+    assert_eq!(proof_interval(60), ms(9_000));
+    assert_eq!(proof_interval(3_200), ms(20_000));
 }
--- a/crates/gateway-core/tests/config_proof_model.rs
+++ b/crates/gateway-core/tests/config_proof_model.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::config_proof::{ConfigProof, Told, lease_of};
+use elderworks_gateway_core::config_proof::{ConfigProof, PeerProof, lease_of};
 use elderworks_types::Timestamp;
 use proptest::prelude::*;
 
@@ -177,7 +177,7 @@
                         Mistake::FromHearing => heard,
                         _ => sent,
                     };
-                    if proof.note_told(version, asked, age) == Told::Newer {
+                    if proof.record_peer_proof(version, asked, age) == PeerProof::Newer {
                         // The other node tells its configuration too.
                         proof.replace(version);
                     }
--- a/crates/gateway-core/tests/feed_roles.rs
+++ b/crates/gateway-core/tests/feed_roles.rs
@@ -77,24 +77,27 @@
 fn the_return_of_a_reader_after_a_time_without_any_is_told_once() {
     let ranking: Vec<NodeId> = (0..4).map(id).collect();
     let mut roles = Roles::new(FeedTimes::within(DEADLINE));
-    assert!(!roles.note_return(at(0), &ranking), "nobody was heard yet");
-    roles.note_heard(at(100), &id(0), Duration::ZERO, true);
     assert!(
-        !roles.note_return(at(200), &ranking),
+        !roles.detect_recovery(at(0), &ranking),
+        "nobody was heard yet"
+    );
+    roles.record_heartbeat(at(100), &id(0), Duration::ZERO, true);
+    assert!(
+        !roles.detect_recovery(at(200), &ranking),
         "the first one is no return"
     );
-    roles.note_heard(at(300), &id(0), Duration::ZERO, false);
-    assert!(!roles.note_return(at(400), &ranking), "it cannot read");
-    roles.note_heard(at(500), &id(1), Duration::ZERO, true);
-    assert!(roles.note_return(at(600), &ranking));
-    roles.note_heard(at(700), &id(0), Duration::ZERO, false);
+    roles.record_heartbeat(at(300), &id(0), Duration::ZERO, false);
+    assert!(!roles.detect_recovery(at(400), &ranking), "it cannot read");
+    roles.record_heartbeat(at(500), &id(1), Duration::ZERO, true);
+    assert!(roles.detect_recovery(at(600), &ranking));
+    roles.record_heartbeat(at(700), &id(0), Duration::ZERO, false);
     assert!(
-        !roles.note_return(at(800), &ranking),
+        !roles.detect_recovery(at(800), &ranking),
         "another one works still"
     );
-    assert!(!roles.note_return(at(9_000), &ranking), "silent");
-    roles.note_heard(at(9_100), &id(1), Duration::ZERO, true);
-    assert!(roles.note_return(at(9_200), &ranking));
+    assert!(!roles.detect_recovery(at(9_000), &ranking), "silent");
+    roles.record_heartbeat(at(9_100), &id(1), Duration::ZERO, true);
+    assert!(roles.detect_recovery(at(9_200), &ranking));
 }
 
 #[test]
@@ -158,7 +161,7 @@
         for (node, reads) in words {
             for (number, roles) in self.nodes.iter_mut().enumerate() {
                 if self.lives[number] && self.ranking[number] != node {
-                    roles.note_heard(now, &node, Duration::from_millis(50), reads);
+                    roles.record_heartbeat(now, &node, Duration::from_millis(50), reads);
                 }
             }
         }
@@ -298,12 +301,12 @@
     let times = FeedTimes::within(DEADLINE);
     let mut roles = Roles::new(times);
     let node = id(0);
-    roles.note_heard(at(0), &node, Duration::ZERO, true);
+    roles.record_heartbeat(at(0), &node, Duration::ZERO, true);
     assert!(roles.is_working(at(900), &node));
     assert!(!roles.is_working(at(1_000), &node), "silent");
-    roles.note_heard(at(1_000), &node, Duration::from_millis(3_900), true);
+    roles.record_heartbeat(at(1_000), &node, Duration::from_millis(3_900), true);
     assert!(roles.is_working(at(1_000), &node));
     assert!(!roles.is_working(at(1_200), &node), "its news is old");
-    roles.note_heard(at(1_300), &node, Duration::ZERO, false);
+    roles.record_heartbeat(at(1_300), &node, Duration::ZERO, false);
     assert!(!roles.is_working(at(1_300), &node), "its reads fail");
 }
--- a/crates/gateway-core/tests/pressure.rs
+++ b/crates/gateway-core/tests/pressure.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::pressure::{
-    LONGEST_STALL, Marks, Pressure, StallStep, StreamLoad, after_stall, reads_answer, reads_stream,
-    stream_to_end,
+    MAX_STALL, MemoryThresholds, Pressure, StallStep, StreamLoad, after_stall, should_read_answer,
+    should_read_stream, stream_to_abort,
 };
 
 const MIB: usize = 1024 * 1024;
 
 /// The smallest machines have 48 MB.
-fn small() -> Marks {
-    Marks::of(48 * MIB)
+fn small() -> MemoryThresholds {
+    MemoryThresholds::of(48 * MIB)
 }
 
 #[test]
@@ -21,16 +21,16 @@
         pressure: Pressure,
         takes_body: bool,
         takes_stream: bool,
-        reads_stream: bool,
-        reads_answer: bool,
+        should_read_stream: bool,
+        should_read_answer: bool,
     }
     let row = |held_mib, pressure, takes_body, takes_stream, reads| Row {
         held_mib,
         pressure,
         takes_body,
         takes_stream,
-        reads_stream: reads,
-        reads_answer: reads,
+        should_read_stream: reads,
+        should_read_answer: reads,
     };
     let rows = [
         row(0, Pressure::Calm, true, true, true),
@@ -50,27 +50,31 @@
         assert_eq!(pressure, row.pressure, "{at} MiB");
         assert_eq!(marks.takes_body(0, held, 1), row.takes_body, "{at} MiB");
         assert_eq!(marks.takes_stream(held), row.takes_stream, "{at} MiB");
-        let reads = reads_stream(1, 64 * 1024, pressure);
-        assert_eq!(reads, row.reads_stream, "{at} MiB");
-        assert_eq!(reads_answer(MIB, pressure), row.reads_answer, "{at} MiB");
+        let reads = should_read_stream(1, 64 * 1024, pressure);
+        assert_eq!(reads, row.should_read_stream, "{at} MiB");
+        assert_eq!(
+            should_read_answer(MIB, pressure),
+            row.should_read_answer,
+            "{at} MiB"
+        );
         assert!(
-            reads_stream(0, 0, pressure),
+            should_read_stream(0, 0, pressure),
             "a caller that reads is served"
         );
-        assert!(reads_answer(1_000, pressure), "small answers end");
+        assert!(should_read_answer(1_000, pressure), "small answers end");
     }
 }
 
 #[test]
 fn marks_follow_the_machine_and_lie_in_order() {
     for mib in [1, 48, 88, 256, 512, 64 * 1024] {
-        let marks = Marks::of(mib * MIB);
+        let marks = MemoryThresholds::of(mib * MIB);
         assert!(marks.bodies < marks.no_new_bodies, "{mib} MiB");
         assert!(marks.no_new_bodies < marks.no_new_streams, "{mib} MiB");
         assert!(marks.no_new_streams < marks.full, "{mib} MiB");
         assert!(2 * marks.full < mib * MIB, "{mib} MiB");
     }
-    assert_eq!(Marks::of(64 * 1024 * MIB).bodies, 64 * MIB);
+    assert_eq!(MemoryThresholds::of(64 * 1024 * MIB).bodies, 64 * MIB);
 }
 
 #[test]
@@ -90,19 +94,19 @@
         (100, 100, false),
     ];
     for (unsent, buffer, reads) in rows {
-        let found = reads_stream(unsent, buffer, Pressure::Calm);
+        let found = should_read_stream(unsent, buffer, Pressure::Calm);
         assert_eq!(found, reads, "{unsent} of {buffer}");
     }
 }
 
 #[test]
 fn a_stall_ends_the_wait_of_the_worker() {
-    let soon = LONGEST_STALL - Duration::from_millis(1);
+    let soon = MAX_STALL - Duration::from_millis(1);
     let rows = [
         (soon, true, StallStep::Wait),
         (soon, false, StallStep::Wait),
-        (LONGEST_STALL, true, StallStep::LetWorkerGo),
-        (LONGEST_STALL, false, StallStep::GiveUp),
+        (MAX_STALL, true, StallStep::ReleaseWorker),
+        (MAX_STALL, false, StallStep::GiveUp),
     ];
     for (stalled, is_resumable, step) in rows {
         assert_eq!(after_stall(stalled, is_resumable), step, "{stalled:?}");
@@ -120,8 +124,12 @@
     let small = load(2, 2_000, 5_000);
     let large = load(3, 3_000, 600);
     let empty = load(4, 0, 9_000);
-    assert_eq!(stream_to_end([reading, small, large, empty]), Some(3));
-    assert_eq!(stream_to_end([reading, small]), Some(2));
-    assert_eq!(stream_to_end([reading, empty]), None, "nobody is to blame");
-    assert_eq!(stream_to_end([]), None);
+    assert_eq!(stream_to_abort([reading, small, large, empty]), Some(3));
+    assert_eq!(stream_to_abort([reading, small]), Some(2));
+    assert_eq!(
+        stream_to_abort([reading, empty]),
+        None,
+        "nobody is to blame"
+    );
+    assert_eq!(stream_to_abort([]), None);
 }
--- a/crates/gateway-core/tests/quota.rs
+++ b/crates/gateway-core/tests/quota.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::quota::{Division, Fleet, QuotaBook, QuotaRules, TenantUse, Ticket};
+use elderworks_gateway_core::quota::{
+    Division, Fleet, QuotaRules, QuotaTracker, TenantUse, Ticket,
+};
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
 use elderworks_types::{NodeId, Timestamp};
 
@@ -35,8 +37,8 @@
     Timestamp((60_000 + ms) * 1_000)
 }
 
-fn book(division: Division) -> QuotaBook {
-    QuotaBook::new(RULES, division, 1, Timestamp(1))
+fn book(division: Division) -> QuotaTracker {
+    QuotaTracker::new(RULES, division, 1, Timestamp(1))
 }
 
 fn uses(sent: u32, asked: u32) -> [(TenantKey, TenantUse); 1] {
@@ -44,7 +46,7 @@
 }
 
 /// How many of `count` requests at one moment are admitted.
-fn admitted(book: &mut QuotaBook, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
+fn admitted(book: &mut QuotaTracker, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
     let admitted = (0..count).filter(|_| book.admit(now, TENANT, QUOTA, fleet).is_ok());
     u32::try_from(admitted.count()).expect("few")
 }
@@ -139,7 +141,7 @@
 #[test]
 fn a_new_process_counts_what_it_cannot_know() {
     let started = at(0);
-    let fresh = || QuotaBook::new(RULES, Division::Told, 1, started);
+    let fresh = || QuotaTracker::new(RULES, Division::Told, 1, started);
     // ms since the start, expected to be admitted of 100
     for (after, expected) in [(0, 0), (2_500, 30), (5_000, 60)] {
         let now = started + Duration::from_millis(after);
@@ -179,7 +181,7 @@
     let mut book = book(Division::Told);
     let ticket = book.admit(at(0), TENANT, QUOTA, ALONE).expect("room");
     book.note_send(at(1_000), ticket);
-    book.note_further_send(at(2_000), ticket);
+    book.note_resend(at(2_000), ticket);
     assert_eq!(book.used_by(TENANT), 2);
     book.report(at(5_500), ALONE);
     assert_eq!(book.used_by(TENANT), 2, "sent 4.5 s ago");
--- a/crates/gateway-core/tests/quota_lessor.rs
+++ b/crates/gateway-core/tests/quota_lessor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::quota::{
-    BegunPrograms, Division, Fleet, Order, OverQuota, QuotaBook, QuotaRules, ReportTurns,
+    Division, Fleet, Order, OverQuota, QuotaRules, QuotaTracker, ReportTurns, StartedPrograms,
     TenantUse, lessor_of,
 };
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
@@ -40,23 +40,23 @@
     Timestamp((60_000 + ms) * 1_000)
 }
 
-fn lessor() -> QuotaBook {
-    QuotaBook::new(RULES, Division::Told, 1, Timestamp(1)).with_order(true)
+fn lessor() -> QuotaTracker {
+    QuotaTracker::new(RULES, Division::Told, 1, Timestamp(1)).with_program_priority(true)
 }
 
 fn node(number: usize) -> NodeId {
     NodeId::new(format!("n{number}"))
 }
 
-fn ask(book: &mut QuotaBook, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
+fn ask(book: &mut QuotaTracker, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
     let to = node(1);
     let decided = book.grant(at(ms), TENANT, quota, FOUR, Some(&to), order);
     decided.expect("hears enough")
 }
 
 /// How many of `count` requests at one moment are granted.
-fn granted(book: &mut QuotaBook, ms: u64, quota: Quota, count: usize) -> usize {
-    let answers = (0..count).map(|_| ask(book, ms, quota, Order::Later));
+fn granted(book: &mut QuotaTracker, ms: u64, quota: Quota, count: usize) -> usize {
+    let answers = (0..count).map(|_| ask(book, ms, quota, Order::Continuation));
     answers.filter(Result::is_ok).count()
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn grants_count_once_whether_told_or_not() {
     let mut book = lessor();
-    let tell = |book: &mut QuotaBook, ms, sent| {
+    let tell = |book: &mut QuotaTracker, ms, sent| {
         book.take_report(at(ms), node(1), uses(sent));
         book.take_report(at(ms), node(2), uses(0));
         book.take_report(at(ms), node(3), uses(0));
@@ -111,26 +111,26 @@
 #[test]
 fn while_more_is_asked_for_than_fits_programs_that_have_begun_go_first() {
     let mut book = lessor();
-    let tell = |book: &mut QuotaBook, ms, sent, asked| {
+    let tell = |book: &mut QuotaTracker, ms, sent, asked| {
         let used = TenantUse { sent, asked };
         book.take_report(at(ms), node(2), [(TENANT, used)]);
     };
     // 12 a second are 60 in a window.
     tell(&mut book, 0, 50, 13);
     assert_eq!(
-        ask(&mut book, 10, QUOTA, Order::First),
+        ask(&mut book, 10, QUOTA, Order::NewProgram),
         Ok(()),
         "nothing was refused yet"
     );
     tell(&mut book, 100, 60, 13);
-    let full = ask(&mut book, 110, QUOTA, Order::Later).expect_err("full");
+    let full = ask(&mut book, 110, QUOTA, Order::Continuation).expect_err("full");
     assert!(!full.is_held_back);
     tell(&mut book, 200, 50, 13);
-    let held_back = ask(&mut book, 210, QUOTA, Order::First).expect_err("short");
+    let held_back = ask(&mut book, 210, QUOTA, Order::NewProgram).expect_err("short");
     assert!(held_back.is_held_back);
-    assert_eq!(ask(&mut book, 210, QUOTA, Order::Later), Ok(()));
+    assert_eq!(ask(&mut book, 210, QUOTA, Order::Continuation), Ok(()));
     tell(&mut book, 400, 50, 12);
-    assert_eq!(ask(&mut book, 410, QUOTA, Order::First), Ok(()));
+    assert_eq!(ask(&mut book, 410, QUOTA, Order::NewProgram), Ok(()));
 }
 
 #[test]
@@ -139,7 +139,7 @@
     book.take_report(at(0), node(2), uses(60));
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        let over = ask(&mut book, 10, QUOTA, Order::Later).expect_err("full");
+        let over = ask(&mut book, 10, QUOTA, Order::Continuation).expect_err("full");
         pauses.push(over.retry_after);
     }
     assert!(pauses.is_sorted(), "{pauses:?}");
@@ -149,8 +149,8 @@
 
 #[test]
 fn a_node_that_does_not_know_what_was_sent_decides_nothing() {
-    let order = Order::Later;
-    let mut started = QuotaBook::new(RULES, Division::Told, 1, at(0));
+    let order = Order::Continuation;
+    let mut started = QuotaTracker::new(RULES, Division::Told, 1, at(0));
     assert_eq!(
         started.grant(at(4_000), TENANT, QUOTA, FOUR, None, order),
         None
@@ -159,7 +159,7 @@
         started.grant(at(5_100), TENANT, QUOTA, FOUR, None, order),
         Some(Ok(()))
     );
-    let mut new = QuotaBook::new(RULES, Division::Told, 1, at(0));
+    let mut new = QuotaTracker::new(RULES, Division::Told, 1, at(0));
     new.note_new_machine();
     assert_eq!(new.grant(at(500), TENANT, QUOTA, FOUR, None, order), None);
     assert_eq!(
@@ -184,7 +184,7 @@
         nodes: 1,
         is_cut_off: false,
     };
-    let mut decided = |ms| book.grant(at(ms), TENANT, QUOTA, alone, None, Order::Later);
+    let mut decided = |ms| book.grant(at(ms), TENANT, QUOTA, alone, None, Order::Continuation);
     assert_eq!(decided(1_500), None);
     assert_eq!(decided(5_500), Some(Ok(())));
 }
@@ -243,7 +243,7 @@
 
 #[test]
 fn programs_are_remembered_for_a_while() {
-    let mut begun = BegunPrograms::default();
+    let mut begun = StartedPrograms::default();
     begun.note(at(0), "p");
     assert!(begun.contains("p") && !begun.contains("q"));
     begun.note(at(31_000), "q");
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::quota::{
-    Division, Fleet, Order, QuotaBook, QuotaRules, REPORT_INTERVAL, ReportTurns, lessor_of,
+    Division, Fleet, Order, QuotaRules, QuotaTracker, REPORT_INTERVAL, ReportTurns, lessor_of,
 };
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
 use elderworks_types::{NodeId, Timestamp};
@@ -112,7 +112,7 @@
 
 struct Node {
     name: NodeId,
-    book: QuotaBook,
+    book: QuotaTracker,
     starts_at: u64,
     next_report: u64,
     turns: ReportTurns,
@@ -138,8 +138,9 @@
         Way::Told | Way::Lessor => Division::Told,
     };
     let mut chance = Chance(seed);
-    let book =
-        |number: usize, started: Timestamp| QuotaBook::new(RULES, division, number as u64, started);
+    let book = |number: usize, started: Timestamp| {
+        QuotaTracker::new(RULES, division, number as u64, started)
+    };
     let mut nodes: Vec<Node> = (0..day.nodes + day.added)
         .map(|number| {
             let starts_at = if number < day.nodes { 0 } else { 9_000 };
@@ -262,28 +263,30 @@
             };
             let book = &mut nodes[number].book;
             book.note_asked(at(now), TENANT, day.quota);
-            let calm = lessor.and_then(|_| book.admit_calm(at(now), TENANT, day.quota, own));
+            let calm = lessor.and_then(|_| book.admit_low_usage(at(now), TENANT, day.quota, own));
             let granted = match lessor {
                 _ if calm.is_some() => Some(Ok(())),
                 Some(other) if other == number => {
-                    book.grant(at(now), TENANT, day.quota, own, None, Order::Later)
+                    book.grant(at(now), TENANT, day.quota, own, None, Order::Continuation)
                 }
                 Some(other) if reaches(other, &mut chance) => {
                     let to = Some(&names[number]);
                     let theirs = fleet(other);
                     let lessor = &mut nodes[other].book;
-                    lessor.grant(at(now), TENANT, day.quota, theirs, to, Order::Later)
+                    lessor.grant(at(now), TENANT, day.quota, theirs, to, Order::Continuation)
                 }
                 _ => None,
             };
             let book = &mut nodes[number].book;
             let is_admitted = match granted {
                 Some(Ok(())) if calm.is_none() => {
-                    book.take_granted(at(now), TENANT, day.quota);
+                    book.record_granted(at(now), TENANT, day.quota);
                     true
                 }
                 Some(result) => result.is_ok(),
-                None => book.admit_told(at(now), TENANT, day.quota, own).is_ok(),
+                None => book
+                    .admit_by_reports(at(now), TENANT, day.quota, own)
+                    .is_ok(),
             };
             while window.front().is_some_and(|first| first + 5_000 <= now) {
                 window.pop_front();
--- a/crates/gateway-core/tests/routes.rs
+++ b/crates/gateway-core/tests/routes.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::config::{
     ActiveConfig, RequestLimits, Route, RouteKind, ServingConfig, WeightedService,
 };
-use elderworks_gateway_core::split::SplitState;
+use elderworks_gateway_core::split::WeightedRoundRobin;
 use elderworks_gateway_core::tenants::TenantTable;
 
 fn route(name: &str, host: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
@@ -89,7 +89,7 @@
 fn shares_follow_the_weights_to_within_a_request() {
     for seed in [0, 1, 7, 99_991] {
         let split = route("r", "h", "/", &[("big", 90), ("small", 10), ("none", 0)]);
-        let mut state = SplitState::new(seed);
+        let mut state = WeightedRoundRobin::new(seed);
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..300 {
             let service = state.next_service(&split).expect("the route has services");
@@ -103,7 +103,7 @@
 
 #[test]
 fn changed_weights_take_effect_at_once() {
-    let mut state = SplitState::new(5);
+    let mut state = WeightedRoundRobin::new(5);
     let before = route("r", "h", "/", &[("old", 100), ("new", 0)]);
     let after = route("r", "h", "/", &[("old", 0), ("new", 100)]);
     assert_eq!(state.next_service(&before).as_deref(), Some("old"));
@@ -115,5 +115,5 @@
 #[test]
 fn a_route_without_services_has_no_next_one() {
     let empty = route("r", "h", "/", &[]);
-    assert_eq!(SplitState::new(0).next_service(&empty), None);
+    assert_eq!(WeightedRoundRobin::new(0).next_service(&empty), None);
 }
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -6,9 +6,9 @@
 use elderworks_gateway_core::engines::{MoveOutcome, RunCopy};
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::run_moves::backups::{BURST_S, BackupRules, Backups, RunSize};
-use elderworks_gateway_core::run_moves::targets::{ZoneWish, choose};
+use elderworks_gateway_core::run_moves::targets::{ZonePreference, choose};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction, RunMigration,
 };
 use elderworks_gateway_core::workers::{WorkerDirectory, WorkerRecord};
 use elderworks_types::Timestamp;
@@ -34,9 +34,9 @@
     engine("w3", 3)
 }
 
-fn life(backup: Option<Engine>, most_engines: u32) -> RunLife {
+fn life(backup: Option<Engine>, max_engines: u32) -> RunMigration {
     let ran_at = vec!["w1".to_owned()];
-    RunLife::new("r1".to_owned(), source(), backup, ran_at, most_engines)
+    RunMigration::new("r1".to_owned(), source(), backup, ran_at, max_engines)
 }
 
 fn copied(handle: &str) -> CallEnd {
@@ -53,8 +53,8 @@
     }
 }
 
-fn stop_at_target() -> Order {
-    Order::Stop(Hop {
+fn stop_at_target() -> RunAction {
+    RunAction::Stop(CopyPath {
         source: source().address,
         target: target().address,
     })
@@ -63,7 +63,7 @@
 #[test]
 fn what_a_broken_stream_leads_to() {
     use CallEnd::{Answered, NotReached, Refused, Unknown};
-    let go_on = |at: Engine, handle: &str| Order::GoOn {
+    let go_on = |at: Engine, handle: &str| RunAction::Resume {
         at,
         copy: copy(handle),
     };
@@ -71,7 +71,7 @@
         let handle = handle.map(str::to_owned);
         Answered(MoveOutcome::NoRoom { handle })
     };
-    let in_doubt = || Order::End(EndReason::InDoubt);
+    let in_doubt = || RunAction::End(EndReason::InDoubt);
     // What the engine said to each call that was to stop the run, with a backup and without.
     let cases = [
         (
@@ -88,17 +88,17 @@
         (
             vec![Answered(MoveOutcome::NoSuchRun)],
             go_on(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (
             vec![NotReached],
             go_on(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (
             vec![Unknown, NotReached],
             go_on(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (vec![Unknown, Unknown], in_doubt(), in_doubt()),
         (
@@ -114,9 +114,12 @@
     for (answers, with_backup, without) in cases {
         for (kept, expected) in [(Some(backup()), with_backup), (None, without)] {
             let mut life = life(kept, 2);
-            let mut order = life.leave(Reason::Broken, Some(target()));
+            let mut order = life.leave(MigrationReason::Broken, Some(target()));
             for answer in &answers {
-                assert!(matches!(order, Order::Stop(_)), "{answers:?}: {order:?}");
+                assert!(
+                    matches!(order, RunAction::Stop(_)),
+                    "{answers:?}: {order:?}"
+                );
                 order = life.after_stop(answer.clone());
             }
             assert_eq!(order, expected, "{answers:?}");
@@ -126,61 +129,77 @@
 
 #[test]
 fn a_run_that_leaves_unforced_is_read_on_if_the_move_fails() {
-    for reason in [Reason::Draining, Reason::TakenSoon, Reason::Slow] {
+    for reason in [
+        MigrationReason::Draining,
+        MigrationReason::TakenSoon,
+        MigrationReason::Slow,
+    ] {
         let mut run = life(None, 2);
-        assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
-        assert_eq!(run.after_copy(CallEnd::NotReached), Order::Read);
-        assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
+        assert!(matches!(
+            run.leave(reason, Some(target())),
+            RunAction::Copy(_)
+        ));
+        assert_eq!(run.after_copy(CallEnd::NotReached), RunAction::Read);
+        assert!(matches!(
+            run.leave(reason, Some(target())),
+            RunAction::Copy(_)
+        ));
         assert_eq!(run.after_copy(copied("a")), stop_at_target());
-        assert_eq!(run.after_stop(CallEnd::Refused), Order::Read);
-        assert_eq!(run.take_unused(), [copy("a")]);
-        assert_eq!(run.leave(reason, None), Order::Read);
+        assert_eq!(run.after_stop(CallEnd::Refused), RunAction::Read);
+        assert_eq!(run.take_unused_copies(), [copy("a")]);
+        assert_eq!(run.leave(reason, None), RunAction::Read);
     }
 }
 
 #[test]
 fn a_refused_copy_goes_back_to_the_engine_that_stopped_and_is_freed_at_last() {
     let mut run = life(None, 2);
-    assert_eq!(run.leave(Reason::Broken, Some(target())), stop_at_target());
-    let at_target = Order::GoOn {
+    assert_eq!(
+        run.leave(MigrationReason::Broken, Some(target())),
+        stop_at_target()
+    );
+    let at_target = RunAction::Resume {
         at: target(),
         copy: copy("h"),
     };
     assert_eq!(run.after_stop(copied("h")), at_target);
-    let at_source = Order::GoOn {
+    let at_source = RunAction::Resume {
         at: source(),
         copy: copy("h"),
     };
     assert_eq!(run.after_attempt(AttemptEnd::NotRun, None), at_source);
     let end = run.after_attempt(AttemptEnd::NotRun, None);
-    assert_eq!(end, Order::End(EndReason::NotTaken));
-    assert_eq!(run.take_unused(), [copy("h")]);
-    assert_eq!(run.take_unused(), []);
+    assert_eq!(end, RunAction::End(EndReason::NotTaken));
+    assert_eq!(run.take_unused_copies(), [copy("h")]);
+    assert_eq!(run.take_unused_copies(), []);
 }
 
 #[test]
 fn a_target_that_breaks_too_is_asked_to_stop_in_its_turn() {
     let mut run = life(None, 3);
-    run.leave(Reason::Broken, Some(target()));
+    run.leave(MigrationReason::Broken, Some(target()));
     run.after_stop(copied("h"));
     let order = run.after_attempt(AttemptEnd::Unknown, Some(backup()));
-    let expected = Order::Stop(Hop {
+    let expected = RunAction::Stop(CopyPath {
         source: target().address,
         target: backup().address,
     });
     assert_eq!(order, expected);
-    assert_eq!(run.take_unused(), [], "the copy may be in use");
+    assert_eq!(run.take_unused_copies(), [], "the copy may be in use");
     run.after_stop(copied("i"));
-    assert_eq!(run.after_attempt(AttemptEnd::Answered, None), Order::Read);
-    let order = run.leave(Reason::Broken, Some(source()));
-    assert_eq!(order, Order::End(EndReason::MovedOften));
+    assert_eq!(
+        run.after_attempt(AttemptEnd::Answered, None),
+        RunAction::Read
+    );
+    let order = run.leave(MigrationReason::Broken, Some(source()));
+    assert_eq!(order, RunAction::End(EndReason::MovedOften));
 }
 
 #[test]
 fn a_route_that_allows_one_engine_keeps_the_run_at_it() {
     let mut run = life(None, 1);
-    run.leave(Reason::Broken, Some(target()));
-    let expected = Order::GoOn {
+    run.leave(MigrationReason::Broken, Some(target()));
+    let expected = RunAction::Resume {
         at: source(),
         copy: copy("h"),
     };
@@ -190,17 +209,21 @@
 /// An engine whose run was copied elsewhere may refuse to take it up again.
 #[test]
 fn a_run_that_may_go_nowhere_else_does_not_leave_unforced() {
-    for reason in [Reason::Silent, Reason::Draining, Reason::Slow] {
+    for reason in [
+        MigrationReason::Silent,
+        MigrationReason::Draining,
+        MigrationReason::Slow,
+    ] {
         let mut run = life(None, 1);
-        assert_eq!(run.leave(reason, Some(target())), Order::Read);
+        assert_eq!(run.leave(reason, Some(target())), RunAction::Read);
         let mut run = life(None, 2);
-        run.leave(Reason::Silent, Some(target()));
+        run.leave(MigrationReason::Silent, Some(target()));
         run.after_stop(copied("h"));
         run.after_attempt(AttemptEnd::Answered, None);
-        assert_eq!(run.leave(reason, Some(backup())), Order::Read);
+        assert_eq!(run.leave(reason, Some(backup())), RunAction::Read);
         assert!(matches!(
             run.leave(reason, Some(source())),
-            Order::Stop(_) | Order::Copy(_)
+            RunAction::Stop(_) | RunAction::Copy(_)
         ));
     }
 }
@@ -208,28 +231,32 @@
 #[test]
 fn a_lost_engine_does_not_count_against_the_route() {
     let mut run = life(Some(backup()), 1);
-    run.leave(Reason::Broken, None);
-    let expected = Order::GoOn {
+    run.leave(MigrationReason::Broken, None);
+    let expected = RunAction::Resume {
         at: backup(),
         copy: copy("r1"),
     };
     assert_eq!(run.after_stop(CallEnd::NotReached), expected);
     let mut run = life(Some(backup()), 1);
-    run.leave(Reason::Broken, None);
+    run.leave(MigrationReason::Broken, None);
     let stopped = CallEnd::Answered(MoveOutcome::NoSuchRun);
-    let expected = Order::End(EndReason::NoAttemptLeft);
+    let expected = RunAction::End(EndReason::NoAttemptLeft);
     assert_eq!(run.after_stop(stopped), expected, "this one is not lost");
 }
 
 #[test]
 fn a_silent_engine_is_left_only_if_it_cannot_be_reached() {
     let mut run = life(Some(backup()), 2);
-    run.leave(Reason::Silent, None);
+    run.leave(MigrationReason::Silent, None);
     let gone = CallEnd::Answered(MoveOutcome::NoSuchRun);
-    assert_eq!(run.after_stop(gone), Order::Read, "its end is on the way");
-    run.leave(Reason::Silent, None);
+    assert_eq!(
+        run.after_stop(gone),
+        RunAction::Read,
+        "its end is on the way"
+    );
+    run.leave(MigrationReason::Silent, None);
     let order = run.after_stop(CallEnd::NotReached);
-    assert!(matches!(order, Order::GoOn { .. }), "{order:?}");
+    assert!(matches!(order, RunAction::Resume { .. }), "{order:?}");
 }
 
 fn record(id: &str, zone: &str, draining: bool) -> WorkerRecord {
@@ -263,41 +290,44 @@
         let found = choose(workers, "engines", "w1", &tried, wish, now);
         found.map(|worker| worker.record.id.clone())
     };
-    assert_eq!(chosen(&workers, &[], ZoneWish::Same).as_deref(), Some("w2"));
     assert_eq!(
-        chosen(&workers, &[], ZoneWish::Other).as_deref(),
+        chosen(&workers, &[], ZonePreference::Same).as_deref(),
+        Some("w2")
+    );
+    assert_eq!(
+        chosen(&workers, &[], ZonePreference::Other).as_deref(),
         Some("w3")
     );
-    let tried = chosen(&workers, &["w2"], ZoneWish::Same);
+    let tried = chosen(&workers, &["w2"], ZonePreference::Same);
     assert_eq!(tried.as_deref(), Some("w3"));
     workers.note_start("w2", now);
     workers.note_start("w2", now);
-    let crowded = chosen(&workers, &[], ZoneWish::Same);
+    let crowded = chosen(&workers, &[], ZonePreference::Same);
     assert_eq!(
         crowded.as_deref(),
         Some("w3"),
         "no slot is free at the other"
     );
-    assert_eq!(chosen(&workers, &["w2", "w3"], ZoneWish::Same), None);
+    assert_eq!(chosen(&workers, &["w2", "w3"], ZonePreference::Same), None);
 }
 
 const RULES: BackupRules = BackupRules {
-    most_bytes_per_token: 100_000,
-    most_at_once: 2,
+    max_bytes_per_token: 100_000,
+    max_concurrent: 2,
     bytes_per_s: 400_000_000,
 };
 
 /// Generates much for its size.
 const LONG_RUN: RunSize = RunSize {
     tokens: 1_000,
-    left_tokens: 4_000,
+    remaining_tokens: 4_000,
     token_bytes: 18_432,
 };
 
 /// A long prompt and a short answer.
 const SHORT_RUN: RunSize = RunSize {
     tokens: 14_000,
-    left_tokens: 257,
+    remaining_tokens: 257,
     token_bytes: 18_432,
 };
 
@@ -309,7 +339,7 @@
     let bytes = backups.begin(&RULES, &LONG_RUN, now);
     assert_eq!(bytes, Some(5_000 * 18_432));
     let off = BackupRules {
-        most_bytes_per_token: 0,
+        max_bytes_per_token: 0,
         ..RULES
     };
     assert_eq!(Backups::default().begin(&off, &LONG_RUN, now), None);
@@ -332,13 +362,13 @@
     fn backups_keep_to_their_bytes(
         runs in proptest::collection::vec((1_u64..20_000, 1_u64..5_000, 0_u64..300_000), 1..200),
     ) {
-        let rules = BackupRules { most_bytes_per_token: u64::MAX, most_at_once: u32::MAX, ..RULES };
+        let rules = BackupRules { max_bytes_per_token: u64::MAX, max_concurrent: u32::MAX, ..RULES };
         let mut backups = Backups::default();
         let mut now = Timestamp(1);
         let mut moved = 0_u64;
-        for (tokens, left_tokens, pause_us) in runs {
+        for (tokens, remaining_tokens, pause_us) in runs {
             now = now + Duration::from_micros(pause_us);
-            let run = RunSize { tokens, left_tokens, token_bytes: 18_432 };
+            let run = RunSize { tokens, remaining_tokens, token_bytes: 18_432 };
             if let Some(bytes) = backups.begin(&rules, &run, now) {
                 moved += bytes;
                 let passed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
--- a/crates/gateway-core/tests/run_moves_model.rs
+++ b/crates/gateway-core/tests/run_moves_model.rs
@@ -6,7 +6,8 @@
 
 use elderworks_gateway_core::engines::{MoveOutcome, RunCopy};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, Engine, Hop, MOST_MOVES, MOST_UNFORCED, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, Engine, MOST_MOVES, MOST_UNFORCED, MigrationReason, RunAction,
+    RunMigration,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -50,7 +51,7 @@
     /// The connection is gone; whether the engine works on.
     Reset(bool),
     /// The gateway gives the engine up for another reason.
-    Leave(Reason),
+    Leave(MigrationReason),
 }
 
 #[derive(Clone, Debug)]
@@ -78,7 +79,7 @@
 }
 
 impl World {
-    fn stop(&mut self, hop: Hop, fate: Fate) -> CallEnd {
+    fn stop(&mut self, hop: CopyPath, fate: Fate) -> CallEnd {
         let source = number(hop.source);
         if let Fate::EngineCrashes = fate {
             self.crash(source);
@@ -115,7 +116,7 @@
         }
     }
 
-    fn copy(&mut self, hop: Hop, fate: Fate) -> CallEnd {
+    fn copy(&mut self, hop: CopyPath, fate: Fate) -> CallEnd {
         let source = number(hop.source);
         match fate {
             _ if self.dead.contains(&source) => CallEnd::NotReached,
@@ -194,17 +195,17 @@
 struct Script {
     events: u32,
     has_backup: bool,
-    most_engines: u32,
+    max_engines: u32,
     happenings: Vec<Happening>,
     fates: Vec<Fate>,
 }
 
 fn script() -> impl Strategy<Value = Script> {
     let reasons = [
-        Reason::Silent,
-        Reason::Draining,
-        Reason::TakenSoon,
-        Reason::Slow,
+        MigrationReason::Silent,
+        MigrationReason::Draining,
+        MigrationReason::TakenSoon,
+        MigrationReason::Slow,
     ];
     let happening = prop_oneof![
         4 => Just(Happening::Event),
@@ -227,19 +228,17 @@
         proptest::collection::vec(happening, 1..40),
         proptest::collection::vec(fate, 1..20),
     )
-        .prop_map(
-            |(events, has_backup, most_engines, mut happenings, fates)| {
-                // However often a run tries to leave, it generates meanwhile.
-                happenings.push(Happening::Event);
-                Script {
-                    events,
-                    has_backup,
-                    most_engines,
-                    happenings,
-                    fates,
-                }
-            },
-        )
+        .prop_map(|(events, has_backup, max_engines, mut happenings, fates)| {
+            // However often a run tries to leave, it generates meanwhile.
+            happenings.push(Happening::Event);
+            Script {
+                events,
+                has_backup,
+                max_engines,
+                happenings,
+                fates,
+            }
+        })
 }
 
 /// Plays a run to its end; tells whether it is whole.
@@ -259,32 +258,32 @@
         runs: 1,
     };
     let ran_at = vec![engine(0).worker];
-    let mut life = RunLife::new(
+    let mut life = RunMigration::new(
         REQUEST.to_owned(),
         engine(0),
         backup.map(engine),
         ran_at,
-        script.most_engines,
+        script.max_engines,
     );
     let mut fates = script.fates.iter().copied().cycle();
     let mut happenings = script.happenings.iter().copied().cycle();
     let mut freed = Vec::new();
     let mut is_whole = false;
-    let mut order = Order::Read;
+    let mut order = RunAction::Read;
     let mut calls = 0;
     for _ in 0..MOST_STEPS {
         let candidate = (0..ENGINES).find(|other| engine(*other) != *life.at());
         let mut fate = || fates.next().expect("a cycle");
-        calls += u32::from(matches!(order, Order::Copy(_) | Order::Stop(_)));
+        calls += u32::from(matches!(order, RunAction::Copy(_) | RunAction::Stop(_)));
         order = match order {
-            Order::Copy(hop) => life.after_copy(world.copy(hop, fate())),
-            Order::Stop(hop) => life.after_stop(world.stop(hop, fate())),
-            Order::GoOn { at, copy } => {
+            RunAction::Copy(hop) => life.after_copy(world.copy(hop, fate())),
+            RunAction::Stop(hop) => life.after_stop(world.stop(hop, fate())),
+            RunAction::Resume { at, copy } => {
                 let end = world.attempt(number(at.address), &copy, fate());
                 life.after_attempt(end, candidate.map(engine))
             }
-            Order::Read => {
-                freed.extend(life.take_unused());
+            RunAction::Read => {
+                freed.extend(life.take_unused_copies());
                 let at = number(life.at().address);
                 if world.last() == world.events {
                     is_whole = true;
@@ -295,35 +294,35 @@
                     Happening::Event if is_read => {
                         world.passed.push(world.next);
                         world.next += 1;
-                        Order::Read
+                        RunAction::Read
                     }
                     Happening::Leave(reason) if is_read => {
                         life.leave(reason, candidate.map(engine))
                     }
                     Happening::Reset(works_on) if is_read && works_on => {
-                        life.leave(Reason::Broken, candidate.map(engine))
+                        life.leave(MigrationReason::Broken, candidate.map(engine))
                     }
                     Happening::Reset(_) if is_read => {
                         world.working.remove(&at);
-                        life.leave(Reason::Broken, candidate.map(engine))
+                        life.leave(MigrationReason::Broken, candidate.map(engine))
                     }
                     // Crashed, or stopped by a call whose answer was lost: the stream ends broken.
                     Happening::Crash if is_read => {
                         world.crash(at);
-                        life.leave(Reason::Broken, candidate.map(engine))
+                        life.leave(MigrationReason::Broken, candidate.map(engine))
                     }
-                    _ => life.leave(Reason::Broken, candidate.map(engine)),
+                    _ => life.leave(MigrationReason::Broken, candidate.map(engine)),
                 }
             }
-            Order::End(_) => break,
+            RunAction::End(_) => break,
         };
     }
-    let has_ended = is_whole || matches!(order, Order::End(_));
+    let has_ended = is_whole || matches!(order, RunAction::End(_));
     assert!(has_ended, "the run never ends");
     // A copy and two stops for each try to leave.
     assert!(calls <= 3 * (MOST_UNFORCED + MOST_MOVES + 1));
     life.end();
-    freed.extend(life.take_unused());
+    freed.extend(life.take_unused_copies());
     for copy in &freed {
         let known = &world.copies[&copy.handle];
         assert!(!known.is_used, "a used copy is freed");
@@ -352,7 +351,7 @@
         prop_assert_eq!(is_whole, world.last() == world.events);
         prop_assert!(world.runs <= 1 + MOST_MOVES);
         let living = world.ran_at.difference(&world.dead).count();
-        prop_assert!(living <= script.most_engines as usize, "{:?}", world);
+        prop_assert!(living <= script.max_engines as usize, "{:?}", world);
     }
 }
 
@@ -362,7 +361,7 @@
     let script = |has_backup, happening| Script {
         events: 4,
         has_backup,
-        most_engines: 2,
+        max_engines: 2,
         happenings: vec![
             Happening::Event,
             happening,
@@ -374,5 +373,5 @@
     assert!(play(&script(false, Happening::Reset(true))).1);
     assert!(play(&script(true, Happening::Crash)).1);
     assert!(!play(&script(false, Happening::Crash)).1);
-    assert!(play(&script(false, Happening::Leave(Reason::Draining))).1);
+    assert!(play(&script(false, Happening::Leave(MigrationReason::Draining))).1);
 }
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::start::{
     Milestone, STARTING_PATIENCE, StartProgress, presumes_alive, start_wait,
--- a/crates/gateway-core/tests/stream_reads.rs
+++ b/crates/gateway-core/tests/stream_reads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule, UpdateDeadlines};
 
 /// Milliseconds since the test's begin.
--- a/crates/gateway-core/tests/tenants.rs
+++ b/crates/gateway-core/tests/tenants.rs
@@ -123,8 +123,8 @@
         Access::Allowed(Some(_)) => "allowed",
         Access::Allowed(None) => "anonymous",
         Access::Denied => "denied",
-        Access::KeyUnsure => "unsure",
-        Access::LeaseOver => "over",
+        Access::KeyUnverified => "unsure",
+        Access::LeaseExpired => "over",
     }
 }
 
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -114,7 +114,7 @@
         let engine = config
             .service(service)
             .and_then(|known| known.engine.as_ref());
-        engine.is_some_and(|engine| engine.memory_moves.most_event_calls > 0)
+        engine.is_some_and(|engine| engine.memory_moves.max_event_calls > 0)
     };
     let workers = gateway.workers.borrow();
     let engines = workers
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -6,7 +6,7 @@
 use actix_http::StatusCode;
 use actix_http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::caller::Caller;
@@ -50,7 +50,7 @@
             Entry::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
-        let share = gateway.memory.share(HeldFor::Callers);
+        let share = gateway.memory.share(BufferKind::Callers);
         let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
         let sent = caller
             .send_whole(answer.status, &answer.headers(), &answer.body)
@@ -115,7 +115,7 @@
 fn refresh(gateway: &Gateway) {
     let (now, proof) = (gateway.now(), *gateway.config_proof.borrow());
     gateway.metrics.proof_age_ms.set(millis(proof.age(now)));
-    let read_age = millis(proof.own_age(now));
+    let read_age = millis(proof.last_read_age(now));
     gateway.metrics.config_read_age_ms.set(read_age);
     let shown = &gateway.metrics.quota_used_percent;
     shown.clear();
--- a/crates/gateway/src/feed/beats.rs
+++ b/crates/gateway/src/feed/beats.rs
@@ -25,7 +25,7 @@
         return;
     };
     let now = gateway.now();
-    let is_early = |at| now.since(at) < feed.times.beat;
+    let is_early = |at| now.since(at) < feed.times.heartbeat_interval;
     let has_news = feed
         .told
         .borrow()
@@ -51,7 +51,7 @@
         return None;
     }
     let now = gateway.now();
-    let config_age = gateway.config_proof.borrow().own_age(now)?;
+    let config_age = gateway.config_proof.borrow().last_read_age(now)?;
     let workers_age = now.since(feed.workers_read.get()?);
     let age = config_age.max(workers_age);
     Some(FeedBeat {
@@ -86,7 +86,7 @@
     let age = Duration::from_micros(beat.age_us);
     feed.roles
         .borrow_mut()
-        .note_heard(now, &beat.node, age, beat.reads);
+        .record_heartbeat(now, &beat.node, age, beat.reads);
     peers::take_zone_reports(gateway, &beat.zones);
     if !feed.depends_on_others() || !feed.roles.borrow().is_working(now, &beat.node) {
         return;
@@ -113,6 +113,6 @@
 fn note_age(gateway: &Gateway, beat: &FeedBeat, age: Duration) {
     let mut proof = gateway.config_proof.borrow_mut();
     if proof.version() == beat.config_version {
-        proof.note_heard(gateway.now(), age);
+        proof.record_heartbeat(gateway.now(), age);
     }
 }
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::feed::catalog::WorkerCatalog;
 use elderworks_gateway_core::feed::published::PublishedWorkers;
 use elderworks_gateway_core::feed::roles::{FeedTimes, FleetSize, Role, Roles, ranking};
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::workers::WorkerRecord;
 use elderworks_protocol::feed::FeedBeat;
 use elderworks_types::{NodeId, Offset, Timestamp};
@@ -361,7 +361,7 @@
         let own = &gateway.settings.node;
         let mut roles = self.roles.borrow_mut();
         let role = roles.decide(now, &zone.ranking, own, wanted);
-        if roles.note_return(now, &zone.ranking) && self.depends_on_others() {
+        if roles.detect_recovery(now, &zone.ranking) && self.depends_on_others() {
             gateway.workers.borrow_mut().note_outage_over(now);
         }
         drop((roles, zone));
--- a/crates/gateway/src/forward/access.rs
+++ b/crates/gateway/src/forward/access.rs
@@ -109,8 +109,8 @@
             quota: tenant.and_then(|tenant| Some((tenant.key(), tenant.quota?))),
         }),
         Access::Denied => Err(Denial::InvalidKey),
-        Access::KeyUnsure => Err(Denial::KeyUnsure),
-        Access::LeaseOver => Err(Denial::LeaseOver(lease_retry(gateway))),
+        Access::KeyUnverified => Err(Denial::KeyUnsure),
+        Access::LeaseExpired => Err(Denial::LeaseOver(lease_retry(gateway))),
     }
 }
 
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::{LONGEST_STALL, StallStep, after_stall, reads_stream};
+use elderworks_gateway_core::pressure::{MAX_STALL, StallStep, after_stall, should_read_stream};
 
 use super::CallError;
 use crate::caller::Caller;
@@ -27,7 +27,7 @@
     /// Nothing has come for a while.
     Silent,
     /// The worker is let go until the caller has read what is held for it.
-    LetWorkerGo,
+    ReleaseWorker,
 }
 
 /// One stream's flow.
@@ -87,11 +87,11 @@
         let silence_end = self.told_silence.map(|silence| Instant::now() + silence);
         loop {
             let unsent = caller.unsent();
-            let reads = reads_stream(unsent, buffer, self.memory.pressure());
+            let reads = should_read_stream(unsent, buffer, self.memory.pressure());
             if self.note_pause(!reads, unsent) {
                 *waiting_since = reads.then(Instant::now);
             }
-            let stall_end = self.stalled_since + LONGEST_STALL;
+            let stall_end = self.stalled_since + MAX_STALL;
             tokio::select! {
                 biased;
                 () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
@@ -112,9 +112,9 @@
                 () = tokio::time::sleep_until(stall_end.into()), if !reads => {
                     match after_stall(self.stalled_since.elapsed(), self.is_resumable) {
                         StallStep::Wait => {}
-                        StallStep::LetWorkerGo => {
+                        StallStep::ReleaseWorker => {
                             self.log(unsent, "the worker is let go: the caller reads nothing");
-                            return Ok(Step::LetWorkerGo);
+                            return Ok(Step::ReleaseWorker);
                         }
                         StallStep::GiveUp => return Err(self.give_up(unsent, STALLED)),
                     }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -275,7 +275,7 @@
     fn note_config(&mut self, config: &ServingConfig) {
         self.config_version = config.version;
         let now = self.gateway.now();
-        self.config_read = self.gateway.config_proof.borrow().own_age(now);
+        self.config_read = self.gateway.config_proof.borrow().last_read_age(now);
     }
 
     fn note_refusal(&mut self, refusal: &Refusal) {
--- a/crates/gateway/src/forward/outliving.rs
+++ b/crates/gateway/src/forward/outliving.rs
@@ -8,9 +8,9 @@
 use elderworks_gateway_core::config::{MemoryMoves, RouteKind};
 use elderworks_gateway_core::engines::{MoveOutcome, PromptSource, RunCopy, RunMove};
 use elderworks_gateway_core::run_moves::backups::{BackupRules, RunSize};
-use elderworks_gateway_core::run_moves::targets::{self, ZoneWish};
+use elderworks_gateway_core::run_moves::targets::{self, ZonePreference};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction, RunMigration,
 };
 
 use super::CallError;
@@ -33,12 +33,12 @@
 pub(super) struct OutlivingRun {
     gateway: Rc<Gateway>,
     request_id: String,
-    life: RunLife,
+    life: RunMigration,
 }
 
 impl OutlivingRun {
     fn free_unused(&mut self) {
-        for copy in self.life.take_unused() {
+        for copy in self.life.take_unused_copies() {
             let gateway = self.gateway.clone();
             let request_id = self.request_id.clone();
             actix_rt::spawn(async move { free(&gateway, &request_id, &copy).await });
@@ -106,7 +106,7 @@
         let Some(last_event_id) = last_event_id else {
             return Ok(None);
         };
-        self.leave(running.engine(), last_event_id, Reason::Silent)
+        self.leave(running.engine(), last_event_id, MigrationReason::Silent)
             .await
     }
 
@@ -119,7 +119,9 @@
         let (Some(_), Some(last_event_id)) = (self.memory_moves(), last_event_id) else {
             return Err(CallError::Broken(BROKEN));
         };
-        let gone_on = self.leave(from, last_event_id, Reason::Broken).await?;
+        let gone_on = self
+            .leave(from, last_event_id, MigrationReason::Broken)
+            .await?;
         gone_on.ok_or(CallError::Broken(BROKEN))
     }
 
@@ -128,19 +130,19 @@
         &mut self,
         from: Engine,
         last_event_id: &str,
-        reason: Reason,
+        reason: MigrationReason,
     ) -> Result<Option<RunningAnswer>, CallError> {
         let mut run = self.outliving(from);
         let candidate = self.candidate(run.life.at());
         let mut order = run.life.leave(reason, candidate);
         loop {
             order = match order {
-                Order::Copy(hop) => run.life.after_copy(self.copy(hop, None).await),
-                Order::Stop(hop) => {
+                RunAction::Copy(hop) => run.life.after_copy(self.copy(hop, None).await),
+                RunAction::Stop(hop) => {
                     let end = self.copy(hop, Some(last_event_id)).await;
                     run.life.after_stop(end)
                 }
-                Order::GoOn { at, copy } => {
+                RunAction::Resume { at, copy } => {
                     self.check_sender().map_err(CallError::Refused)?;
                     let end = match self.attempt_with_copy(&at, copy, last_event_id).await {
                         Ok(running) => {
@@ -154,12 +156,12 @@
                     let candidate = self.candidate(&at);
                     run.life.after_attempt(end, candidate)
                 }
-                Order::Read => {
+                RunAction::Read => {
                     run.free_unused();
                     self.run = Some(run);
                     return Ok(None);
                 }
-                Order::End(reason) => {
+                RunAction::End(reason) => {
                     self.note_run_ended(run.life.at(), reason);
                     return Err(CallError::Broken(BROKEN));
                 }
@@ -177,10 +179,10 @@
         let backup = backup.filter(|engine| *engine != from);
         // A request that may not be repeated has been nowhere else.
         let ran_at = vec![from.worker.clone()];
-        let most_engines = self.route.attempts;
+        let max_engines = self.route.attempts;
         OutlivingRun {
             gateway: self.gateway.clone(),
-            life: RunLife::new(request_id.clone(), from, backup, ran_at, most_engines),
+            life: RunMigration::new(request_id.clone(), from, backup, ran_at, max_engines),
             request_id,
         }
     }
@@ -193,7 +195,7 @@
             &self.service,
             &own.worker,
             &tried,
-            ZoneWish::Same,
+            ZonePreference::Same,
             self.gateway.now(),
         );
         found.map(|worker| Engine {
@@ -202,7 +204,7 @@
         })
     }
 
-    async fn copy(&self, hop: Hop, stop_after: Option<&str>) -> CallEnd {
+    async fn copy(&self, hop: CopyPath, stop_after: Option<&str>) -> CallEnd {
         let began = Instant::now();
         let request_id = self.attributes.request_id.clone().unwrap_or_default();
         let wanted = RunMove {
@@ -304,7 +306,7 @@
         let prompt = self.attributes.prompt.iter().map(|segment| segment.tokens);
         Some(RunSize {
             tokens: prompt.sum(),
-            left_tokens: self.attributes.max_tokens,
+            remaining_tokens: self.attributes.max_tokens,
             token_bytes: moves.token_bytes,
         })
     }
@@ -313,12 +315,12 @@
         let now = self.gateway.now();
         let policy = &self.gateway.settings.policy;
         let rules = BackupRules {
-            most_bytes_per_token: policy.backup_bytes_per_token,
-            most_at_once: policy.most_backups,
+            max_bytes_per_token: policy.backup_bytes_per_token,
+            max_concurrent: policy.most_backups,
             bytes_per_s: policy.backup_bytes_per_s,
         };
         let workers = self.gateway.workers.borrow();
-        let wish = ZoneWish::Other;
+        let wish = ZonePreference::Other;
         let worker = targets::choose(&workers, &self.service, &target.worker, &[], wish, now)?;
         let bytes = self.gateway.backups.borrow_mut().begin(&rules, size, now)?;
         self.gateway.metrics.backups.inc();
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -26,7 +26,7 @@
         let now = self.gateway.now();
         let mut quotas = self.gateway.quotas.borrow_mut();
         if self.is_sent {
-            quotas.note_further_send(now, self.ticket);
+            quotas.note_resend(now, self.ticket);
         } else {
             quotas.note_send(now, self.ticket);
         }
@@ -69,15 +69,15 @@
     /// What a program has begun goes before new programs while its tenant's quota is short.
     fn order(&self) -> Order {
         let Some(program) = &self.attributes.program else {
-            return Order::Later;
+            return Order::Continuation;
         };
         let has_begun = !self.is_turn()
             || self.attributes.previous_turn.is_some()
             || (self.gateway.begun_programs.borrow()).contains(&self.in_scope(program));
         if has_begun {
-            Order::Later
+            Order::Continuation
         } else {
-            Order::First
+            Order::NewProgram
         }
     }
 
@@ -110,7 +110,7 @@
             Some(Ok(())) => {
                 gateway.metrics.note_quota_grant("granted");
                 let mut quotas = gateway.quotas.borrow_mut();
-                Ok(quotas.take_granted(gateway.now(), tenant, quota))
+                Ok(quotas.record_granted(gateway.now(), tenant, quota))
             }
             Some(Err(over)) => {
                 gateway.metrics.note_quota_grant("refused");
@@ -126,13 +126,13 @@
     fn admit_calm(&self, tenant: TenantKey, quota: Quota) -> Option<Ticket> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
-        quotas.admit_calm(gateway.now(), tenant, quota, gateway.fleet())
+        quotas.admit_low_usage(gateway.now(), tenant, quota, gateway.fleet())
     }
 
     fn admit_told(&self, tenant: TenantKey, quota: Quota) -> Result<Ticket, OverQuota> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
-        quotas.admit_told(gateway.now(), tenant, quota, gateway.fleet())
+        quotas.admit_by_reports(gateway.now(), tenant, quota, gateway.fleet())
     }
 
     fn refuse_over(&self, over: OverQuota, order: Order) -> Refusal {
@@ -145,8 +145,8 @@
                 request = self.attributes.request_id.as_deref().unwrap_or_default(),
                 tenant = self.sender.tenant.as_deref().unwrap_or_default(),
                 used = quotas.used_by(tenant), limit = quotas.limit_of(quota).round(),
-                basis = over.basis.as_str(), begins = order == Order::First,
-                held_back = over.is_held_back, nodes_heard = quotas.tellers().count(),
+                basis = over.basis.as_str(), begins = order == Order::NewProgram,
+                held_back = over.is_held_back, nodes_heard = quotas.reporting_nodes().count(),
                 pause_ms = over.retry_after.as_millis();
                 "over quota"
             );
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -4,7 +4,7 @@
 use bytes::{BufMut, BytesMut};
 use elderworks_gateway_core::attempt::AttemptFailure;
 use elderworks_gateway_core::events::EventSplitter;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::run_moves::Engine;
 use elderworks_protocol::ledger::KeptTurn;
 
@@ -54,7 +54,7 @@
             last_event_id: self.attributes.last_event_id.clone(),
             resumptions: 0,
             output: BytesMut::new(),
-            held: self.gateway.memory.share(HeldFor::KeptTurns),
+            held: self.gateway.memory.share(BufferKind::KeptTurns),
         };
         let request = self.attributes.request_id.as_deref().unwrap_or_default();
         let mut flow = Flow::new(
@@ -108,7 +108,7 @@
     ) -> Result<PartEnd, CallError> {
         let keeps_output = self.route.keeps_turns;
         let mut splitter = EventSplitter::default();
-        let mut pending = self.gateway.memory.share(HeldFor::Answers);
+        let mut pending = self.gateway.memory.share(BufferKind::Answers);
         loop {
             let answer = &mut running.answer;
             let step = flow.next(caller, answer, &mut self.waiting_since).await?;
@@ -117,7 +117,7 @@
                 Step::End if splitter.pending_bytes() == 0 => return Ok(PartEnd::Whole),
                 Step::End => return Ok(PartEnd::Broken("stream ends within an event".to_owned())),
                 Step::Broken(reason) => return Ok(PartEnd::Broken(reason)),
-                Step::LetWorkerGo => return Ok(PartEnd::LetGo),
+                Step::ReleaseWorker => return Ok(PartEnd::LetGo),
                 Step::Silent => {
                     let last_event_id = passed.last_event_id.as_deref();
                     if let Some(next) = self.leave_silent(running, last_event_id).await? {
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -7,7 +7,7 @@
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::ledger::partition_of;
 use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::tenants::scoped;
 use elderworks_protocol::ledger::{BeginTurn, FinishTurn, KeptTurn, LedgerReply, LedgerRequest};
 use elderworks_types::{NodeId, PartitionId};
@@ -229,7 +229,7 @@
             tokens_per_event: self.tokens_per_event(),
             used: 0,
             input: input.clone(),
-            conversation: self.gateway.memory.share(HeldFor::Conversations),
+            conversation: self.gateway.memory.share(BufferKind::Conversations),
             returned: false,
         };
         let conversation = self.obtain_leave(lease, partition, begin).await?;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,15 +9,17 @@
 use elderworks_gateway_core::access::KeyLeases;
 use elderworks_gateway_core::cold::ColdSenders;
 use elderworks_gateway_core::config::{ActiveConfig, ServingConfig};
-use elderworks_gateway_core::config_proof::{ConfigProof, asking_age, denial_lease_of, lease_of};
+use elderworks_gateway_core::config_proof::{
+    ConfigProof, denial_lease_of, lease_of, proof_request_age,
+};
 use elderworks_gateway_core::evacuations::Evacuations;
 use elderworks_gateway_core::log_reachability::LogReachability;
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::quota::{BegunPrograms, Division, Fleet, QuotaBook};
+use elderworks_gateway_core::quota::{Division, Fleet, QuotaTracker, StartedPrograms};
 use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_gateway_core::run_moves::backups::Backups;
-use elderworks_gateway_core::split::SplitState;
+use elderworks_gateway_core::split::WeightedRoundRobin;
 use elderworks_gateway_core::unreadable::UnreadableKeys;
 use elderworks_gateway_core::workers::WorkerDirectory;
 use elderworks_types::{Incarnation, NodeId, Offset, Timestamp};
@@ -74,18 +76,18 @@
     /// How old that proof may be.
     pub(crate) key_leases: KeyLeases,
     /// What was sent on for tenants, here and elsewhere.
-    pub(crate) quotas: RefCell<QuotaBook>,
+    pub(crate) quotas: RefCell<QuotaTracker>,
     /// Who grants requests within quotas.
     pub(crate) lessors: LessorDesk,
     /// Programs of tenants with quotas that have begun here.
-    pub(crate) begun_programs: RefCell<BegunPrograms>,
+    pub(crate) begun_programs: RefCell<StartedPrograms>,
     /// Whether this node reads the log's streams, and what it hears of them otherwise.
     pub(crate) feed: Feed,
     /// Engines whose memory this node reads.
     pub(crate) engines: Engines,
     pub(crate) workers: RefCell<WorkerDirectory>,
     pub(crate) nodes: RefCell<NodeDirectory>,
-    pub(crate) splits: RefCell<SplitState>,
+    pub(crate) splits: RefCell<WeightedRoundRobin>,
     pub(crate) peers: Peers,
     pub(crate) pool: Rc<Pool>,
     pub(crate) ledger: Ledger,
@@ -137,8 +139,8 @@
             true => MIN_RECOMPUTE_INTERVAL,
             false => Duration::ZERO,
         };
-        let quotas = QuotaBook::new(settings.quotas, division, rand::random(), clock.now())
-            .with_order(policy.quota_order);
+        let quotas = QuotaTracker::new(settings.quotas, division, rand::random(), clock.now())
+            .with_program_priority(policy.quota_order);
         let cold = ColdSenders::new(settings.cold, &settings.node);
         let workers = WorkerDirectory::new(policy)
             .with_cold_senders(cold)
@@ -172,7 +174,7 @@
             begun_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
-            splits: RefCell::new(SplitState::new(rand::random())),
+            splits: RefCell::new(WeightedRoundRobin::new(rand::random())),
             pool: Rc::default(),
             metrics,
             stage,
@@ -213,7 +215,7 @@
     /// Age of the proof of the configuration at which other nodes are asked for a younger one.
     pub(crate) fn asking_age(&self) -> Duration {
         let reads = self.feed.reads();
-        asking_age(self.key_lease(), self.settings.apply_within, reads)
+        proof_request_age(self.key_lease(), self.settings.apply_within, reads)
     }
 
     /// The present stage.
@@ -281,12 +283,12 @@
 
     /// The nodes of all zones that callers are sent to.
     pub(crate) fn serving_nodes<'a>(&self, nodes: &'a NodeDirectory) -> BTreeSet<&'a NodeId> {
-        nodes.offered_anywhere(|node| self.is_serving(node))
+        nodes.offered_in_any_zone(|node| self.is_serving(node))
     }
 
     /// The nodes between which quotas are divided.
     pub(crate) fn fleet(&self) -> Fleet {
-        let proof_age = self.config_proof.borrow().own_age(self.now());
+        let proof_age = self.config_proof.borrow().last_read_age(self.now());
         Fleet {
             nodes: self.nodes_serving.get(),
             is_cut_off: proof_age.is_none_or(|age| age > LATE_READ),
--- a/crates/gateway/src/ledger/log_calls.rs
+++ b/crates/gateway/src/ledger/log_calls.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::ledger::{AppendOutcome, CallNumber, ReadOutcome};
 use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_protocol::ledger::LedgerRecord;
 use elderworks_protocol::{decode, encode};
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -277,7 +277,7 @@
             return true;
         }
         let config = self.gateway.current_config();
-        config.is_some_and(|config| config.routes.iter().any(Route::is_unkept_stream))
+        config.is_some_and(|config| config.routes.iter().any(Route::is_unrecorded_stream))
     }
 
     fn retention(&self) -> Duration {
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use elderworks_gateway_core::pressure::{HeldFor, Marks, Pressure, StreamLoad, stream_to_end};
+use elderworks_gateway_core::pressure::{
+    BufferKind, MemoryThresholds, Pressure, StreamLoad, stream_to_abort,
+};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::Notify;
 
@@ -17,7 +19,7 @@
 
 #[derive(Debug)]
 struct Account {
-    marks: Marks,
+    marks: MemoryThresholds,
     kinds: Vec<Kind>,
     total: Cell<usize>,
     peak: Cell<usize>,
@@ -44,12 +46,12 @@
 impl Memory {
     /// Holds nothing yet. `process_bytes` is the memory at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
-        let kinds = HeldFor::ALL.map(|kind| Kind {
+        let kinds = BufferKind::ALL.map(|kind| Kind {
             bytes: Cell::new(0),
             gauge: metrics.held_bytes(kind),
         });
         Self(Rc::new(Account {
-            marks: Marks::of(process_bytes),
+            marks: MemoryThresholds::of(process_bytes),
             kinds: kinds.into(),
             total: Cell::new(0),
             peak: Cell::new(0),
@@ -61,7 +63,7 @@
     }
 
     /// Room for something that holds nothing yet.
-    pub(crate) fn share(&self, kind: HeldFor) -> Share {
+    pub(crate) fn share(&self, kind: BufferKind) -> Share {
         Share {
             memory: self.clone(),
             kind,
@@ -113,12 +115,12 @@
         }
     }
 
-    fn kind(&self, kind: HeldFor) -> &Kind {
-        let index = HeldFor::ALL.iter().position(|known| *known == kind);
+    fn kind(&self, kind: BufferKind) -> &Kind {
+        let index = BufferKind::ALL.iter().position(|known| *known == kind);
         &self.0.kinds[index.expect("every kind is listed")]
     }
 
-    fn change(&self, kind: HeldFor, from: usize, to: usize) {
+    fn change(&self, kind: BufferKind, from: usize, to: usize) {
         let counted = self.kind(kind);
         counted.bytes.set(counted.bytes.get() - from + to);
         counted.gauge.set(saturating_i64(counted.bytes.get()));
@@ -145,7 +147,7 @@
             unsent: stream.unsent,
             stalled: now.saturating_duration_since(stream.stalled_since),
         });
-        if let Some(stream) = stream_to_end(loads).and_then(|id| streams.get(&id)) {
+        if let Some(stream) = stream_to_abort(loads).and_then(|id| streams.get(&id)) {
             stream.end.notify_one();
         }
     }
@@ -155,14 +157,14 @@
 #[derive(Debug)]
 pub(crate) struct Share {
     memory: Memory,
-    kind: HeldFor,
+    kind: BufferKind,
     bytes: usize,
 }
 
 impl Share {
     /// Takes room for more bytes of a body; `false` if there is none left.
     pub(crate) fn grow_body(&mut self, more: usize) -> bool {
-        let bodies = self.memory.kind(HeldFor::Bodies).bytes.get();
+        let bodies = self.memory.kind(BufferKind::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
             return false;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::pressure::BufferKind;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -335,7 +335,7 @@
     }
 
     /// The gauge of memory held for something.
-    pub(crate) fn held_bytes(&self, kind: HeldFor) -> Gauge {
+    pub(crate) fn held_bytes(&self, kind: BufferKind) -> Gauge {
         let label = HeldLabel { kind: kind.name() };
         self.held_bytes.get_or_create(&label).clone()
     }
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -132,7 +132,7 @@
                 question,
                 node: gateway.settings.node.clone(),
                 tenant: tenant.0,
-                begins: order == Order::First,
+                begins: order == Order::NewProgram,
             };
             self.send(to, asked);
             if let Ok(Ok(verdict)) = tokio::time::timeout(ANSWER_TIME, &mut receiver).await {
@@ -169,7 +169,11 @@
                 tenant,
                 begins,
             } => {
-                let order = if begins { Order::First } else { Order::Later };
+                let order = if begins {
+                    Order::NewProgram
+                } else {
+                    Order::Continuation
+                };
                 let verdict = decide(gateway, TenantKey(tenant), &node, order);
                 self.send(from, LessorMessage::Told { question, verdict });
             }
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::config_proof::{ProofAsking, Told};
+use elderworks_gateway_core::config_proof::{PeerProof, ProofRequestTimer};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{ConfigProofAnswer, GatewayDatagram};
 use elderworks_protocol::ledger::GatewayFrame;
@@ -28,7 +28,7 @@
 /// Questions that are not answered yet, and whose turn it is.
 #[derive(Debug, Default)]
 pub(super) struct ProofAsker {
-    asking: ProofAsking,
+    asking: ProofRequestTimer,
     /// When each open question was asked.
     open: BTreeMap<u64, Timestamp>,
     turn: usize,
@@ -75,12 +75,12 @@
         gateway.proof_answered.set(Some(gateway.now()));
         let age = Duration::from_micros(answer.age_us);
         let mut proof = gateway.config_proof.borrow_mut();
-        match proof.note_told(answer.version, asked, age) {
-            Told::Counts => {
+        match proof.record_peer_proof(answer.version, asked, age) {
+            PeerProof::Counts => {
                 gateway.metrics.proofs_told.inc();
             }
-            Told::Older => {}
-            Told::Newer => self.ask_for_configuration(gateway, from, answer.version),
+            PeerProof::Older => {}
+            PeerProof::Newer => self.ask_for_configuration(gateway, from, answer.version),
         }
     }
 
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_protocol::frame;
 use elderworks_protocol::ledger::GatewayFrame;
 use tokio::sync::mpsc;
@@ -61,7 +61,7 @@
         let (sender, receiver) = mpsc::unbounded_channel();
         let held = Rc::new(Held {
             bytes: Cell::new(0),
-            share: RefCell::new(memory.share(HeldFor::Peers)),
+            share: RefCell::new(memory.share(BufferKind::Peers)),
         });
         let outgoing = Self {
             frames: sender,
--- a/crates/gateway/src/peers/quotas.rs
+++ b/crates/gateway/src/peers/quotas.rs
@@ -53,7 +53,7 @@
     fn recipients(&mut self, gateway: &Gateway) -> Vec<SocketAddr> {
         let nodes = gateway.nodes.borrow();
         let quotas = gateway.quotas.borrow();
-        let mut told: BTreeSet<&NodeId> = quotas.tellers().collect();
+        let mut told: BTreeSet<&NodeId> = quotas.reporting_nodes().collect();
         let serving = gateway.serving_nodes(&nodes);
         told.extend(serving);
         told.remove(&gateway.settings.node);
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -8,10 +8,10 @@
 use bytes::Bytes;
 use elderworks_gateway_core::call::CallAttributes;
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::engines::{
     EngineReport, MemoryEvents, MemoryListing, MoveOutcome, PromptSource, RunMove,
 };
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::workers::WorkerRecord;
 use elderworks_types::Offset;
 use futures_util::future::LocalBoxFuture;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::departures::Departures;
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::drain::{DrainPlan, DrainStep};
 use elderworks_gateway_core::feed::roles::seems_small;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::nodes::NodeRecord;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_protocol::encode;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::config::RequestLimits;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Decoder;
 
@@ -114,7 +114,7 @@
             }
             Err(ReadEnd::Quiet) => break,
             Err(ReadEnd::Refuse(refusal)) => {
-                let share = gateway.memory.share(HeldFor::Callers);
+                let share = gateway.memory.share(BufferKind::Callers);
                 let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, true);
                 // The caller may be gone already.
                 let _ = caller.send_refusal(&refusal).await;
@@ -145,7 +145,7 @@
     let received = request.received;
     gateway.in_flight.set(gateway.in_flight.get() + 1);
     gateway.metrics.in_flight.inc();
-    let share = gateway.memory.share(HeldFor::Callers);
+    let share = gateway.memory.share(BufferKind::Callers);
     let mut caller = Caller::new(codec, sender, share, closing);
     let answered = tokio::select! {
         biased;
@@ -178,7 +178,7 @@
         .await
         .map_err(|_| ReadEnd::Refuse(Refusal::head_timeout(NotRun::before_any_attempt())))??;
     let received = Instant::now();
-    let mut memory = gateway.memory.share(HeldFor::Bodies);
+    let mut memory = gateway.memory.share(BufferKind::Bodies);
     let body = match codec.message_type() {
         MessageType::None if head.headers.contains_key("content-length") => Some(Bytes::new()),
         MessageType::None => None,
--- a/crates/gateway/src/upstream/answer.rs
+++ b/crates/gateway/src/upstream/answer.rs
@@ -7,7 +7,7 @@
 use actix_http::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use actix_http::{Method, ResponseHead, StatusCode};
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::reads_answer;
+use elderworks_gateway_core::pressure::should_read_answer;
 use tokio_util::codec::Decoder;
 
 use super::{Pool, WorkerConnection};
@@ -143,7 +143,7 @@
                 whole.extend_from_slice(&piece);
             }
             let memory = self.collected.memory().clone();
-            if !reads_answer(whole.len(), memory.pressure()) {
+            if !should_read_answer(whole.len(), memory.pressure()) {
                 memory.relieved().await;
             }
         }
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use elderworks_gateway_core::attempt::SendMark;
 use elderworks_gateway_core::engines::PromptSource;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::workers::WorkerRecord;
 use prometheus_client::metrics::counter::Counter;
 use tokio_util::codec::{Decoder, Encoder};
@@ -225,7 +225,7 @@
             idle_time: named_idle_time(&head.headers),
             most_idle: context.most_idle,
         };
-        let collected = context.memory.share(HeldFor::Answers);
+        let collected = context.memory.share(BufferKind::Answers);
         Answer::new(method, head, self.codec, self.connection, home, collected)
     }
 
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::config_proof::proving_pause;
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::config_proof::proof_interval;
 use elderworks_gateway_core::evacuations::EvacuationOrder;
 use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_types::{Offset, Timestamp};
@@ -33,7 +33,7 @@
         };
         // Exponentially distributed pauses: nodes that start together soon read at any time.
         let share = -(1.0 - rand::random::<f64>()).ln();
-        actix_rt::time::sleep(proving_pause(nodes).mul_f64(share)).await;
+        actix_rt::time::sleep(proof_interval(nodes).mul_f64(share)).await;
         let Some(from) = gateway
             .config_end
             .get()
@@ -109,7 +109,7 @@
         Ok(Publication::Other) => {}
         Err(error) => {
             log::error!(offset = record.offset.0, error = error.to_string().as_str(); "configuration cannot be read");
-            gateway.config_proof.borrow_mut().obscure();
+            gateway.config_proof.borrow_mut().note_unreadable();
         }
     }
 }
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule};
 use elderworks_types::{Offset, Timestamp};
 
--- a/crates/gateway/src/watch/nodes.rs
+++ b/crates/gateway/src/watch/nodes.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::nodes::NodeRecord;
 use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_protocol::decode;
--- a/crates/gateway/src/watch/workers.rs
+++ b/crates/gateway/src/watch/workers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_gateway_core::workers::WorkerRecord;
 use elderworks_types::{Offset, Timestamp};
