--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -13,7 +13,7 @@
 use crate::clock::millis;
 use crate::gateway::{Gateway, Stage};
 use crate::metrics::TenantLabel;
-use crate::ports::EntryCall;
+use crate::ports::EndpointRequest;
 use crate::server::{CallerRequest, RequestReader};
 use crate::socket;
 
@@ -42,7 +42,7 @@
 }
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, entry: Entry) {
-    socket::prepare(&stream);
+    socket::set_options(&stream);
     let mut reader = RequestReader::new(&gateway, stream);
     while let Ok(request) = reader.next(&gateway).await {
         let answer = match entry {
@@ -79,12 +79,12 @@
 fn answer(gateway: &Gateway, request: &CallerRequest) -> EntryAnswer {
     let call = gateway
         .platform
-        .entry_call(&request.head.method, &request.head.uri);
+        .parse_endpoint_request(&request.head.method, &request.head.uri);
     match call {
-        EntryCall::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
-        EntryCall::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        EntryCall::Resolve { zone } => resolve(gateway, zone.as_deref()),
-        EntryCall::Unknown => text(StatusCode::NOT_FOUND, "no such call"),
+        EndpointRequest::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
+        EndpointRequest::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        EndpointRequest::Resolve { zone } => resolve(gateway, zone.as_deref()),
+        EndpointRequest::Unknown => text(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
@@ -104,7 +104,7 @@
     EntryAnswer {
         status: StatusCode::OK,
         media_type: "application/json",
-        body: gateway.platform.resolve_answer(&addresses, ttl),
+        body: gateway.platform.resolve_response(&addresses, ttl),
     }
 }
 
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -107,7 +107,7 @@
     let source = source_of(beat, update.revision);
     workers::take_update(gateway, update);
     *gateway.feed.source.borrow_mut() = Some(source);
-    gateway.reach(Milestone::Workers);
+    gateway.reach_milestone(Milestone::Workers);
 }
 
 /// Answers a listener.
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -350,7 +350,7 @@
     fn decide(&self, gateway: &Gateway) {
         let now = gateway.now();
         if !self.has_begun.get() {
-            if gateway.age() >= LONGEST_INDECISION && !self.reads() {
+            if gateway.uptime() >= LONGEST_INDECISION && !self.reads() {
                 self.read();
             }
             return;
--- a/crates/gateway/src/feed/workers.rs
+++ b/crates/gateway/src/feed/workers.rs
@@ -83,7 +83,7 @@
     let now = gateway.now();
     let taken = gateway.workers.borrow_mut().upsert(record, now);
     if taken == UpsertOutcome::Restarted {
-        gateway.pool.forget(&id);
+        gateway.pool.discard_connections(&id);
     }
     if matches!(taken, UpsertOutcome::Changed | UpsertOutcome::Restarted) {
         log::info!(
@@ -106,10 +106,10 @@
     let now = gateway.now();
     let forgotten = gateway.workers.borrow_mut().forget_missing(now);
     for worker in forgotten {
-        gateway.pool.forget(&worker);
+        gateway.pool.discard_connections(&worker);
     }
     gateway.pool.close_expired();
-    gateway.count_serving_nodes();
+    gateway.update_serving_nodes();
     let count = i64::try_from(gateway.workers.borrow().len()).unwrap_or(i64::MAX);
     gateway.metrics.workers.set(count);
 }
--- a/crates/gateway/src/forward/access.rs
+++ b/crates/gateway/src/forward/access.rs
@@ -33,7 +33,7 @@
 fn lease_retry(gateway: &Gateway) -> Duration {
     let now = gateway.now();
     let is_late = |answered| now.since(answered) < ANSWER_LIFETIME;
-    if gateway.proof_answered.get().is_some_and(is_late) {
+    if gateway.last_proof_reply.get().is_some_and(is_late) {
         OUTAGE_RETRY
     } else {
         OTHER_NODE_RETRY
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -342,7 +342,7 @@
         self.gateway.metrics.attempts_failed.inc();
         self.waiting_since = None;
         if failure != AttemptFailure::RefusedByWorker {
-            self.gateway.pool.forget(worker);
+            self.gateway.pool.discard_connections(worker);
             self.note_worker_failure(worker);
         }
         let repeatable = self.route.is_repeatable();
--- a/crates/gateway/src/forward/observations.rs
+++ b/crates/gateway/src/forward/observations.rs
@@ -77,7 +77,7 @@
     pub(super) fn note_refusal(&self, worker: &str, status: StatusCode) {
         let now = self.gateway.now();
         if status == StatusCode::MISDIRECTED_REQUEST {
-            self.gateway.pool.forget(worker);
+            self.gateway.pool.discard_connections(worker);
             self.note_worker_failure(worker);
         } else {
             self.gateway.workers.borrow_mut().note_full(worker, now);
--- a/crates/gateway/src/forward/outliving.rs
+++ b/crates/gateway/src/forward/outliving.rs
@@ -270,7 +270,7 @@
         };
         self.log_failure(&at.worker, &reason);
         self.gateway.metrics.attempts_failed.inc();
-        self.gateway.pool.forget(&at.worker);
+        self.gateway.pool.discard_connections(&at.worker);
         Err(end)
     }
 
--- a/crates/gateway/src/forward/resumption.rs
+++ b/crates/gateway/src/forward/resumption.rs
@@ -67,7 +67,7 @@
         }
         passed.resumptions += 1;
         self.gateway.metrics.streams_resumed.inc();
-        self.gateway.pool.forget(worker);
+        self.gateway.pool.discard_connections(worker);
         let now = self.gateway.now();
         let workers = self.gateway.workers.borrow();
         let same = workers
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -66,13 +66,13 @@
     /// The record of that configuration, for nodes that cannot read the log.
     pub(crate) config_record: RefCell<Option<StreamRecord>>,
     /// Where the stream of configurations ended when it was last read.
-    pub(crate) config_end: Cell<Option<Offset>>,
+    pub(crate) config_stream_end: Cell<Option<Offset>>,
     /// Zones whose workers are to get nothing more.
     pub(crate) evacuations: RefCell<Evacuations>,
     /// Keys of entries that could not be read.
     pub(crate) unreadable_entries: RefCell<UnreadableKeys>,
     /// When another node last answered a question for its proof, whatever it had.
-    pub(crate) proof_answered: Cell<Option<Timestamp>>,
+    pub(crate) last_proof_reply: Cell<Option<Timestamp>>,
     /// How old that proof may be.
     pub(crate) key_leases: KeyLeases,
     /// What was sent on for tenants, here and elsewhere.
@@ -163,10 +163,10 @@
             config: RefCell::default(),
             config_proof: RefCell::default(),
             config_record: RefCell::default(),
-            config_end: Cell::default(),
+            config_stream_end: Cell::default(),
             evacuations: RefCell::default(),
             unreadable_entries: RefCell::default(),
-            proof_answered: Cell::default(),
+            last_proof_reply: Cell::default(),
             key_leases,
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
@@ -193,7 +193,7 @@
     }
 
     /// Time since the start.
-    pub(crate) fn age(&self) -> Duration {
+    pub(crate) fn uptime(&self) -> Duration {
         self.now().since(Timestamp::default())
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Age of the proof of the configuration at which other nodes are asked for a younger one.
-    pub(crate) fn asking_age(&self) -> Duration {
+    pub(crate) fn proof_request_age(&self) -> Duration {
         let reads = self.feed.reads();
         proof_request_age(self.key_lease(), self.settings.apply_within, reads)
     }
@@ -236,14 +236,14 @@
     }
 
     /// Acts on changes of nodes that have waited for others.
-    pub(crate) fn act_on_node_changes(&self) {
+    pub(crate) fn apply_due_node_changes(&self) {
         if self.node_changes.borrow_mut().take_due(self.now()) {
             self.recompute_nodes();
         }
     }
 
     /// Acts on changes of nodes without delay: what follows must not rest on what was known before.
-    pub(crate) fn act_on_node_changes_now(&self) {
+    pub(crate) fn apply_node_changes_now(&self) {
         self.node_changes.borrow_mut().mark_recomputed(self.now());
         self.recompute_nodes();
     }
@@ -254,11 +254,11 @@
         }
         self.metrics.node_recomputations.inc();
         self.feed.note_node_changes();
-        self.count_serving_nodes();
+        self.update_serving_nodes();
     }
 
     /// Counts the nodes that callers are sent to.
-    pub(crate) fn count_serving_nodes(&self) {
+    pub(crate) fn update_serving_nodes(&self) {
         let nodes = self.nodes.borrow();
         let serving = self.serving_nodes(&nodes);
         let count = serving.len();
@@ -270,7 +270,7 @@
     }
 
     /// Brings what is believed of workers in line with the zones that are to get nothing more.
-    pub(crate) fn act_on_evacuations(&self) {
+    pub(crate) fn apply_evacuations(&self) {
         let evacuations = self.evacuations.borrow();
         let now = self.now();
         let mut workers = self.workers.borrow_mut();
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -130,7 +130,9 @@
 }
 
 fn standing(gateway: &Gateway) -> StartupGrace {
-    StartupGrace { age: gateway.age() }
+    StartupGrace {
+        age: gateway.uptime(),
+    }
 }
 
 /// Whether to go on past a candidate; for a moment after the start, one that is left out stays so.
@@ -139,7 +141,7 @@
 }
 
 fn may_act_alone(gateway: &Gateway) -> bool {
-    let has_joined = gateway.start.has(Milestone::Joined);
+    let has_joined = gateway.start.has_reached(Milestone::Joined);
     !gateway.settings.policy.starting_restraint || standing(gateway).may_serve_alone(has_joined)
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -31,4 +31,4 @@
 mod watch;
 
 pub use log_output::LogOutput;
-pub use process::{Reload, Running, run, start};
+pub use process::{Reload, RunningGateway, run, start};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -324,7 +324,7 @@
     /// Counts an answer of the gateway's own.
     pub(crate) fn note_refusal(&self, refusal: &Refusal) {
         let label = RefusalLabel {
-            not_run: if refusal.is_promise() {
+            not_run: if refusal.guarantees_not_run() {
                 "promised"
             } else {
                 "open"
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -350,7 +350,7 @@
         *self.membership.borrow_mut() = Some(membership);
         self.presumes_since.set(Some(Instant::now()));
         self.note_stale();
-        gateway.act_on_node_changes_now();
+        gateway.apply_node_changes_now();
         // The probes' next tick may be a whole interval away.
         let effects = self.handle(gateway, Event::Tick);
         self.carry_out(gateway, socket, effects);
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -51,7 +51,7 @@
                 continue;
             }
             _ = load_ticks.tick() => {
-                gateway.act_on_node_changes();
+                gateway.apply_due_node_changes();
                 gateway.log_outage.look(&gateway);
                 outage_teller.tell(&gateway, &socket);
                 sender.tell(&gateway, &socket);
@@ -127,7 +127,7 @@
         let effects = gateway.peers.handle(&gateway, event);
         gateway.peers.carry_out(&gateway, &socket, effects);
         gateway.peers.end_presumption(&gateway);
-        gateway.act_on_node_changes();
+        gateway.apply_due_node_changes();
     }
 }
 
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -45,7 +45,7 @@
         self.open
             .retain(|_, asked| now.since(*asked) < LONGEST_WAIT);
         let proof = *gateway.config_proof.borrow();
-        if !self.asking.is_due(&proof, now, gateway.asking_age()) {
+        if !self.asking.is_due(&proof, now, gateway.proof_request_age()) {
             return;
         }
         let mut nodes = gateway.feed.readers(gateway);
@@ -72,7 +72,7 @@
         let Some(asked) = self.open.remove(&answer.question) else {
             return;
         };
-        gateway.proof_answered.set(Some(gateway.now()));
+        gateway.last_proof_reply.set(Some(gateway.now()));
         let age = Duration::from_micros(answer.age_us);
         let mut proof = gateway.config_proof.borrow_mut();
         match proof.record_peer_proof(answer.version, asked, age) {
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -144,7 +144,7 @@
 
 /// A call to the gateway's own addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EntryCall {
+pub enum EndpointRequest {
     /// Is this node ready?
     Ready,
     /// Which nodes take requests?
@@ -185,17 +185,17 @@
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>>;
 
     /// Reads the newest record of each key behind `after`, or else from the first on.
-    fn newest<'a>(
+    fn read_newest<'a>(
         &'a self,
         stream: Stream,
         after: Option<&'a str>,
     ) -> LocalBoxFuture<'a, Result<NewestPage, StoreError>>;
 
     /// What a record of [`Stream::Configuration`] publishes.
-    fn publication(&self, record: &StreamRecord) -> Result<Publication, FormatError>;
+    fn parse_publication(&self, record: &StreamRecord) -> Result<Publication, FormatError>;
 
     /// The worker that a record of [`Stream::Workers`] describes.
-    fn worker(&self, record: &StreamRecord) -> Result<WorkerRecord, FormatError>;
+    fn parse_worker(&self, record: &StreamRecord) -> Result<WorkerRecord, FormatError>;
 
     /// What a request's headers say of it.
     fn call_attributes(&self, headers: &HeaderMap) -> CallAttributes;
@@ -211,13 +211,13 @@
     fn was_not_run(&self, answer: &ResponseHead) -> bool;
 
     /// The request id that an answer bears.
-    fn answered_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
+    fn response_request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
     /// What a call to one of the gateway's own addresses asks.
-    fn entry_call(&self, method: &Method, uri: &Uri) -> EntryCall;
+    fn parse_endpoint_request(&self, method: &Method, uri: &Uri) -> EndpointRequest;
 
-    /// Body of the answer to [`EntryCall::Resolve`]; JSON.
-    fn resolve_answer(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
+    /// Body of the answer to [`EndpointRequest::Resolve`]; JSON.
+    fn resolve_response(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
 
     /// What an engine reports of itself.
     fn engine_report(
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -60,14 +60,17 @@
 }
 
 /// A gateway that takes requests. Its tasks run on when this is dropped.
-pub struct Running {
+pub struct RunningGateway {
     gateway: Rc<Gateway>,
     gossip_socket: Rc<UdpSocket>,
 }
 
 /// Listens on every address of the settings and starts the gateway's tasks. Must be called within
 /// an actix runtime. A port of 0 is replaced by the one that the system gives.
-pub fn start(mut settings: GatewaySettings, platform: Rc<dyn Platform>) -> eyre::Result<Running> {
+pub fn start(
+    mut settings: GatewaySettings,
+    platform: Rc<dyn Platform>,
+) -> eyre::Result<RunningGateway> {
     let listeners = Listeners::bind(&mut settings)?;
     log::info!(
         node = settings.node.as_str(), zone = settings.zone.as_str(),
@@ -97,13 +100,13 @@
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
     actix_rt::spawn(tell_log_calls(gateway.clone()));
-    Ok(Running {
+    Ok(RunningGateway {
         gateway,
         gossip_socket,
     })
 }
 
-impl Running {
+impl RunningGateway {
     /// The settings with the ports that the system gave.
     pub fn settings(&self) -> &GatewaySettings {
         &self.gateway.settings
@@ -189,7 +192,7 @@
     let peers = &gateway.peers;
     peers.join(&gateway, &gossip_socket, incarnation, seeds);
     log::info!(incarnation = incarnation.0; "joined");
-    gateway.reach(Milestone::Joined);
+    gateway.reach_milestone(Milestone::Joined);
     drop_departed_nodes(gateway).await;
 }
 
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -46,7 +46,7 @@
     retry_after: Option<Duration>,
     /// For people and logs.
     reason: &'static str,
-    is_promise: bool,
+    guarantees_not_run: bool,
 }
 
 impl Refusal {
@@ -94,7 +94,7 @@
             status,
             retry_after,
             reason,
-            is_promise: true,
+            guarantees_not_run: true,
         }
     }
 
@@ -123,7 +123,7 @@
             status,
             retry_after: None,
             reason,
-            is_promise: false,
+            guarantees_not_run: false,
         }
     }
 
@@ -138,8 +138,8 @@
     }
 
     /// Whether it promises that the request was not run and will not be.
-    pub(crate) fn is_promise(&self) -> bool {
-        self.is_promise
+    pub(crate) fn guarantees_not_run(&self) -> bool {
+        self.guarantees_not_run
     }
 
     /// Its headers.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -305,7 +305,7 @@
     let ReadEnd::Refuse(refusal) = end else {
         return;
     };
-    if !refusal.is_promise() {
+    if !refusal.guarantees_not_run() {
         return;
     }
     gateway.metrics.note_refusal(refusal);
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -34,7 +34,7 @@
 }
 
 /// Sets the options that every connection has.
-pub(crate) fn prepare(stream: &TcpStream) {
+pub(crate) fn set_options(stream: &TcpStream) {
     prepare_with(stream, USER_TIMEOUT);
 }
 
@@ -55,6 +55,6 @@
     let stream = actix_rt::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-    prepare(&stream);
+    set_options(&stream);
     Ok(stream)
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether a step is done.
-    pub(crate) fn has(&self, milestone: Milestone) -> bool {
+    pub(crate) fn has_reached(&self, milestone: Milestone) -> bool {
         self.progress.get().has_reached(milestone)
     }
 
@@ -48,7 +48,7 @@
 
 impl Gateway {
     /// Notes that a step of the start is done.
-    pub(crate) fn reach(&self, milestone: Milestone) {
+    pub(crate) fn reach_milestone(&self, milestone: Milestone) {
         let mut progress = self.start.progress.get();
         if progress.has_reached(milestone) {
             return;
@@ -77,7 +77,7 @@
         );
         self.note_step("ready", now);
         self.start.is_complete.send_replace(true);
-        self.count_serving_nodes();
+        self.update_serving_nodes();
     }
 }
 
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -136,7 +136,7 @@
 /// Whether an answer belongs to the request. Refusals by whoever has taken over the address bear
 /// no id.
 fn is_answer_to(platform: &dyn Platform, request: &OutgoingRequest, head: &ResponseHead) -> bool {
-    match platform.answered_id(&head.headers) {
+    match platform.response_request_id(&head.headers) {
         Some(id) => Some(id) == request.request_id.as_deref(),
         None => platform.was_not_run(head) || request.request_id.is_none(),
     }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -69,7 +69,7 @@
     }
 
     /// Closes the connections of a worker that is gone.
-    pub(crate) fn forget(&self, worker: &str) {
+    pub(crate) fn discard_connections(&self, worker: &str) {
         self.idle.borrow_mut().remove(worker);
     }
 
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -35,7 +35,7 @@
         let share = -(1.0 - rand::random::<f64>()).ln();
         actix_rt::time::sleep(proof_interval(nodes).mul_f64(share)).await;
         let Some(from) = gateway
-            .config_end
+            .config_stream_end
             .get()
             .filter(|_| gateway.key_lease().is_some() || gateway.feed.reads_for_others())
         else {
@@ -64,7 +64,7 @@
 
     fn note_current(gateway: &Gateway, sent: Timestamp, end: Offset) {
         gateway.config_proof.borrow_mut().note_read(sent);
-        gateway.config_end.set(Some(end));
+        gateway.config_stream_end.set(Some(end));
     }
 
     fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
@@ -78,7 +78,7 @@
             log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone takes work again");
         }
         if !lifted.is_empty() {
-            gateway.act_on_evacuations();
+            gateway.apply_evacuations();
         }
         Self::take_more(gateway, records);
     }
@@ -92,7 +92,7 @@
 
 /// The zone that a record asks to empty, if it asks for that.
 fn evacuated_zone(gateway: &Gateway, record: &StreamRecord) -> Option<String> {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Evacuation { zone, is_on: true }) => Some(zone),
         _ => None,
     }
@@ -100,7 +100,7 @@
 
 /// Takes what the operator has published.
 pub(crate) fn take_publication(gateway: &Gateway, record: &StreamRecord) {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Configuration(config)) => take_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
@@ -124,7 +124,7 @@
         false => "zone takes work again",
     };
     log::info!(zone = zone, offset = wish.offset.0, by = by; "{news}");
-    gateway.act_on_evacuations();
+    gateway.apply_evacuations();
 }
 
 /// Takes a configuration into force, from the log or from another node, unless one of the same or a
@@ -142,7 +142,7 @@
     gateway.config_proof.borrow_mut().replace(version);
     *gateway.config_record.borrow_mut() = Some(record.clone());
     log::info!(version = version, routes = routes, tenants = tenants, offset = record.offset.0; "configuration in force");
-    gateway.reach(Milestone::Configuration);
+    gateway.reach_milestone(Milestone::Configuration);
     gateway.peers.wake_owners();
     let version = i64::try_from(version).unwrap_or(i64::MAX);
     gateway.metrics.config_version.set(version);
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -175,7 +175,7 @@
 async fn read_newest<F: Follower>(
     gateway: &Rc<Gateway>,
 ) -> Result<Option<(Vec<StreamRecord>, Offset)>, StoreError> {
-    let mut page = gateway.platform.newest(F::STREAM, None).await?;
+    let mut page = gateway.platform.read_newest(F::STREAM, None).await?;
     let end = page.end;
     let mut records = std::mem::take(&mut page.records);
     if page.next_after.is_some() && !F::reads_on(gateway).await {
@@ -194,7 +194,7 @@
 ) -> Result<NewestPage, StoreError> {
     let mut tries = 1;
     loop {
-        let page = gateway.platform.newest(F::STREAM, Some(after)).await;
+        let page = gateway.platform.read_newest(F::STREAM, Some(after)).await;
         gateway
             .metrics
             .note_stream_read(F::STREAM, if page.is_ok() { "page" } else { "failed" });
--- a/crates/gateway/src/watch/workers.rs
+++ b/crates/gateway/src/watch/workers.rs
@@ -33,7 +33,7 @@
         let listed = records.iter().filter(|record| !record.value.is_empty());
         let workers = listed.filter_map(|record| read_worker(gateway, record));
         gateway.feed.take_workers(gateway, workers.collect(), end);
-        gateway.reach(Milestone::Workers);
+        gateway.reach_milestone(Milestone::Workers);
     }
 
     fn take_more(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
@@ -52,12 +52,12 @@
 
     fn after_read(gateway: &Gateway) {
         feed::upkeep(gateway);
-        gateway.count_serving_nodes();
+        gateway.update_serving_nodes();
     }
 
     async fn reads_on(gateway: &Gateway) -> bool {
         let started = gateway.now();
-        while !gateway.start.has(Milestone::Joined)
+        while !gateway.start.has_reached(Milestone::Joined)
             && gateway.now().since(started) < LONGEST_PLACING
         {
             actix_rt::time::sleep(PLACING_LOOK).await;
@@ -81,7 +81,7 @@
 /// The worker that an entry names; `None` if it cannot be read, and nobody uses the worker any more.
 fn read_worker(gateway: &Gateway, record: &StreamRecord) -> Option<WorkerRecord> {
     let id = record.key.as_deref()?;
-    match gateway.platform.worker(record) {
+    match gateway.platform.parse_worker(record) {
         Ok(worker) => Some(worker),
         Err(error) => {
             gateway.metrics.unreadable_entries.inc();
