--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -10,7 +10,7 @@
 use tokio_util::codec::Encoder;
 
 use crate::buffered::Sender;
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::Refusal;
 
 /// How far the answer to the present request has come.
@@ -29,7 +29,7 @@
     codec: &'a mut Codec,
     sender: &'a mut Sender,
     /// Counts what is encoded and not sent.
-    unsent: Share,
+    unsent: MemoryReservation,
     close_after: bool,
     progress: Progress,
     status: Option<StatusCode>,
@@ -41,7 +41,7 @@
     pub(crate) fn new(
         codec: &'a mut Codec,
         sender: &'a mut Sender,
-        unsent: Share,
+        unsent: MemoryReservation,
         close_after: bool,
     ) -> Self {
         Self {
--- a/crates/gateway/src/far_bytes.rs
+++ b/crates/gateway/src/cross_zone_bytes.rs
@@ -10,7 +10,7 @@
 
 /// What bytes between zones are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FarKind {
+pub(crate) enum TrafficKind {
     /// Requests to workers, with their headers.
     Requests,
     /// Bodies of workers' answers.
@@ -33,7 +33,7 @@
     Others,
 }
 
-impl FarKind {
+impl TrafficKind {
     const ALL: [Self; 10] = [
         Self::Requests,
         Self::Answers,
@@ -104,17 +104,17 @@
 
 impl FarBytes {
     /// Counts bytes.
-    pub(crate) fn note(&self, kind: FarKind, bytes: usize) {
+    pub(crate) fn note(&self, kind: TrafficKind, bytes: usize) {
         self.counter(kind).inc_by(bytes as u64);
     }
 
     /// All bytes so far, by what they were for, without those that were none.
     pub(crate) fn totals(&self) -> BTreeMap<&'static str, u64> {
-        let totals = FarKind::ALL.map(|kind| (kind.name(), self.counter(kind).get()));
+        let totals = TrafficKind::ALL.map(|kind| (kind.name(), self.counter(kind).get()));
         totals.into_iter().filter(|(_, bytes)| *bytes > 0).collect()
     }
 
-    fn counter(&self, kind: FarKind) -> Counter {
+    fn counter(&self, kind: TrafficKind) -> Counter {
         let label = FarLabel { kind: kind.name() };
         self.family.get_or_create(&label).clone()
     }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -50,7 +50,7 @@
             Entry::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
-        let share = gateway.memory.share(BufferKind::Callers);
+        let share = gateway.memory.reservation(BufferKind::Callers);
         let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
         let sent = caller
             .send_whole(answer.status, &answer.headers(), &answer.body)
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// Waits until a reader's list of nodes is known here.
-    pub(crate) async fn until_nodes_heard(&self) {
+    pub(crate) async fn until_nodes_received(&self) {
         let mut heard = self.nodes_heard.subscribe();
         let _ = heard.wait_for(|is_heard| *is_heard).await;
     }
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -72,7 +72,7 @@
                         return Ok(());
                     }
                     Some(admission::Verdict::Evicted) => AdmissionRefusal::Displaced,
-                    None => AdmissionRefusal::WaitedInVain,
+                    None => AdmissionRefusal::WaitTimedOut,
                 };
                 let room = admission::room_of(gateway, &self.service);
                 let core = gateway.admission.core.borrow();
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -24,7 +24,7 @@
 use crate::admission::AdmittedTurn;
 use crate::caller::Caller;
 use crate::gateway::Gateway;
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::ports::WorkerHeaders;
 use crate::reply::Refusal;
 use crate::server::CallerRequest;
@@ -55,7 +55,7 @@
     pub(super) history: AttemptHistory,
     pub(super) milestones: Milestones,
     /// Counts the body for as long as the call holds it.
-    _memory: Share,
+    _memory: MemoryReservation,
     tried: TriedWorkers,
     /// Where the next attempt must go, if the route allows no other worker.
     retry_at: Option<Target>,
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -12,8 +12,8 @@
 use super::CallError;
 use crate::caller::Caller;
 use crate::gateway::Gateway;
-use crate::memory::{Memory, StreamEntry};
-use crate::metrics::GivenUpLabel;
+use crate::memory::{MemoryTracker, StreamRegistration};
+use crate::metrics::StalledCallerLabel;
 use crate::upstream::Answer;
 
 /// What happens next to a stream.
@@ -33,8 +33,8 @@
 /// One stream's flow.
 pub(super) struct Flow<'a> {
     gateway: &'a Gateway,
-    memory: Memory,
-    entry: StreamEntry,
+    memory: MemoryTracker,
+    entry: StreamRegistration,
     request: &'a str,
     is_resumable: bool,
     /// Silence of the worker that is told, if any is.
@@ -54,7 +54,7 @@
     ) -> Self {
         let memory = gateway.memory.clone();
         Self {
-            entry: memory.begin_stream(),
+            entry: memory.register_stream(),
             memory,
             gateway,
             request,
@@ -94,7 +94,7 @@
             let stall_end = self.stalled_since + MAX_STALL;
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some(), if unsent > 0 => {
                     sent?;
                     self.note_taken(caller);
@@ -129,7 +129,7 @@
             let unsent = caller.unsent();
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some() => {
                     sent?;
                     self.note_taken(caller);
@@ -156,7 +156,7 @@
     }
 
     fn give_up(&self, unsent: usize, reason: &'static str) -> CallError {
-        let label = GivenUpLabel { reason };
+        let label = StalledCallerLabel { reason };
         self.gateway
             .metrics
             .callers_given_up
--- a/crates/gateway/src/forward/observations.rs
+++ b/crates/gateway/src/forward/observations.rs
@@ -39,7 +39,9 @@
         if ejected {
             log::warn!(worker = worker; "worker ejected after failures");
             if self.gateway.settings.policy.ejection_reports {
-                self.gateway.peers.report_worker(self.gateway, worker);
+                self.gateway
+                    .peers
+                    .report_ejected_worker(self.gateway, worker);
             }
         }
     }
--- a/crates/gateway/src/forward/outliving.rs
+++ b/crates/gateway/src/forward/outliving.rs
@@ -335,7 +335,7 @@
     }
 
     fn note_gone_on(&self, at: &Engine) {
-        self.gateway.metrics.runs_gone_on.inc();
+        self.gateway.metrics.runs_resumed.inc();
         log::info!(
             request = self.attributes.request_id.as_deref().unwrap_or_default(),
             worker = at.worker.as_str(), ms = self.received.elapsed().as_millis();
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -88,23 +88,23 @@
         order: Order,
     ) -> Result<Ticket, OverQuota> {
         let gateway = self.gateway;
-        let lessor = gateway.lessors.lessor(gateway, tenant);
-        if lessor == Lessor::Absent {
+        let lessor = gateway.lessors.lessor_for(gateway, tenant);
+        if lessor == Lessor::Unavailable {
             return self.admit_told(tenant, quota);
         }
         if let Some(ticket) = self.admit_calm(tenant, quota) {
             return Ok(ticket);
         }
         let granted = match lessor {
-            Lessor::Own => {
+            Lessor::Local => {
                 let mut quotas = gateway.quotas.borrow_mut();
                 quotas.grant(gateway.now(), tenant, quota, gateway.fleet(), None, order)
             }
-            Lessor::Other(node) => {
+            Lessor::Remote(node) => {
                 let verdict = gateway.lessors.ask(gateway, &node, tenant, order).await;
                 result_of(verdict)
             }
-            Lessor::Absent => None,
+            Lessor::Unavailable => None,
         };
         match granted {
             Some(Ok(())) => {
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -13,7 +13,7 @@
 use super::occupied::RunningAnswer;
 use super::{CallError, headers};
 use crate::caller::{Caller, Progress};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::Refusal;
 
 /// Media type of event streams.
@@ -33,7 +33,7 @@
     /// Data of the events so far with a line feed behind each, if the turn is to be kept.
     output: BytesMut,
     /// Counts the output.
-    held: Share,
+    held: MemoryReservation,
 }
 
 /// How a worker's part of a stream ended.
@@ -54,7 +54,7 @@
             last_event_id: self.attributes.last_event_id.clone(),
             resumptions: 0,
             output: BytesMut::new(),
-            held: self.gateway.memory.share(BufferKind::KeptTurns),
+            held: self.gateway.memory.reservation(BufferKind::KeptTurns),
         };
         let request = self.attributes.request_id.as_deref().unwrap_or_default();
         let mut flow = Flow::new(
@@ -108,7 +108,7 @@
     ) -> Result<PartEnd, CallError> {
         let keeps_output = self.route.keeps_turns;
         let mut splitter = EventSplitter::default();
-        let mut pending = self.gateway.memory.share(BufferKind::Answers);
+        let mut pending = self.gateway.memory.reservation(BufferKind::Answers);
         loop {
             let answer = &mut running.answer;
             let step = flow.next(caller, answer, &mut self.waiting_since).await?;
@@ -184,7 +184,7 @@
         let Some(shown) = self.history.not_run() else {
             return Ok(());
         };
-        if self.gateway.memory.takes_stream() {
+        if self.gateway.memory.accepts_stream() {
             return Ok(());
         }
         log::info!(
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -14,8 +14,8 @@
 
 use super::attempts::Call;
 use crate::gateway::Gateway;
-use crate::ledger::{self, Answered, AskedNodes};
-use crate::memory::Share;
+use crate::ledger::{self, AskedNodes, LedgerAnswer};
+use crate::memory::MemoryReservation;
 use crate::reply::{Fault, Refusal};
 
 /// Times that the end of a turn is reported before it is given up.
@@ -56,7 +56,7 @@
     used: u64,
     input: Bytes,
     /// Counts the body that begins with the turn's conversation.
-    conversation: Share,
+    conversation: MemoryReservation,
     returned: bool,
 }
 
@@ -164,12 +164,13 @@
         ..report
     });
     for _ in 0..FINISH_TRIES {
-        let reply = ledger::request_of(gateway, granter, partition, at_once.clone()).await;
+        let reply =
+            ledger::request_from_granter(gateway, granter, partition, at_once.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
         let pause = actix_rt::time::sleep(FINISH_PAUSE);
-        let waiting = ledger::request_on_return(gateway, partition, on_return.clone());
+        let waiting = ledger::request_when_log_returns(gateway, partition, on_return.clone());
         if waiting.await == LedgerReply::Finished {
             return true;
         }
@@ -185,7 +186,8 @@
     request: LedgerRequest,
 ) -> bool {
     for _ in 0..FINISH_TRIES {
-        let reply = ledger::request_of(gateway, granter, partition, request.clone()).await;
+        let reply =
+            ledger::request_from_granter(gateway, granter, partition, request.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
@@ -229,7 +231,7 @@
             tokens_per_event: self.tokens_per_event(),
             used: 0,
             input: input.clone(),
-            conversation: self.gateway.memory.share(BufferKind::Conversations),
+            conversation: self.gateway.memory.reservation(BufferKind::Conversations),
             returned: false,
         };
         let conversation = self.obtain_leave(lease, partition, begin).await?;
@@ -318,7 +320,7 @@
         }
         let share = self.gateway.settings.policy.outage_wait_share;
         let is_back = outage
-            .until_back(outage_wait(self.time_left(), share))
+            .wait_until_available(outage_wait(self.time_left(), share))
             .await;
         self.gateway.metrics.note_outage_wait(is_back);
         match is_back {
@@ -337,11 +339,11 @@
         partition: PartitionId,
         mut begin: BeginTurn,
         asked: &AskedNodes,
-    ) -> Answered {
+    ) -> LedgerAnswer {
         let request = LedgerRequest::Begin(begin.clone());
         let patience = self.ledger_patience();
         let answered =
-            ledger::request_patiently(self.gateway, partition, request, patience, asked).await;
+            ledger::request_with_retries(self.gateway, partition, request, patience, asked).await;
         let Some(previous) = begin.previous.clone() else {
             return answered;
         };
@@ -354,7 +356,7 @@
                 let request = LedgerRequest::Begin(begin);
                 ledger::request(self.gateway, partition, request, asked).await
             }
-            reply => Answered { reply, ..answered },
+            reply => LedgerAnswer { reply, ..answered },
         }
     }
 }
--- a/crates/gateway/src/forward/zones.rs
+++ b/crates/gateway/src/forward/zones.rs
@@ -3,7 +3,7 @@
 use actix_http::RequestHead;
 
 use super::attempts::Call;
-use crate::far_bytes::FarKind;
+use crate::cross_zone_bytes::TrafficKind;
 
 /// Bytes of a header beside its name and its value.
 const HEADER_FRAME: usize = 4;
@@ -12,12 +12,12 @@
     /// Counts a request that goes to a worker, if that is in another zone.
     pub(super) fn count_request(&self, worker: &str) {
         let body = self.body.as_ref().map_or(0, |body| body.len());
-        self.count_far(worker, FarKind::Requests, head_bytes(&self.head) + body);
+        self.count_far(worker, TrafficKind::Requests, head_bytes(&self.head) + body);
     }
 
     /// Counts a part of a worker's answer, if the worker is in another zone.
     pub(super) fn count_answer(&self, worker: &str, bytes: usize) {
-        self.count_far(worker, FarKind::Answers, bytes);
+        self.count_far(worker, TrafficKind::Answers, bytes);
     }
 
     /// Notes that a worker has begun to answer.
@@ -26,7 +26,7 @@
         self.gateway.workers.borrow_mut().note_response(worker, now);
     }
 
-    fn count_far(&self, worker: &str, kind: FarKind, bytes: usize) {
+    fn count_far(&self, worker: &str, kind: TrafficKind, bytes: usize) {
         let workers = self.gateway.workers.borrow();
         let own = self.gateway.settings.zone.as_str();
         let known = workers.get(worker);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -31,9 +31,9 @@
 use crate::feed::Feed;
 use crate::ledger::Ledger;
 use crate::log_outage::LogOutage;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::metrics::Metrics;
-use crate::peers::{LessorDesk, Peers};
+use crate::peers::{Lessors, Peers};
 use crate::ports::{Platform, StreamRecord};
 use crate::settings::GatewaySettings;
 use crate::start::Start;
@@ -78,7 +78,7 @@
     /// What was sent on for tenants, here and elsewhere.
     pub(crate) quotas: RefCell<QuotaTracker>,
     /// Who grants requests within quotas.
-    pub(crate) lessors: LessorDesk,
+    pub(crate) lessors: Lessors,
     /// Programs of tenants with quotas that have begun here.
     pub(crate) begun_programs: RefCell<StartedPrograms>,
     /// Whether this node reads the log's streams, and what it hears of them otherwise.
@@ -106,7 +106,7 @@
     /// Those nodes.
     pub(crate) serving: RefCell<BTreeSet<NodeId>>,
     /// What is held for callers, workers and peers.
-    pub(crate) memory: Memory,
+    pub(crate) memory: MemoryTracker,
     /// Turns that wait for places at engines.
     pub(crate) admission: AdmissionDriver,
     /// Runs of this node that have a backup.
@@ -153,7 +153,7 @@
             log_read_timer: RefCell::default(),
             log_reach: RefCell::default(),
             log_outage: LogOutage::default(),
-            memory: Memory::new(settings.memory_bytes, &metrics),
+            memory: MemoryTracker::new(settings.memory_bytes, &metrics),
             admission: AdmissionDriver::new(&settings),
             backups: RefCell::default(),
             settings,
@@ -170,7 +170,7 @@
             key_leases,
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
-            lessors: LessorDesk::default(),
+            lessors: Lessors::default(),
             begun_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
@@ -306,7 +306,7 @@
 
     /// Whether callers are to be sent to a node, as far as this one knows.
     pub(crate) fn is_offered(&self, node: &NodeId) -> bool {
-        self.is_serving(node) && !self.peers.is_zone_suspected(self, node)
+        self.is_serving(node) && !self.peers.is_in_suspected_zone(self, node)
     }
 
     /// Listed nodes that are neither alive nor this one.
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -67,7 +67,7 @@
 
 /// A reply and the node that gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Answered {
+pub(crate) struct LedgerAnswer {
     /// The reply.
     pub(crate) reply: LedgerReply,
     /// The node.
@@ -94,7 +94,7 @@
     partition: PartitionId,
     request: LedgerRequest,
     asked: &AskedNodes,
-) -> Answered {
+) -> LedgerAnswer {
     let own = &gateway.settings.node;
     let mut candidates = gateway.peers.candidates(gateway, partition);
     candidates.truncate(MOST_PEERS_ASKED);
@@ -105,17 +105,17 @@
         let reason = match ask_peer(gateway, &by, partition, request.clone()).await {
             // The log may refuse that node alone.
             Ok(LedgerReply::Unavailable) => SkipReason::Unavailable,
-            Ok(reply) => return Answered { reply, by },
+            Ok(reply) => return LedgerAnswer { reply, by },
             Err(NoReply::Unreachable | NoReply::Silent) => SkipReason::Absent,
             // The log is slow; a second node at the same partition would not help.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
-                return Answered { reply, by };
+                return LedgerAnswer { reply, by };
             }
         };
         if !may_pass_over(gateway, reason) {
             let reply = LedgerReply::Unavailable;
-            return Answered { reply, by };
+            return LedgerAnswer { reply, by };
         }
     }
     let may_act = gateway.log_reach.borrow().may_serve(is_candidate) && may_act_alone(gateway);
@@ -126,7 +126,7 @@
         LedgerReply::Unavailable
     };
     let by = own.clone();
-    Answered { reply, by }
+    LedgerAnswer { reply, by }
 }
 
 fn standing(gateway: &Gateway) -> StartupGrace {
@@ -148,7 +148,7 @@
 /// Makes a request, which should say that it waits, of the first node that should act for a
 /// partition and can be reached: it carries the request out as soon as the log is back, or says
 /// after a while that the log is still away.
-pub(crate) async fn request_on_return(
+pub(crate) async fn request_when_log_returns(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
     request: LedgerRequest,
@@ -165,7 +165,7 @@
 
 /// Makes a request of the node that has granted a turn, or else of the one that should own its
 /// partition now.
-pub(crate) async fn request_of(
+pub(crate) async fn request_from_granter(
     gateway: &Rc<Gateway>,
     granter: &NodeId,
     partition: PartitionId,
@@ -205,13 +205,13 @@
 
 /// Like [`request`], again and again for up to `patience` while no node can carry it out: an outage
 /// of the log may end in time, and other owners settle what they have set aside.
-pub(crate) async fn request_patiently(
+pub(crate) async fn request_with_retries(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
     wanted: LedgerRequest,
     patience: Duration,
     asked: &AskedNodes,
-) -> Answered {
+) -> LedgerAnswer {
     let started = Instant::now();
     loop {
         let answered = request(gateway, partition, wanted.clone(), asked).await;
@@ -315,7 +315,7 @@
     });
     let mut answers: FuturesUnordered<_> = asking.collect();
     let mut sure = true;
-    while let Some(Answered { reply, .. }) = answers.next().await {
+    while let Some(LedgerAnswer { reply, .. }) = answers.next().await {
         match reply {
             LedgerReply::Conversation { .. } => return reply,
             LedgerReply::UnknownTurn => {}
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -39,7 +39,7 @@
     }
 
     /// Waits until the log is not silent, `longest` at most. Tells whether it is back.
-    pub(crate) async fn until_back(&self, longest: Duration) -> bool {
+    pub(crate) async fn wait_until_available(&self, longest: Duration) -> bool {
         let mut news = self.state.subscribe();
         let back = news.wait_for(|state| !state.is_silent());
         actix_rt::time::timeout(longest, back).await.is_ok()
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -15,7 +15,7 @@
 
 /// Counts what is held; cheap to clone.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory(Rc<Account>);
+pub(crate) struct MemoryTracker(Rc<Account>);
 
 #[derive(Debug)]
 struct Account {
@@ -43,7 +43,7 @@
     end: Rc<Notify>,
 }
 
-impl Memory {
+impl MemoryTracker {
     /// Holds nothing yet. `process_bytes` is the memory at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
         let kinds = BufferKind::ALL.map(|kind| Kind {
@@ -63,8 +63,8 @@
     }
 
     /// Room for something that holds nothing yet.
-    pub(crate) fn share(&self, kind: BufferKind) -> Share {
-        Share {
+    pub(crate) fn reservation(&self, kind: BufferKind) -> MemoryReservation {
+        MemoryReservation {
             memory: self.clone(),
             kind,
             bytes: 0,
@@ -82,12 +82,12 @@
     }
 
     /// Whether another stream may begin.
-    pub(crate) fn takes_stream(&self) -> bool {
+    pub(crate) fn accepts_stream(&self) -> bool {
         self.0.marks.takes_stream(self.held())
     }
 
     /// Waits until memory is no longer full.
-    pub(crate) async fn relieved(&self) {
+    pub(crate) async fn wait_for_capacity(&self) {
         loop {
             let relieved = self.0.relieved.notified();
             if self.pressure() < Pressure::Full {
@@ -98,7 +98,7 @@
     }
 
     /// A stream begins.
-    pub(crate) fn begin_stream(&self) -> StreamEntry {
+    pub(crate) fn register_stream(&self) -> StreamRegistration {
         let id = self.0.next_stream.get();
         self.0.next_stream.set(id + 1);
         let end = Rc::new(Notify::new());
@@ -108,7 +108,7 @@
             end: end.clone(),
         };
         self.0.streams.borrow_mut().insert(id, stream);
-        StreamEntry {
+        StreamRegistration {
             memory: self.clone(),
             id,
             end,
@@ -155,15 +155,15 @@
 
 /// What one holder takes; given back when dropped.
 #[derive(Debug)]
-pub(crate) struct Share {
-    memory: Memory,
+pub(crate) struct MemoryReservation {
+    memory: MemoryTracker,
     kind: BufferKind,
     bytes: usize,
 }
 
-impl Share {
+impl MemoryReservation {
     /// Takes room for more bytes of a body; `false` if there is none left.
-    pub(crate) fn grow_body(&mut self, more: usize) -> bool {
+    pub(crate) fn try_grow_body(&mut self, more: usize) -> bool {
         let bodies = self.memory.kind(BufferKind::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
@@ -182,12 +182,12 @@
     }
 
     /// The account that it belongs to.
-    pub(crate) fn memory(&self) -> &Memory {
+    pub(crate) fn memory(&self) -> &MemoryTracker {
         &self.memory
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.set(0);
     }
@@ -195,13 +195,13 @@
 
 /// A running stream, as far as memory is concerned.
 #[derive(Debug)]
-pub(crate) struct StreamEntry {
-    memory: Memory,
+pub(crate) struct StreamRegistration {
+    memory: MemoryTracker,
     id: u64,
     end: Rc<Notify>,
 }
 
-impl StreamEntry {
+impl StreamRegistration {
     /// Notes what is held for the caller, and since when it has taken nothing.
     pub(crate) fn note(&self, unsent: usize, stalled_since: Instant) {
         if let Some(stream) = self.memory.0.streams.borrow_mut().get_mut(&self.id) {
@@ -211,12 +211,12 @@
     }
 
     /// Waits until the stream must end since memory is full.
-    pub(crate) async fn must_end(&self) {
+    pub(crate) async fn wait_for_abort(&self) {
         self.end.notified().await;
     }
 }
 
-impl Drop for StreamEntry {
+impl Drop for StreamRegistration {
     fn drop(&mut self) {
         self.memory.0.streams.borrow_mut().remove(&self.id);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::far_bytes::FarBytes;
+use crate::cross_zone_bytes::FarBytes;
 use crate::reply::Refusal;
 
 /// Label of answered requests.
@@ -58,7 +58,7 @@
 
 /// Label of streams that were ended since their caller read nothing.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct GivenUpLabel {
+pub(crate) struct StalledCallerLabel {
     /// What did not allow to wait longer.
     pub(crate) reason: &'static str,
 }
@@ -126,7 +126,7 @@
     /// A more pressing turn took its place in the queue.
     Displaced,
     /// It got no place in the time that it could wait.
-    WaitedInVain,
+    WaitTimedOut,
 }
 
 impl AdmissionRefusal {
@@ -136,7 +136,7 @@
             Self::NoPlaceInTime => "no engine will be free in time",
             Self::QueueFull => "no more turns can wait here now",
             Self::Displaced => "a more pressing turn waits in its place",
-            Self::WaitedInVain => "no engine became free in time",
+            Self::WaitTimedOut => "no engine became free in time",
         }
     }
 }
@@ -200,11 +200,11 @@
     held_bytes: Family<HeldLabel, Gauge>,
     pub(crate) held_peak_bytes: Gauge,
     pub(crate) streams_paused: Counter,
-    pub(crate) callers_given_up: Family<GivenUpLabel, Counter>,
+    pub(crate) callers_given_up: Family<StalledCallerLabel, Counter>,
     pub(crate) admission_wait_seconds: Histogram,
     pub(crate) admission_waiting: Gauge,
     pub(crate) admission_refusals: Family<AdmissionLabel, Counter>,
-    pub(crate) runs_gone_on: Counter,
+    pub(crate) runs_resumed: Counter,
     pub(crate) runs_ended: Family<RunEndLabel, Counter>,
     pub(crate) copies_freed: Counter,
     pub(crate) copy_bytes: Counter,
@@ -273,7 +273,7 @@
             admission_wait_seconds: histogram(),
             admission_waiting: Gauge::default(),
             admission_refusals: Family::default(),
-            runs_gone_on: Counter::default(),
+            runs_resumed: Counter::default(),
             runs_ended: Family::default(),
             copies_freed: Counter::default(),
             copy_bytes: Counter::default(),
@@ -635,7 +635,7 @@
         registry.register(
             "runs_gone_on",
             "Runs that went on with a copy of their memory after their stream broke off",
-            self.runs_gone_on.clone(),
+            self.runs_resumed.clone(),
         );
         registry.register(
             "runs_ended",
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -39,8 +39,8 @@
 use link::Link;
 
 pub(crate) use far::send;
-pub(crate) use gossip::probe_nodes;
-pub(crate) use lessors::{Lessor, LessorDesk};
+pub(crate) use gossip::run_gossip;
+pub(crate) use lessors::{Lessor, Lessors};
 pub(crate) use link::NoReply;
 pub(crate) use serve::accept_peers;
 pub(crate) use zones::{reports as zone_reports, take as take_zone_reports};
@@ -274,7 +274,7 @@
     }
 
     /// Tells the nodes that share this zone's callers that a worker fails.
-    pub(crate) fn report_worker(&self, gateway: &Gateway, worker: &str) {
+    pub(crate) fn report_ejected_worker(&self, gateway: &Gateway, worker: &str) {
         let news = GatewayFrame::WorkerEjected {
             node: self.own.clone(),
             worker: worker.to_owned(),
--- a/crates/gateway/src/peers/far.rs
+++ b/crates/gateway/src/peers/far.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 
 use super::Peers;
-use crate::far_bytes::{FarBytes, FarKind};
+use crate::cross_zone_bytes::{FarBytes, TrafficKind};
 use crate::gateway::Gateway;
 
 impl Peers {
@@ -64,7 +64,7 @@
     }
 
     /// Whether the nodes of this node's zone seem lost together.
-    pub(crate) fn is_zone_suspected(&self, gateway: &Gateway, node: &NodeId) -> bool {
+    pub(crate) fn is_in_suspected_zone(&self, gateway: &Gateway, node: &NodeId) -> bool {
         let nodes = gateway.nodes.borrow();
         let Some(known) = nodes.get(node) else {
             return false;
@@ -94,7 +94,7 @@
     to: impl IntoIterator<Item = SocketAddr>,
 ) {
     let bytes = encode(datagram);
-    let kind = FarKind::of_datagram(datagram);
+    let kind = TrafficKind::of_datagram(datagram);
     for address in to {
         if gateway.peers.far_zones.borrow().contains_key(&address) {
             gateway.metrics.far_bytes.note(kind, bytes.len());
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -27,7 +27,7 @@
 const RECEIVE_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Probes the others until the process ends.
-pub(crate) async fn probe_nodes(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub(crate) async fn run_gossip(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     gateway.lessors.open(&socket);
     let mut buffer = vec![0; DATAGRAM_BYTES];
     let mut ticks = actix_rt::time::interval(PROBE_INTERVAL);
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -34,7 +34,7 @@
 
 /// What this node knows of the others as lessors, and its open questions.
 #[derive(Debug, Default)]
-pub(crate) struct LessorDesk {
+pub(crate) struct Lessors {
     socket: OnceCell<Rc<UdpSocket>>,
     /// Nodes that have said that they grant, with the boot number of the process that has.
     granting: RefCell<BTreeMap<NodeId, u64>>,
@@ -49,14 +49,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Lessor {
     /// This node.
-    Own,
+    Local,
     /// Another one.
-    Other(NodeId),
+    Remote(NodeId),
     /// None: not all nodes grant, or the one that should has not answered lately.
-    Absent,
+    Unavailable,
 }
 
-impl LessorDesk {
+impl Lessors {
     /// Questions are sent from this socket.
     pub(super) fn open(&self, socket: &Rc<UdpSocket>) {
         // Set once, by the loop that receives the answers.
@@ -84,19 +84,19 @@
     }
 
     /// Who grants a tenant's requests now.
-    pub(crate) fn lessor(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
+    pub(crate) fn lessor_for(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
         if !gateway.settings.policy.quota_lessors {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
         let serving = gateway.serving.borrow();
         if !serving.iter().all(|node| self.grants(gateway, node)) {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
         let Some(lessor) = lessor_of(tenant, serving.iter()) else {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         };
         if *lessor == gateway.settings.node {
-            return Lessor::Own;
+            return Lessor::Local;
         }
         let now = gateway.now();
         let silent = self.silent.borrow();
@@ -104,9 +104,9 @@
             .get(lessor)
             .is_some_and(|at| now.since(*at) < SILENT_PAUSE)
         {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
-        Lessor::Other(lessor.clone())
+        Lessor::Remote(lessor.clone())
     }
 
     /// Asks another node to grant a request. No answer counts as one that it cannot tell.
@@ -209,7 +209,7 @@
 
 /// Ends a question, also of a request whose time is over.
 struct Closing<'a> {
-    desk: &'a LessorDesk,
+    desk: &'a Lessors,
     question: u64,
 }
 
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -15,8 +15,8 @@
 
 use super::queue::{NotQueued, Outgoing, Queue};
 use crate::buffered::{self, Receiver};
-use crate::far_bytes::FarBytes;
-use crate::memory::Memory;
+use crate::cross_zone_bytes::FarBytes;
+use crate::memory::MemoryTracker;
 use crate::socket;
 
 /// Longest wait for a sign that a request has arrived. A node that shows none is taken for gone.
@@ -58,7 +58,7 @@
 
 impl Link {
     /// Begins to connect.
-    pub(super) fn open(address: SocketAddr, memory: &Memory, far: Option<FarBytes>) -> Self {
+    pub(super) fn open(address: SocketAddr, memory: &MemoryTracker, far: Option<FarBytes>) -> Self {
         let (frames, outgoing) = Outgoing::new(memory, far);
         let pending = Pending::default();
         actix_rt::spawn(run_link(address, outgoing, pending.clone()));
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 
 use crate::buffered::Sender;
-use crate::far_bytes::{FarBytes, FarKind};
-use crate::memory::{Memory, Share};
+use crate::cross_zone_bytes::{FarBytes, TrafficKind};
+use crate::memory::{MemoryReservation, MemoryTracker};
 
 /// Most bytes that wait for one connection. The slowest machines send 22 Mbit/s: what is behind
 /// this much is late for everybody who waits for it.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Held {
     bytes: Cell<usize>,
-    share: RefCell<Share>,
+    share: RefCell<MemoryReservation>,
 }
 
 impl Held {
@@ -57,11 +57,11 @@
 
 impl Outgoing {
     /// An empty queue, counted in `memory`.
-    pub(super) fn new(memory: &Memory, far: Option<FarBytes>) -> (Self, Queue) {
+    pub(super) fn new(memory: &MemoryTracker, far: Option<FarBytes>) -> (Self, Queue) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let held = Rc::new(Held {
             bytes: Cell::new(0),
-            share: RefCell::new(memory.share(BufferKind::Peers)),
+            share: RefCell::new(memory.reservation(BufferKind::Peers)),
         });
         let outgoing = Self {
             frames: sender,
@@ -83,7 +83,7 @@
         self.frames.send(frame).map_err(|_| NotQueued::Closed)?;
         self.held.set(held + length);
         if let Some(far) = &self.far {
-            far.note(FarKind::of_frame(message), length);
+            far.note(TrafficKind::of_frame(message), length);
         }
         Ok(())
     }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -96,7 +96,7 @@
     actix_rt::spawn(watch::prove_configuration(gateway.clone()));
     actix_rt::spawn(watch::follow_workers(gateway.clone()));
     actix_rt::spawn(ledger::prepare_partitions(gateway.clone()));
-    actix_rt::spawn(peers::probe_nodes(gateway.clone(), gossip_socket.clone()));
+    actix_rt::spawn(peers::run_gossip(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
     actix_rt::spawn(tell_log_calls(gateway.clone()));
@@ -201,7 +201,7 @@
 async fn await_entries(gateway: &Rc<Gateway>, before: Option<Offset>) -> Offset {
     let feed = &gateway.feed;
     tokio::select! {
-        () = feed.until_nodes_heard() => feed.nodes_end().unwrap_or_default(),
+        () = feed.until_nodes_received() => feed.nodes_end().unwrap_or_default(),
         _ = feed.until_reading() => read_entries_since(gateway, before).await,
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -17,7 +17,7 @@
 use crate::caller::{Caller, Progress};
 use crate::forward;
 use crate::gateway::{Gateway, Stage};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::{Fault, Refusal};
 use crate::socket;
 
@@ -40,7 +40,7 @@
     /// When its head was read.
     pub(crate) received: Instant,
     /// Keeps count of the body while the request is under way.
-    pub(crate) memory: Share,
+    pub(crate) memory: MemoryReservation,
 }
 
 /// Accepts callers until the node closes.
@@ -114,7 +114,7 @@
             }
             Err(ReadEnd::Quiet) => break,
             Err(ReadEnd::Refuse(refusal)) => {
-                let share = gateway.memory.share(BufferKind::Callers);
+                let share = gateway.memory.reservation(BufferKind::Callers);
                 let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, true);
                 // The caller may be gone already.
                 let _ = caller.send_refusal(&refusal).await;
@@ -145,7 +145,7 @@
     let received = request.received;
     gateway.in_flight.set(gateway.in_flight.get() + 1);
     gateway.metrics.in_flight.inc();
-    let share = gateway.memory.share(BufferKind::Callers);
+    let share = gateway.memory.reservation(BufferKind::Callers);
     let mut caller = Caller::new(codec, sender, share, closing);
     let answered = tokio::select! {
         biased;
@@ -178,7 +178,7 @@
         .await
         .map_err(|_| ReadEnd::Refuse(Refusal::head_timeout(NotRun::before_any_attempt())))??;
     let received = Instant::now();
-    let mut memory = gateway.memory.share(BufferKind::Bodies);
+    let mut memory = gateway.memory.reservation(BufferKind::Bodies);
     let body = match codec.message_type() {
         MessageType::None if head.headers.contains_key("content-length") => Some(Bytes::new()),
         MessageType::None => None,
@@ -268,7 +268,7 @@
     codec: &mut Codec,
     receiver: &mut Receiver,
     most: usize,
-    memory: &mut Share,
+    memory: &mut MemoryReservation,
 ) -> Result<Bytes, ReadEnd> {
     let mut body = BytesMut::new();
     loop {
@@ -279,7 +279,7 @@
                     let refusal = Refusal::fault(Fault::BodyTooLarge, reason);
                     return Err(ReadEnd::Refuse(refusal));
                 }
-                if !memory.grow_body(piece.len()) {
+                if !memory.try_grow_body(piece.len()) {
                     let reason = "no memory for the body of the request now";
                     let refusal = Refusal::not_run(NotRun::before_any_attempt(), reason);
                     return Err(ReadEnd::Refuse(refusal));
--- a/crates/gateway/src/upstream/answer.rs
+++ b/crates/gateway/src/upstream/answer.rs
@@ -11,7 +11,7 @@
 use tokio_util::codec::Decoder;
 
 use super::{Pool, WorkerConnection};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 
 /// An answer that ended before it was whole.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -33,7 +33,7 @@
     pub(crate) head: ResponseHead,
     body: Option<Body>,
     /// Counts the bytes collected of it, for as long as the answer is held.
-    collected: Share,
+    collected: MemoryReservation,
 }
 
 struct Body {
@@ -76,7 +76,7 @@
         codec: ClientCodec,
         connection: WorkerConnection,
         home: Home,
-        collected: Share,
+        collected: MemoryReservation,
     ) -> Self {
         let framing = if method != Method::HEAD && ends_with_connection(&head) {
             Framing::UntilClose
@@ -144,7 +144,7 @@
             }
             let memory = self.collected.memory().clone();
             if !should_read_answer(whole.len(), memory.pressure()) {
-                memory.relieved().await;
+                memory.wait_for_capacity().await;
             }
         }
         Ok(whole.freeze())
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -18,7 +18,7 @@
 use super::answer::{Home, ends_with_connection, named_idle_time};
 use super::{Answer, Pool, WorkerConnection};
 use crate::buffered;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::ports::Platform;
 use crate::socket;
 
@@ -77,7 +77,7 @@
     pub(crate) pool: &'a Rc<Pool>,
     pub(crate) http: &'a ServiceConfig,
     /// Counts answers that are collected.
-    pub(crate) memory: &'a Memory,
+    pub(crate) memory: &'a MemoryTracker,
     pub(crate) platform: &'a dyn Platform,
     pub(crate) connections_made: &'a Counter,
     /// Most connections at rest that this node may keep to the worker.
@@ -225,7 +225,7 @@
             idle_time: named_idle_time(&head.headers),
             most_idle: context.most_idle,
         };
-        let collected = context.memory.share(BufferKind::Answers);
+        let collected = context.memory.reservation(BufferKind::Answers);
         Answer::new(method, head, self.codec, self.connection, home, collected)
     }
 
