--- a/crates/gateway-core/src/ledger/account.rs
+++ b/crates/gateway-core/src/ledger/account.rs
@@ -1,35 +1,38 @@
-//! The budget account of one program.
+//! Token accounting of one program.
 
 use std::collections::BTreeMap;
 
-use super::wallet::total;
+use super::wallet::saturating_sum;
 
-/// Tokens that a program has generated and those set aside for turns that may be under way.
+/// Tokens that a program has generated, and tokens reserved for turns that may still be running.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// Tokens generated on reservations that have ended.
+    /// Tokens generated under settled reservations.
     pub settled: u64,
-    /// Other reservations with the tokens of each.
+    /// Open reservations by name, with the tokens reserved by each.
     pub open: BTreeMap<String, u64>,
 }
 
 impl Account {
-    /// Tokens generated if every reservation is used whole.
+    /// Returns the tokens that count against the budget, assuming that every open reservation is
+    /// used in full.
     pub fn committed(&self) -> u64 {
-        total(self.open.values().copied()).saturating_add(self.settled)
+        saturating_sum(self.open.values().copied()).saturating_add(self.settled)
     }
 
-    /// Whether the budget holds `tokens` more, if every reservation is used whole.
+    /// Returns whether `tokens` more fit into the budget, assuming that every open reservation is
+    /// used in full.
     pub fn allows(&self, budget: u64, tokens: u64) -> bool {
         self.committed().saturating_add(tokens) <= budget
     }
 
-    /// Sets tokens aside.
+    /// Opens a reservation of `tokens`.
     pub fn reserve(&mut self, reservation: String, tokens: u64) {
         self.open.insert(reservation, tokens);
     }
 
-    /// Ends a reservation; one that is not open changes nothing.
+    /// Closes a reservation that has generated `used` tokens. Unknown or closed reservations are
+    /// ignored.
     pub fn settle(&mut self, reservation: &str, used: u64) {
         if self.open.remove(reservation).is_some() {
             self.settled = self.settled.saturating_add(used);
--- a/crates/gateway-core/src/ledger/calls.rs
+++ b/crates/gateway-core/src/ledger/calls.rs
@@ -1,83 +1,86 @@
-//! What passes between an owner and its driver.
+//! Types exchanged between a [`PartitionOwner`](super::PartitionOwner) and its driver.
 
 use elderworks_protocol::ledger::{LedgerRecord, Witness, WitnessQuestion};
 use elderworks_types::{Offset, Timestamp};
 
-/// Names a request between the driver and the owner.
+/// Identifies a request submitted to the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Numbers the calls that an owner has made to the log, in the order in which they began.
+/// Identifies a call of an owner to the log. Numbers increase in the order in which calls start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNumber(pub u64);
 
 impl CallNumber {
-    /// The call after this one.
+    /// Returns the number of the following call.
     pub(super) fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// What the driver is to do next.
+/// The next operation for the driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read records from this offset on, without waiting for any to come.
+    /// Read the records that exist from an offset on, without waiting for new ones.
     Read {
-        /// The first record wanted.
+        /// Offset of the first record to read.
         from: Offset,
     },
-    /// Append records if the log ends at `at`.
+    /// Append records on condition that the log ends at `at`.
     Append {
-        /// Where the log must end.
+        /// Required end offset of the log.
         at: Offset,
-        /// In this order.
+        /// Records to append, in order.
         records: Vec<LedgerRecord>,
     },
-    /// Nothing until the next request, or until this time.
+    /// Wait for the next request or until the given time.
     Wait {
-        /// When to ask again; `None` if only a request changes anything.
+        /// When to ask for the next action; `None` if only a request or an answer can change
+        /// anything.
         until: Option<Timestamp>,
     },
 }
 
-/// How an append ended.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
     /// The records are durable.
     Done,
-    /// The log ended elsewhere; nothing was appended.
+    /// The log ended at another offset; nothing was appended.
     Conflict,
-    /// Nothing was appended.
+    /// The log refused the call; nothing was appended.
     Refused,
-    /// No answer: the records may be durable, or become so while the condition holds.
+    /// No answer: the records may have been appended, or may still be while the log ends at the
+    /// required offset.
     Unknown,
 }
 
-/// How a read ended.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Records from the asked offset on, and where the log ended; a record that cannot be decoded
-    /// is `None`.
+    /// The records from the requested offset on, and the end of the log. A record that cannot be
+    /// decoded is `None`.
     Records {
-        /// In order.
+        /// Records in log order.
         records: Vec<Option<LedgerRecord>>,
-        /// Where the log ended.
+        /// End offset of the log.
         end: Offset,
     },
-    /// What was asked for is not kept any more.
+    /// The requested records are no longer retained.
     Gone {
-        /// The first offset kept.
+        /// First retained offset.
         first: Offset,
     },
-    /// The log did not answer, or refused.
+    /// The log did not answer, or refused the call.
     Failed,
 }
 
-/// A question that the driver is to put to a witness; it reports the answer.
+/// A question for the driver to send to a witness. The driver reports the answer to
+/// `PartitionOwner::on_inquiry`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inquiry {
-    /// Whom to ask.
+    /// The witness to ask.
     pub witness: Witness,
-    /// What to ask.
+    /// The question to send.
     pub question: WitnessQuestion,
 }
--- a/crates/gateway-core/src/ledger/fencing.rs
+++ b/crates/gateway-core/src/ledger/fencing.rs
@@ -1,8 +1,8 @@
-//! Overdrafts of owners that no longer act for a partition: were they used?
+//! Determines whether overdrafts of other owners were used.
 //!
-//! The owner that now acts asks the witnesses to fence each of them. A majority that does proves
-//! that the overdraft was never used and never will be, so it can be closed. Otherwise it counts
-//! until it is too old to be used.
+//! The preferred owner of a partition asks the witnesses of each foreign overdraft to fence it. If
+//! a majority of them does, the overdraft was never used and cannot be activated any more, so it
+//! can be closed. Otherwise it is charged to programs until it expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,57 +13,59 @@
 use super::LedgerState;
 use super::overdraft::majority;
 
-/// Pause after the first round of questions about one overdraft; doubled with each further one.
-const ROUND_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between the first and the second round of questions about an overdraft; doubles with
+/// every further round.
+const INITIAL_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most doublings of that pause.
-const MOST_DOUBLINGS: u32 = 5;
+/// Maximum number of times that [`INITIAL_ROUND_INTERVAL`] is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// What the witnesses of one overdraft have answered.
+/// Answers of the witnesses of one overdraft.
 #[derive(Debug, Default)]
 struct FencingStatus {
     fenced: BTreeSet<u64>,
-    /// Whether a witness knows that it is used, or was.
+    /// Whether any witness has reported the overdraft as activated.
     is_used: bool,
-    /// When the witnesses were asked for the first and for the last time.
-    first_asked: Option<Timestamp>,
-    last_asked: Option<Timestamp>,
+    /// Times of the first and the latest round of questions.
+    first_round: Option<Timestamp>,
+    latest_round: Option<Timestamp>,
     rounds: u32,
 }
 
 impl FencingStatus {
-    /// When the witnesses are to be asked again.
+    /// Returns when the next round of questions is due.
     fn next_round(&self) -> Timestamp {
-        let Some(last) = self.last_asked else {
+        let Some(last) = self.latest_round else {
             return Timestamp::default();
         };
-        let doublings = self.rounds.saturating_sub(1).min(MOST_DOUBLINGS);
-        last + ROUND_PAUSE * 2_u32.pow(doublings)
+        let doublings = self.rounds.saturating_sub(1).min(MAX_DOUBLINGS);
+        last + INITIAL_ROUND_INTERVAL * 2_u32.pow(doublings)
     }
 
-    fn note_asked(&mut self, now: Timestamp) {
-        self.first_asked.get_or_insert(now);
-        self.last_asked = Some(now);
+    fn record_round(&mut self, now: Timestamp) {
+        self.first_round.get_or_insert(now);
+        self.latest_round = Some(now);
         self.rounds += 1;
     }
 
-    /// Whether it may soon turn out that the overdraft is unused. Witnesses that do not answer the
-    /// first questions are taken to be lost, though they are asked again.
+    /// Returns whether the overdraft may soon prove unused. Witnesses that leave the first round
+    /// unanswered are considered lost, although later rounds still ask them.
     fn is_undecided(&self, now: Timestamp) -> bool {
-        let is_recent = |asked: Timestamp| now.since(asked) < ROUND_PAUSE;
-        !self.is_used && self.first_asked.is_none_or(is_recent)
+        let is_recent = |asked: Timestamp| now.since(asked) < INITIAL_ROUND_INTERVAL;
+        !self.is_used && self.first_round.is_none_or(is_recent)
     }
 }
 
-/// What is known of the open overdrafts of other owners, by name.
+/// Fencing state of the open overdrafts of other owners, by overdraft name.
 #[derive(Debug, Default)]
 pub(super) struct Fencing {
     overdrafts: BTreeMap<String, FencingStatus>,
 }
 
 impl Fencing {
-    /// The overdrafts whose witnesses are to be asked now.
-    pub(super) fn next_questions(
+    /// Starts the rounds of questions that are due and returns the names of the overdrafts
+    /// concerned. Forgets overdrafts that are no longer open.
+    pub(super) fn start_due_rounds(
         &mut self,
         now: Timestamp,
         state: &LedgerState,
@@ -78,24 +80,24 @@
             let status = self.overdrafts.entry(name.to_owned()).or_default();
             let is_open = !status.is_used && !is_unused(state, name, status);
             if is_open && status.next_round() <= now {
-                status.note_asked(now);
+                status.record_round(now);
                 due.push(name.to_owned());
             }
         }
         due
     }
 
-    /// When witnesses are to be asked again; `None` if it is known of every overdraft whether it
-    /// was used.
+    /// Returns when the next round of questions is due; `None` if every overdraft is known to be
+    /// either used or unused.
     pub(super) fn next_round(&self, state: &LedgerState) -> Option<Timestamp> {
         let open = self.overdrafts.iter();
-        open.filter(|(name, status)| is_held(state, name) && !status.is_used)
+        open.filter(|(name, status)| is_open_in_log(state, name) && !status.is_used)
             .filter(|(name, status)| !is_unused(state, name, status))
             .map(|(_, status)| status.next_round())
             .min()
     }
 
-    /// Takes a witness's answer.
+    /// Records a witness's answer.
     pub(super) fn on_answer(&mut self, overdraft: &str, boot: u64, answer: WitnessAnswer) {
         let Some(status) = self.overdrafts.get_mut(overdraft) else {
             return;
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Overdrafts that the log still holds and that are surely unused.
+    /// Returns the open overdrafts that are proven unused.
     pub(super) fn unused<'a>(&'a self, state: &'a LedgerState) -> impl Iterator<Item = &'a str> {
         let overdrafts = self.overdrafts.iter();
         overdrafts
@@ -117,18 +119,19 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// Whether it may soon turn out that an overdraft is unused.
+    /// Returns whether an overdraft may soon prove unused. True for overdrafts whose witnesses have
+    /// not been asked yet.
     pub(super) fn is_undecided(&self, now: Timestamp, overdraft: &str) -> bool {
         let status = self.overdrafts.get(overdraft);
         status.is_none_or(|status| status.is_undecided(now))
     }
 }
 
-fn is_held(state: &LedgerState, overdraft: &str) -> bool {
+fn is_open_in_log(state: &LedgerState, overdraft: &str) -> bool {
     state.overdrafts().any(|(name, _)| name == overdraft)
 }
 
-/// Whether a majority of an open overdraft's witnesses has fenced it.
+/// Returns whether a majority of an open overdraft's witnesses has fenced it.
 fn is_unused(state: &LedgerState, name: &str, status: &FencingStatus) -> bool {
     let Some((_, overdraft)) = state.overdrafts().find(|(other, _)| *other == name) else {
         return false;
--- a/crates/gateway-core/src/ledger/mod.rs
+++ b/crates/gateway-core/src/ledger/mod.rs
@@ -1,9 +1,10 @@
-//! The ledger of one partition: budgets of programs and kept turns of conversations.
+//! The ledger of one partition: token budgets of programs and stored turns of conversations.
 //!
-//! The log is the only truth. Any node may act for a partition: it replays the records it has not
-//! seen, decides, and appends under the condition that the log still ends where it read. An append
-//! that meets this condition proves that the decision rested on the whole history; one that fails
-//! it changed nothing. Nodes agree on one of them (the owner) only to spare conflicts.
+//! The log is the only source of truth, and any node may serve a partition. An owner replays the
+//! records that it has not read, decides requests on the resulting state, and appends on condition
+//! that the log still ends where it was read. A successful append proves that the decision was
+//! based on the complete history; an append that fails the condition changes nothing. Nodes agree
+//! on one preferred owner only to avoid conflicting appends.
 
 mod account;
 mod calls;
@@ -20,13 +21,13 @@
 
 pub use account::Account;
 pub use calls::{Action, AppendOutcome, CallNumber, Inquiry, ReadOutcome, Ticket};
-pub use overdraft::{FEWEST_WITNESSES, MOST_WITNESSES, OverdraftUse, SLOW_CALL};
+pub use overdraft::{MIN_WITNESSES, MOST_WITNESSES, OverdraftUse, SLOW_CALL};
 pub use owner::{
-    DOWN_PAUSE, FAILURE_PAUSE, FAILURES_BEFORE_DOWN, GIVES_WAY_FOR, HOLD_BACK, HOLD_WHILE_DOWN,
-    PartitionOwner,
+    DOWN_RETRY_DELAY, FAILURE_RETRY_DELAY, FAILURES_BEFORE_DOWN, MAX_HOLD_WHILE_DOWN,
+    PartitionOwner, SETTLEMENT_DELAY, YIELD_AFTER_OUTAGE,
 };
 pub use pieces::{MAX_APPEND_BYTES, MAX_CONTENT_BYTES, approximate_bytes, kept_records};
-pub use plan::OTHERS_PATIENCE;
+pub use plan::FOREIGN_SETTLEMENT_WAIT;
 pub use state::{ACCOUNT_RETENTION, LedgerState, OVERDRAFT_RETENTION, OpenOverdraft, RETENTION};
 pub use wallet::{Advance, IDLE_BEFORE_SETTLING, SpentAdvance, Wallet};
 pub use witness::WitnessMemory;
@@ -34,7 +35,7 @@
 use elderworks_types::PartitionId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The partition that keeps a program's budget and turns.
+/// Returns the partition that stores a program's budget and turns.
 pub fn partition_of(program: &str, partitions: u32) -> PartitionId {
     let hash = xxh3_64(program.as_bytes());
     let number = hash % u64::from(partitions.max(1));
--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -1,10 +1,11 @@
-//! An owner's overdraft: leave to let turns run before the log holds their tokens.
+//! State of an owner's overdraft, which permits turns to run before the log holds a reservation for
+//! their tokens.
 //!
-//! In calm times it stands in the log unused. When calls to the log are slow or fail, the owner
-//! activates it at a majority of its witnesses and draws on it. Once the log works again, the owner
-//! records what was drawn, closes the overdraft and opens another. An owner that is lost leaves its
-//! overdraft open; others charge it to every program until it is known to be unused
-//! ([`super::fencing`]) or so old that nobody can use it.
+//! While the log answers promptly, the overdraft is open in the log but unused. When calls to the
+//! log are slow or fail, the owner activates the overdraft at a majority of its witnesses and draws
+//! on it. After the log has recovered, the owner records what was drawn, closes the overdraft and
+//! opens another one. If an owner is lost, its overdraft stays open. Other owners then charge it to
+//! every program until it proves unused (see [`super::fencing`]) or expires.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,66 +16,69 @@
 use super::LedgerState;
 use super::state::OVERDRAFT_RETENTION;
 
-/// Most witnesses of one overdraft.
+/// Maximum number of witnesses of one overdraft.
 pub const MOST_WITNESSES: usize = 5;
 
-/// Fewest witnesses: with fewer, the loss of one would leave an overdraft in doubt.
-pub const FEWEST_WITNESSES: usize = 2;
+/// Minimum number of witnesses of one overdraft. With fewer, the loss of a single witness would
+/// leave it undecided whether the overdraft was used.
+pub const MIN_WITNESSES: usize = 2;
 
-/// A call to the log that takes longer is not waited for if an overdraft can be used.
+/// Calls to the log that take longer count as slow: turns draw on an active overdraft in place of
+/// waiting for them.
 pub const SLOW_CALL: Duration = Duration::from_millis(40);
 
-/// The log has answered fast for this long before an overdraft that was used is replaced.
-const CALM: Duration = Duration::from_secs(1);
+/// How long the log must have answered promptly before a used overdraft is replaced.
+const RECOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// An owner may use its overdraft for this long after the last answer of the log. Others count on
-/// its use four times as long, so clocks may run at rates that differ much.
-const LONGEST_USE: Duration = Duration::from_secs(OVERDRAFT_RETENTION.as_secs() / 4);
+/// How long an owner may use its overdraft after the last answer of the log. Other owners reckon
+/// with its use for four times as long, which tolerates clocks that run at different rates.
+const MAX_USE_WITHOUT_ANSWER: Duration = Duration::from_secs(OVERDRAFT_RETENTION.as_secs() / 4);
 
-/// Pause after witnesses could not be reached.
-const ACTIVATION_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the next activation attempt after too few witnesses answered.
+const ACTIVATION_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Name of the owner that made a reservation or an overdraft.
+/// Returns the owner part of the name of a reservation or overdraft.
 pub(super) fn owner_of(name: &str) -> &str {
     name.rsplit_once('/').map_or(name, |(owner, _)| owner)
 }
 
-/// How many of `count` witnesses are a majority.
+/// Returns the size of a majority of `count` witnesses.
 pub(super) fn majority(count: usize) -> usize {
     count / 2 + 1
 }
 
-/// What an owner's overdraft is good for.
+/// State of an owner's overdraft, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdraftUse {
-    /// The log is not known to hold one.
+    /// No overdraft is known to be open in the log.
     None,
-    /// It stands in the log unused.
+    /// Open in the log, not activated.
     Standing,
-    /// Witnesses are being asked.
+    /// Witnesses have been asked to activate it.
     Activating,
-    /// Turns may run on it while the log is in trouble.
+    /// Activated: turns may draw on it while the log is slow or fails.
     Active,
-    /// It is being closed.
+    /// An append that closes it is in progress or unsettled.
     Closing,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Mode {
-    /// The log is not known to hold one.
+    /// No overdraft is known to be open in the log.
     None,
-    /// The log holds one; no witness has been asked.
+    /// Open in the log; no witness has been asked.
     Standing { name: String },
-    /// Witnesses have been asked.
+    /// Witnesses have been asked to activate it: `outstanding` of them have not answered, and
+    /// `needed` must agree.
     Activating {
         name: String,
         activated: BTreeSet<u64>,
-        missing: usize,
+        outstanding: usize,
         needed: usize,
     },
-    /// Turns may run on it while the log is in trouble.
+    /// Activated: turns may draw on it while the log is slow or fails.
     Active { name: String },
-    /// An append that closes it is under way at this offset, or in doubt.
+    /// An append at offset `at` that closes it is in progress or unsettled.
     Closing {
         name: String,
         at: Offset,
@@ -82,16 +86,16 @@
     },
 }
 
-/// The overdraft of this owner.
+/// The overdraft of this owner and the condition of the log as this owner observes it.
 #[derive(Debug)]
 pub(super) struct OwnOverdraft {
     mode: Mode,
-    /// Whether the last calls to the log failed or were slow.
-    in_trouble: bool,
-    calm_since: Option<Timestamp>,
+    /// Whether the latest call to the log failed or was slow.
+    is_degraded: bool,
+    responsive_since: Option<Timestamp>,
     last_answer: Timestamp,
-    asks_from: Timestamp,
-    /// When witnesses were last asked to activate one.
+    retry_at: Timestamp,
+    /// When the latest activation started.
     activated: Timestamp,
 }
 
@@ -99,15 +103,15 @@
     pub(super) fn new() -> Self {
         Self {
             mode: Mode::None,
-            in_trouble: false,
-            calm_since: None,
+            is_degraded: false,
+            responsive_since: None,
             last_answer: Timestamp::default(),
-            asks_from: Timestamp::default(),
+            retry_at: Timestamp::default(),
             activated: Timestamp::default(),
         }
     }
 
-    /// Brings the mode in line with the log, which ends at `end`.
+    /// Synchronizes the state with the log, which ends at `end`.
     pub(super) fn refresh(
         &mut self,
         state: &LedgerState,
@@ -118,7 +122,7 @@
         let held: Vec<&str> = held.filter(|name| is_own(name)).collect();
         let known = match &self.mode {
             Mode::None => None,
-            // An append in doubt may be carried out as long as the log ends where it was to go.
+            // An unsettled append may still take effect while the log ends at its offset.
             Mode::Closing { at, .. } if *at >= end => return,
             Mode::Closing { name, .. }
             | Mode::Standing { name }
@@ -143,30 +147,30 @@
         };
     }
 
-    /// Notes an answer of the log to a call that took `took`.
+    /// Records an answer of the log after `took`.
     pub(super) fn note_answer(&mut self, now: Timestamp, took: Duration) {
         self.last_answer = now;
         if took >= SLOW_CALL {
-            self.note_trouble();
+            self.note_degraded();
             return;
         }
-        self.in_trouble = false;
-        self.calm_since.get_or_insert(now);
+        self.is_degraded = false;
+        self.responsive_since.get_or_insert(now);
     }
 
-    /// Notes that a call has failed or takes long.
-    pub(super) fn note_trouble(&mut self) {
-        self.in_trouble = true;
-        self.calm_since = None;
+    /// Records a failed or slow call.
+    pub(super) fn note_degraded(&mut self) {
+        self.is_degraded = true;
+        self.responsive_since = None;
     }
 
-    /// Whether the last calls to the log failed or were slow.
-    pub(super) fn is_in_trouble(&self) -> bool {
-        self.in_trouble
+    /// Returns whether the latest call to the log failed or was slow.
+    pub(super) fn is_log_degraded(&self) -> bool {
+        self.is_degraded
     }
 
-    /// What it is good for.
-    pub(super) fn present_use(&self) -> OverdraftUse {
+    /// Returns the state of the overdraft.
+    pub(super) fn status(&self) -> OverdraftUse {
         match self.mode {
             Mode::None => OverdraftUse::None,
             Mode::Standing { .. } => OverdraftUse::Standing,
@@ -176,25 +180,26 @@
         }
     }
 
-    /// Whether turns may run on it now.
+    /// Returns whether turns may draw on the overdraft now.
     pub(super) fn is_usable(&self, now: Timestamp) -> bool {
         let is_active = matches!(self.mode, Mode::Active { .. });
-        let is_fresh = now.since(self.last_answer) < LONGEST_USE && !self.is_old(now);
-        is_active && self.in_trouble && is_fresh
+        let is_current =
+            now.since(self.last_answer) < MAX_USE_WITHOUT_ANSWER && !self.is_expiring(now);
+        is_active && self.is_degraded && is_current
     }
 
-    /// Whether its witnesses may soon forget that it was activated.
-    fn is_old(&self, now: Timestamp) -> bool {
+    /// Returns whether witnesses may soon forget the activation.
+    fn is_expiring(&self, now: Timestamp) -> bool {
         now.since(self.activated) >= OVERDRAFT_RETENTION
     }
 
-    /// Begins to activate it if the log is in trouble; returns its name if its witnesses are to be
-    /// asked.
+    /// Starts the activation if the log is slow or fails. Returns the name of the overdraft if its
+    /// witnesses must be asked.
     pub(super) fn activate(&mut self, now: Timestamp, witnesses: &[Witness]) -> Option<String> {
         let Mode::Standing { name } = &self.mode else {
             return None;
         };
-        if !self.in_trouble || now < self.asks_from {
+        if !self.is_degraded || now < self.retry_at {
             return None;
         }
         let name = name.clone();
@@ -202,19 +207,19 @@
         self.mode = Mode::Activating {
             name: name.clone(),
             activated: BTreeSet::new(),
-            missing: witnesses.len(),
+            outstanding: witnesses.len(),
             needed: majority(witnesses.len()),
         };
         Some(name)
     }
 
-    /// Whether witnesses are being asked.
+    /// Returns whether an activation is in progress.
     pub(super) fn is_activating(&self) -> bool {
         matches!(self.mode, Mode::Activating { .. })
     }
 
-    /// Takes the answer of a witness, or notes that none came. Tells whether the activation has
-    /// ended, either way.
+    /// Records the answer of a witness, or `None` if it did not answer. Returns whether this
+    /// completes the activation, successful or not.
     pub(super) fn on_answer(
         &mut self,
         now: Timestamp,
@@ -225,7 +230,7 @@
         let Mode::Activating {
             name,
             activated,
-            missing,
+            outstanding,
             needed,
         } = &mut self.mode
         else {
@@ -234,7 +239,7 @@
         if name != overdraft {
             return false;
         }
-        *missing = missing.saturating_sub(1);
+        *outstanding = outstanding.saturating_sub(1);
         if answer == Some(WitnessAnswer::Activated) {
             activated.insert(boot);
         }
@@ -243,37 +248,42 @@
             self.mode = Mode::Active { name };
             return true;
         }
-        if *missing > 0 {
+        if *outstanding > 0 {
             return false;
         }
         self.mode = Mode::Standing { name };
-        self.asks_from = now + ACTIVATION_PAUSE;
+        self.retry_at = now + ACTIVATION_RETRY_DELAY;
         true
     }
 
-    /// The overdraft to close in an append that records all that was drawn, if its time has come:
-    /// it was used and the log is calm again or its witnesses may soon forget it, or `is_unwanted`.
+    /// Returns the overdraft to close with an append that also records everything drawn on it. It
+    /// is closed if it was used and the log has recovered, if its witnesses may soon forget the
+    /// activation, or if it is unused and `is_unwanted`.
     pub(super) fn to_close(&self, now: Timestamp, is_unwanted: bool) -> Option<&str> {
-        let is_calm = self
-            .calm_since
-            .is_some_and(|since| now.since(since) >= CALM);
+        let has_recovered = self
+            .responsive_since
+            .is_some_and(|since| now.since(since) >= RECOVERY_TIME);
         match &self.mode {
             Mode::Standing { name } if is_unwanted => Some(name),
-            Mode::Active { name } if is_calm && !self.in_trouble => Some(name),
-            Mode::Active { name } if self.is_old(now) => Some(name),
+            Mode::Active { name } if has_recovered && !self.is_degraded => Some(name),
+            Mode::Active { name } if self.is_expiring(now) => Some(name),
             _ => None,
         }
     }
 
-    /// When [`Self::to_close`] will have something for an overdraft that was used.
-    pub(super) fn closes_from(&self) -> Option<Timestamp> {
+    /// Returns when [`Self::to_close`] will return an active overdraft, provided that the log keeps
+    /// answering promptly.
+    pub(super) fn closing_due_at(&self) -> Option<Timestamp> {
         let is_active = matches!(self.mode, Mode::Active { .. });
-        let since = self.calm_since.filter(|_| is_active && !self.in_trouble);
-        since.map(|since| since + CALM)
+        let since = self
+            .responsive_since
+            .filter(|_| is_active && !self.is_degraded);
+        since.map(|since| since + RECOVERY_TIME)
     }
 
-    /// An append at `at` closes it: nothing may be drawn until that is known to have failed.
-    pub(super) fn begin_closing(&mut self, at: Offset) {
+    /// Marks the overdraft as being closed by an append at `at`. It must not be drawn on until that
+    /// append is known to have failed.
+    pub(super) fn start_closing(&mut self, at: Offset) {
         let (name, was_active) = match &self.mode {
             Mode::Standing { name } => (name.clone(), false),
             Mode::Active { name } => (name.clone(), true),
@@ -286,7 +296,7 @@
         };
     }
 
-    /// The append that was to close it has surely done nothing.
+    /// Reverts [`Self::start_closing`] after the append is known to have had no effect.
     pub(super) fn abort_closing(&mut self) {
         let Mode::Closing {
             name, was_active, ..
--- a/crates/gateway-core/src/ledger/owner.rs
+++ b/crates/gateway-core/src/ledger/owner.rs
@@ -1,7 +1,9 @@
-//! Acts for one partition: which requests to decide, when to read, when to append.
+//! Serves one partition: decides requests, and decides when to read from the log and when to append
+//! to it.
 //!
-//! A state machine without I/O or clock. Its driver asks [`PartitionOwner::next_action`], carries
-//! the action out, reports the result, and hands on the replies.
+//! [`PartitionOwner`] is a state machine without I/O or clock. Its driver calls
+//! [`PartitionOwner::next_action`], carries the action out, reports the result, and delivers the
+//! replies.
 
 mod overdrafts;
 
@@ -16,78 +18,80 @@
 use super::fencing::Fencing;
 use super::overdraft::{OwnOverdraft, SLOW_CALL};
 use super::pieces::{MAX_APPEND_BYTES, approximate_bytes};
-use super::plan::{Credit, Plan, Planned, answer_at_once};
+use super::plan::{Credit, Plan, Planned, answer_from_memory};
 use super::turn_size::TypicalTurn;
 use super::wallet::IDLE_BEFORE_SETTLING;
 use super::wallets::Wallets;
 use crate::policy::Policy;
 
-/// Calls in a row that must fail before the log is taken to be down.
+/// Number of consecutive failed calls after which the log counts as down.
 pub const FAILURES_BEFORE_DOWN: u32 = 2;
 
-/// Settlements, which nobody waits for, are held back this long to be appended with others.
-pub const HOLD_BACK: Duration = Duration::from_millis(2_000);
+/// How long settlements are delayed, so that one append carries several of them. No caller waits
+/// for a settlement.
+pub const SETTLEMENT_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Pause after a first call to the log that failed.
-pub const FAILURE_PAUSE: Duration = Duration::from_millis(30);
+/// Delay before the next call after a first failure.
+pub const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// Pause between two calls while the log is down.
-pub const DOWN_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two calls while the log is down.
+pub const DOWN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a request that asks for it waits for a log that is down, to be carried out as soon as
-/// the log is back: two or three calls to the log end in that time.
-pub const HOLD_WHILE_DOWN: Duration = Duration::from_millis(500);
+/// How long a request that asks for it waits for a log that is down. Long enough for two or three
+/// calls to the log, so that the request is carried out soon after the log has recovered.
+pub const MAX_HOLD_WHILE_DOWN: Duration = Duration::from_millis(500);
 
-/// How long after an outage of the log an owner that others do not send their requests to leaves
-/// the partition to the one that they do: both would read and append the same.
-pub const GIVES_WAY_FOR: Duration = Duration::from_secs(1);
+/// How long after an outage of the log an owner that is not preferred leaves the partition to the
+/// preferred one. Otherwise both would read and append the same records.
+pub const YIELD_AFTER_OUTAGE: Duration = Duration::from_secs(1);
 
-/// What is added to that pause if nobody waits for the call.
-const PREPARATION_PAUSE: Duration = Duration::from_millis(400);
+/// Additional delay before a preparatory call while the log is down, since no request waits for it.
+const PREPARATION_DELAY: Duration = Duration::from_millis(400);
 
 #[derive(Debug)]
-struct Job {
+struct QueuedRequest {
     ticket: Ticket,
     request: LedgerRequest,
-    /// Whether the state is as of the log's end at some time since the request came, so that a
-    /// negative answer is sure.
+    /// Whether the state has been read to the end of the log since the request arrived. Only then
+    /// is a negative answer final.
     verified: bool,
-    /// The last call that began before the request came: what the log says to that call or an
-    /// earlier one may be older.
-    came_after: CallNumber,
-    /// Until when the request waits though the log is down.
-    holds_until: Timestamp,
+    /// The latest call that started before the request arrived. The answers to it and to earlier
+    /// calls may be older than the request.
+    latest_call_before: CallNumber,
+    /// Until when the request stays queued although the log is down.
+    hold_until: Timestamp,
 }
 
 #[derive(Debug)]
 struct PendingAppend {
     plan: Plan,
     replies: Vec<(Ticket, LedgerReply)>,
-    /// Turns of the plan that have been reported as ended since, by program.
+    /// Turns of the plan, as (program, turn), that were reported as finished after the append
+    /// started.
     abandoned: Vec<(String, String)>,
 }
 
-/// One partition as this node acts for it.
+/// Serves requests to one partition on this node.
 #[derive(Debug)]
 pub struct PartitionOwner {
     policy: Policy,
     state: LedgerState,
     wallets: Wallets,
-    /// Whether other nodes send their requests here.
+    /// Whether other nodes send their requests for the partition to this one.
     is_preferred: bool,
-    /// Whether turns can end while the log is away, so that an overdraft is of use to them.
+    /// Whether any turn can finish without the log, so that an overdraft is useful.
     serves_without_log: bool,
-    /// The offset behind the last record applied.
+    /// Offset of the next record to apply.
     end: Offset,
-    /// Whether nothing is in doubt since the log was last read to its end.
+    /// Whether the state was read to the end of the log and no append has been unsettled since.
     is_synced: bool,
-    jobs: Vec<Job>,
+    queue: Vec<QueuedRequest>,
     pending: Option<PendingAppend>,
     replies: Vec<(Ticket, LedgerReply)>,
     paused_until: Timestamp,
     failures_in_a_row: u32,
-    /// Until when an owner that is not preferred makes no call for requests.
-    gives_way_until: Timestamp,
+    /// Until when an owner that is not preferred makes no calls for requests.
+    yields_until: Timestamp,
     is_calling: bool,
     last_call: CallNumber,
     call_began: Timestamp,
@@ -95,19 +99,19 @@
     overdraft: OwnOverdraft,
     fencing: Fencing,
     typical_turn: TypicalTurn,
-    /// Nodes that can witness an overdraft now, the foremost first.
+    /// Nodes that can witness an overdraft now, in order of preference.
     witnesses: Rc<[Witness]>,
     inquiries: Vec<Inquiry>,
 }
 
 impl PartitionOwner {
-    /// An owner that has read nothing. `name` is written to the log; no other owner of the
-    /// partition may ever bear it, nor an earlier start of the same node.
+    /// Creates an owner that has read nothing. `name` identifies it in the log. It must be unique
+    /// among all owners of the partition, earlier starts of the same node included.
     pub fn new(name: String) -> Self {
         Self::with_policy(name, Policy::default())
     }
 
-    /// The same with other mechanisms in use.
+    /// Like [`Self::new`], with the given policy.
     pub fn with_policy(name: String, policy: Policy) -> Self {
         Self {
             policy,
@@ -117,12 +121,12 @@
             serves_without_log: true,
             end: Offset(0),
             is_synced: false,
-            jobs: Vec::new(),
+            queue: Vec::new(),
             pending: None,
             replies: Vec::new(),
             paused_until: Timestamp::default(),
             failures_in_a_row: 0,
-            gives_way_until: Timestamp::default(),
+            yields_until: Timestamp::default(),
             is_calling: false,
             last_call: CallNumber::default(),
             call_began: Timestamp::default(),
@@ -135,60 +139,64 @@
         }
     }
 
-    /// Takes a request; its reply comes from [`Self::take_replies`].
+    /// Submits a request. [`Self::take_replies`] returns its reply.
     ///
-    /// While the log is down, one request at a time waits for a call that finds out whether it
-    /// still is, and requests that ask for it wait for [`HOLD_WHILE_DOWN`]; the others are answered
-    /// at once, from memory or with "unavailable".
+    /// While the log is down, one request at a time waits for a call that probes the log, and
+    /// requests that ask for it wait for [`MAX_HOLD_WHILE_DOWN`]. All others are answered
+    /// immediately, either from memory or with "unavailable".
     pub fn submit(&mut self, now: Timestamp, ticket: Ticket, request: LedgerRequest) {
         let is_held = matches!(&request, LedgerRequest::Finish(finish) if finish.waits);
         let hold = if is_held {
-            HOLD_WHILE_DOWN
+            MAX_HOLD_WHILE_DOWN
         } else {
             Duration::ZERO
         };
-        self.submit_held(now, ticket, request, now + hold);
+        self.submit_with_hold(now, ticket, request, now + hold);
     }
 
-    fn submit_held(
+    fn submit_with_hold(
         &mut self,
         now: Timestamp,
         ticket: Ticket,
         request: LedgerRequest,
-        holds_until: Timestamp,
+        hold_until: Timestamp,
     ) {
         if let LedgerRequest::Finish(finish) = &request {
             self.abandon(&finish.program, &finish.turn);
         }
-        let at_once = self.answer_at_once(now, &request);
-        if at_once.is_none() {
+        let immediate = self.answer_from_memory(now, &request);
+        if immediate.is_none() {
             self.activate_overdraft(now);
         }
-        let may_wait = self.overdraft.is_activating();
-        let is_held = now < holds_until;
+        let is_activating = self.overdraft.is_activating();
+        let is_held = now < hold_until;
         let is_busy = self.is_calling || now < self.paused_until;
-        let must_not_wait = !may_wait && !is_held && is_busy;
-        let reply = match at_once {
+        let cannot_wait = !is_activating && !is_held && is_busy;
+        let reply = match immediate {
             Some(reply) => Some(reply),
-            None if self.is_down() && must_not_wait => Some(LedgerReply::Unavailable),
-            None if self.gives_way(now) => Some(LedgerReply::Unavailable),
+            None if self.is_down() && cannot_wait => Some(LedgerReply::Unavailable),
+            None if self.yields_to_preferred(now) => Some(LedgerReply::Unavailable),
             None => None,
         };
         match reply {
             Some(reply) => self.replies.push((ticket, reply)),
-            None => self.jobs.push(Job {
+            None => self.queue.push(QueuedRequest {
                 ticket,
                 request,
                 verified: false,
-                came_after: self.last_call,
-                holds_until,
+                latest_call_before: self.last_call,
+                hold_until,
             }),
         }
     }
 
-    fn answer_at_once(&mut self, now: Timestamp, request: &LedgerRequest) -> Option<LedgerReply> {
+    fn answer_from_memory(
+        &mut self,
+        now: Timestamp,
+        request: &LedgerRequest,
+    ) -> Option<LedgerReply> {
         let credit = self.credit(now);
-        answer_at_once(&self.state, &mut self.wallets, now, credit, request)
+        answer_from_memory(&self.state, &mut self.wallets, now, credit, request)
     }
 
     fn credit(&self, now: Timestamp) -> Credit {
@@ -204,42 +212,45 @@
         }
     }
 
-    /// Whether the partition is left to another owner, since the log has just come back.
-    fn gives_way(&self, now: Timestamp) -> bool {
-        !self.is_preferred && now < self.gives_way_until
+    /// Returns whether the partition is left to the preferred owner because the log has just
+    /// recovered.
+    fn yields_to_preferred(&self, now: Timestamp) -> bool {
+        !self.is_preferred && now < self.yields_until
     }
 
-    /// Notes that the call under way takes longer than [`super::SLOW_CALL`].
+    /// Reports that the call in progress takes longer than [`super::SLOW_CALL`].
     pub fn note_slow_call(&mut self, now: Timestamp) {
-        self.overdraft.note_trouble();
-        if !self.jobs.is_empty() {
+        self.overdraft.note_degraded();
+        if !self.queue.is_empty() {
             self.activate_overdraft(now);
         }
-        self.answer_jobs(now);
+        self.answer_queued(now);
     }
 
-    /// Answers those of the waiting requests that need no call any more, and those that wait in
-    /// vain while the log is down.
-    fn answer_jobs(&mut self, now: Timestamp) {
-        let is_hopeless = self.is_down() && !self.overdraft.is_activating();
-        for job in std::mem::take(&mut self.jobs) {
-            let reply = match self.answer_at_once(now, &job.request) {
+    /// Answers queued requests that no longer need a call, and refuses those that have to wait for
+    /// a log that is down.
+    fn answer_queued(&mut self, now: Timestamp) {
+        let refuses_waiting = self.is_down() && !self.overdraft.is_activating();
+        for queued in std::mem::take(&mut self.queue) {
+            let reply = match self.answer_from_memory(now, &queued.request) {
                 Some(reply) => reply,
-                None if is_hopeless && !self.must_keep(now, &job) => LedgerReply::Unavailable,
+                None if refuses_waiting && !self.stays_queued(now, &queued) => {
+                    LedgerReply::Unavailable
+                }
                 None => {
-                    self.jobs.push(job);
+                    self.queue.push(queued);
                     continue;
                 }
             };
-            self.note_answered(job.ticket, &job.request);
-            self.replies.push((job.ticket, reply));
+            self.note_answered(queued.ticket, &queued.request);
+            self.replies.push((queued.ticket, reply));
         }
     }
 
-    /// Whether a request waits though the log is down: an append under way may bring its answer, or
-    /// it asks for that.
-    fn must_keep(&self, now: Timestamp, job: &Job) -> bool {
-        now < job.holds_until || self.is_in_append(job.ticket)
+    /// Returns whether a request stays queued although the log is down, because an append in
+    /// progress may answer it or because it asked to be held.
+    fn stays_queued(&self, now: Timestamp, queued: &QueuedRequest) -> bool {
+        now < queued.hold_until || self.is_in_append(queued.ticket)
     }
 
     fn is_in_append(&self, ticket: Ticket) -> bool {
@@ -247,7 +258,7 @@
         replies.into_iter().any(|(other, _)| *other == ticket)
     }
 
-    /// What an append under way was to bring a request has been given to it already.
+    /// Removes from the append in progress the reply to a request that has been answered already.
     fn note_answered(&mut self, ticket: Ticket, request: &LedgerRequest) {
         let Some(pending) = &mut self.pending else {
             return;
@@ -259,14 +270,15 @@
         }
     }
 
-    /// Decides anew which of the waiting requests still wait.
-    fn submit_jobs_anew(&mut self, now: Timestamp) {
-        for job in std::mem::take(&mut self.jobs) {
-            self.submit_held(now, job.ticket, job.request, job.holds_until);
+    /// Submits all queued requests again, which refuses those that need not be held any longer.
+    fn resubmit_queued(&mut self, now: Timestamp) {
+        for queued in std::mem::take(&mut self.queue) {
+            self.submit_with_hold(now, queued.ticket, queued.request, queued.hold_until);
         }
     }
 
-    /// A turn has ended that may not have been granted yet: whoever asked has given up.
+    /// Handles the end of a turn that may not have been granted yet, which means that its caller
+    /// has given up.
     fn abandon(&mut self, program: &str, turn: &str) {
         if let Some(pending) = &mut self.pending {
             let started = &pending.plan.started;
@@ -276,56 +288,56 @@
                 return;
             }
         }
-        let is_asked_for = |request: &LedgerRequest| matches!(request, LedgerRequest::Begin(begin) if begin.turn == turn);
-        for job in std::mem::take(&mut self.jobs) {
-            if is_asked_for(&job.request) {
-                self.replies.push((job.ticket, LedgerReply::Unavailable));
+        let is_start = |request: &LedgerRequest| matches!(request, LedgerRequest::Begin(begin) if begin.turn == turn);
+        for queued in std::mem::take(&mut self.queue) {
+            if is_start(&queued.request) {
+                self.replies.push((queued.ticket, LedgerReply::Unavailable));
             } else {
-                self.jobs.push(job);
+                self.queue.push(queued);
             }
         }
     }
 
-    /// Tells whether other nodes send their requests here. One that they do not settles its
-    /// advances without delay.
+    /// Sets whether other nodes send their requests for the partition to this owner. An owner that
+    /// is not preferred settles its advances without delay.
     pub fn set_preferred(&mut self, is_preferred: bool) {
         self.is_preferred = is_preferred;
     }
 
-    /// Tells whether any turn that may be asked for can end while the log is away. One that is to be
-    /// kept cannot: whatever it drew on an overdraft would be spent in vain, and a lost overdraft
-    /// holds budgets back.
+    /// Sets whether any turn can finish while the log is unavailable. A turn whose result must be
+    /// stored cannot, so an overdraft would be of no use to it, and an overdraft that is lost with
+    /// its owner reduces the budgets of all programs.
     pub fn set_serves_without_log(&mut self, serves: bool) {
         self.serves_without_log = serves;
     }
 
-    /// Whether the log is taken to be down.
+    /// Returns whether the log counts as down.
     pub fn is_down(&self) -> bool {
         self.failures_in_a_row >= FAILURES_BEFORE_DOWN
     }
 
-    /// Replies that have been decided, each once.
+    /// Returns the replies that are ready. Each is returned once.
     pub fn take_replies(&mut self) -> Vec<(Ticket, LedgerReply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// Accounts and turns as far as they are known here.
+    /// Returns the accounts and turns that this owner has read.
     pub fn state(&self) -> &LedgerState {
         &self.state
     }
 
-    /// Where the log ended when last looked.
+    /// Returns the end of the log as last observed.
     pub fn end(&self) -> Offset {
         self.end
     }
 
-    /// Appends of this node that met records of another.
+    /// Returns the number of appends that conflicted with records of another node.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    /// Decides what can be decided, and says what is to be done next. Not to be called while a read
-    /// or an append is under way; requests may be submitted meanwhile.
+    /// Decides requests and returns the next action. Must not be called while a read or an append
+    /// is in progress; requests may be submitted at any time.
     pub fn next_action(&mut self, now: Timestamp) -> Action {
         self.wallets.close_idle(now, self.idle_time());
         self.fence_others(now);
@@ -343,29 +355,29 @@
     }
 
     fn choose_action(&mut self, now: Timestamp) -> Action {
-        let settles_from = self
+        let settlement_due_at = self
             .wallets
-            .closing_since()
-            .map(|since| since + self.hold_back());
-        let must_settle = settles_from.is_some_and(|from| from <= now);
+            .oldest_settlement_since()
+            .map(|since| since + self.settlement_delay());
+        let must_settle = settlement_due_at.is_some_and(|from| from <= now);
         let must_append = must_settle || self.must_change_overdrafts(now);
-        let prepares_from = self.prepares_from(now);
-        let must_prepare = prepares_from.is_some_and(|from| from <= now);
-        if self.jobs.is_empty() && !must_append && !must_prepare {
-            let idle_from = self
+        let preparation_due_at = self.preparation_due_at(now);
+        let must_prepare = preparation_due_at.is_some_and(|from| from <= now);
+        if self.queue.is_empty() && !must_append && !must_prepare {
+            let idle_at = self
                 .wallets
-                .first_idle()
+                .next_idle_last_used()
                 .map(|last| last + self.idle_time());
-            let closes_from = self.overdraft.closes_from();
-            let asks_from = self
+            let closing_due_at = self.overdraft.closing_due_at();
+            let fencing_due_at = self
                 .is_preferred
                 .then(|| self.fencing.next_round(&self.state));
             let times = [
-                settles_from,
-                idle_from,
-                closes_from,
-                prepares_from,
-                asks_from.flatten(),
+                settlement_due_at,
+                idle_at,
+                closing_due_at,
+                preparation_due_at,
+                fencing_due_at.flatten(),
             ];
             let until = times.into_iter().flatten().min();
             return Action::Wait { until };
@@ -381,13 +393,13 @@
         self.decide(now, must_append || must_prepare)
     }
 
-    /// From when on the partition is read and an overdraft opened though nobody asks; `None` if
-    /// that is done or not for this owner to do.
-    fn prepares_from(&self, now: Timestamp) -> Option<Timestamp> {
+    /// Returns when the partition is to be read and an overdraft to be opened even without
+    /// requests; `None` if that is done already or left to another owner.
+    fn preparation_due_at(&self, now: Timestamp) -> Option<Timestamp> {
         let is_wanted = self.policy.preparation && self.is_preferred;
         let is_ready = self.is_synced && !self.may_open_overdraft(now, &[]);
         let pause = if self.is_down() {
-            PREPARATION_PAUSE
+            PREPARATION_DELAY
         } else {
             Duration::ZERO
         };
@@ -402,9 +414,9 @@
         }
     }
 
-    fn hold_back(&self) -> Duration {
+    fn settlement_delay(&self) -> Duration {
         if self.is_preferred {
-            HOLD_BACK
+            SETTLEMENT_DELAY
         } else {
             Duration::ZERO
         }
@@ -412,36 +424,36 @@
 
     fn decide(&mut self, now: Timestamp, must_append: bool) -> Action {
         let mut plan = Plan::new(&self.state, self.wallets.settlements());
-        self.note_undecided(now, &mut plan);
-        plan.has_extra = self.policy.advances;
-        plan.cover(&self.state, &mut self.wallets);
+        self.add_undecided(now, &mut plan);
+        plan.allows_extra = self.policy.advances;
+        plan.cover_overdrafts(&self.state, &mut self.wallets);
         let mut appended = Vec::new();
         let mut must_verify = false;
-        let mut undecided = std::mem::take(&mut self.jobs).into_iter();
+        let mut undecided = std::mem::take(&mut self.queue).into_iter();
         while !plan.is_full()
-            && let Some(job) = undecided.next()
+            && let Some(queued) = undecided.next()
         {
-            // What another request has brought about may suffice for this one.
-            if let Some(reply) = self.answer_at_once(now, &job.request) {
-                self.replies.push((job.ticket, reply));
+            // An earlier request may have enlarged the wallet enough for this one.
+            if let Some(reply) = self.answer_from_memory(now, &queued.request) {
+                self.replies.push((queued.ticket, reply));
                 continue;
             }
-            match plan.decide(&self.state, &mut self.wallets, now, &job.request) {
+            match plan.decide(&self.state, &mut self.wallets, now, &queued.request) {
                 Planned::Append(reply) => {
-                    appended.push((job.ticket, reply));
-                    self.jobs.push(job);
+                    appended.push((queued.ticket, reply));
+                    self.queue.push(queued);
                 }
-                Planned::AnswerIfCurrent(reply) if job.verified => {
-                    self.replies.push((job.ticket, reply));
+                Planned::AnswerIfCurrent(reply) if queued.verified => {
+                    self.replies.push((queued.ticket, reply));
                 }
                 Planned::AnswerIfCurrent(_) => {
                     must_verify = true;
-                    self.jobs.push(job);
+                    self.queue.push(queued);
                 }
-                Planned::DecideAfterAppend => self.jobs.push(job),
+                Planned::DecideAfterAppend => self.queue.push(queued),
             }
         }
-        self.jobs.extend(undecided);
+        self.queue.extend(undecided);
         if appended.is_empty() && !must_append {
             return self.verify_or_wait(must_verify);
         }
@@ -462,16 +474,16 @@
         if must_verify {
             return Action::Read { from: self.end };
         }
-        let settles_from = self
+        let settlement_due_at = self
             .wallets
-            .closing_since()
-            .map(|since| since + self.hold_back());
+            .oldest_settlement_since()
+            .map(|since| since + self.settlement_delay());
         Action::Wait {
-            until: settles_from,
+            until: settlement_due_at,
         }
     }
 
-    /// Reports how [`Action::Append`] ended.
+    /// Reports the result of [`Action::Append`].
     pub fn on_append(&mut self, now: Timestamp, outcome: AppendOutcome) {
         self.is_calling = false;
         let Some(pending) = self.pending.take() else {
@@ -506,28 +518,29 @@
         }
     }
 
-    /// The log ended where the state did, so what was decided on the state holds.
+    /// Applies an append that succeeded. The log ended where the state did, so the decisions made
+    /// on that state hold.
     fn take_appended(&mut self, now: Timestamp, pending: PendingAppend) {
         for record in pending.plan.records {
             self.apply(now, record);
         }
         for (program, turn) in &pending.abandoned {
             if let Some(wallet) = self.wallets.get_mut(program) {
-                wallet.end(now, turn, 0);
+                wallet.finish(now, turn, 0);
             }
         }
         for (ticket, reply) in pending.replies {
             self.note_turn_size(ticket);
-            self.jobs.retain(|job| job.ticket != ticket);
+            self.queue.retain(|queued| queued.ticket != ticket);
             self.replies.push((ticket, reply));
         }
         self.refresh_overdraft();
-        self.verify_jobs(self.last_call);
+        self.mark_verified(self.last_call);
     }
 
     fn note_turn_size(&mut self, ticket: Ticket) {
-        let job = self.jobs.iter().find(|job| job.ticket == ticket);
-        let Some(LedgerRequest::Begin(begin)) = job.map(|job| &job.request) else {
+        let queued = self.queue.iter().find(|queued| queued.ticket == ticket);
+        let Some(LedgerRequest::Begin(begin)) = queued.map(|queued| &queued.request) else {
             return;
         };
         if begin.budget.is_some() {
@@ -539,10 +552,11 @@
         self.note_answered_call(now, self.last_call);
     }
 
-    /// The log has answered a call; an earlier one than the last was surely slow.
+    /// Records that the log has answered `call`. Calls before the latest one were given up, so they
+    /// count as slow.
     fn note_answered_call(&mut self, now: Timestamp, call: CallNumber) {
         if self.is_down() {
-            self.gives_way_until = now + GIVES_WAY_FOR;
+            self.yields_until = now + YIELD_AFTER_OUTAGE;
         }
         self.failures_in_a_row = 0;
         let took = if call == self.last_call {
@@ -553,43 +567,44 @@
         self.overdraft.note_answer(now, took);
     }
 
-    /// A call has shown where the log ended at some time since it began.
-    fn verify_jobs(&mut self, call: CallNumber) {
-        for job in &mut self.jobs {
-            job.verified |= call > job.came_after;
+    /// Marks the requests that arrived before `call` started as verified: its answer shows the end
+    /// of the log as of its start or later.
+    fn mark_verified(&mut self, call: CallNumber) {
+        for queued in &mut self.queue {
+            queued.verified |= call > queued.latest_call_before;
         }
     }
 
     fn apply(&mut self, now: Timestamp, record: LedgerRecord) {
-        self.wallets.note_record(now, &record);
+        self.wallets.on_record(now, &record);
         self.state.apply(now, record);
         self.end = self.end.next();
     }
 
-    /// The call under way, or else the last one.
+    /// Returns the number of the call in progress, or else of the latest call.
     pub fn last_call(&self) -> CallNumber {
         self.last_call
     }
 
-    /// Reports how [`Action::Read`] ended.
+    /// Reports the result of [`Action::Read`].
     pub fn on_read(&mut self, now: Timestamp, outcome: ReadOutcome) {
         self.on_answered_read(now, self.last_call, outcome);
     }
 
-    /// Reports how [`Action::Read`] ended, if it was answered by an earlier call from the same
-    /// offset on, which had been given up already.
+    /// Reports the result of [`Action::Read`] if it came as the late answer to an earlier read from
+    /// the same offset, which had been given up.
     pub fn on_answered_read(&mut self, now: Timestamp, call: CallNumber, outcome: ReadOutcome) {
         self.is_calling = false;
         match outcome {
             ReadOutcome::Records { records, end } => {
                 self.note_answered_call(now, call);
                 self.take_records(now, call, records, end);
-                if self.gives_way(now) {
-                    self.submit_jobs_anew(now);
+                if self.yields_to_preferred(now) {
+                    self.resubmit_queued(now);
                 }
             }
             ReadOutcome::Gone { first } => {
-                // What is gone is older than anything that is still kept.
+                // Truncated records are older than anything that must be retained.
                 self.end = first;
                 self.is_synced = false;
             }
@@ -616,26 +631,26 @@
         self.is_synced = self.end >= end;
         if self.is_synced {
             self.refresh_overdraft();
-            self.verify_jobs(call);
+            self.mark_verified(call);
         }
     }
 
-    /// Drops what was last touched longer ago than `retention`.
+    /// Drops entries that were last used longer ago than `retention`.
     pub fn expire(&mut self, now: Timestamp, retention: Duration) {
         self.state.expire(now, retention);
-        // What was read of an overdraft may lack its terms.
+        // Before the end is reached, the terms of an overdraft may not have been read yet.
         if self.is_synced {
             self.refresh_overdraft();
         }
     }
 
-    /// Records that should be written anew before the log drops them, as an append to carry out;
-    /// `None` if there are none or another action comes first.
+    /// Returns an append that writes old records again before the log truncates them; `None` if
+    /// there are none or another action takes precedence.
     pub fn plan_rewrite(&mut self, now: Timestamp) -> Option<Action> {
-        if !self.is_synced || self.pending.is_some() || !self.jobs.is_empty() {
+        if !self.is_synced || self.pending.is_some() || !self.queue.is_empty() {
             return None;
         }
-        let records = first_that_fit(self.state.rewrites(now));
+        let records = leading_records(self.state.records_to_rewrite(now));
         if records.is_empty() {
             return None;
         }
@@ -652,29 +667,30 @@
         })
     }
 
-    /// After a failed call: a pause, and no more waiting once the log is taken to be down.
+    /// Handles a failed call: delays the next one, and refuses queued requests once the log counts
+    /// as down.
     fn pause(&mut self, now: Timestamp) {
-        self.overdraft.note_trouble();
+        self.overdraft.note_degraded();
         self.failures_in_a_row += 1;
         if !self.is_down() {
-            self.paused_until = now + FAILURE_PAUSE;
+            self.paused_until = now + FAILURE_RETRY_DELAY;
             return;
         }
-        self.paused_until = now + DOWN_PAUSE;
-        self.submit_jobs_anew(now);
+        self.paused_until = now + DOWN_RETRY_DELAY;
+        self.resubmit_queued(now);
     }
 }
 
-/// As many of the records as one append should hold.
-fn first_that_fit(records: Vec<LedgerRecord>) -> Vec<LedgerRecord> {
+/// Returns the leading records that fit into one append.
+fn leading_records(records: Vec<LedgerRecord>) -> Vec<LedgerRecord> {
     let mut bytes = 0;
-    let mut fitting = Vec::new();
+    let mut leading = Vec::new();
     for record in records {
         bytes += approximate_bytes(&record);
         if bytes > MAX_APPEND_BYTES {
             break;
         }
-        fitting.push(record);
+        leading.push(record);
     }
-    fitting
+    leading
 }
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -1,5 +1,5 @@
-//! An owner's part in overdrafts: opens, activates and closes its own, and has those of lost owners
-//! fenced.
+//! Overdraft handling of [`PartitionOwner`]: opens, activates and closes the own overdraft, and has
+//! overdrafts of lost owners fenced.
 
 use std::rc::Rc;
 
@@ -9,21 +9,22 @@
 use elderworks_types::Timestamp;
 
 use super::super::calls::Inquiry;
-use super::super::overdraft::{FEWEST_WITNESSES, OverdraftUse, majority};
+use super::super::overdraft::{MIN_WITNESSES, OverdraftUse, majority};
 use super::super::plan::Plan;
 use super::PartitionOwner;
 use crate::ledger::OpenOverdraft;
 
-/// An overdraft is opened beside at most this many that were lost: with more, what is kept free for
-/// all of them would leave a program that lives through all the losses nothing.
-const MOST_LOST_BESIDE: usize = 2;
+/// Maximum number of foreign overdrafts that may be open when an own one is opened. Every open
+/// overdraft reduces the budget that programs can use, so more would leave nothing after repeated
+/// losses of owners.
+const MAX_FOREIGN_OVERDRAFTS: usize = 2;
 
-/// An overdraft is replaced once its least budget is off by more than this ratio: seldom enough that
-/// replacing it costs next to nothing.
+/// An overdraft is replaced if its minimum budget differs from the suitable one by more than this
+/// ratio. The ratio is large enough to make replacements rare.
 const MAX_MIN_BUDGET_RATIO: u64 = 2;
 
 impl PartitionOwner {
-    /// Asks the witnesses to let the overdraft be used, if the log is in trouble.
+    /// Starts to activate the own overdraft if the log is slow or fails.
     pub(super) fn activate_overdraft(&mut self, now: Timestamp) {
         if !self.serves_without_log {
             return;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// This owner's overdraft, if the log holds one.
+    /// Returns the overdraft of this owner if one is open in the log.
     pub(super) fn own_overdraft(&self) -> Option<&OpenOverdraft> {
         let mut overdrafts = self.state.overdrafts();
         let own = overdrafts.find(|(name, _)| self.wallets.is_own(name));
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Questions to witnesses, each once.
+    /// Returns the questions to send to witnesses. Each is returned once.
     pub fn take_inquiries(&mut self) -> Vec<Inquiry> {
         std::mem::take(&mut self.inquiries)
     }
 
-    /// Reports a witness's answer; `None` if it gave none.
+    /// Reports a witness's answer; `None` if there was none.
     pub fn on_inquiry(
         &mut self,
         now: Timestamp,
@@ -78,38 +79,38 @@
                 }
             }
             WitnessWish::Activate => {
-                let has_ended = self
+                let is_complete = self
                     .overdraft
                     .on_answer(now, overdraft, question.boot, answer);
-                if has_ended {
-                    self.answer_jobs(now);
+                if is_complete {
+                    self.answer_queued(now);
                 }
             }
         }
     }
 
-    /// Tells which nodes can witness an overdraft, the foremost first, without this one.
+    /// Sets the nodes that can witness an overdraft, in order of preference and without this node.
     pub fn set_witnesses(&mut self, witnesses: Rc<[Witness]>) {
         self.witnesses = witnesses;
     }
 
-    /// What the overdraft of this owner is good for.
+    /// Returns the state of this owner's overdraft.
     pub fn overdraft_use(&self) -> OverdraftUse {
-        self.overdraft.present_use()
+        self.overdraft.status()
     }
 
-    /// Whether an append should not wait for requests: something was drawn that does not stand in
-    /// the log, or an overdraft is to be closed.
+    /// Returns whether an append is needed even without requests: to record tokens that were drawn
+    /// on the overdraft, or to open, close or supersede overdrafts.
     pub(super) fn must_change_overdrafts(&self, now: Timestamp) -> bool {
-        let is_unwanted = !self.is_wanted() || self.is_ill_suited();
+        let is_unwanted = !self.is_wanted() || self.has_unsuitable_terms();
         self.wallets.has_overdrawn()
             || self.overdraft.to_close(now, is_unwanted).is_some()
             || self.is_preferred && self.fencing.unused(&self.state).next().is_some()
             || self.is_preferred && !self.to_supersede(now).is_empty()
     }
 
-    /// Adds what closes and opens overdrafts to an append that stands at the end of the log. Must
-    /// come after everything that has been drawn.
+    /// Adds records that close, supersede and open overdrafts to an append at the end of the log.
+    /// Must be called after everything that was drawn has been added to the plan.
     pub(super) fn plan_overdraft_changes(&mut self, now: Timestamp, plan: &mut Plan) {
         let closed = self.plan_closings(now, plan);
         if !self.is_preferred {
@@ -124,13 +125,15 @@
         }
     }
 
-    /// Closes the own overdraft if its time has come, and those of others that are surely unused.
+    /// Adds records that close the own overdraft if it is due, and foreign ones that are proven
+    /// unused. Returns their names.
     fn plan_closings(&mut self, now: Timestamp, plan: &mut Plan) -> Vec<String> {
-        let is_unwanted = !self.is_wanted() || self.lacks_witnesses() || self.is_ill_suited();
+        let is_unwanted =
+            !self.is_wanted() || self.lacks_witnesses() || self.has_unsuitable_terms();
         let mut closed: Vec<String> = Vec::new();
         if let Some(overdraft) = self.overdraft.to_close(now, is_unwanted) {
             closed.push(overdraft.to_owned());
-            self.overdraft.begin_closing(self.end);
+            self.overdraft.start_closing(self.end);
             plan.closes_own = true;
         }
         if self.is_preferred {
@@ -143,8 +146,8 @@
         closed
     }
 
-    /// Overdrafts of other owners that may have been used and are to be drawn on no more, so that
-    /// programs that begin from now on are not held back for them.
+    /// Returns foreign overdrafts that may have been used and are to be superseded, so that they
+    /// are not charged to programs that start later.
     fn to_supersede(&self, now: Timestamp) -> Vec<String> {
         let others = self.state.overdrafts();
         others
@@ -154,8 +157,9 @@
             .collect()
     }
 
-    /// Opens an overdraft. Beside another it serves known programs alone: should it be lost too,
-    /// programs that begin afterwards are held back for one overdraft only.
+    /// Adds records that open an overdraft. While foreign overdrafts are open, the new one serves
+    /// known programs only: if it is lost too, programs that start later are charged for one
+    /// overdraft only.
     fn open_overdraft(&mut self, plan: &mut Plan, is_alone: bool) {
         let overdraft = self.wallets.next_name();
         plan.records.push(LedgerRecord::Overdraft {
@@ -175,66 +179,68 @@
         }
     }
 
-    /// Whether an own overdraft can be opened once those named are closed: none is open, and what
-    /// stays open of others is little enough and will not soon be closed.
+    /// Returns whether an own overdraft can be opened after those named in `closed` are closed: no
+    /// own one is open, few enough foreign ones remain, and none of these may soon prove unused.
     pub(super) fn may_open_overdraft(&self, now: Timestamp, closed: &[String]) -> bool {
         let open = self.state.overdrafts().map(|(name, _)| name);
         let left: Vec<&str> = open
             .filter(|name| !closed.iter().any(|other| other == name))
             .collect();
-        let is_in_the_way =
+        let blocks_opening =
             |name: &&str| self.wallets.is_own(name) || self.fencing.is_undecided(now, name);
-        let is_free = left.len() <= MOST_LOST_BESIDE && !left.iter().any(is_in_the_way);
+        let is_free = left.len() <= MAX_FOREIGN_OVERDRAFTS && !left.iter().any(blocks_opening);
         is_free && self.can_open_overdraft()
     }
 
     fn can_open_overdraft(&self) -> bool {
-        let is_of_use = self.policy.overdrafts && self.serves_without_log;
-        is_of_use && self.witnesses.len() >= FEWEST_WITNESSES
+        let is_useful = self.policy.overdrafts && self.serves_without_log;
+        is_useful && self.witnesses.len() >= MIN_WITNESSES
     }
 
-    /// Whether this owner is to keep an overdraft open.
+    /// Returns whether this owner should have an open overdraft.
     fn is_wanted(&self) -> bool {
         self.is_preferred && self.serves_without_log
     }
 
-    /// The least budget for which an overdraft serves: a turn of the usual size fits into its
-    /// share. Smaller budgets would have no use of it, and would be charged if it is lost.
+    /// Returns the minimum budget that an overdraft should serve: one whose share holds a turn of
+    /// typical size. Programs with smaller budgets could not use the overdraft but would be charged
+    /// if it were lost.
     fn suitable_min_budget(&self) -> u64 {
         let share = self.policy.overdraft_share;
         self.typical_turn.tokens().saturating_mul(share)
     }
 
-    /// Whether another overdraft would serve programs better than the own one.
-    fn is_ill_suited(&self) -> bool {
+    /// Returns whether the own overdraft should be replaced by one with other terms.
+    fn has_unsuitable_terms(&self) -> bool {
         let Some(own) = self.own_overdraft().filter(|_| self.can_open_overdraft()) else {
             return false;
         };
         let is_alone = self.state.overdrafts().count() == 1;
-        // An overdraft that may be needed at once is not replaced for its terms.
-        let is_calm = !self.overdraft.is_in_trouble();
+        // While the log is slow or fails, the overdraft may be needed and isn't replaced for its
+        // terms.
+        let is_responsive = !self.overdraft.is_log_degraded();
         own.superseded.is_some()
-            || is_calm && own.known_programs && is_alone
-            || is_calm && is_far(own.min_budget, self.suitable_min_budget())
+            || is_responsive && own.known_programs && is_alone
+            || is_responsive && differs_too_much(own.min_budget, self.suitable_min_budget())
     }
 
-    /// Whether so many witnesses of the own overdraft are gone that the loss of another would keep
-    /// it from being activated.
+    /// Returns whether so many witnesses of the own overdraft are gone that the loss of one more
+    /// would prevent its activation, and better ones are available.
     fn lacks_witnesses(&self) -> bool {
         let own = self.own_witnesses();
         let is_present = |witness: &&Witness| self.witnesses.contains(witness);
         let present = own.iter().filter(is_present).count();
-        let could_be_better = self.witnesses.len() > present;
-        !own.is_empty() && could_be_better && present <= majority(own.len())
+        let has_replacements = self.witnesses.len() > present;
+        !own.is_empty() && has_replacements && present <= majority(own.len())
     }
 
-    /// Asks the witnesses of other owners' overdrafts whether they were used.
+    /// Asks the witnesses of foreign overdrafts to fence them.
     pub(super) fn fence_others(&mut self, now: Timestamp) {
         if !self.is_preferred {
             return;
         }
         let is_own = |name: &str| self.wallets.is_own(name);
-        let due = self.fencing.next_questions(now, &self.state, is_own);
+        let due = self.fencing.start_due_rounds(now, &self.state, is_own);
         for name in due {
             let found = self.state.overdrafts().find(|(other, _)| *other == name);
             let Some((_, overdraft)) = found else {
@@ -245,9 +251,9 @@
         }
     }
 
-    /// Tells a plan which of other owners' overdrafts may soon be closed as unused: witnesses are
-    /// asked by the preferred owner alone.
-    pub(super) fn note_undecided(&self, now: Timestamp, plan: &mut Plan) {
+    /// Adds the foreign overdrafts that may soon prove unused to a plan. Only the preferred owner
+    /// knows them, since it alone asks the witnesses.
+    pub(super) fn add_undecided(&self, now: Timestamp, plan: &mut Plan) {
         if !self.is_preferred {
             return;
         }
@@ -256,8 +262,8 @@
         plan.undecided.extend(undecided.map(str::to_owned));
     }
 
-    /// An append has surely done nothing. If it was to close the own overdraft, that may be used
-    /// again; another append tells nothing of a close that is in doubt.
+    /// Handles an append that had no effect: if it was to close the own overdraft, the overdraft is
+    /// open again. Other appends say nothing about an unsettled close.
     pub(super) fn abort_closing(&mut self, plan: &Plan) {
         if plan.closes_own {
             self.overdraft.abort_closing();
@@ -270,7 +276,8 @@
     }
 }
 
-/// Whether a least budget is off by more than [`MAX_MIN_BUDGET_RATIO`].
-fn is_far(present: u64, suitable: u64) -> bool {
+/// Returns whether a minimum budget differs from the suitable one by more than
+/// [`MAX_MIN_BUDGET_RATIO`].
+fn differs_too_much(present: u64, suitable: u64) -> bool {
     present.max(suitable) > present.min(suitable).saturating_mul(MAX_MIN_BUDGET_RATIO)
 }
--- a/crates/gateway-core/src/ledger/pieces.rs
+++ b/crates/gateway-core/src/ledger/pieces.rs
@@ -1,22 +1,23 @@
-//! Records that are too large for the log, divided into pieces that it takes.
+//! Splits records that exceed the maximum record size of the log.
 //!
-//! A kept turn of many bytes becomes a chain of turns: the last bears its name, the others names of
-//! their own, so that the conversation reads the same.
+//! A stored turn that is too large becomes a chain of turns. The last one has the name of the turn
+//! and the others have derived names, so that the conversation reads the same.
 
 use bytes::Bytes;
 use elderworks_protocol::ledger::{KeptTurn, LedgerRecord};
 
-/// Most bytes of content in one record. Platforms take records of 256 KB at least; the rest is for
-/// names and encoding.
+/// Maximum content of one record, in bytes. Platforms accept records of at least 256 KB; the rest
+/// is reserved for names and encoding.
 pub const MAX_CONTENT_BYTES: usize = 192 * 1024;
 
-/// Most bytes in one append; a platform takes 2 MB at least. A single request may bring more.
+/// Size limit of one append, in bytes; platforms accept at least 2 MB. A single request may exceed
+/// it.
 pub const MAX_APPEND_BYTES: usize = 1024 * 1024;
 
-/// Bytes that a record takes beside its content, roughly.
+/// Approximate size of a record without its content, in bytes.
 const RECORD_OVERHEAD: usize = 128;
 
-/// Bytes that a record takes, roughly.
+/// Returns the approximate encoded size of a record, in bytes.
 pub fn approximate_bytes(record: &LedgerRecord) -> usize {
     let content = match record {
         LedgerRecord::Kept { content, .. } => content.input.len() + content.output.len(),
@@ -31,7 +32,7 @@
     content + RECORD_OVERHEAD
 }
 
-/// The records that keep a turn, in the order in which they are to be appended.
+/// Returns the records that store a turn, in the order in which they must be appended.
 pub fn kept_records(turn: &str, content: KeptTurn) -> Vec<LedgerRecord> {
     let whole = content.input.len() + content.output.len();
     if whole <= MAX_CONTENT_BYTES {
--- a/crates/gateway-core/src/ledger/plan.rs
+++ b/crates/gateway-core/src/ledger/plan.rs
@@ -1,4 +1,4 @@
-//! Decides requests to a partition: what can be answered at once, and what must be appended.
+//! Decides requests to a partition, either from memory or as records to append.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,68 +10,69 @@
 use elderworks_types::Timestamp;
 
 use super::pieces::{MAX_APPEND_BYTES, approximate_bytes, kept_records};
-use super::wallet::signed;
+use super::wallet::to_signed;
 use super::wallets::Wallets;
 use super::{Account, LedgerState};
 
-/// An advance holds at most this many turns beyond the one that it is made for.
-const TURNS_IN_ADVANCE: u64 = 2;
+/// Maximum size of the extra part of an advance, in turns of the size of the one that it is made
+/// for.
+const MAX_EXTRA_TURNS: u64 = 2;
 
-/// An advance takes at most this part of what the budget has left beyond the turn that it is made
-/// for: what is lost with its owner must not matter much to the program.
-const SHARE_IN_ADVANCE: u64 = 4;
+/// The extra part of an advance is at most the rest of the budget divided by this number, so that
+/// losing an advance together with its owner costs the program little.
+const EXTRA_DIVISOR: u64 = 4;
 
-/// How long a denial waits for what other owners have set aside: an owner that lives and is not
-/// asked any more settles at once, and a turn that it has let run has ended by then. What an owner
-/// that is lost had set aside counts in full afterwards.
-pub const OTHERS_PATIENCE: Duration = Duration::from_secs(4);
+/// How long reservations of other owners can lead to the answer "budget unsure" in place of a
+/// denial. An owner that is alive but no longer receives requests settles its reservations sooner,
+/// and the turns that it permitted finish in that time. After that, its reservations count in full.
+pub const FOREIGN_SETTLEMENT_WAIT: Duration = Duration::from_secs(4);
 
-/// What a turn may draw on beside its program's advances.
+/// What a turn may draw on in addition to its program's advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Credit {
-    /// Nothing.
+    /// Advances only.
     None,
-    /// The owner's overdraft.
+    /// The owner's overdraft, with its terms.
     Overdraft {
         /// See [`crate::policy::Policy::overdraft_share`].
         share: u64,
-        /// Programs with smaller budgets may not draw on it.
+        /// Minimum budget of a program that may draw on it.
         min_budget: u64,
-        /// Whether only programs may draw on it that have an account in the log.
+        /// Whether only programs with an account in the log may draw on it.
         known_programs: bool,
     },
 }
 
-/// What is to be done for a request that cannot be answered at once.
+/// How to handle a request that cannot be answered from memory.
 #[derive(Debug)]
 pub(super) enum Planned {
-    /// Answer once the records of the plan are durable.
+    /// Reply once the records of the plan are durable.
     Append(LedgerReply),
-    /// Answer only if the state is as of the log's end.
+    /// Reply if the state is verified to be as of the end of the log.
     AnswerIfCurrent(LedgerReply),
-    /// Decide anew once it is known whether the records of the plan are durable.
+    /// Decide again after the append of the plan has completed.
     DecideAfterAppend,
 }
 
-/// Records to append in one call, and what was drawn on account of them.
+/// Records to append in one call, and what was drawn from the advances among them.
 #[derive(Debug, Default)]
 pub(super) struct Plan {
     pub(super) records: Vec<LedgerRecord>,
-    /// Turns that were started on advances of this plan, by program.
+    /// Turns started on advances of this plan, as (program, turn).
     pub(super) started: Vec<(String, String)>,
-    /// Overdrafts of other owners that may soon be closed as unused.
+    /// Foreign overdrafts that may soon be closed as unused.
     pub(super) undecided: BTreeSet<String>,
-    /// Whether the own overdraft is closed by the plan's records.
+    /// Whether the records of the plan close the own overdraft.
     pub(super) closes_own: bool,
-    /// Whether advances hold more than the turn that they are made for.
-    pub(super) has_extra: bool,
+    /// Whether advances may exceed the turn that they are made for.
+    pub(super) allows_extra: bool,
     accounts: HashMap<String, Account>,
     advanced: HashMap<String, u64>,
 }
 
-/// Answers a request from memory if that needs no call to the log: positive answers, and denials
-/// that no later record can make wrong.
-pub(super) fn answer_at_once(
+/// Answers a request from memory if no call to the log is needed: positive answers, and denials
+/// that no later record can invalidate.
+pub(super) fn answer_from_memory(
     state: &LedgerState,
     wallets: &mut Wallets,
     now: Timestamp,
@@ -79,18 +80,18 @@
     request: &LedgerRequest,
 ) -> Option<LedgerReply> {
     match request {
-        LedgerRequest::Begin(begin) => begin_at_once(state, wallets, now, credit, begin),
-        LedgerRequest::Finish(finish) => finish_at_once(state, wallets, now, finish),
+        LedgerRequest::Begin(begin) => begin_from_memory(state, wallets, now, credit, begin),
+        LedgerRequest::Finish(finish) => finish_from_memory(state, wallets, now, finish),
         LedgerRequest::Conversation { turn } => {
             let conversation = state.conversation(turn)?;
             Some(LedgerReply::Conversation { conversation })
         }
-        // Witnesses are asked by node, not by partition.
+        // Witness questions are handled per node, not per partition.
         LedgerRequest::Witness(_) => Some(LedgerReply::Unavailable),
     }
 }
 
-fn begin_at_once(
+fn begin_from_memory(
     state: &LedgerState,
     wallets: &mut Wallets,
     now: Timestamp,
@@ -102,7 +103,8 @@
         None => Bytes::new(),
     };
     if let Some(budget) = begin.budget {
-        // Programs that loop ask again and again; the rare denial of a first turn is looked up.
+        // Denials for programs that have generated tokens are final, since that count never falls.
+        // A denial of a first turn is rare and is verified with the log.
         let generated = tokens_generated(state, wallets, &begin.program);
         let is_running = wallets.is_running(&begin.program, &begin.turn);
         if generated > 0 && generated.saturating_add(begin.tokens) > budget && !is_running {
@@ -117,24 +119,25 @@
     Some(LedgerReply::Granted { conversation })
 }
 
-/// Whether the program's advances hold the turn.
+/// Draws the turn from the program's advances. Returns whether they hold it.
 fn draw_advance(wallets: &mut Wallets, now: Timestamp, begin: &BeginTurn) -> bool {
     let Some(wallet) = wallets.get_mut(&begin.program) else {
         return false;
     };
     if wallet.is_running(&begin.turn) {
-        // Asked again. A negative balance waits for an advance that is not durable yet.
-        return wallet.free() >= 0;
+        // A repeated request. A negative balance means that the advance is not durable yet.
+        return wallet.available() >= 0;
     }
-    let is_held = wallet.free() >= signed(begin.tokens);
-    if is_held {
+    let is_covered = wallet.available() >= to_signed(begin.tokens);
+    if is_covered {
         wallet.start(now, begin.turn.clone(), begin.tokens);
     }
-    is_held
+    is_covered
 }
 
-/// Whether the turn may run on the overdraft: with the turn at its most the program draws no more
-/// than its share, which others keep free, and its budget holds the turn as far as is known here.
+/// Draws the turn from the overdraft. Returns whether that is allowed: with this turn at its
+/// maximum, the program must stay within its share of the overdraft, which other owners reserve for
+/// it, and within its budget as far as this owner knows.
 fn draw_overdraft(
     state: &LedgerState,
     wallets: &mut Wallets,
@@ -166,10 +169,10 @@
         return false;
     }
     let is_own = |name: &str| wallets.is_own(name);
-    let set_aside = state.reserved(program, is_own);
+    let reserved = state.reserved(program, is_own);
     let committed = state.account(program).map_or(0, Account::committed);
     let others = state.overdrawn_by_others(program, budget, is_own);
-    let unrecorded = with_turn.saturating_sub(set_aside);
+    let unrecorded = with_turn.saturating_sub(reserved);
     if committed.saturating_add(others).saturating_add(unrecorded) > budget {
         return false;
     }
@@ -180,28 +183,28 @@
     true
 }
 
-/// Tokens that a program's ended turns have surely generated, as far as known here. This never
-/// falls, unlike what is set aside.
+/// Returns the tokens that finished turns of a program are known to have generated. Unlike
+/// reservations, this count never falls.
 fn tokens_generated(state: &LedgerState, wallets: &Wallets, program: &str) -> u64 {
     let settled = state.account(program).map_or(0, |account| account.settled);
-    settled.saturating_add(wallets.unsettled_use(program))
+    settled.saturating_add(wallets.unsettled_tokens(program))
 }
 
-fn finish_at_once(
+fn finish_from_memory(
     state: &LedgerState,
     wallets: &mut Wallets,
     now: Timestamp,
     finish: &FinishTurn,
 ) -> Option<LedgerReply> {
     if let Some(wallet) = wallets.get_mut(&finish.program) {
-        wallet.end(now, &finish.turn, finish.used);
+        wallet.finish(now, &finish.turn, finish.used);
     }
     let is_kept = finish.kept.is_none() || state.has_turn(&finish.turn);
     is_kept.then_some(LedgerReply::Finished)
 }
 
 impl Plan {
-    /// A plan that only appends records.
+    /// Creates a plan that only appends the given records.
     pub(super) fn of_records(records: Vec<LedgerRecord>) -> Self {
         Self {
             records,
@@ -209,7 +212,7 @@
         }
     }
 
-    /// A plan that begins with settling what waits for it.
+    /// Creates a plan that starts with the given settlements.
     pub(super) fn new(state: &LedgerState, settlements: Vec<LedgerRecord>) -> Self {
         let mut plan = Self::default();
         for record in settlements {
@@ -226,13 +229,13 @@
         plan
     }
 
-    /// Whether an append of the plan's records is as large as appends should be.
+    /// Returns whether the plan's records fill one append.
     pub(super) fn is_full(&self) -> bool {
         let bytes: usize = self.records.iter().map(approximate_bytes).sum();
         bytes >= MAX_APPEND_BYTES
     }
 
-    /// Decides a request on top of those decided before it.
+    /// Decides a request, taking those decided earlier in the plan into account.
     pub(super) fn decide(
         &mut self,
         state: &LedgerState,
@@ -255,8 +258,8 @@
         }
     }
 
-    /// Sets aside what programs have drawn on the overdraft.
-    pub(super) fn cover(&mut self, state: &LedgerState, wallets: &mut Wallets) {
+    /// Reserves the tokens that programs have drawn on the overdraft.
+    pub(super) fn cover_overdrafts(&mut self, state: &LedgerState, wallets: &mut Wallets) {
         for (program, tokens) in wallets.overdrawn() {
             let reservation = wallets.next_name();
             self.reserve(state, &program, reservation, tokens);
@@ -270,18 +273,18 @@
         now: Timestamp,
         begin: &BeginTurn,
     ) -> Planned {
-        let Some((conversation, import)) = conversation_before(state, begin) else {
+        let Some((conversation, import)) = preceding_conversation(state, begin) else {
             return Planned::AnswerIfCurrent(LedgerReply::UnknownTurn);
         };
         if let Some(budget) = begin.budget
             && let Err(shortage) = self.fund(state, wallets, now, begin, budget)
         {
-            // What another turn of this plan takes may turn out not to be taken.
+            // The append may fail, and the tokens of the earlier turn become available again.
             if self.advanced.contains_key(&begin.program) {
                 return Planned::DecideAfterAppend;
             }
-            let doubt = self.doubt(state, wallets, now, &begin.program, budget);
-            return Planned::AnswerIfCurrent(shortage.reply(doubt));
+            let unsettled = self.unsettled(state, wallets, now, &begin.program, budget);
+            return Planned::AnswerIfCurrent(shortage.reply(unsettled));
         }
         if let Some((turn, content)) = import {
             self.keep(&turn, content);
@@ -289,29 +292,34 @@
         Planned::Append(LedgerReply::Granted { conversation })
     }
 
-    /// What of the tokens that are held free of a program for other owners may not be spent.
-    fn doubt(
+    /// Returns the tokens that count against a program's budget because of other owners but may
+    /// turn out to be unused.
+    fn unsettled(
         &self,
         state: &LedgerState,
         wallets: &Wallets,
         now: Timestamp,
         program: &str,
         budget: u64,
-    ) -> Doubt {
+    ) -> Unsettled {
         let is_own = |name: &str| wallets.is_own(name);
-        let reserved = state.lately_reserved_by_others(program, now, OTHERS_PATIENCE, is_own);
+        let reserved =
+            state.recently_reserved_by_others(program, now, FOREIGN_SETTLEMENT_WAIT, is_own);
         let undecided = state.overdrawn_by_others(program, budget, |name| {
             is_own(name) || !self.undecided.contains(name)
         });
         let unknown = state.overdrawn_by_others(program, budget, is_own);
-        Doubt {
+        Unsettled {
             resolves_soon: reserved.saturating_add(undecided),
             total: reserved.saturating_add(unknown),
         }
     }
 
-    /// Starts a turn on the program's wallet, with a new advance if it holds too little. An error
-    /// if the budget does not hold the turn.
+    /// Starts a turn on the program's wallet, with a new advance if the wallet holds too little.
+    ///
+    /// # Errors
+    ///
+    /// Returns the shortage if the budget does not hold the turn.
     fn fund(
         &mut self,
         state: &LedgerState,
@@ -326,10 +334,10 @@
             return Ok(());
         }
         let planned = self.advanced.get(program).copied().unwrap_or(0);
-        let free = wallet
-            .map_or(0, |wallet| wallet.free())
-            .saturating_add(signed(planned));
-        let missing = u64::try_from(signed(begin.tokens).saturating_sub(free)).unwrap_or(0);
+        let available = wallet
+            .map_or(0, |wallet| wallet.available())
+            .saturating_add(to_signed(planned));
+        let missing = u64::try_from(to_signed(begin.tokens).saturating_sub(available)).unwrap_or(0);
         if missing > 0 {
             let is_own = |name: &str| wallets.is_own(name);
             let others = state.overdrawn_by_others(program, budget, is_own);
@@ -341,7 +349,7 @@
                     tokens: wanted - budget,
                 });
             }
-            let extra = match self.has_extra {
+            let extra = match self.allows_extra {
                 true => extra_advance(budget - wanted, begin.tokens),
                 false => 0,
             };
@@ -371,7 +379,7 @@
         self.records.extend(kept_records(turn, content));
     }
 
-    /// A program's account as it will be once the records so far are durable.
+    /// Returns a program's account as it will be after the records so far are appended.
     fn account(&mut self, state: &LedgerState, program: &str) -> &mut Account {
         self.accounts
             .entry(program.to_owned())
@@ -379,35 +387,35 @@
     }
 }
 
-/// What an advance holds beyond its turn of `tokens`, if the budget has `left` beyond the turn. It
-/// leaves room for another such turn, if there is: should the advance be lost with its owner, the
-/// program can go on.
+/// Returns the extra part of an advance for a turn of `tokens` if `left` tokens of the budget
+/// remain beyond that turn. If possible, it leaves enough for another turn of this size, so that
+/// the program can continue if the advance is lost with its owner.
 fn extra_advance(left: u64, tokens: u64) -> u64 {
     let spare = left.checked_sub(tokens).unwrap_or(left);
-    let small = (left / SHARE_IN_ADVANCE).min(spare);
-    small.min(tokens.saturating_mul(TURNS_IN_ADVANCE))
+    let small = (left / EXTRA_DIVISOR).min(spare);
+    small.min(tokens.saturating_mul(MAX_EXTRA_TURNS))
 }
 
-/// What a budget lacks for a turn.
+/// The tokens that a budget lacks for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Shortage {
     tokens: u64,
 }
 
-/// Tokens of which it is not known whether they are spent.
+/// Tokens that count against a budget but may be unused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Doubt {
-    /// Those of which that will soon be known.
+struct Unsettled {
+    /// The part that will soon be settled.
     resolves_soon: u64,
-    /// All of them.
+    /// All of these tokens.
     total: u64,
 }
 
 impl Shortage {
-    fn reply(self, doubt: Doubt) -> LedgerReply {
-        if doubt.resolves_soon >= self.tokens {
+    fn reply(self, unsettled: Unsettled) -> LedgerReply {
+        if unsettled.resolves_soon >= self.tokens {
             LedgerReply::BudgetUnsure
-        } else if doubt.total >= self.tokens {
+        } else if unsettled.total >= self.tokens {
             LedgerReply::BudgetInDoubt
         } else {
             LedgerReply::BudgetSpent
@@ -415,12 +423,12 @@
     }
 }
 
-/// A turn to be kept on behalf of another partition.
+/// Name and content of a turn to import from another partition.
 type Import = Option<(String, KeptTurn)>;
 
-/// The conversation that a turn goes on from, with what is to be kept of it here; `None` if this
-/// partition lacks a part of it.
-fn conversation_before(state: &LedgerState, begin: &BeginTurn) -> Option<(Bytes, Import)> {
+/// Returns the conversation that a turn continues, and the turn to store here if the conversation
+/// was imported; `None` if this partition lacks a part of it.
+fn preceding_conversation(state: &LedgerState, begin: &BeginTurn) -> Option<(Bytes, Import)> {
     let Some(previous) = &begin.previous else {
         return Some((Bytes::new(), None));
     };
--- a/crates/gateway-core/src/ledger/state.rs
+++ b/crates/gateway-core/src/ledger/state.rs
@@ -1,4 +1,4 @@
-//! What a partition's records add up to.
+//! State of a partition, built by applying its records in log order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,76 +9,75 @@
 
 use super::Account;
 use super::overdraft::owner_of;
-use super::wallet::total;
+use super::wallet::saturating_sum;
 
-/// Turns are held this long after they were last touched, unless the configuration keeps them for
-/// longer.
+/// How long turns are retained after their last use, unless the configuration asks for longer.
 pub const RETENTION: Duration = Duration::from_secs(75);
 
-/// Accounts are held this long after they were last touched: a program may wait for a tool for
-/// minutes, and must not find its budget whole again. Longer where turns are held longer.
+/// How long accounts are retained after their last use, or longer if turns are. A program may wait
+/// minutes for a tool, and dropping its account would restore its full budget.
 pub const ACCOUNT_RETENTION: Duration = Duration::from_secs(600);
 
-/// An overdraft counts until its owner has given no sign of life in the log for this long: twice as
-/// long as a program that draws on it may rest, and four times as long as an owner may use it
-/// without a call to the log that succeeds.
+/// How long an overdraft counts after the last sign of its owner in the log. This is twice as long
+/// as a program that draws on it may be idle, and four times as long as an owner may use it without
+/// a successful call to the log.
 pub const OVERDRAFT_RETENTION: Duration = Duration::from_secs(1_200);
 
-/// Records older than this are written anew while what they say still counts. Well under the
-/// shortest history that the log keeps.
+/// Age after which records that are still needed are appended again. Well below the shortest
+/// retention of the log.
 const REWRITE_AFTER: Duration = Duration::from_secs(100);
 
-/// Most turns in one conversation; a longer chain is taken for a loop.
-const MAX_CHAIN: usize = 10_000;
+/// Maximum number of turns in a conversation; a longer chain is treated as a cycle.
+const MAX_CONVERSATION_TURNS: usize = 10_000;
 
 #[derive(Debug)]
-struct Dated<T> {
+struct Timestamped<T> {
     value: T,
-    touched: Timestamp,
-    written: Timestamp,
+    last_used: Timestamp,
+    last_written: Timestamp,
 }
 
 #[derive(Debug)]
-struct DatedAccount {
+struct AccountEntry {
     account: Account,
-    /// When each open reservation was first seen here.
+    /// When this node first read each open reservation.
     reserved: BTreeMap<String, Timestamp>,
-    touched: Timestamp,
-    written: Timestamp,
+    last_used: Timestamp,
+    last_written: Timestamp,
 }
 
-/// An overdraft that has not been closed.
+/// An overdraft that is open in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenOverdraft {
-    /// A turn may begin on it if, with it, the program draws no more than one part in so many of
-    /// its budget.
+    /// Divisor of a program's budget: a turn may start on the overdraft only if, with it, the
+    /// program draws at most `budget / share` tokens.
     pub share: u64,
-    /// Programs with smaller budgets may not draw on it.
+    /// Minimum budget of a program that may draw on it.
     pub min_budget: u64,
     /// Whether only programs may draw on it whose account its owner has read in the log.
     pub known_programs: bool,
-    /// Set once its owner may not draw on it any more, as soon as it has read that: the programs
-    /// that had an account then.
+    /// `Some` once the overdraft is superseded, which forbids its owner to draw on it after reading
+    /// that record. Contains the programs that had an account at that point.
     pub superseded: Option<BTreeSet<String>>,
-    /// The nodes that know whether it is used.
+    /// The nodes that record whether it is used.
     pub witnesses: Vec<Witness>,
 }
 
 impl OpenOverdraft {
-    /// Whether a program can have drawn on it, or can yet.
-    fn may_have_served(&self, program: &str, budget: u64) -> bool {
-        let is_too_new = |known: &BTreeSet<String>| !known.contains(program);
-        let is_spared = self.known_programs && self.superseded.as_ref().is_some_and(is_too_new);
-        budget >= self.min_budget && !is_spared
+    /// Returns whether a program may have drawn on the overdraft or may still do so.
+    fn may_serve(&self, program: &str, budget: u64) -> bool {
+        let is_unknown = |known: &BTreeSet<String>| !known.contains(program);
+        let is_excluded = self.known_programs && self.superseded.as_ref().is_some_and(is_unknown);
+        budget >= self.min_budget && !is_excluded
     }
 }
 
-/// Accounts, kept turns and overdrafts of one partition.
+/// Accounts, stored turns and open overdrafts of one partition.
 #[derive(Debug, Default)]
 pub struct LedgerState {
-    accounts: BTreeMap<String, DatedAccount>,
-    turns: BTreeMap<String, Dated<KeptTurn>>,
-    overdrafts: BTreeMap<String, Dated<OpenOverdraft>>,
+    accounts: BTreeMap<String, AccountEntry>,
+    turns: BTreeMap<String, Timestamped<KeptTurn>>,
+    overdrafts: BTreeMap<String, Timestamped<OpenOverdraft>>,
 }
 
 impl LedgerState {
@@ -90,7 +89,7 @@
                 reservation,
                 tokens,
             } => {
-                self.note_owner(now, &reservation);
+                self.renew_overdraft_of(now, &reservation);
                 let entry = self.account_entry(now, program);
                 entry.reserved.insert(reservation.clone(), now);
                 entry.account.reserve(reservation, tokens);
@@ -100,25 +99,25 @@
                 reservation,
                 used,
             } => {
-                self.note_owner(now, &reservation);
+                self.renew_overdraft_of(now, &reservation);
                 let entry = self.account_entry(now, program);
                 entry.reserved.remove(&reservation);
                 entry.account.settle(&reservation, used);
             }
             LedgerRecord::Kept { turn, content } => {
-                let dated = Dated {
+                let entry = Timestamped {
                     value: content,
-                    touched: now,
-                    written: now,
+                    last_used: now,
+                    last_written: now,
                 };
-                self.turns.insert(turn, dated);
+                self.turns.insert(turn, entry);
             }
             LedgerRecord::Account {
                 program,
                 settled,
                 open,
             } => {
-                self.note_known_before(&program);
+                self.add_known_program(&program);
                 let entry = self.account_entry(now, program);
                 entry.account.settled = settled;
                 entry.account.open = open.into_iter().collect();
@@ -146,27 +145,27 @@
                     value.known_programs = known.value.known_programs;
                     value.superseded = known.value.superseded;
                 }
-                let dated = Dated {
+                let entry = Timestamped {
                     value,
-                    touched: now - idle,
-                    written: now,
+                    last_used: now - idle,
+                    last_written: now,
                 };
-                self.overdrafts.insert(overdraft, dated);
+                self.overdrafts.insert(overdraft, entry);
             }
             LedgerRecord::OverdraftTerms {
                 overdraft,
                 min_budget,
                 known_programs,
             } => {
-                if let Some(dated) = self.overdrafts.get_mut(&overdraft) {
-                    dated.value.min_budget = min_budget;
-                    dated.value.known_programs = known_programs;
+                if let Some(entry) = self.overdrafts.get_mut(&overdraft) {
+                    entry.value.min_budget = min_budget;
+                    entry.value.known_programs = known_programs;
                 }
             }
             LedgerRecord::OverdraftSuperseded { overdraft } => {
-                if let Some(dated) = self.overdrafts.get_mut(&overdraft) {
+                if let Some(entry) = self.overdrafts.get_mut(&overdraft) {
                     let known = self.accounts.keys().cloned();
-                    dated
+                    entry
                         .value
                         .superseded
                         .get_or_insert_with(|| known.collect());
@@ -178,41 +177,44 @@
         }
     }
 
-    /// A program whose account is written anew may have had one before any record that is kept.
-    fn note_known_before(&mut self, program: &str) {
+    /// Adds a program to the known programs of all superseded overdrafts. A rewritten account may
+    /// stem from records that the log has truncated, so it may be older than the supersession.
+    fn add_known_program(&mut self, program: &str) {
         if self.accounts.contains_key(program) {
             return;
         }
-        for dated in self.overdrafts.values_mut() {
-            if let Some(known) = &mut dated.value.superseded {
+        for entry in self.overdrafts.values_mut() {
+            if let Some(known) = &mut entry.value.superseded {
                 known.insert(program.to_owned());
             }
         }
     }
 
-    /// A record shows that its owner lives, so its overdraft may still be used.
-    fn note_owner(&mut self, now: Timestamp, reservation: &str) {
+    /// Renews the overdraft of an owner whose record was read: the owner is alive and may still use
+    /// it.
+    fn renew_overdraft_of(&mut self, now: Timestamp, reservation: &str) {
         let owner = owner_of(reservation);
-        for (name, dated) in &mut self.overdrafts {
+        for (name, entry) in &mut self.overdrafts {
             if owner_of(name) == owner {
-                dated.touched = now;
+                entry.last_used = now;
             }
         }
     }
 
-    /// Overdrafts that have not been closed, by name.
+    /// Returns the open overdrafts by name.
     pub fn overdrafts(&self) -> impl Iterator<Item = (&str, &OpenOverdraft)> {
         let open = self.overdrafts.iter();
-        open.map(|(name, dated)| (name.as_str(), &dated.value))
+        open.map(|(name, entry)| (name.as_str(), &entry.value))
     }
 
-    /// Tokens that other owners may have let a program generate on their overdrafts, beyond what
-    /// stands in the log. `is_own` tells which overdrafts are the asker's.
+    /// Returns the tokens that other owners may have granted a program on their overdrafts beyond
+    /// its reservations in the log. `is_own` returns whether an overdraft belongs to the calling
+    /// owner.
     ///
-    /// Programs that an overdraft does not serve cannot have drawn on it.
-    /// An owner lets a turn begin only if what the program then draws at most, beside settled
-    /// tokens, stays within a share of its budget. So the charge covers all that it can have
-    /// granted unseen, and charges of several open overdrafts add up.
+    /// Programs that an overdraft does not serve are not charged for it. An owner starts a turn on
+    /// its overdraft only if the tokens that the program draws at most, apart from settled ones,
+    /// stay within the share of its budget. The charge therefore covers everything that the owner
+    /// can have granted without a record, and the charges of several open overdrafts are added.
     pub fn overdrawn_by_others(
         &self,
         program: &str,
@@ -221,63 +223,65 @@
     ) -> u64 {
         let others = self.overdrafts().filter(|(name, _)| !is_own(name));
         let charges = others
-            .filter(|(_, overdraft)| overdraft.may_have_served(program, budget))
+            .filter(|(_, overdraft)| overdraft.may_serve(program, budget))
             .map(|(name, overdraft)| {
                 let owner = owner_of(name);
                 let limit = budget / overdraft.share.max(1);
                 limit.saturating_sub(self.reserved(program, |other| owner_of(other) == owner))
             });
-        total(charges)
+        saturating_sum(charges)
     }
 
-    /// Tokens set aside for a program on reservations that `is_wanted` takes.
+    /// Returns the tokens of a program's open reservations for which `is_wanted` returns true.
     pub fn reserved(&self, program: &str, is_wanted: impl Fn(&str) -> bool) -> u64 {
         let Some(account) = self.account(program) else {
             return 0;
         };
         let wanted = account.open.iter().filter(|(name, _)| is_wanted(name));
-        total(wanted.map(|(_, tokens)| *tokens))
+        saturating_sum(wanted.map(|(_, tokens)| *tokens))
     }
 
-    /// The account of a program, if it has one.
+    /// Returns the account of a program, if it has one.
     pub fn account(&self, program: &str) -> Option<&Account> {
-        self.accounts.get(program).map(|dated| &dated.account)
+        self.accounts.get(program).map(|entry| &entry.account)
     }
 
-    /// Tokens that others have set aside for a program, on reservations seen here for less than
-    /// `patience`. `is_own` tells which reservations are the asker's.
-    pub fn lately_reserved_by_others(
+    /// Returns the tokens that other owners have reserved for a program in reservations that were
+    /// first read less than `max_age` ago. `is_own` returns whether a reservation belongs to the
+    /// calling owner.
+    pub fn recently_reserved_by_others(
         &self,
         program: &str,
         now: Timestamp,
-        patience: Duration,
+        max_age: Duration,
         is_own: impl Fn(&str) -> bool,
     ) -> u64 {
-        let Some(dated) = self.accounts.get(program) else {
+        let Some(entry) = self.accounts.get(program) else {
             return 0;
         };
-        let others = dated.account.open.iter().filter(|(name, _)| !is_own(name));
+        let others = entry.account.open.iter().filter(|(name, _)| !is_own(name));
         let is_recent = |name: &str| {
-            let seen = dated.reserved.get(name);
-            seen.is_some_and(|seen| now.since(*seen) < patience)
+            let seen = entry.reserved.get(name);
+            seen.is_some_and(|seen| now.since(*seen) < max_age)
         };
         let recent = others.filter(|(name, _)| is_recent(name));
-        total(recent.map(|(_, tokens)| *tokens))
+        saturating_sum(recent.map(|(_, tokens)| *tokens))
     }
 
-    /// Whether a turn is kept.
+    /// Returns whether a turn is stored.
     pub fn has_turn(&self, turn: &str) -> bool {
         self.turns.contains_key(turn)
     }
 
-    /// Inputs and outputs of all turns up to the end of `turn`, in order; `None` if one is missing.
+    /// Returns the inputs and outputs of all turns up to the end of `turn`, in order; `None` if one
+    /// is missing.
     pub fn conversation(&self, turn: &str) -> Option<Bytes> {
         let mut chain = Vec::new();
         let mut next = Some(turn);
         while let Some(name) = next {
             let kept = &self.turns.get(name)?.value;
             chain.push(kept);
-            if chain.len() > MAX_CHAIN {
+            if chain.len() > MAX_CONVERSATION_TURNS {
                 return None;
             }
             next = kept.previous.as_deref();
@@ -294,100 +298,100 @@
         Some(text.freeze())
     }
 
-    /// Drops turns that were last touched longer ago than `retention`, and accounts after
-    /// [`ACCOUNT_RETENTION`]. A turn stays as long as one that goes on from it, however far up the
-    /// conversation.
+    /// Drops turns that were last used longer ago than `retention`, accounts after
+    /// [`ACCOUNT_RETENTION`], and overdrafts after [`OVERDRAFT_RETENTION`]. A turn is retained as
+    /// long as any turn that continues it, directly or indirectly.
     pub fn expire(&mut self, now: Timestamp, retention: Duration) {
-        let for_accounts = retention.max(ACCOUNT_RETENTION);
+        let account_retention = retention.max(ACCOUNT_RETENTION);
         self.accounts
-            .retain(|_, dated| now.since(dated.touched) < for_accounts);
+            .retain(|_, entry| now.since(entry.last_used) < account_retention);
         self.overdrafts
-            .retain(|_, dated| now.since(dated.touched) < OVERDRAFT_RETENTION);
-        let kept = self.turns_with_ancestors(|dated| now.since(dated.touched) < retention);
+            .retain(|_, entry| now.since(entry.last_used) < OVERDRAFT_RETENTION);
+        let kept = self.turns_with_ancestors(|entry| now.since(entry.last_used) < retention);
         self.turns.retain(|turn, _| kept.contains(turn));
     }
 
     fn turns_with_ancestors(
         &self,
-        is_recent: impl Fn(&Dated<KeptTurn>) -> bool,
+        is_recent: impl Fn(&Timestamped<KeptTurn>) -> bool,
     ) -> BTreeSet<String> {
         let mut kept: BTreeSet<String> = BTreeSet::new();
-        for (turn, dated) in &self.turns {
-            if !is_recent(dated) {
+        for (turn, entry) in &self.turns {
+            if !is_recent(entry) {
                 continue;
             }
             let mut next = Some(turn);
             while let Some(name) = next
-                && let Some(dated) = self.turns.get(name)
+                && let Some(entry) = self.turns.get(name)
                 && kept.insert(name.clone())
             {
-                next = dated.value.previous.as_ref();
+                next = entry.value.previous.as_ref();
             }
         }
         kept
     }
 
-    /// Records to append anew, so that what they say outlasts the log's history.
-    pub fn rewrites(&self, now: Timestamp) -> Vec<LedgerRecord> {
+    /// Returns the records to append again before the log truncates them.
+    pub fn records_to_rewrite(&self, now: Timestamp) -> Vec<LedgerRecord> {
         let accounts = self
             .accounts
             .iter()
-            .filter(|(_, dated)| now.since(dated.written) >= REWRITE_AFTER)
-            .map(|(program, dated)| LedgerRecord::Account {
+            .filter(|(_, entry)| now.since(entry.last_written) >= REWRITE_AFTER)
+            .map(|(program, entry)| LedgerRecord::Account {
                 program: program.clone(),
-                settled: dated.account.settled,
-                open: dated.account.open.clone().into_iter().collect(),
+                settled: entry.account.settled,
+                open: entry.account.open.clone().into_iter().collect(),
             });
         let turns = self
             .turns
             .iter()
-            .filter(|(_, dated)| now.since(dated.written) >= REWRITE_AFTER)
-            .map(|(turn, dated)| LedgerRecord::Kept {
+            .filter(|(_, entry)| now.since(entry.last_written) >= REWRITE_AFTER)
+            .map(|(turn, entry)| LedgerRecord::Kept {
                 turn: turn.clone(),
-                content: dated.value.clone(),
+                content: entry.value.clone(),
             });
         let overdrafts = self
             .overdrafts
             .iter()
-            .filter(|(_, dated)| now.since(dated.written) >= REWRITE_AFTER)
-            .flat_map(|(overdraft, dated)| overdraft_records(now, overdraft, dated));
+            .filter(|(_, entry)| now.since(entry.last_written) >= REWRITE_AFTER)
+            .flat_map(|(overdraft, entry)| overdraft_records(now, overdraft, entry));
         accounts.chain(turns).chain(overdrafts).collect()
     }
 
-    /// How many accounts and turns are held.
+    /// Returns the number of accounts and turns.
     pub fn len(&self) -> usize {
         self.accounts.len() + self.turns.len()
     }
 
-    /// Whether nothing is held.
+    /// Returns whether there are neither accounts nor turns.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn account_entry(&mut self, now: Timestamp, program: String) -> &mut DatedAccount {
-        let dated = self
+    fn account_entry(&mut self, now: Timestamp, program: String) -> &mut AccountEntry {
+        let entry = self
             .accounts
             .entry(program)
-            .or_insert_with(|| DatedAccount {
+            .or_insert_with(|| AccountEntry {
                 account: Account::default(),
                 reserved: BTreeMap::new(),
-                touched: now,
-                written: now,
+                last_used: now,
+                last_written: now,
             });
-        dated.touched = now;
-        dated.written = now;
-        dated
+        entry.last_used = now;
+        entry.last_written = now;
+        entry
     }
 }
 
-/// The records that an open overdraft is written anew with.
+/// Returns the records that write an open overdraft again.
 fn overdraft_records(
     now: Timestamp,
     overdraft: &str,
-    dated: &Dated<OpenOverdraft>,
+    entry: &Timestamped<OpenOverdraft>,
 ) -> Vec<LedgerRecord> {
-    let idle = now.since(dated.touched).as_millis();
-    let open = &dated.value;
+    let idle = now.since(entry.last_used).as_millis();
+    let open = &entry.value;
     let mut records = vec![
         LedgerRecord::Overdraft {
             overdraft: overdraft.to_owned(),
--- a/crates/gateway-core/src/ledger/turn_size.rs
+++ b/crates/gateway-core/src/ledger/turn_size.rs
@@ -1,33 +1,33 @@
-//! What a turn of a partition's programs usually generates at most.
+//! Estimates the typical size of a partition's turns.
 
-/// The estimate moves by one part in so many with each turn, so it follows a change of load within
-/// some dozen turns, and one program with huge turns hardly moves it.
-const STEP: u64 = 16;
+/// Every turn moves the estimate by at most the estimate divided by this number: it follows a
+/// change of load within some dozen turns, and single huge turns hardly affect it.
+const STEP_DIVISOR: u64 = 16;
 
-/// The median of what turns generate at most, roughly: it rises a step with each larger turn and
-/// falls a step with each smaller one.
+/// Approximate median of the maximum tokens per turn. Each larger turn raises it by one step, and
+/// each smaller turn lowers it.
 #[derive(Debug, Default)]
 pub(super) struct TypicalTurn {
     tokens: u64,
 }
 
 impl TypicalTurn {
-    /// Takes a turn into account.
+    /// Records a turn that generates at most `tokens`.
     pub(super) fn note(&mut self, tokens: u64) {
         if self.tokens == 0 {
             self.tokens = tokens;
             return;
         }
-        let step = self.tokens.div_ceil(STEP);
-        let nearest = self.tokens.abs_diff(tokens).min(step);
+        let step = self.tokens.div_ceil(STEP_DIVISOR);
+        let change = self.tokens.abs_diff(tokens).min(step);
         if tokens > self.tokens {
-            self.tokens += nearest;
+            self.tokens += change;
         } else {
-            self.tokens -= nearest;
+            self.tokens -= change;
         }
     }
 
-    /// Tokens; 0 if no turn is known.
+    /// Returns the estimate in tokens, or 0 before the first turn.
     pub(super) fn tokens(&self) -> u64 {
         self.tokens
     }
--- a/crates/gateway-core/src/ledger/wallets.rs
+++ b/crates/gateway-core/src/ledger/wallets.rs
@@ -1,4 +1,4 @@
-//! The wallets of every program at one owner, and the advances that wait to be settled.
+//! The wallets of all programs at one owner, and the advances that wait to be settled.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,41 +6,42 @@
 use elderworks_protocol::ledger::LedgerRecord;
 use elderworks_types::Timestamp;
 
-use super::wallet::{Advance, Wallet, total};
+use super::wallet::{Advance, Wallet, saturating_sum};
 
-/// An advance that is to be settled, with the time since when.
+/// An advance that waits to be settled.
 #[derive(Debug)]
-struct Closing {
+struct PendingSettlement {
     program: String,
     id: String,
     used: u64,
     since: Timestamp,
 }
 
-/// Wallets by program.
+/// Wallets by program, and pending settlements.
 #[derive(Debug)]
 pub(super) struct Wallets {
-    /// Names this owner on the log; never used by another, nor by an earlier start of it.
+    /// Name of this owner in the log. No other owner uses it, nor an earlier start of the same
+    /// node.
     owner: String,
-    names_made: u64,
+    names_issued: u64,
     wallets: BTreeMap<String, Wallet>,
-    closing: Vec<Closing>,
+    pending: Vec<PendingSettlement>,
 }
 
 impl Wallets {
     pub(super) fn new(owner: String) -> Self {
         Self {
             owner,
-            names_made: 0,
+            names_issued: 0,
             wallets: BTreeMap::new(),
-            closing: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    /// A name for a new advance or overdraft.
+    /// Returns a unique name for a new advance or overdraft.
     pub(super) fn next_name(&mut self) -> String {
-        self.names_made += 1;
-        format!("{}/{}", self.owner, self.names_made)
+        self.names_issued += 1;
+        format!("{}/{}", self.owner, self.names_issued)
     }
 
     pub(super) fn get(&self, program: &str) -> Option<&Wallet> {
@@ -51,34 +52,35 @@
         self.wallets.get_mut(program)
     }
 
-    /// Whether a turn is running on a program's wallet.
+    /// Returns whether a turn is running on a program's wallet.
     pub(super) fn is_running(&self, program: &str, turn: &str) -> bool {
         let wallet = self.wallets.get(program);
         wallet.is_some_and(|wallet| wallet.is_running(turn))
     }
 
-    /// Tokens generated on this owner's advances to a program that are not settled yet.
-    pub(super) fn unsettled_use(&self, program: &str) -> u64 {
+    /// Returns the tokens that a program has generated on this owner's advances and that are not
+    /// settled yet.
+    pub(super) fn unsettled_tokens(&self, program: &str) -> u64 {
         let wallet = self.wallets.get(program);
         let consumed = wallet.map_or(0, Wallet::consumed);
-        consumed.saturating_add(self.used_in_closing(program))
+        consumed.saturating_add(self.pending_tokens(program))
     }
 
-    fn used_in_closing(&self, program: &str) -> u64 {
-        let closing = self.closing.iter();
-        let of_program = closing.filter(|closing| closing.program == program);
-        total(of_program.map(|closing| closing.used))
+    fn pending_tokens(&self, program: &str) -> u64 {
+        let pending = self.pending.iter();
+        let of_program = pending.filter(|pending| pending.program == program);
+        saturating_sum(of_program.map(|pending| pending.used))
     }
 
-    /// Tokens that turns of a program draw on this owner's advances and overdraft, as far as they
-    /// are not settled yet.
+    /// Returns the unsettled tokens that turns of a program have drawn on this owner's advances and
+    /// overdraft.
     pub(super) fn drawn(&self, program: &str) -> u64 {
         let wallet = self.wallets.get(program);
         let drawn = wallet.map_or(0, Wallet::drawn);
-        drawn.saturating_add(self.used_in_closing(program))
+        drawn.saturating_add(self.pending_tokens(program))
     }
 
-    /// Programs that have drawn more than is set aside for them, with how much.
+    /// Returns the programs that have drawn more than their advances, with the excess in tokens.
     pub(super) fn overdrawn(&self) -> Vec<(String, u64)> {
         let overdrawn = self.wallets.iter();
         overdrawn
@@ -87,18 +89,18 @@
             .collect()
     }
 
-    /// Whether any program has drawn more than is set aside for it.
+    /// Returns whether any program has drawn more than its advances.
     pub(super) fn has_overdrawn(&self) -> bool {
         self.wallets.values().any(|wallet| wallet.overdrawn() > 0)
     }
 
-    /// The wallet of a program, empty if it has none.
+    /// Returns the wallet of a program, which is created if missing.
     pub(super) fn entry(&mut self, program: &str) -> &mut Wallet {
         self.wallets.entry(program.to_owned()).or_default()
     }
 
-    /// Takes notice of a record that is durable.
-    pub(super) fn note_record(&mut self, now: Timestamp, record: &LedgerRecord) {
+    /// Applies a durable record to the wallets and the pending settlements.
+    pub(super) fn on_record(&mut self, now: Timestamp, record: &LedgerRecord) {
         match record {
             LedgerRecord::Reserved {
                 program,
@@ -112,19 +114,19 @@
                 self.entry(program).add(now, advance);
             }
             LedgerRecord::Settled { reservation, .. } => {
-                self.closing.retain(|closing| closing.id != *reservation);
+                self.pending.retain(|pending| pending.id != *reservation);
             }
             _ => {}
         }
     }
 
-    /// Moves wallets that have been idle for long enough to those that wait to be settled.
+    /// Closes wallets that have been idle for long enough; their advances then wait to be settled.
     pub(super) fn close_idle(&mut self, now: Timestamp, idle: Duration) {
         let programs: Vec<String> = self
             .wallets
             .iter_mut()
             .filter_map(|(program, wallet)| {
-                wallet.end_lost_turns(now);
+                wallet.finish_lost_turns(now);
                 wallet.is_idle(now, idle).then(|| program.clone())
             })
             .collect();
@@ -133,7 +135,7 @@
                 continue;
             };
             for spent in wallet.into_spent() {
-                self.closing.push(Closing {
+                self.pending.push(PendingSettlement {
                     program: program.clone(),
                     id: spent.id,
                     used: spent.used,
@@ -143,25 +145,25 @@
         }
     }
 
-    /// Records that settle what waits for it.
+    /// Returns the records that settle all waiting advances.
     pub(super) fn settlements(&self) -> Vec<LedgerRecord> {
-        self.closing
+        self.pending
             .iter()
-            .map(|closing| LedgerRecord::Settled {
-                program: closing.program.clone(),
-                reservation: closing.id.clone(),
-                used: closing.used,
+            .map(|pending| LedgerRecord::Settled {
+                program: pending.program.clone(),
+                reservation: pending.id.clone(),
+                used: pending.used,
             })
             .collect()
     }
 
-    /// Since when the longest has waited to be settled.
-    pub(super) fn closing_since(&self) -> Option<Timestamp> {
-        self.closing.iter().map(|closing| closing.since).min()
+    /// Returns since when the oldest pending settlement has waited.
+    pub(super) fn oldest_settlement_since(&self) -> Option<Timestamp> {
+        self.pending.iter().map(|pending| pending.since).min()
     }
 
-    /// When the wallet that will be idle first was last used.
-    pub(super) fn first_idle(&self) -> Option<Timestamp> {
+    /// Returns when the wallet that becomes idle next was last used.
+    pub(super) fn next_idle_last_used(&self) -> Option<Timestamp> {
         self.wallets
             .values()
             .filter(|wallet| wallet.is_idle(wallet.last_used(), Duration::ZERO))
@@ -169,7 +171,7 @@
             .min()
     }
 
-    /// Whether a reservation was made by this owner.
+    /// Returns whether a reservation or overdraft was made by this owner.
     pub(super) fn is_own(&self, reservation: &str) -> bool {
         reservation
             .strip_prefix(self.owner.as_str())
--- a/crates/gateway-core/src/ledger/witness.rs
+++ b/crates/gateway-core/src/ledger/witness.rs
@@ -1,8 +1,9 @@
-//! What a node remembers, as a witness, of other owners' overdrafts.
+//! Memory of a node that acts as a witness of overdrafts.
 //!
-//! An owner activates its overdraft at a majority of the witnesses before it lets a turn run on it.
-//! Whoever takes the partition over fences the overdraft at a majority: if that succeeds, it was
-//! never used and never will be. Each witness decides once, whichever comes first.
+//! An owner activates its overdraft at a majority of the witnesses before it lets a turn draw on
+//! it. An owner that takes over the partition fences the overdraft at a majority: if that succeeds,
+//! the overdraft was never used and never will be. Each witness sides with the first request that
+//! it receives for an overdraft.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +13,12 @@
 
 use super::state::OVERDRAFT_RETENTION;
 
-/// Most overdrafts remembered; a witness that had to forget one answers no further question.
-const MOST_REMEMBERED: usize = 8_192;
+/// Maximum number of overdrafts remembered. If there are more, the witness answers no further
+/// questions.
+const MAX_REMEMBERED: usize = 8_192;
 
-/// Marks are kept this long: longer than any owner may use an overdraft that others have dropped.
+/// How long marks are retained: longer than any owner may use an overdraft that others have
+/// dropped.
 const MARK_RETENTION: Duration = OVERDRAFT_RETENTION.saturating_mul(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,41 +27,41 @@
     Fenced,
 }
 
-/// The marks of one start of a node.
+/// The marks made since one start of a node.
 #[derive(Debug)]
 pub struct WitnessMemory {
     boot: u64,
     marks: BTreeMap<String, (Mark, Timestamp)>,
-    has_forgotten: bool,
+    has_overflowed: bool,
 }
 
 impl WitnessMemory {
-    /// Remembers nothing. `boot` names this start of the node; no other start ever bears it.
+    /// Creates an empty memory. `boot` identifies this start of the node and must be unique.
     pub fn new(boot: u64) -> Self {
         Self {
             boot,
             marks: BTreeMap::new(),
-            has_forgotten: false,
+            has_overflowed: false,
         }
     }
 
-    /// Names this start of the node.
+    /// Returns the identifier of this start of the node.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// Answers a question; the first wish for an overdraft decides.
+    /// Answers a question. The first question about an overdraft determines its mark.
     pub fn answer(&mut self, now: Timestamp, question: &WitnessQuestion) -> WitnessAnswer {
         self.marks
             .retain(|_, (_, since)| now.since(*since) < MARK_RETENTION);
-        if question.boot != self.boot || self.has_forgotten {
+        if question.boot != self.boot || self.has_overflowed {
             return WitnessAnswer::Unknown;
         }
         if let Some((mark, _)) = self.marks.get(&question.overdraft) {
             return mark.into();
         }
-        if self.marks.len() >= MOST_REMEMBERED {
-            self.has_forgotten = true;
+        if self.marks.len() >= MAX_REMEMBERED {
+            self.has_overflowed = true;
             return WitnessAnswer::Unknown;
         }
         let mark = match question.wish {
--- a/crates/gateway-core/src/ownership.rs
+++ b/crates/gateway-core/src/ownership.rs
@@ -1,14 +1,14 @@
-//! Which nodes should act for a partition: rendezvous hashing, weighted by the nodes' capacity.
+//! Selects the nodes that should serve a partition by rendezvous hashing, weighted by capacity.
 //!
-//! Every node that knows the same nodes gets the same order, and a node that comes or goes moves
-//! only the partitions that it gains or had. Agreement spares conflicts; it is not needed for
-//! correctness, which rests on conditional appends.
+//! All nodes that know the same set of nodes compute the same order, and a node that joins or
+//! leaves moves only the partitions that it gains or loses. Agreement avoids conflicting appends.
+//! Correctness doesn't depend on it, since appends are conditional.
 
 use elderworks_types::{NodeId, PartitionId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The nodes in the order in which they should act for a partition. Each comes with its capacity,
-/// of which only the ratio to the others' counts; a node without capacity counts as the least.
+/// Returns the nodes in the order in which they should serve a partition. Capacities are relative
+/// to each other; a capacity of 0 counts as 1.
 pub fn rank_owners<'a>(
     partition: PartitionId,
     nodes: impl Iterator<Item = (&'a NodeId, u32)>,
@@ -23,8 +23,7 @@
     scored.into_iter().map(|(_, node)| node).collect()
 }
 
-/// The first of [`rank_owners`], without the work of an order: of 984 nodes it takes 25 us in place of 90
-/// (release build, one core).
+/// Returns the first node of [`rank_owners`] without sorting all nodes.
 pub fn foremost_owner<'a>(
     partition: PartitionId,
     nodes: impl Iterator<Item = (&'a NodeId, u32)>,
@@ -37,11 +36,11 @@
     first.map(|(_, node)| node)
 }
 
-/// Exponentially distributed with the capacity as its rate, so that the least of all scores
-/// belongs to a node with a probability proportional to its capacity.
+/// Returns an exponentially distributed score with the capacity as its rate, so that a node's
+/// probability of having the lowest score is proportional to its capacity.
 fn score(partition: PartitionId, node: &NodeId, capacity: u32) -> f64 {
     let hash = xxh3_64_with_seed(node.as_str().as_bytes(), u64::from(partition.0));
-    // The upper 53 bits, as a number above 0 and at most 1.
+    // The upper 53 bits as a number in (0, 1].
     let uniform = ((hash >> 11) + 1) as f64 / (1_u64 << 53) as f64;
     -uniform.ln() / f64::from(capacity.max(1))
 }
--- a/crates/gateway-core/tests/ledger/budgets.rs
+++ b/crates/gateway-core/tests/ledger/budgets.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::ledger::{
-    Account, Action, Advance, AppendOutcome, FAILURE_PAUSE, HOLD_BACK, IDLE_BEFORE_SETTLING,
-    OTHERS_PATIENCE, PartitionOwner, ReadOutcome, Ticket, Wallet,
+    Account, Action, Advance, AppendOutcome, FAILURE_RETRY_DELAY, FOREIGN_SETTLEMENT_WAIT,
+    IDLE_BEFORE_SETTLING, PartitionOwner, ReadOutcome, SETTLEMENT_DELAY, Ticket, Wallet,
 };
 use elderworks_protocol::ledger::{LedgerRecord, LedgerReply};
 use elderworks_types::Offset;
@@ -151,7 +151,7 @@
     let Action::Wait { until: Some(due) } = owner.next_action(idle) else {
         panic!("settlements are held back");
     };
-    assert_eq!(due, idle + HOLD_BACK);
+    assert_eq!(due, idle + SETTLEMENT_DELAY);
     assert!(matches!(owner.next_action(due), Action::Append { .. }));
     owner.on_append(due, AppendOutcome::Done);
     let account = owner.state().account("p").expect("an account");
@@ -180,7 +180,7 @@
     owner.set_preferred(false);
     assert!(matches!(owner.next_action(START), Action::Append { .. }));
     owner.on_append(START, AppendOutcome::Unknown);
-    let later = START + FAILURE_PAUSE;
+    let later = START + FAILURE_RETRY_DELAY;
     assert_eq!(owner.next_action(later), Action::Read { from: Offset(1) });
     owner.on_read(later, nothing(1));
     assert!(matches!(owner.next_action(later), Action::Append { .. }));
@@ -245,9 +245,9 @@
         wallet.add(START, advance.clone());
         wallet.add(START, advance);
     }
-    assert_eq!(wallet.free(), 20);
+    assert_eq!(wallet.available(), 20);
     wallet.start(START, "t".to_owned(), 20);
-    wallet.end(START, "t", 23);
+    wallet.finish(START, "t", 23);
     let spent: Vec<(String, u64)> = wallet
         .into_spent()
         .into_iter()
@@ -267,9 +267,9 @@
         },
     );
     wallet.start(START, "t".to_owned(), 10);
-    wallet.end_lost_turns(START + Duration::from_secs(89));
+    wallet.finish_lost_turns(START + Duration::from_secs(89));
     assert!(wallet.is_running("t"));
-    wallet.end_lost_turns(START + Duration::from_secs(90));
+    wallet.finish_lost_turns(START + Duration::from_secs(90));
     assert!(!wallet.is_running("t"));
     assert_eq!(wallet.into_spent()[0].used, 10);
 }
@@ -309,7 +309,7 @@
         Case {
             name: "the other has had time enough to settle",
             reserved: 10,
-            waited: OTHERS_PATIENCE,
+            waited: FOREIGN_SETTLEMENT_WAIT,
             expected: LedgerReply::BudgetSpent,
         },
         Case {
--- a/crates/gateway-core/tests/ledger/calls.rs
+++ b/crates/gateway-core/tests/ledger/calls.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::ledger::{
-    Action, AppendOutcome, DOWN_PAUSE, FAILURE_PAUSE, GIVES_WAY_FOR, HOLD_WHILE_DOWN,
-    PartitionOwner, ReadOutcome, Ticket, partition_of,
+    Action, AppendOutcome, DOWN_RETRY_DELAY, FAILURE_RETRY_DELAY, MAX_HOLD_WHILE_DOWN,
+    PartitionOwner, ReadOutcome, Ticket, YIELD_AFTER_OUTAGE, partition_of,
 };
 use elderworks_protocol::ledger::{LedgerRecord, LedgerReply, LedgerRequest};
 use elderworks_types::Offset;
@@ -135,7 +135,7 @@
     let given_up = owner.last_call();
     owner.submit(START, Ticket(2), question());
     owner.on_read(START, ReadOutcome::Failed);
-    let now = START + FAILURE_PAUSE;
+    let now = START + FAILURE_RETRY_DELAY;
     assert_eq!(owner.next_action(now), Action::Read { from: Offset(0) });
     assert!(owner.last_call() > given_up);
 
@@ -157,7 +157,7 @@
 #[test]
 fn a_report_that_waits_is_carried_out_when_the_log_is_back() {
     let mut owner = owner_of_a_log_that_is_down();
-    let now = START + FAILURE_PAUSE;
+    let now = START + FAILURE_RETRY_DELAY;
     owner.submit(
         now,
         Ticket(5),
@@ -173,12 +173,12 @@
         [(Ticket(5), LedgerReply::Unavailable)]
     );
 
-    let now = now + DOWN_PAUSE;
+    let now = now + DOWN_RETRY_DELAY;
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
     owner.on_read(now, ReadOutcome::Failed);
     assert_eq!(owner.take_replies(), [], "it still waits");
 
-    let now = now + DOWN_PAUSE;
+    let now = now + DOWN_RETRY_DELAY;
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
     owner.on_read(now, nothing(owner.end().0));
     assert!(matches!(owner.next_action(now), Action::Append { .. }));
@@ -190,7 +190,7 @@
 fn an_owner_that_is_not_preferred_gives_way_after_an_outage() {
     let mut owner = owner_of_a_log_that_is_down();
     owner.set_preferred(false);
-    let now = START + FAILURE_PAUSE + DOWN_PAUSE;
+    let now = START + FAILURE_RETRY_DELAY + DOWN_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
     owner.on_read(now, nothing(owner.end().0));
@@ -204,7 +204,7 @@
         [(Ticket(6), LedgerReply::Unavailable)]
     );
 
-    let later = now + GIVES_WAY_FOR;
+    let later = now + YIELD_AFTER_OUTAGE;
     owner.submit(later, Ticket(7), begin("w", 100, 10));
     assert!(matches!(owner.next_action(later), Action::Append { .. }));
     owner.on_append(later, AppendOutcome::Done);
@@ -218,7 +218,7 @@
 #[test]
 fn a_report_does_not_wait_for_long() {
     let mut owner = owner_of_a_log_that_is_down();
-    let began = START + FAILURE_PAUSE;
+    let began = START + FAILURE_RETRY_DELAY;
     owner.submit(
         began,
         Ticket(5),
@@ -236,8 +236,11 @@
     }
     assert_eq!(replies, [(Ticket(5), LedgerReply::Unavailable)]);
     let waited = now.since(began);
-    assert!(waited >= HOLD_WHILE_DOWN, "{waited:?}");
-    assert!(waited < HOLD_WHILE_DOWN + DOWN_PAUSE * 2, "{waited:?}");
+    assert!(waited >= MAX_HOLD_WHILE_DOWN, "{waited:?}");
+    assert!(
+        waited < MAX_HOLD_WHILE_DOWN + DOWN_RETRY_DELAY * 2,
+        "{waited:?}"
+    );
 }
 
 #[test]
@@ -255,7 +258,7 @@
         }
         replies.extend(owner.take_replies());
         assert!(
-            now.since(START) <= FAILURE_PAUSE,
+            now.since(START) <= FAILURE_RETRY_DELAY,
             "given up after two calls"
         );
     }
@@ -267,7 +270,7 @@
 #[test]
 fn while_the_log_is_down_requests_are_answered_at_once() {
     let mut owner = owner_of_a_log_that_is_down();
-    let now = START + FAILURE_PAUSE;
+    let now = START + FAILURE_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     owner.submit(now, Ticket(6), begin_after("v", "k", None));
     let conversation = Bytes::from_static(b"inout");
@@ -283,7 +286,7 @@
 #[test]
 fn one_request_at_a_time_finds_out_whether_the_log_is_still_down() {
     let mut owner = owner_of_a_log_that_is_down();
-    let now = START + FAILURE_PAUSE + DOWN_PAUSE;
+    let now = START + FAILURE_RETRY_DELAY + DOWN_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
     owner.submit(now, Ticket(6), begin("v", 100, 10));
