--- a/crates/gateway-core/src/acting.rs
+++ b/crates/gateway-core/src/acting.rs
@@ -1,49 +1,51 @@
-//! Whether a node acts for a partition in place of the candidates before it.
+//! Determines when a node serves a partition in place of the candidates ranked before it.
 //!
-//! Acting begins with reading the whole partition, and the log's bandwidth is shared by all reads. A
-//! node that acts too soon makes the foremost candidate slower, so that others pass it over as well:
-//! after a start of all nodes, each would read every partition.
+//! Serving a partition starts with reading it completely, and all reads share the bandwidth of the
+//! log. A node that takes over too early slows down the preferred candidate, so that other nodes
+//! skip it as well. After a simultaneous start of all nodes, every node would then read every
+//! partition.
 
 use std::time::Duration;
 
-/// How long after its start a node takes a candidate that it cannot reach to be starting too:
-/// processes that start together listen by then, those of small machines included, and callers of a
-/// single one that starts have time left.
-pub const OTHERS_START: Duration = Duration::from_millis(300);
+/// Time after its own start for which a node assumes that an unreachable candidate is still
+/// starting. Long enough for processes on slow machines that start simultaneously, and short enough
+/// for waiting callers if only this node has started.
+pub const PEER_START_GRACE: Duration = Duration::from_millis(300);
 
-/// How long after its start a node takes a candidate that says "unavailable" to be reading the
-/// partition: some times what that takes on a small machine.
-pub const OTHERS_READ: Duration = Duration::from_millis(1_500);
+/// Time after its own start for which a node assumes that a candidate which replies "unavailable"
+/// is still reading the partition. A multiple of the time that reading takes on a slow machine.
+pub const PEER_READ_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Why a candidate has not carried a request out.
+/// Why a candidate did not carry out a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PassedOver {
-    /// It says that it cannot now.
+    /// It replied that it is unavailable.
     Unavailable,
-    /// It cannot be reached, or shows no sign of life.
+    /// It is unreachable or shows no sign of life.
     Absent,
 }
 
-/// What a node knows of itself when a candidate before it has not carried a request out.
+/// Restrains failover while nodes are starting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing {
-    /// Time since its start.
+    /// Time since the start of this node.
     pub age: Duration,
 }
 
 impl Standing {
-    /// Whether to ask the next candidate, or to act in its place. If not, the request is made again
-    /// after a pause, as long as its caller has time.
+    /// Returns whether to skip a candidate, that is, to ask the next one or to serve the partition
+    /// in its place. If not, the request is retried after a delay while its caller has time left.
     pub fn may_pass_over(&self, reason: PassedOver) -> bool {
         match reason {
-            // It reads the partition, as everybody would have to.
-            PassedOver::Unavailable => self.age >= OTHERS_READ,
-            PassedOver::Absent => self.age >= OTHERS_START,
+            // It is reading the partition, as any other node would have to.
+            PassedOver::Unavailable => self.age >= PEER_READ_GRACE,
+            PassedOver::Absent => self.age >= PEER_START_GRACE,
         }
     }
 
-    /// Whether to act without any candidate before this node: it may know no other yet.
+    /// Returns whether to serve a partition for which no other candidate is known. Before joining,
+    /// a node may not know the others yet.
     pub fn may_act_alone(&self, has_joined: bool) -> bool {
-        has_joined || self.age >= OTHERS_START
+        has_joined || self.age >= PEER_START_GRACE
     }
 }
--- a/crates/gateway-core/src/append_pace.rs
+++ b/crates/gateway-core/src/append_pace.rs
@@ -1,59 +1,61 @@
-//! Calls to the log for one partition some milliseconds apart, so that each carries what came
-//! meanwhile.
+//! Spaces calls to the log for one partition, so that each call carries several requests.
 //!
-//! An append is one call however many records it holds. After a time of rest one goes at once; while
-//! others follow it, the next collects requests until the pace is over. A turn that waits for leave
-//! has its whole work before it, so it waits less than one whose end waits to be kept: its caller
-//! has everything but the last word already.
+//! An append is one call regardless of its number of records. After an idle period the first
+//! request leads to a call immediately; the following ones are collected until the minimum interval
+//! has passed. The interval is shorter if a turn waits for its permit than if only completions
+//! wait: the caller of a completing turn has received all of its output but the end marker.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// What waits for the next call.
+/// The most urgent kind of request that waits for the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Somebody waits for leave, or for an answer that needs a read.
+    /// A permit, or an answer that needs a read.
     Leave,
-    /// Ends of turns at most.
+    /// Completions of turns only, or nothing.
     Ends,
 }
 
-/// Shortest times between the begins of two calls, by what waits for the next one.
+/// Minimum time between the starts of two calls, by what waits for the second one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Paces {
-    /// If somebody waits for leave.
+    /// If a turn waits for its permit.
     pub leave: Duration,
-    /// If only ends wait.
+    /// If only completions wait.
     pub ends: Duration,
 }
 
-/// When a partition's last call began.
+/// Limits the rate of calls for one partition.
 #[derive(Clone, Copy, Debug)]
 pub struct AppendPace {
     paces: Paces,
-    began: Option<Timestamp>,
+    last_start: Option<Timestamp>,
 }
 
 impl AppendPace {
-    /// At least these times from the begin of one call to that of the next.
+    /// Creates a pacer with the given minimum intervals.
     pub fn new(paces: Paces) -> Self {
-        Self { paces, began: None }
+        Self {
+            paces,
+            last_start: None,
+        }
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn note(&mut self, now: Timestamp) {
-        self.began = Some(now);
+        self.last_start = Some(now);
     }
 
-    /// How long what has come still waits for more; `None` if it does not.
+    /// Returns how long to wait before the next call; `None` if it may start now.
     pub fn wait(&self, now: Timestamp, urgency: Urgency) -> Option<Duration> {
-        let began = self.began?;
+        let last_start = self.last_start?;
         let pace = match urgency {
             Urgency::Leave => self.paces.leave,
             Urgency::Ends => self.paces.ends,
         };
-        let left = pace.saturating_sub(now.since(began));
+        let left = pace.saturating_sub(now.since(last_start));
         (!left.is_zero()).then_some(left)
     }
 }
--- a/crates/gateway-core/src/change_batch.rs
+++ b/crates/gateway-core/src/change_batch.rs
@@ -1,54 +1,55 @@
-//! When to work out anew what follows from the nodes, while many of them come and go.
+//! Limits how often state derived from the set of nodes is recomputed.
 //!
-//! Each change may cost work for every node that is known, and nodes that start together bring one
-//! change each: taken one by one, that is the square of their number on every machine. A change
-//! after a time of rest is acted on at once; those that follow are collected for a short time.
+//! A recomputation may take time proportional to the number of nodes, and nodes that start together
+//! cause one change each, so recomputing after every change would take quadratic time. A change
+//! after an idle period is handled immediately; changes that follow soon are batched.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// Shortest time between two recomputations: ten milliseconds of work on a small machine stay a
-/// tenth of its time, and it is a small part of the time after which a silent node is given up.
+/// Minimum time between two recomputations. If one takes ten milliseconds on a slow machine, this
+/// uses a tenth of its time; the delay is small compared with the time after which a silent node is
+/// dropped.
 pub const RECOMPUTING_PACE: Duration = Duration::from_millis(100);
 
-/// Changes that have not been acted on, and when the last ones were.
+/// Tracks pending changes and the latest recomputation.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeBatch {
-    pace: Duration,
-    acted: Option<Timestamp>,
-    is_waiting: bool,
+    min_interval: Duration,
+    last_run: Option<Timestamp>,
+    is_pending: bool,
 }
 
 impl ChangeBatch {
-    /// Acts no more often than once per `pace`; without one, on each change.
-    pub fn new(pace: Duration) -> Self {
+    /// Allows one recomputation per `min_interval`, or one per change if that is zero.
+    pub fn new(min_interval: Duration) -> Self {
         Self {
-            pace,
-            acted: None,
-            is_waiting: false,
+            min_interval,
+            last_run: None,
+            is_pending: false,
         }
     }
 
-    /// Notes a change. Tells whether to act on it now, together with those that have waited.
+    /// Records a change. Returns whether to recompute now, which covers all pending changes.
     pub fn note(&mut self, now: Timestamp) -> bool {
-        self.is_waiting = true;
+        self.is_pending = true;
         self.take_due(now)
     }
 
-    /// Whether to act now on changes that have waited.
+    /// Returns whether to recompute now because of pending changes.
     pub fn take_due(&mut self, now: Timestamp) -> bool {
-        let is_recent = |acted: Timestamp| now.since(acted) < self.pace;
-        if !self.is_waiting || self.acted.is_some_and(is_recent) {
+        let is_recent = |last_run: Timestamp| now.since(last_run) < self.min_interval;
+        if !self.is_pending || self.last_run.is_some_and(is_recent) {
             return false;
         }
         self.act(now);
         true
     }
 
-    /// Everything that has waited is acted on now.
+    /// Records a recomputation, which covers all pending changes.
     pub fn act(&mut self, now: Timestamp) {
-        self.acted = Some(now);
-        self.is_waiting = false;
+        self.last_run = Some(now);
+        self.is_pending = false;
     }
 }
--- a/crates/gateway-core/src/log_causes.rs
+++ b/crates/gateway-core/src/log_causes.rs
@@ -1,32 +1,33 @@
-//! Why the log is called, for whoever asks what its calls are spent on.
+//! Classifies calls to the log by purpose, for logs and metrics.
 
 use elderworks_protocol::ledger::LedgerRecord;
 
-/// What a call to the log is made for.
+/// The purpose of a call to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogCause {
-    /// Tokens are set aside for turns that wait.
+    /// Reserves tokens for waiting turns.
     Reserve,
-    /// The end of a kept turn waits until it is durable; no tokens are set aside.
+    /// Stores finished turns whose callers wait until they are durable, without reserving tokens.
     Keep,
-    /// An overdraft is opened or closed; nobody waits.
+    /// Opens or closes an overdraft; no caller waits.
     Overdraft,
-    /// Reservations end; nobody waits.
+    /// Settles reservations; no caller waits.
     Settle,
-    /// Records are written anew before the log drops them.
+    /// Appends records again before the log truncates them.
     Rewrite,
-    /// A partition is read that is not known yet.
+    /// Reads a partition that has not been read to its end.
     CatchUp,
-    /// It is read whether another node has appended to a partition.
+    /// Checks whether another node has appended to a partition.
     Verify,
-    /// It is proved that a configuration is the newest.
+    /// Verifies that a configuration is the latest one.
     Prove,
 }
 
 impl LogCause {
-    /// Why records are appended: what somebody waits for comes first.
+    /// Returns the purpose of an append. If the records have several, the one that callers wait for
+    /// takes precedence.
     pub fn of_append(records: &[LedgerRecord]) -> Self {
-        let causes = records.iter().map(|record| match record {
+        let purposes = records.iter().map(|record| match record {
             LedgerRecord::Reserved { .. } => Self::Reserve,
             LedgerRecord::Kept { .. } => Self::Keep,
             LedgerRecord::Overdraft { .. }
@@ -36,10 +37,10 @@
             LedgerRecord::Settled { .. } => Self::Settle,
             LedgerRecord::Account { .. } => Self::Rewrite,
         });
-        causes.min().unwrap_or(Self::Rewrite)
+        purposes.min().unwrap_or(Self::Rewrite)
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Reserve => "append_reserve",
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -1,68 +1,71 @@
-//! Whether the log has fallen silent, known from one late answer beside the usual ones.
+//! Detects outages of the log from the response times of calls to it.
 //!
-//! A call that takes longer than answers usually do makes the log *late*. If no other node has had an
-//! answer meanwhile, it is *silent*: whatever needs an append to end would not end. A log that is
-//! merely slow, or that does not answer one node alone, is not: the first answer, here or elsewhere,
-//! shows it.
+//! A call that takes clearly longer than usual makes the log *late*. If other nodes get no answers
+//! either, the log is *silent*: operations that need an append cannot complete. A log that is
+//! merely slow, or that only fails to answer one node, is not silent; the first answer to any node
+//! proves that.
 //!
-//! Time in which this process itself did not run does not count, so a frozen node or a small one under
-//! load takes nobody else for silent.
+//! Time during which this process did not run is not counted, so a node that was frozen or is
+//! overloaded does not report an outage.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use elderworks_types::{NodeId, Timestamp};
 
-/// Interval at which the driver looks while calls are under way.
+/// Interval at which the driver calls [`LogWatch::look`] while calls are in progress.
 pub const LOOK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A look that comes later than this shows that the process was held up.
-const HELD_UP: Duration = Duration::from_millis(25);
+/// Time between two polls that indicates that the process was suspended or starved.
+const MAX_POLL_GAP: Duration = Duration::from_millis(25);
 
-/// Shortest and longest time after which a call is late; the first is some times a usual answer.
-const SOONEST_LATE: Duration = Duration::from_millis(30);
-const LATEST_LATE: Duration = Duration::from_millis(400);
+/// Bounds of the time after which a call is late. The lower bound is several times a usual response
+/// time.
+const MIN_LATE_AFTER: Duration = Duration::from_millis(30);
+const MAX_LATE_AFTER: Duration = Duration::from_millis(400);
 
-/// The same before the first answer.
-const LATE_AT_FIRST: Duration = Duration::from_millis(150);
+/// Time after which a call is late before any response time is known.
+const INITIAL_LATE_AFTER: Duration = Duration::from_millis(150);
 
-/// A late log whose silence no other node confirms or denies is silent after so many times that.
-const UNCONFIRMED_TIMES: u32 = 3;
+/// A late log is considered silent without confirmation after this multiple of the time after which
+/// calls are late.
+const UNCONFIRMED_FACTOR: u32 = 3;
 
-/// Other nodes that must wait for the log as well: one alone may have lost its own way to it.
+/// Number of other nodes that must be waiting for the log too. A single node may only have lost its
+/// own connection to the log.
 const CONFIRMING_NODES: usize = 2;
 
-/// What another node has said counts for this long unless it repeats it.
-const WORD_LASTS: Duration = Duration::from_millis(700);
+/// How long the report of another node is valid.
+const REPORT_VALIDITY: Duration = Duration::from_millis(700);
 
-/// Calls whose begin is remembered; the earliest ones suffice.
-const MOST_CALLS: usize = 64;
+/// Maximum number of unanswered calls that are tracked. The oldest ones suffice.
+const MAX_TRACKED_CALLS: usize = 64;
 
-/// What is known of the log.
+/// Condition of the log as observed by this node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogState {
-    /// It answers as usual, or nobody waits for it.
+    /// Calls are answered in the usual time, or no calls are in progress.
     #[default]
     Usual,
-    /// A call has waited for longer than usual.
+    /// A call has taken longer than usual.
     Late {
-        /// Since when.
+        /// When the unanswered call started.
         since: Timestamp,
     },
-    /// It answers nobody.
+    /// No node receives answers.
     Silent {
-        /// Since when.
+        /// When the first unanswered call started.
         since: Timestamp,
     },
 }
 
 impl LogState {
-    /// Whether it answers nobody.
+    /// Returns whether the log is silent.
     pub fn is_silent(self) -> bool {
         matches!(self, Self::Silent { .. })
     }
 
-    /// Since when an answer has been missing.
+    /// Returns when the call started that has been waiting for an answer.
     pub fn since(self) -> Option<Timestamp> {
         match self {
             Self::Usual => None,
@@ -71,32 +74,33 @@
     }
 }
 
-/// What a node says of its calls to the log.
+/// A node's report on its calls to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogWord {
-    /// For how long its earliest unanswered call has waited; `None` if it waits for none.
+    /// Age of the oldest unanswered call if that is late.
     pub waits: Option<Duration>,
-    /// Time since the latest call began that it knows to have been answered.
+    /// Time since the start of the latest call, by any node, that the sender knows to have been
+    /// answered.
     pub answered: Option<Duration>,
-    /// Whether it takes the log to be silent, and does not merely ask.
+    /// Whether the sender considers the log silent; otherwise it only asks for confirmation.
     pub is_silent: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct PeerReport {
     since: Timestamp,
-    came: Timestamp,
+    received: Timestamp,
     is_silent: bool,
 }
 
-/// How long answers usually take (after RFC 6298, without its floor).
+/// Estimate of the usual response time (RFC 6298 without the minimum).
 #[derive(Clone, Copy, Debug)]
-struct UsualTime {
+struct ResponseTime {
     smoothed: Duration,
     deviation: Duration,
 }
 
-impl UsualTime {
+impl ResponseTime {
     fn note(known: Option<Self>, took: Duration) -> Self {
         let Some(known) = known else {
             return Self {
@@ -111,19 +115,19 @@
     }
 }
 
-/// Watches one node's calls to the log, and what others say of theirs.
+/// Detects outages of the log from this node's calls and from the reports of other nodes.
 #[derive(Debug)]
 pub struct LogWatch {
-    usual: Option<UsualTime>,
-    /// Calls without an answer by when they began; those that were given up stay until one that began
-    /// later is answered.
+    usual: Option<ResponseTime>,
+    /// Start times of unanswered calls. Calls that were given up remain until a later call is
+    /// answered.
     unanswered: BTreeMap<u64, Timestamp>,
-    looked: Timestamp,
-    /// When the latest call began that is known to have been answered, of any node.
-    heard: Option<Timestamp>,
-    words: BTreeMap<NodeId, Word>,
-    /// Other nodes that must wait as well.
-    needed: usize,
+    last_poll: Timestamp,
+    /// Start of the latest call, by any node, that is known to have been answered.
+    latest_answered: Option<Timestamp>,
+    peer_reports: BTreeMap<NodeId, PeerReport>,
+    /// Number of other nodes that must confirm an outage.
+    required_confirmations: usize,
     state: LogState,
 }
 
@@ -132,143 +136,149 @@
         Self {
             usual: None,
             unanswered: BTreeMap::new(),
-            looked: Timestamp::default(),
-            heard: None,
-            words: BTreeMap::new(),
-            needed: CONFIRMING_NODES,
+            last_poll: Timestamp::default(),
+            latest_answered: None,
+            peer_reports: BTreeMap::new(),
+            required_confirmations: CONFIRMING_NODES,
             state: LogState::Usual,
         }
     }
 }
 
 impl LogWatch {
-    /// Tells how many other nodes there are.
+    /// Sets the number of other nodes.
     pub fn set_others(&mut self, others: usize) {
-        self.needed = others.clamp(1, CONFIRMING_NODES);
+        self.required_confirmations = others.clamp(1, CONFIRMING_NODES);
     }
 
-    /// What is known as of the last look.
+    /// Returns the state as of the last update.
     pub fn state(&self) -> LogState {
         self.state
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn begin(&mut self, now: Timestamp, call: u64) {
         if self.unanswered.is_empty() {
-            self.looked = now;
+            self.last_poll = now;
         }
-        if self.unanswered.len() < MOST_CALLS {
+        if self.unanswered.len() < MAX_TRACKED_CALLS {
             self.unanswered.insert(call, now);
         }
     }
 
-    /// A call was answered, if only by a refusal, `took` after its begin: those that began before it
-    /// have been lost, or are slow for a reason of their own.
+    /// Records that a call was answered, possibly with a refusal, `took` after its start. Calls
+    /// that started before it are dropped: they were lost or are slow for reasons of their own.
     pub fn answered(&mut self, now: Timestamp, call: u64, took: Duration) {
-        self.usual = Some(UsualTime::note(self.usual, took));
+        self.usual = Some(ResponseTime::note(self.usual, took));
         let began = self.unanswered.remove(&call).unwrap_or(now - took);
         self.note_answered(began);
-        self.judge(now);
+        self.update_state(now);
     }
 
-    /// To be called each [`LOOK_INTERVAL`] while calls are under way, and now and then otherwise.
+    /// Updates the state. Must be called every [`LOOK_INTERVAL`] while calls are in progress, and
+    /// occasionally otherwise.
     pub fn look(&mut self, now: Timestamp) {
-        let gap = now.since(self.looked);
-        self.looked = now;
-        if gap > HELD_UP {
+        let gap = now.since(self.last_poll);
+        self.last_poll = now;
+        if gap > MAX_POLL_GAP {
             let lost = gap - LOOK_INTERVAL;
             for began in self.unanswered.values_mut() {
                 *began = (*began + lost).min(now);
             }
         }
-        self.words
-            .retain(|_, word| now.since(word.came) < WORD_LASTS);
-        self.judge(now);
+        self.peer_reports
+            .retain(|_, report| now.since(report.received) < REPORT_VALIDITY);
+        self.update_state(now);
     }
 
-    /// What this node says to others: only its own calls speak for silence.
+    /// Returns the report for other nodes. It claims an outage only if this node's own calls
+    /// indicate one.
     pub fn word(&self, now: Timestamp) -> LogWord {
-        let late = self.own_late(now);
+        let late = self.late_since(now);
         LogWord {
             waits: late.map(|since| now.since(since)),
-            answered: self.heard.map(|heard| now.since(heard)),
+            answered: self
+                .latest_answered
+                .map(|latest_answered| now.since(latest_answered)),
             is_silent: self.state.is_silent() && late.is_some(),
         }
     }
 
-    /// Takes another node's word. Tells whether this one knows of a later answer, so that the other
-    /// should be told.
+    /// Records the report of another node. Returns whether this node knows of a later answer, which
+    /// the sender should be informed of.
     pub fn take(&mut self, now: Timestamp, node: NodeId, word: LogWord) -> bool {
         if let Some(age) = word.answered {
             self.note_answered(now - age);
         }
         let since = word.waits.map(|waits| now - waits);
         let is_refuted = self
-            .heard
-            .is_some_and(|heard| since.is_some_and(|since| since <= heard));
+            .latest_answered
+            .is_some_and(|latest_answered| since.is_some_and(|since| since <= latest_answered));
         match since.filter(|_| !is_refuted) {
             Some(since) => {
                 let is_silent = word.is_silent;
-                let word = Word {
+                let report = PeerReport {
                     since,
-                    came: now,
+                    received: now,
                     is_silent,
                 };
-                self.words.insert(node, word);
+                self.peer_reports.insert(node, report);
             }
             None => {
-                self.words.remove(&node);
+                self.peer_reports.remove(&node);
             }
         }
-        self.judge(now);
+        self.update_state(now);
         is_refuted
     }
 
-    /// The log has answered a call that began at `at`: what has waited for longer says nothing now.
+    /// Records that the log has answered a call that started at `at`, which makes older waits
+    /// irrelevant.
     fn note_answered(&mut self, at: Timestamp) {
-        self.heard = self.heard.max(Some(at));
+        self.latest_answered = self.latest_answered.max(Some(at));
         self.unanswered.retain(|_, began| *began > at);
-        self.words.retain(|_, word| word.since > at);
+        self.peer_reports.retain(|_, report| report.since > at);
     }
 
-    /// How long a call may take before it is late.
+    /// Returns the time after which a call is late.
     fn late_after(&self) -> Duration {
         let Some(usual) = self.usual else {
-            return LATE_AT_FIRST;
+            return INITIAL_LATE_AFTER;
         };
         let longest = usual.smoothed * 2 + usual.deviation * 4;
-        longest.clamp(SOONEST_LATE, LATEST_LATE)
+        longest.clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
     }
 
-    /// Since when the earliest call has waited, if it is late.
-    fn own_late(&self, now: Timestamp) -> Option<Timestamp> {
+    /// Returns the start of the oldest unanswered call if that is late.
+    fn late_since(&self, now: Timestamp) -> Option<Timestamp> {
         let since = self.unanswered.values().min().copied()?;
         (self.waited(now, since) >= self.late_after()).then_some(since)
     }
 
-    /// How long a call has waited as of the last look: what comes after it may lie in a socket.
+    /// Returns the waiting time of a call as of the last poll. An answer that has arrived since may
+    /// not have been read from the socket yet.
     fn waited(&self, now: Timestamp, since: Timestamp) -> Duration {
-        self.looked.min(now).since(since)
+        self.last_poll.min(now).since(since)
     }
 
-    fn judge(&mut self, now: Timestamp) {
-        let told_silent = self.words.values().filter(|word| word.is_silent);
-        let is_told = told_silent.count() >= self.needed;
-        let is_confirmed = self.words.len() >= self.needed;
-        let sure_after = self.late_after() * UNCONFIRMED_TIMES;
-        self.state = match self.own_late(now) {
-            Some(since) if is_confirmed || self.waited(now, since) >= sure_after => {
+    fn update_state(&mut self, now: Timestamp) {
+        let reporting_silence = self.peer_reports.values().filter(|report| report.is_silent);
+        let is_reported = reporting_silence.count() >= self.required_confirmations;
+        let is_confirmed = self.peer_reports.len() >= self.required_confirmations;
+        let unconfirmed_after = self.late_after() * UNCONFIRMED_FACTOR;
+        self.state = match self.late_since(now) {
+            Some(since) if is_confirmed || self.waited(now, since) >= unconfirmed_after => {
                 LogState::Silent { since }
             }
             Some(since) => LogState::Late { since },
-            None if is_told => LogState::Silent {
-                since: self.told_since().unwrap_or(now),
+            None if is_reported => LogState::Silent {
+                since: self.earliest_report().unwrap_or(now),
             },
             None => LogState::Usual,
         };
     }
 
-    fn told_since(&self) -> Option<Timestamp> {
-        self.words.values().map(|word| word.since).min()
+    fn earliest_report(&self) -> Option<Timestamp> {
+        self.peer_reports.values().map(|report| report.since).min()
     }
 }
--- a/crates/gateway-core/src/log_reach.rs
+++ b/crates/gateway-core/src/log_reach.rs
@@ -1,34 +1,34 @@
-//! Whether the log answers this node, as its own calls show.
+//! Tracks whether this node can reach the log.
 
-/// Calls in a row that must fail before the log is taken to be out of reach.
-const FAILURES_BEFORE_LOST: u32 = 2;
+/// Number of consecutive failed calls after which the log is considered unreachable.
+const UNREACHABLE_AFTER_FAILURES: u32 = 2;
 
-/// What the node's last calls to the log have shown, whichever stream they were for.
+/// Results of this node's latest calls to the log, for all streams together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogReach {
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
 }
 
 impl LogReach {
-    /// Notes that the log has answered a call.
+    /// Records an answered call.
     pub fn note_answer(&mut self) {
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Notes that a call was refused or not answered in time.
+    /// Records a call that was refused or timed out.
     pub fn note_failure(&mut self) {
-        self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Whether the log is out of this node's reach.
-    pub fn is_lost(&self) -> bool {
-        self.failures_in_a_row >= FAILURES_BEFORE_LOST
+    /// Returns whether the log is unreachable from this node.
+    pub fn is_unreachable(&self) -> bool {
+        self.consecutive_failures >= UNREACHABLE_AFTER_FAILURES
     }
 
-    /// Whether the node should act for a partition after the candidates before it have failed.
-    /// One that the log does not answer can do nothing for others, and once the log is back it
-    /// would only get in the candidates' way.
+    /// Returns whether this node should serve a partition after the candidates before it have
+    /// failed. A node that cannot reach the log is of no use to other nodes' partitions, and would
+    /// compete with the candidates once the log is reachable again.
     pub fn may_act(&self, is_candidate: bool) -> bool {
-        is_candidate || !self.is_lost()
+        is_candidate || !self.is_unreachable()
     }
 }
--- a/crates/gateway-core/src/outage_wait.rs
+++ b/crates/gateway-core/src/outage_wait.rs
@@ -1,21 +1,21 @@
-//! How long a turn waits for a silent log before it is begun or refused.
+//! Limits how long a turn waits for a silent log before it is refused.
 //!
-//! A turn whose end must be durable cannot end while the log is silent. It is not begun: it waits while
-//! its caller has time for the turn itself and for another try, and is then refused, with when to come
-//! back. The wait ends with the silence.
+//! A turn whose result must be stored cannot finish while the log is silent, so it is not started.
+//! It waits as long as its caller has time for the turn itself and for a retry, and is then refused
+//! with the time after which to retry. The wait ends early when the log answers again.
 
 use std::time::Duration;
 
-/// When to come back after a wait in vain: an outage lasts seconds rather than moments, and a caller
-/// with less time comes back sooner.
+/// Time after which to retry a turn that was refused after an unsuccessful wait. Outages last
+/// seconds, and callers with less time retry sooner.
 pub const COME_BACK: Duration = Duration::from_millis(900);
 
-/// What a turn needs at least once the log is back.
-const TIME_TO_RUN: Duration = Duration::from_millis(150);
+/// Minimum time reserved for running the turn once the log answers again.
+const MIN_TURN_TIME: Duration = Duration::from_millis(150);
 
-/// How long a turn that has `left` until its deadline waits for a silent log, if `share` of that is for
-/// waiting.
+/// Returns how long a turn with `left` until its deadline waits for a silent log if `share` of that
+/// time may be spent on waiting.
 pub fn outage_wait(left: Duration, share: f64) -> Duration {
     let wait = left.mul_f64(share.clamp(0.0, 1.0));
-    wait.min(left.saturating_sub(TIME_TO_RUN))
+    wait.min(left.saturating_sub(MIN_TURN_TIME))
 }
--- a/crates/gateway-core/src/start.rs
+++ b/crates/gateway-core/src/start.rs
@@ -1,32 +1,33 @@
-//! The start of a node: what it must know before callers are sent to it, and how long it took.
+//! Startup of a node: the milestones that it must reach before it serves callers.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// Longest wait of a request for the rest of its node's start. A caller that is refused at once
-/// comes back no sooner, to a node that has started at the same time.
-pub const STARTING_PATIENCE: Duration = Duration::from_millis(400);
+/// Maximum time that a request waits for its node to finish starting. A caller that is refused
+/// would retry no sooner, possibly on a node that started at the same time.
+pub const MAX_START_WAIT: Duration = Duration::from_millis(400);
 
-/// Part of a request's time that it may wait for the start: the rest is for its work.
-const PATIENT_SHARE: f64 = 0.3;
+/// Fraction of a request's remaining time that it may spend on waiting for the start.
+const WAIT_FRACTION: f64 = 0.3;
 
-/// What a node needs before it can serve; none of it depends on another.
+/// Prerequisites for serving requests. They are independent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Milestone {
-    /// A configuration is in force.
+    /// A configuration has been applied.
     Configuration,
-    /// The list of workers was read.
+    /// The list of workers has been read.
     Workers,
-    /// The own entry is written, and the others' were read after it.
+    /// The node's own entry has been written, and the entries of other nodes have been read after
+    /// that.
     Joined,
 }
 
 impl Milestone {
-    /// All of them.
+    /// All milestones.
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Workers, Self::Joined];
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -40,36 +41,36 @@
     }
 }
 
-/// When each milestone was reached, on the node's clock, which begins at its start.
+/// The time at which each milestone was reached, relative to the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartProgress {
     reached: [Option<Timestamp>; Milestone::ALL.len()],
 }
 
 impl StartProgress {
-    /// Notes that a milestone is reached; tells whether it was the last one that was missing.
+    /// Records that a milestone has been reached. Returns whether this completes the start.
     pub fn reach(&mut self, milestone: Milestone, now: Timestamp) -> bool {
         let was_complete = self.is_complete();
         self.reached[milestone.index()].get_or_insert(now);
         !was_complete && self.is_complete()
     }
 
-    /// Whether nothing is missing.
+    /// Returns whether all milestones have been reached.
     pub fn is_complete(&self) -> bool {
         self.reached.iter().all(Option::is_some)
     }
 
-    /// Whether a milestone is reached.
+    /// Returns whether a milestone has been reached.
     pub fn has(&self, milestone: Milestone) -> bool {
         self.at(milestone).is_some()
     }
 
-    /// When a milestone was reached.
+    /// Returns when a milestone was reached.
     pub fn at(&self, milestone: Milestone) -> Option<Timestamp> {
         self.reached[milestone.index()]
     }
 
-    /// What is missing.
+    /// Returns the milestones that have not been reached.
     pub fn missing(&self) -> impl Iterator<Item = Milestone> {
         let reached = *self;
         Milestone::ALL
@@ -78,27 +79,28 @@
     }
 }
 
-/// How long a node that has joined presumes listed nodes to be alive, in any case: a few rounds of
-/// gossip.
-const SHORTEST_PRESUMPTION: Duration = Duration::from_millis(1_500);
-
-/// Longest time of that: where many small machines start together, some are heard of late, and to
-/// drop them meanwhile would move partitions to others and back.
-const LONGEST_PRESUMPTION: Duration = Duration::from_secs(3);
-
-/// Whether listed nodes that gossip has not told of are presumed alive, given the time since the join
-/// and whether there are any.
-pub fn presumes_alive(since_join: Duration, has_unheard: bool) -> bool {
-    let longest = match has_unheard {
-        true => LONGEST_PRESUMPTION,
-        false => SHORTEST_PRESUMPTION,
+/// How long after joining a node presumes listed nodes to be alive in any case; covers several
+/// rounds of gossip.
+const MIN_PRESUMED_ALIVE: Duration = Duration::from_millis(1_500);
+
+/// How long after joining a node presumes listed nodes to be alive if gossip has not mentioned some
+/// of them. When many slow machines start simultaneously, gossip reports some of them late, and
+/// dropping them early would move partitions back and forth.
+const MAX_PRESUMED_ALIVE: Duration = Duration::from_secs(3);
+
+/// Returns whether listed nodes that gossip has not mentioned are presumed alive, given the time
+/// since the node joined and whether there are any such nodes.
+pub fn presumes_alive(since_join: Duration, has_unmentioned: bool) -> bool {
+    let duration = match has_unmentioned {
+        true => MAX_PRESUMED_ALIVE,
+        false => MIN_PRESUMED_ALIVE,
     };
-    since_join < longest
+    since_join < duration
 }
 
-/// How long a request waits for the rest of its node's start, given the time it has left if that is
+/// Returns how long a request waits for its node to finish starting, given the time it has left, if
 /// known.
 pub fn starting_patience(left: Option<Duration>) -> Duration {
-    let share = left.map(|left| left.mul_f64(PATIENT_SHARE));
-    share.map_or(STARTING_PATIENCE, |share| share.min(STARTING_PATIENCE))
+    let limit = left.map(|left| left.mul_f64(WAIT_FRACTION));
+    limit.map_or(MAX_START_WAIT, |limit| limit.min(MAX_START_WAIT))
 }
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -1,79 +1,79 @@
-//! When a follower of a stream reads next, and how long a read may hang.
+//! Timing of the reads of a stream's follower.
 //!
-//! A read that waits for news may be lost on the way, and nothing but a time-out shows it. Until
-//! then the follower learns nothing, so this bounds how late a change is learned.
+//! A long-polling read may be lost on the way, which only a timeout reveals. Until then the
+//! follower receives nothing, so the timeout bounds the delay of updates.
 
 use std::time::Duration;
 
 use crate::directory::Stream;
 
-/// Share of the time within which news must be acted on for which one read waits for them. A lost
-/// read and a first one after it that is lost too take this and the next two shares, four fifths
-/// together; the rest is for the pauses and for a third read.
-const WAIT_SHARE: f64 = 0.3;
+/// Fraction of the update deadline for which one read waits for updates. A lost read takes the
+/// first two fractions, and a lost retry the third one: four fifths of the deadline in total. The
+/// rest is for the delays between reads and for another retry.
+const WAIT_FRACTION: f64 = 0.3;
 
-/// Share of that time for the answer beyond the wait.
-const ANSWER_SHARE: f64 = 0.2;
+/// Fraction of the update deadline that is allowed for the answer in addition to the wait.
+const ANSWER_FRACTION: f64 = 0.2;
 
-/// Share of that time for the answer to a read that only asks for what there is, after a first
-/// failure.
-const RECOVERY_SHARE: f64 = 0.3;
+/// Fraction of the update deadline that is allowed for the answer to a non-waiting read after a
+/// first failure.
+const RECOVERY_FRACTION: f64 = 0.3;
 
-/// A log that answers late is given this many times as long once it has failed again.
-const MOST_PATIENCE: u32 = 2;
+/// Maximum factor by which the timeout grows with repeated failures, for a log that answers slowly.
+const MAX_BACKOFF_FACTOR: u32 = 2;
 
-/// Longest wait of one read for news, however much time there is.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Maximum time for which one read waits for updates.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Times of a read of the nodes' entries, which gossip makes less urgent.
-const NODES_TIMES: ReadTimes = ReadTimes {
+/// Timeouts of reads of the node entries, which are less urgent because of gossip.
+const NODES_TIMEOUTS: ReadTimes = ReadTimes {
     wait: Duration::from_secs(4),
-    answer: LONGEST_ANSWER,
+    answer: MAX_ANSWER,
 };
 
-/// Longest wait for an answer beyond the wait for news.
-const LONGEST_ANSWER: Duration = Duration::from_millis(1_200);
+/// Maximum time allowed for the answer in addition to the wait.
+const MAX_ANSWER: Duration = Duration::from_millis(1_200);
 
-/// Longest wait for the answer to a read after a first failure.
-const LONGEST_RECOVERY: Duration = Duration::from_millis(600);
+/// Maximum time allowed for the answer to a read after a first failure.
+const MAX_RECOVERY: Duration = Duration::from_millis(600);
 
-/// Shortest of these times, however little time there is: some round trips to a busy log.
-const SHORTEST: Duration = Duration::from_millis(100);
+/// Minimum of the derived times, regardless of the deadline: several round trips to a busy log.
+const MIN_TIME: Duration = Duration::from_millis(100);
 
-/// Pause after a read that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed read.
+const FAILURE_DELAY: Duration = Duration::from_millis(150);
 
-/// Share of the time within which a draining worker must be left alone that passes between two
-/// reads of the workers' stream, which has a record for every heartbeat.
-const WORKERS_PAUSE_SHARE: f64 = 0.3;
+/// Delay between two reads of the workers' stream, as a fraction of the drain deadline. The stream
+/// has a record for every heartbeat, so the delay batches them.
+const WORKERS_DELAY_FRACTION: f64 = 0.3;
 
-/// Longest pause between two reads of the workers' stream, however long workers drain.
-const LONGEST_WORKERS_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum delay between two reads of the workers' stream.
+const MAX_WORKERS_DELAY: Duration = Duration::from_secs(1);
 
-/// Pause between two reads of the nodes' stream: the entries of nodes that start together come in a few
-/// reads, not in one for each. Who lives is told by gossip meanwhile.
-const NODES_PAUSE: Duration = Duration::from_millis(250);
+/// Delay between two reads of the nodes' stream, so that the entries of nodes that start together
+/// arrive in few reads. Gossip reports which nodes are alive in the mean time.
+const NODES_DELAY: Duration = Duration::from_millis(250);
 
-/// How soon news of the streams must be acted on, from the settings.
+/// Deadlines for acting on updates, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewsDeadlines {
-    /// Time within which a configuration must be in force.
+    /// Maximum time until a new configuration is in effect.
     pub apply: Duration,
-    /// Time within which a draining worker must be left alone.
+    /// Maximum time until a draining worker receives no more requests.
     pub drain: Duration,
 }
 
-/// How one read is made.
+/// Time limits of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadTimes {
-    /// How long the log waits for news before it answers that there are none.
+    /// How long the log waits for updates before it returns none.
     pub wait: Duration,
-    /// Longest wait for the answer beyond that.
+    /// Maximum time until the answer, in addition to the wait.
     pub answer: Duration,
 }
 
 impl ReadTimes {
-    /// For a read that only asks for what there is.
+    /// Creates the limits of a read that returns existing records without waiting.
     pub fn at_once(answer: Duration) -> Self {
         Self {
             wait: Duration::ZERO,
@@ -82,76 +82,76 @@
     }
 }
 
-/// The reads of one stream's follower.
+/// Determines timeouts and delays of the reads of one stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamReads {
-    news: ReadTimes,
+    updates: ReadTimes,
     recovery: Duration,
     pause: Duration,
     failures: u32,
 }
 
 impl StreamReads {
-    /// Nothing was read yet.
+    /// Creates a schedule for `stream`, before the first read.
     pub fn new(stream: Stream, deadlines: &NewsDeadlines) -> Self {
-        let (news, recovery) = match stream {
-            Stream::Configuration => times_within(deadlines.apply),
-            Stream::Workers => times_within(deadlines.drain),
-            Stream::Nodes | Stream::Ledger(_) => (NODES_TIMES, LONGEST_RECOVERY),
+        let (updates, recovery) = match stream {
+            Stream::Configuration => timeouts_within(deadlines.apply),
+            Stream::Workers => timeouts_within(deadlines.drain),
+            Stream::Nodes | Stream::Ledger(_) => (NODES_TIMEOUTS, MAX_RECOVERY),
         };
         let pause = match stream {
-            Stream::Workers => workers_pause(deadlines.drain),
-            Stream::Nodes => NODES_PAUSE,
+            Stream::Workers => workers_delay(deadlines.drain),
+            Stream::Nodes => NODES_DELAY,
             Stream::Configuration | Stream::Ledger(_) => Duration::ZERO,
         };
         Self {
-            news,
+            updates,
             recovery,
             pause,
             failures: 0,
         }
     }
 
-    /// How the next read is made.
+    /// Returns the time limits of the next read.
     pub fn next_read(&self) -> ReadTimes {
         match self.failures {
-            0 => self.news,
-            failures => ReadTimes::at_once(self.recovery * failures.min(MOST_PATIENCE)),
+            0 => self.updates,
+            failures => ReadTimes::at_once(self.recovery * failures.min(MAX_BACKOFF_FACTOR)),
         }
     }
 
-    /// Notes that a read was answered. Returns how many had failed in a row before it.
+    /// Records an answered read. Returns the number of consecutive failures before it.
     pub fn note_answer(&mut self) -> u32 {
         std::mem::take(&mut self.failures)
     }
 
-    /// Notes that a read was refused or not answered in time. Returns how many have failed in a row.
+    /// Records a read that was refused or timed out. Returns the number of consecutive failures.
     pub fn note_failure(&mut self) -> u32 {
         self.failures = self.failures.saturating_add(1);
         self.failures
     }
 
-    /// Pause before the next read.
+    /// Returns the delay before the next read.
     pub fn pause(&self) -> Duration {
         match self.failures {
             0 => self.pause,
-            _ => FAILURE_PAUSE,
+            _ => FAILURE_DELAY,
         }
     }
 }
 
-fn workers_pause(drain: Duration) -> Duration {
-    let share = drain.mul_f64(WORKERS_PAUSE_SHARE);
-    share.min(LONGEST_WORKERS_PAUSE)
+fn workers_delay(drain: Duration) -> Duration {
+    let delay = drain.mul_f64(WORKERS_DELAY_FRACTION);
+    delay.min(MAX_WORKERS_DELAY)
 }
 
-/// Times of a read that waits for news which must be acted on within `deadline`, and the longest wait
-/// for the answer to a read after a first failure.
-fn times_within(deadline: Duration) -> (ReadTimes, Duration) {
-    let part = |share: f64, longest| deadline.mul_f64(share).clamp(SHORTEST, longest);
-    let news = ReadTimes {
-        wait: part(WAIT_SHARE, LONGEST_WAIT),
-        answer: part(ANSWER_SHARE, LONGEST_ANSWER),
+/// Returns the time limits of a read that waits for updates with the given deadline, and the time
+/// allowed for the answer to a read after a first failure.
+fn timeouts_within(deadline: Duration) -> (ReadTimes, Duration) {
+    let part = |fraction: f64, max| deadline.mul_f64(fraction).clamp(MIN_TIME, max);
+    let updates = ReadTimes {
+        wait: part(WAIT_FRACTION, MAX_WAIT),
+        answer: part(ANSWER_FRACTION, MAX_ANSWER),
     };
-    (news, part(RECOVERY_SHARE, LONGEST_RECOVERY))
+    (updates, part(RECOVERY_FRACTION, MAX_RECOVERY))
 }
--- a/crates/gateway-core/src/unreadable.rs
+++ b/crates/gateway-core/src/unreadable.rs
@@ -1,20 +1,20 @@
-//! Entries of the platform's streams that cannot be read, each told once.
+//! Tracks unreadable entries of the platform's streams, so that each is logged once.
 
 use std::collections::BTreeSet;
 
-/// Most keys that are remembered: whoever writes such entries may write many.
-const MOST_KEYS: usize = 1_000;
+/// Maximum number of keys that are remembered, since a faulty writer may produce any number of
+/// them.
+const MAX_KEYS: usize = 1_000;
 
-/// Keys whose entries could not be read.
+/// Keys whose entries could not be decoded.
 #[derive(Clone, Debug, Default)]
 pub struct UnreadableKeys {
     keys: BTreeSet<String>,
 }
 
 impl UnreadableKeys {
-    /// Notes a key; tells whether it is to be logged. Beyond a number of keys further ones are only
-    /// counted.
+    /// Records a key and returns whether to log it. At most [`MAX_KEYS`] keys are logged.
     pub fn note(&mut self, key: &str) -> bool {
-        self.keys.len() < MOST_KEYS && self.keys.insert(key.to_owned())
+        self.keys.len() < MAX_KEYS && self.keys.insert(key.to_owned())
     }
 }
--- a/crates/gateway-core/tests/acting.rs
+++ b/crates/gateway-core/tests/acting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::acting::{OTHERS_READ, OTHERS_START, PassedOver, Standing};
+use elderworks_gateway_core::acting::{PEER_READ_GRACE, PEER_START_GRACE, PassedOver, Standing};
 
 const MOMENT: Duration = Duration::from_millis(1);
 
@@ -11,12 +11,12 @@
     use PassedOver::{Absent, Unavailable};
     let table = [
         (Duration::ZERO, Absent, false),
-        (OTHERS_START - MOMENT, Absent, false),
-        (OTHERS_START, Absent, true),
-        (OTHERS_START, Unavailable, false),
-        (OTHERS_READ - MOMENT, Unavailable, false),
-        (OTHERS_READ, Unavailable, true),
-        (OTHERS_READ, Absent, true),
+        (PEER_START_GRACE - MOMENT, Absent, false),
+        (PEER_START_GRACE, Absent, true),
+        (PEER_START_GRACE, Unavailable, false),
+        (PEER_READ_GRACE - MOMENT, Unavailable, false),
+        (PEER_READ_GRACE, Unavailable, true),
+        (PEER_READ_GRACE, Absent, true),
     ];
     for (age, reason, expected) in table {
         let standing = Standing { age };
@@ -33,8 +33,8 @@
     let table = [
         (Duration::ZERO, false, false),
         (Duration::ZERO, true, true),
-        (OTHERS_START - MOMENT, false, false),
-        (OTHERS_START, false, true),
+        (PEER_START_GRACE - MOMENT, false, false),
+        (PEER_START_GRACE, false, true),
     ];
     for (age, has_joined, expected) in table {
         let standing = Standing { age };
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
 use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::start::{
-    Milestone, STARTING_PATIENCE, StartProgress, presumes_alive, starting_patience,
+    MAX_START_WAIT, Milestone, StartProgress, presumes_alive, starting_patience,
 };
 use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
 use elderworks_types::Timestamp;
@@ -46,10 +46,10 @@
 #[test]
 fn requests_wait_a_part_of_their_time_and_never_long() {
     let table = [
-        (None, STARTING_PATIENCE),
+        (None, MAX_START_WAIT),
         (Some(Duration::ZERO), Duration::ZERO),
         (Some(Duration::from_millis(500)), Duration::from_millis(150)),
-        (Some(Duration::from_secs(60)), STARTING_PATIENCE),
+        (Some(Duration::from_secs(60)), MAX_START_WAIT),
     ];
     for (left, expected) in table {
         assert_eq!(starting_patience(left), expected, "{left:?}");
