--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -148,10 +148,10 @@
     }
 
     /// Records an answer of the log after `took`.
-    pub(super) fn note_answer(&mut self, now: Timestamp, took: Duration) {
+    pub(super) fn record_answer(&mut self, now: Timestamp, took: Duration) {
         self.last_answer = now;
         if took >= SLOW_CALL {
-            self.note_degraded();
+            self.record_degraded();
             return;
         }
         self.is_degraded = false;
@@ -159,7 +159,7 @@
     }
 
     /// Records a failed or slow call.
-    pub(super) fn note_degraded(&mut self) {
+    pub(super) fn record_degraded(&mut self) {
         self.is_degraded = true;
         self.responsive_since = None;
     }
--- a/crates/gateway-core/src/ledger/owner.rs
+++ b/crates/gateway-core/src/ledger/owner.rs
@@ -68,7 +68,7 @@
     replies: Vec<(Ticket, LedgerReply)>,
     /// Turns of the plan, as (program, turn), that were reported as finished after the append
     /// started.
-    abandoned: Vec<(String, String)>,
+    abandoned_turns: Vec<(String, String)>,
 }
 
 /// Serves requests to one partition on this node.
@@ -89,12 +89,12 @@
     pending: Option<PendingAppend>,
     replies: Vec<(Ticket, LedgerReply)>,
     paused_until: Timestamp,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     /// Until when an owner that is not preferred makes no calls for requests.
     yields_until: Timestamp,
-    is_calling: bool,
+    is_call_in_progress: bool,
     last_call: CallNumber,
-    call_began: Timestamp,
+    call_started_at: Timestamp,
     conflicts: u64,
     overdraft: OwnOverdraft,
     fencing: Fencing,
@@ -125,11 +125,11 @@
             pending: None,
             replies: Vec::new(),
             paused_until: Timestamp::default(),
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             yields_until: Timestamp::default(),
-            is_calling: false,
+            is_call_in_progress: false,
             last_call: CallNumber::default(),
-            call_began: Timestamp::default(),
+            call_started_at: Timestamp::default(),
             conflicts: 0,
             overdraft: OwnOverdraft::new(),
             fencing: Fencing::default(),
@@ -170,7 +170,7 @@
         }
         let is_activating = self.overdraft.is_activating();
         let is_held = now < hold_until;
-        let is_busy = self.is_calling || now < self.paused_until;
+        let is_busy = self.is_call_in_progress || now < self.paused_until;
         let cannot_wait = !is_activating && !is_held && is_busy;
         let reply = match immediate {
             Some(reply) => Some(reply),
@@ -220,7 +220,7 @@
 
     /// Reports that the call in progress takes longer than [`super::SLOW_CALL`].
     pub fn note_slow_call(&mut self, now: Timestamp) {
-        self.overdraft.note_degraded();
+        self.overdraft.record_degraded();
         if !self.queue.is_empty() {
             self.activate_overdraft(now);
         }
@@ -242,7 +242,7 @@
                     continue;
                 }
             };
-            self.note_answered(queued.ticket, &queued.request);
+            self.drop_pending_reply(queued.ticket, &queued.request);
             self.replies.push((queued.ticket, reply));
         }
     }
@@ -259,7 +259,7 @@
     }
 
     /// Removes from the append in progress the reply to a request that has been answered already.
-    fn note_answered(&mut self, ticket: Ticket, request: &LedgerRequest) {
+    fn drop_pending_reply(&mut self, ticket: Ticket, request: &LedgerRequest) {
         let Some(pending) = &mut self.pending else {
             return;
         };
@@ -284,7 +284,7 @@
             let started = &pending.plan.started;
             if started.iter().any(|(_, name)| name == turn) {
                 let abandoned = (program.to_owned(), turn.to_owned());
-                pending.abandoned.push(abandoned);
+                pending.abandoned_turns.push(abandoned);
                 return;
             }
         }
@@ -313,7 +313,7 @@
 
     /// Returns whether the log counts as down.
     pub fn is_down(&self) -> bool {
-        self.failures_in_a_row >= FAILURES_BEFORE_DOWN
+        self.consecutive_failures >= FAILURES_BEFORE_DOWN
     }
 
     /// Returns the replies that are ready. Each is returned once.
@@ -342,15 +342,15 @@
         self.wallets.close_idle(now, self.idle_time());
         self.fence_others(now);
         let action = self.choose_action(now);
-        self.is_calling = !matches!(action, Action::Wait { .. });
-        if self.is_calling {
-            self.note_call(now);
+        self.is_call_in_progress = !matches!(action, Action::Wait { .. });
+        if self.is_call_in_progress {
+            self.record_call(now);
         }
         action
     }
 
-    fn note_call(&mut self, now: Timestamp) {
-        self.call_began = now;
+    fn record_call(&mut self, now: Timestamp) {
+        self.call_started_at = now;
         self.last_call = self.last_call.next();
     }
 
@@ -359,11 +359,11 @@
             .wallets
             .oldest_settlement_since()
             .map(|since| since + self.settlement_delay());
-        let must_settle = settlement_due_at.is_some_and(|from| from <= now);
-        let must_append = must_settle || self.must_change_overdrafts(now);
+        let needs_settlement = settlement_due_at.is_some_and(|from| from <= now);
+        let needs_append = needs_settlement || self.needs_overdraft_change(now);
         let preparation_due_at = self.preparation_due_at(now);
-        let must_prepare = preparation_due_at.is_some_and(|from| from <= now);
-        if self.queue.is_empty() && !must_append && !must_prepare {
+        let needs_preparation = preparation_due_at.is_some_and(|from| from <= now);
+        if self.queue.is_empty() && !needs_append && !needs_preparation {
             let idle_at = self
                 .wallets
                 .next_idle_last_used()
@@ -390,7 +390,7 @@
         if !self.is_synced {
             return Action::Read { from: self.end };
         }
-        self.decide(now, must_append || must_prepare)
+        self.decide(now, needs_append || needs_preparation)
     }
 
     /// Returns when the partition is to be read and an overdraft to be opened even without
@@ -398,12 +398,12 @@
     fn preparation_due_at(&self, now: Timestamp) -> Option<Timestamp> {
         let is_wanted = self.policy.preparation && self.is_preferred;
         let is_ready = self.is_synced && !self.may_open_overdraft(now, &[]);
-        let pause = if self.is_down() {
+        let delay = if self.is_down() {
             PREPARATION_DELAY
         } else {
             Duration::ZERO
         };
-        (is_wanted && !is_ready).then(|| self.paused_until + pause)
+        (is_wanted && !is_ready).then(|| self.paused_until + delay)
     }
 
     fn idle_time(&self) -> Duration {
@@ -422,13 +422,13 @@
         }
     }
 
-    fn decide(&mut self, now: Timestamp, must_append: bool) -> Action {
+    fn decide(&mut self, now: Timestamp, needs_append: bool) -> Action {
         let mut plan = Plan::new(&self.state, self.wallets.settlements());
         self.add_undecided(now, &mut plan);
         plan.allows_extra = self.policy.advances;
         plan.cover_overdrafts(&self.state, &mut self.wallets);
-        let mut appended = Vec::new();
-        let mut must_verify = false;
+        let mut append_replies = Vec::new();
+        let mut needs_verification = false;
         let mut undecided = std::mem::take(&mut self.queue).into_iter();
         while !plan.is_full()
             && let Some(queued) = undecided.next()
@@ -440,29 +440,29 @@
             }
             match plan.decide(&self.state, &mut self.wallets, now, &queued.request) {
                 Planned::Append(reply) => {
-                    appended.push((queued.ticket, reply));
+                    append_replies.push((queued.ticket, reply));
                     self.queue.push(queued);
                 }
                 Planned::AnswerIfCurrent(reply) if queued.verified => {
                     self.replies.push((queued.ticket, reply));
                 }
                 Planned::AnswerIfCurrent(_) => {
-                    must_verify = true;
+                    needs_verification = true;
                     self.queue.push(queued);
                 }
                 Planned::DecideAfterAppend => self.queue.push(queued),
             }
         }
         self.queue.extend(undecided);
-        if appended.is_empty() && !must_append {
-            return self.verify_or_wait(must_verify);
+        if append_replies.is_empty() && !needs_append {
+            return self.verify_or_wait(needs_verification);
         }
         self.plan_overdraft_changes(now, &mut plan);
         let records = plan.records.clone();
         self.pending = Some(PendingAppend {
             plan,
-            replies: appended,
-            abandoned: Vec::new(),
+            replies: append_replies,
+            abandoned_turns: Vec::new(),
         });
         Action::Append {
             at: self.end,
@@ -470,8 +470,8 @@
         }
     }
 
-    fn verify_or_wait(&self, must_verify: bool) -> Action {
-        if must_verify {
+    fn verify_or_wait(&self, needs_verification: bool) -> Action {
+        if needs_verification {
             return Action::Read { from: self.end };
         }
         let settlement_due_at = self
@@ -485,13 +485,13 @@
 
     /// Reports the result of [`Action::Append`].
     pub fn on_append(&mut self, now: Timestamp, outcome: AppendOutcome) {
-        self.is_calling = false;
+        self.is_call_in_progress = false;
         let Some(pending) = self.pending.take() else {
             return;
         };
         if outcome == AppendOutcome::Done {
-            self.note_answer(now);
-            self.take_appended(now, pending);
+            self.record_answer(now);
+            self.apply_append(now, pending);
             return;
         }
         for (program, turn) in &pending.plan.started {
@@ -502,35 +502,35 @@
         match outcome {
             AppendOutcome::Done => {}
             AppendOutcome::Conflict => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.abort_closing(&pending.plan);
                 self.conflicts += 1;
                 self.is_synced = false;
             }
             AppendOutcome::Refused => {
                 self.abort_closing(&pending.plan);
-                self.pause(now);
+                self.on_failed_call(now);
             }
             AppendOutcome::Unknown => {
                 self.is_synced = false;
-                self.pause(now);
+                self.on_failed_call(now);
             }
         }
     }
 
     /// Applies an append that succeeded. The log ended where the state did, so the decisions made
     /// on that state hold.
-    fn take_appended(&mut self, now: Timestamp, pending: PendingAppend) {
+    fn apply_append(&mut self, now: Timestamp, pending: PendingAppend) {
         for record in pending.plan.records {
             self.apply(now, record);
         }
-        for (program, turn) in &pending.abandoned {
+        for (program, turn) in &pending.abandoned_turns {
             if let Some(wallet) = self.wallets.get_mut(program) {
                 wallet.finish(now, turn, 0);
             }
         }
         for (ticket, reply) in pending.replies {
-            self.note_turn_size(ticket);
+            self.record_turn_size(ticket);
             self.queue.retain(|queued| queued.ticket != ticket);
             self.replies.push((ticket, reply));
         }
@@ -538,33 +538,33 @@
         self.mark_verified(self.last_call);
     }
 
-    fn note_turn_size(&mut self, ticket: Ticket) {
+    fn record_turn_size(&mut self, ticket: Ticket) {
         let queued = self.queue.iter().find(|queued| queued.ticket == ticket);
         let Some(LedgerRequest::Begin(begin)) = queued.map(|queued| &queued.request) else {
             return;
         };
         if begin.budget.is_some() {
-            self.typical_turn.note(begin.tokens);
+            self.typical_turn.record(begin.tokens);
         }
     }
 
-    fn note_answer(&mut self, now: Timestamp) {
-        self.note_answered_call(now, self.last_call);
+    fn record_answer(&mut self, now: Timestamp) {
+        self.record_call_answer(now, self.last_call);
     }
 
     /// Records that the log has answered `call`. Calls before the latest one were given up, so they
     /// count as slow.
-    fn note_answered_call(&mut self, now: Timestamp, call: CallNumber) {
+    fn record_call_answer(&mut self, now: Timestamp, call: CallNumber) {
         if self.is_down() {
             self.yields_until = now + YIELD_AFTER_OUTAGE;
         }
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         let took = if call == self.last_call {
-            now.since(self.call_began)
+            now.since(self.call_started_at)
         } else {
             SLOW_CALL
         };
-        self.overdraft.note_answer(now, took);
+        self.overdraft.record_answer(now, took);
     }
 
     /// Marks the requests that arrived before `call` started as verified: its answer shows the end
@@ -591,14 +591,14 @@
         self.on_answered_read(now, self.last_call, outcome);
     }
 
-    /// Reports the result of [`Action::Read`] if it came as the late answer to an earlier read from
-    /// the same offset, which had been given up.
+    /// Reports the result of [`Action::Read`] together with the number of the call that was answered.
+    /// That may be an earlier read from the same offset, which had been given up.
     pub fn on_answered_read(&mut self, now: Timestamp, call: CallNumber, outcome: ReadOutcome) {
-        self.is_calling = false;
+        self.is_call_in_progress = false;
         match outcome {
             ReadOutcome::Records { records, end } => {
-                self.note_answered_call(now, call);
-                self.take_records(now, call, records, end);
+                self.record_call_answer(now, call);
+                self.apply_records(now, call, records, end);
                 if self.yields_to_preferred(now) {
                     self.resubmit_queued(now);
                 }
@@ -610,12 +610,12 @@
             }
             ReadOutcome::Failed => {
                 self.is_synced = false;
-                self.pause(now);
+                self.on_failed_call(now);
             }
         }
     }
 
-    fn take_records(
+    fn apply_records(
         &mut self,
         now: Timestamp,
         call: CallNumber,
@@ -657,10 +657,10 @@
         self.pending = Some(PendingAppend {
             plan: Plan::of_records(records.clone()),
             replies: Vec::new(),
-            abandoned: Vec::new(),
+            abandoned_turns: Vec::new(),
         });
-        self.is_calling = true;
-        self.note_call(now);
+        self.is_call_in_progress = true;
+        self.record_call(now);
         Some(Action::Append {
             at: self.end,
             records,
@@ -669,9 +669,9 @@
 
     /// Handles a failed call: delays the next one, and refuses queued requests once the log counts
     /// as down.
-    fn pause(&mut self, now: Timestamp) {
-        self.overdraft.note_degraded();
-        self.failures_in_a_row += 1;
+    fn on_failed_call(&mut self, now: Timestamp) {
+        self.overdraft.record_degraded();
+        self.consecutive_failures += 1;
         if !self.is_down() {
             self.paused_until = now + FAILURE_RETRY_DELAY;
             return;
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -101,7 +101,7 @@
 
     /// Returns whether an append is needed even without requests: to record tokens that were drawn
     /// on the overdraft, or to open, close or supersede overdrafts.
-    pub(super) fn must_change_overdrafts(&self, now: Timestamp) -> bool {
+    pub(super) fn needs_overdraft_change(&self, now: Timestamp) -> bool {
         let is_unwanted = !self.is_wanted() || self.has_unsuitable_terms();
         self.wallets.has_overdrawn()
             || self.overdraft.to_close(now, is_unwanted).is_some()
--- a/crates/gateway-core/src/ledger/turn_size.rs
+++ b/crates/gateway-core/src/ledger/turn_size.rs
@@ -13,7 +13,7 @@
 
 impl TypicalTurn {
     /// Records a turn that generates at most `tokens`.
-    pub(super) fn note(&mut self, tokens: u64) {
+    pub(super) fn record(&mut self, tokens: u64) {
         if self.tokens == 0 {
             self.tokens = tokens;
             return;
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -101,7 +101,7 @@
 }
 
 impl ResponseTime {
-    fn note(known: Option<Self>, took: Duration) -> Self {
+    fn update(known: Option<Self>, took: Duration) -> Self {
         let Some(known) = known else {
             return Self {
                 smoothed: took,
@@ -169,9 +169,9 @@
     /// Records that a call was answered, possibly with a refusal, `took` after its start. Calls
     /// that started before it are dropped: they were lost or are slow for reasons of their own.
     pub fn answered(&mut self, now: Timestamp, call: u64, took: Duration) {
-        self.usual = Some(ResponseTime::note(self.usual, took));
-        let began = self.unanswered.remove(&call).unwrap_or(now - took);
-        self.note_answered(began);
+        self.usual = Some(ResponseTime::update(self.usual, took));
+        let started = self.unanswered.remove(&call).unwrap_or(now - took);
+        self.record_answer(started);
         self.update_state(now);
     }
 
@@ -182,8 +182,8 @@
         self.last_poll = now;
         if gap > MAX_POLL_GAP {
             let lost = gap - LOOK_INTERVAL;
-            for began in self.unanswered.values_mut() {
-                *began = (*began + lost).min(now);
+            for started in self.unanswered.values_mut() {
+                *started = (*started + lost).min(now);
             }
         }
         self.peer_reports
@@ -208,7 +208,7 @@
     /// the sender should be informed of.
     pub fn take(&mut self, now: Timestamp, node: NodeId, word: LogWord) -> bool {
         if let Some(age) = word.answered {
-            self.note_answered(now - age);
+            self.record_answer(now - age);
         }
         let since = word.waits.map(|waits| now - waits);
         let is_refuted = self
@@ -234,9 +234,9 @@
 
     /// Records that the log has answered a call that started at `at`, which makes older waits
     /// irrelevant.
-    fn note_answered(&mut self, at: Timestamp) {
+    fn record_answer(&mut self, at: Timestamp) {
         self.latest_answered = self.latest_answered.max(Some(at));
-        self.unanswered.retain(|_, began| *began > at);
+        self.unanswered.retain(|_, started| *started > at);
         self.peer_reports.retain(|_, report| report.since > at);
     }
 
@@ -245,8 +245,8 @@
         let Some(usual) = self.usual else {
             return INITIAL_LATE_AFTER;
         };
-        let longest = usual.smoothed * 2 + usual.deviation * 4;
-        longest.clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
+        let limit = usual.smoothed * 2 + usual.deviation * 4;
+        limit.clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
     }
 
     /// Returns the start of the oldest unanswered call if that is late.
