--- a/crates/gateway-core/tests/acting.rs
+++ b/crates/gateway-core/tests/acting.rs
@@ -1,72 +1,72 @@
-//! Who acts for a partition in the first moments of a start, and later.
+//! Tests when a node serves a partition in place of the candidates ranked before it.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::acting::{PEER_READ_GRACE, PEER_START_GRACE, PassedOver, Standing};
 
-const MOMENT: Duration = Duration::from_millis(1);
+const EPSILON: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_node_that_starts_leaves_the_others_time_to_start_too() {
+fn candidates_are_skipped_only_after_their_grace_period() {
     use PassedOver::{Absent, Unavailable};
     let table = [
         (Duration::ZERO, Absent, false),
-        (PEER_START_GRACE - MOMENT, Absent, false),
+        (PEER_START_GRACE - EPSILON, Absent, false),
         (PEER_START_GRACE, Absent, true),
         (PEER_START_GRACE, Unavailable, false),
-        (PEER_READ_GRACE - MOMENT, Unavailable, false),
+        (PEER_READ_GRACE - EPSILON, Unavailable, false),
         (PEER_READ_GRACE, Unavailable, true),
         (PEER_READ_GRACE, Absent, true),
     ];
     for (age, reason, expected) in table {
-        let standing = Standing { age };
+        let grace = Standing { age };
         assert_eq!(
-            standing.may_pass_over(reason),
+            grace.may_pass_over(reason),
             expected,
-            "{standing:?} {reason:?}"
+            "{grace:?} {reason:?}"
         );
     }
 }
 
 #[test]
-fn a_node_that_knows_nobody_yet_does_not_act_for_every_partition() {
+fn a_node_that_has_not_joined_waits_before_serving_alone() {
     let table = [
         (Duration::ZERO, false, false),
         (Duration::ZERO, true, true),
-        (PEER_START_GRACE - MOMENT, false, false),
+        (PEER_START_GRACE - EPSILON, false, false),
         (PEER_START_GRACE, false, true),
     ];
     for (age, has_joined, expected) in table {
-        let standing = Standing { age };
-        assert_eq!(standing.may_act_alone(has_joined), expected, "{standing:?}");
+        let grace = Standing { age };
+        assert_eq!(grace.may_act_alone(has_joined), expected, "{grace:?}");
     }
 }
 
-/// Nodes that start within a short time and get a request each at once for one partition: how many
-/// of them come to act for it. The foremost candidate is the last to be there.
-fn actors(nodes: u64, spread: Duration, reading: Duration, limited: bool) -> usize {
+/// Returns how many nodes serve a partition if all of them start within `spread` and immediately
+/// get a request for it. The preferred candidate starts last and then reads for `reading`.
+fn serving_nodes(nodes: u64, spread: Duration, reading: Duration, restrained: bool) -> usize {
     let step = Duration::from_millis(20);
     let starts = |node: u64| spread.mul_f64(node as f64 / nodes as f64);
-    let foremost_there = spread;
-    let foremost_ready = spread + reading;
-    let acts = |node: &u64| {
+    let preferred_started = spread;
+    let preferred_ready = spread + reading;
+    let serves = |node: &u64| {
         let mut now = starts(*node);
-        while now < foremost_ready {
-            let reason = match now < foremost_there {
+        while now < preferred_ready {
+            let reason = match now < preferred_started {
                 true => PassedOver::Absent,
                 false => PassedOver::Unavailable,
             };
-            let standing = Standing {
+            let grace = Standing {
                 age: now - starts(*node),
             };
-            if !limited || standing.may_pass_over(reason) {
+            if !restrained || grace.may_pass_over(reason) {
                 return true;
             }
             now += step;
         }
         false
     };
-    (0..nodes - 1).filter(acts).count() + 1
+    (0..nodes - 1).filter(serves).count() + 1
 }
 
 #[test]
@@ -74,8 +74,15 @@
     let spread = Duration::from_millis(250);
     let reading = Duration::from_millis(700);
     for nodes in [16, 61, 78, 295] {
-        assert_eq!(actors(nodes, spread, reading, true), 1, "{nodes} nodes");
-        let unlimited = actors(nodes, spread, reading, false);
-        assert_eq!(unlimited as u64, nodes, "what is spared");
+        assert_eq!(
+            serving_nodes(nodes, spread, reading, true),
+            1,
+            "{nodes} nodes"
+        );
+        let unrestrained = serving_nodes(nodes, spread, reading, false);
+        assert_eq!(
+            unrestrained as u64, nodes,
+            "without restraint every node reads"
+        );
     }
 }
--- a/crates/gateway-core/tests/change_batch.rs
+++ b/crates/gateway-core/tests/change_batch.rs
@@ -1,4 +1,4 @@
-//! Changes of nodes in bursts: how often what follows from them is worked out, and how late.
+//! Tests how often and how late bursts of changes lead to a recomputation.
 
 use std::time::Duration;
 
@@ -10,64 +10,64 @@
 }
 
 #[test]
-fn a_change_after_a_rest_is_acted_on_at_once() {
-    let mut batch = ChangeBatch::new(RECOMPUTING_PACE);
-    assert!(!batch.take_due(at(0)), "nothing has changed");
-    assert!(batch.note(at(5)));
-    assert!(!batch.take_due(at(500)), "it is acted on once");
-    assert!(batch.note(at(900)));
+fn a_change_after_an_idle_period_is_handled_immediately() {
+    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
+    assert!(!throttle.take_due(at(0)), "no change yet");
+    assert!(throttle.note(at(5)));
+    assert!(!throttle.take_due(at(500)), "it has been handled");
+    assert!(throttle.note(at(900)));
 }
 
 #[test]
-fn changes_in_a_row_are_acted_on_together() {
-    let mut batch = ChangeBatch::new(Duration::from_millis(100));
-    assert!(batch.note(at(0)));
+fn consecutive_changes_are_batched() {
+    let mut throttle = ChangeBatch::new(Duration::from_millis(100));
+    assert!(throttle.note(at(0)));
     for millis in 1..100 {
-        assert!(!batch.note(at(millis)), "{millis}");
+        assert!(!throttle.note(at(millis)), "{millis}");
     }
-    assert!(!batch.take_due(at(99)));
-    assert!(batch.take_due(at(100)));
-    assert!(!batch.take_due(at(300)), "nothing is left");
+    assert!(!throttle.take_due(at(99)));
+    assert!(throttle.take_due(at(100)));
+    assert!(!throttle.take_due(at(300)), "no change is pending");
 }
 
 #[test]
-fn without_a_pace_each_change_is_acted_on() {
-    let mut batch = ChangeBatch::new(Duration::ZERO);
+fn without_an_interval_each_change_is_handled() {
+    let mut throttle = ChangeBatch::new(Duration::ZERO);
     for _ in 0..10 {
-        assert!(batch.note(at(7)));
+        assert!(throttle.note(at(7)));
     }
 }
 
 #[test]
-fn no_change_is_forgotten_or_acted_on_late() {
-    // Changes at times without order, a look every ten milliseconds.
-    let mut batch = ChangeBatch::new(RECOMPUTING_PACE);
+fn no_change_is_lost_or_handled_late() {
+    // Changes at pseudo-random times, and a check every ten milliseconds.
+    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
     let mut oldest: Option<u64> = None;
-    let pace = u64::try_from(RECOMPUTING_PACE.as_millis()).expect("short");
+    let min_interval = u64::try_from(RECOMPUTING_PACE.as_millis()).expect("short");
     for millis in 0..20_000 {
         let is_change = (millis * 7_919) % 1_013 < 40 && millis < 19_000;
-        let mut acted = false;
+        let mut recomputed = false;
         if is_change {
             oldest.get_or_insert(millis);
-            acted = batch.note(at(millis));
+            recomputed = throttle.note(at(millis));
         }
         if millis % 10 == 0 {
-            acted |= batch.take_due(at(millis));
+            recomputed |= throttle.take_due(at(millis));
         }
-        if acted {
+        if recomputed {
             oldest = None;
         }
         let waited = oldest.map_or(0, |since| millis - since);
-        assert!(waited <= pace + 10, "{millis}: {waited}");
+        assert!(waited <= min_interval + 10, "{millis}: {waited}");
     }
     assert_eq!(oldest, None);
 }
 
 #[test]
-fn what_was_acted_on_without_delay_does_not_wait_any_more() {
-    let mut batch = ChangeBatch::new(RECOMPUTING_PACE);
-    assert!(batch.note(at(0)));
-    assert!(!batch.note(at(1)));
-    batch.act(at(2));
-    assert!(!batch.take_due(at(500)));
+fn a_recomputation_covers_pending_changes() {
+    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
+    assert!(throttle.note(at(0)));
+    assert!(!throttle.note(at(1)));
+    throttle.act(at(2));
+    assert!(!throttle.take_due(at(500)));
 }
--- a/crates/gateway-core/tests/log_causes.rs
+++ b/crates/gateway-core/tests/log_causes.rs
@@ -1,4 +1,4 @@
-//! What appends are counted as.
+//! Tests the classification of appends.
 
 use elderworks_gateway_core::log_causes::LogCause;
 use elderworks_protocol::ledger::LedgerRecord;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_append_counts_as_what_somebody_waits_for() {
+fn the_purpose_that_callers_wait_for_takes_precedence() {
     let table = [
         (vec![settled(), reserved()], LogCause::Reserve),
         (vec![closed(), settled()], LogCause::Overdraft),
--- a/crates/gateway-core/tests/log_outage.rs
+++ b/crates/gateway-core/tests/log_outage.rs
@@ -1,17 +1,17 @@
-//! When the log counts as silent, and what must not be taken for that.
+//! Tests when the log counts as silent, and which conditions must not be mistaken for that.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::log_outage::{LOOK_INTERVAL, LogState, LogWatch, LogWord};
 use elderworks_types::{NodeId, Timestamp};
 
-/// Milliseconds since the model's begin.
+/// Milliseconds since the start of the model.
 type Millis = u64;
 
 const USUAL: Millis = 4;
 
-/// Interval of an owner's calls.
-const PACE: Millis = 25;
+/// Interval of an owner's calls, in milliseconds.
+const CALL_INTERVAL: Millis = 25;
 
 fn at(millis: Millis) -> Timestamp {
     Timestamp(1 + millis * 1_000)
@@ -21,7 +21,7 @@
     Duration::from_millis(millis)
 }
 
-/// One node's calls, answered after a time that depends on when they began; `None` for never.
+/// Simulates the calls of one node.
 struct Model {
     watch: LogWatch,
     open: Vec<(u64, Millis, Millis)>,
@@ -37,8 +37,10 @@
         }
     }
 
-    /// Plays a span; returns when the log was first taken to be late and silent.
-    fn play(
+    /// Simulates a span of time. `takes` returns the response time of a call by its start, or
+    /// `None` if it is never answered; `runs` returns whether the process runs. Returns when the
+    /// log first counted as late and as silent.
+    fn simulate(
         &mut self,
         span: std::ops::Range<Millis>,
         takes: impl Fn(Millis) -> Option<Millis>,
@@ -49,7 +51,7 @@
             if !runs(now) {
                 continue;
             }
-            // A process that was held up looks before it reads its sockets, at worst.
+            // In the worst case, a process that was suspended polls before it reads its sockets.
             if now.is_multiple_of(LOOK_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
             {
                 self.watch.look(at(now));
@@ -61,7 +63,7 @@
             for (call, began, _) in due {
                 self.watch.answered(at(now), call, ms(now - began));
             }
-            if now.is_multiple_of(PACE) {
+            if now.is_multiple_of(CALL_INTERVAL) {
                 self.next_call += 1;
                 self.watch.begin(at(now), self.next_call);
                 if let Some(takes) = takes(now) {
@@ -86,7 +88,8 @@
     true
 }
 
-/// A word of a node that has waited for a while, when the last answered call began so long ago.
+/// Returns the report of a node whose oldest unanswered call started `waits` milliseconds ago, and
+/// the latest answered one `answered` milliseconds ago.
 fn waiting(waits: Millis, answered: Millis, is_silent: bool) -> LogWord {
     LogWord {
         waits: Some(ms(waits)),
@@ -96,29 +99,29 @@
 }
 
 #[test]
-fn silence_is_known_from_one_late_answer() {
+fn one_unanswered_call_reveals_an_outage() {
     let mut model = Model::new();
-    let calm = model.play(0..1_000, |_| Some(USUAL), always);
-    assert_eq!(calm, (None, None));
-    let (late, silent) = model.play(1_000..2_000, |_| None, always);
+    let before = model.simulate(0..1_000, |_| Some(USUAL), always);
+    assert_eq!(before, (None, None));
+    let (late, silent) = model.simulate(1_000..2_000, |_| None, always);
     assert!(late.is_some_and(|late| late <= 1_050), "{late:?}");
     assert!(silent.is_some_and(|silent| silent <= 1_130), "{silent:?}");
     assert_eq!(model.watch.state().since(), Some(at(1_000)));
-    // The first answer ends it, though the lost calls never end.
-    model.play(2_000..2_010, |_| Some(USUAL), always);
+    // The first answer ends the outage, although the lost calls remain unanswered.
+    model.simulate(2_000..2_010, |_| Some(USUAL), always);
     assert_eq!(model.watch.state(), LogState::Usual);
-    let after = model.play(2_010..3_000, |_| Some(USUAL), always);
+    let after = model.simulate(2_010..3_000, |_| Some(USUAL), always);
     assert_eq!(after, (None, None));
 }
 
 #[test]
-fn two_others_that_wait_as_well_confirm_it() {
+fn two_other_waiting_nodes_confirm_an_outage() {
     let mut model = Model::new();
-    model.play(0..1_000, |_| Some(USUAL), always);
-    model.play(1_000..1_041, |_| None, always);
+    model.simulate(0..1_000, |_| Some(USUAL), always);
+    model.simulate(1_000..1_041, |_| None, always);
     assert!(matches!(model.watch.state(), LogState::Late { .. }));
-    let asked = model.watch.word(at(1_041));
-    assert!(asked.waits.is_some() && !asked.is_silent);
+    let own_report = model.watch.word(at(1_041));
+    assert!(own_report.waits.is_some() && !own_report.is_silent);
     assert!(
         !model
             .watch
@@ -135,13 +138,13 @@
 }
 
 #[test]
-fn a_log_that_answers_others_is_not_silent() {
+fn a_log_that_answers_another_node_is_not_silent() {
     let mut model = Model::new();
-    model.play(0..1_000, |_| Some(USUAL), always);
+    model.simulate(0..1_000, |_| Some(USUAL), always);
     let mut silent = None;
     for round in 0..50 {
         let from = 1_000 + round * 20;
-        silent = silent.or(model.play(from..from + 20, |_| None, always).1);
+        silent = silent.or(model.simulate(from..from + 20, |_| None, always).1);
         let word = LogWord {
             waits: None,
             answered: Some(ms(5)),
@@ -150,7 +153,7 @@
         model.watch.take(at(from + 20), NodeId::new("n2"), word);
     }
     assert_eq!(silent, None);
-    // And it denies others' silence itself.
+    // It also refutes reports of other nodes.
     let word = waiting(500, 510, true);
     assert!(model.watch.take(at(2_000), NodeId::new("n3"), word));
     assert!(model.watch.take(at(2_000), NodeId::new("n4"), word));
@@ -158,19 +161,22 @@
 }
 
 #[test]
-fn a_node_without_calls_believes_two_others_for_a_while() {
+fn reports_of_two_nodes_suffice_without_own_calls_until_they_expire() {
     let mut watch = LogWatch::default();
     watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
     watch.take(at(101), NodeId::new("n2"), waiting(91, 96, true));
-    assert!(!watch.state().is_silent(), "one alone");
+    assert!(!watch.state().is_silent(), "one report is not enough");
     watch.take(at(102), NodeId::new("n3"), waiting(60, 95, false));
-    assert!(!watch.state().is_silent(), "a question is no news");
+    assert!(
+        !watch.state().is_silent(),
+        "asking for confirmation is no report of an outage"
+    );
     watch.take(at(103), NodeId::new("n3"), waiting(61, 96, true));
     assert!(watch.state().is_silent());
     watch.look(at(500));
     assert!(watch.state().is_silent());
     watch.look(at(900));
-    assert_eq!(watch.state(), LogState::Usual, "nobody repeats it");
+    assert_eq!(watch.state(), LogState::Usual, "the reports have expired");
     watch.take(at(1_000), NodeId::new("n2"), waiting(90, 95, true));
     watch.take(at(1_000), NodeId::new("n3"), waiting(90, 95, true));
     let back = LogWord {
@@ -179,11 +185,15 @@
         is_silent: false,
     };
     watch.take(at(1_010), NodeId::new("n4"), back);
-    assert_eq!(watch.state(), LogState::Usual, "it has answered");
+    assert_eq!(
+        watch.state(),
+        LogState::Usual,
+        "another node has received an answer"
+    );
 }
 
 #[test]
-fn of_two_nodes_one_believes_the_other() {
+fn one_report_suffices_in_a_fleet_of_two_nodes() {
     let mut watch = LogWatch::default();
     watch.set_others(1);
     watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
@@ -191,7 +201,7 @@
 }
 
 #[test]
-fn what_is_not_silence() {
+fn losses_jitter_and_suspension_are_not_outages() {
     struct Case {
         name: &'static str,
         takes: fn(Millis) -> Option<Millis>,
@@ -200,41 +210,41 @@
     let cases = [
         Case {
             name: "every third answer is lost",
-            takes: |now| (!(now / PACE).is_multiple_of(3)).then_some(USUAL),
+            takes: |now| (!(now / CALL_INTERVAL).is_multiple_of(3)).then_some(USUAL),
             runs: always,
         },
         Case {
             name: "answers take two to eight milliseconds",
-            takes: |now| Some(2 + now / PACE % 7),
+            takes: |now| Some(2 + now / CALL_INTERVAL % 7),
             runs: always,
         },
         Case {
-            name: "the process is frozen for four seconds",
+            name: "the process is suspended for four seconds",
             takes: |_| Some(USUAL),
             runs: |now| !(2_000..6_000).contains(&now),
         },
         Case {
-            name: "a small machine runs a fifth of the time",
+            name: "the process gets a fifth of the processor time",
             takes: |_| Some(USUAL),
             runs: |now| now % 100 < 20,
         },
     ];
     for case in cases {
         let mut model = Model::new();
-        model.play(0..1_000, |_| Some(USUAL), always);
-        let (_, silent) = model.play(1_000..9_000, case.takes, case.runs);
+        model.simulate(0..1_000, |_| Some(USUAL), always);
+        let (_, silent) = model.simulate(1_000..9_000, case.takes, case.runs);
         assert_eq!(silent, None, "{}", case.name);
     }
 }
 
 #[test]
-fn a_log_that_becomes_slow_is_taken_for_silent_once_at_most() {
+fn a_log_that_becomes_slow_counts_as_silent_at_most_once() {
     let mut model = Model::new();
-    model.play(0..1_000, |_| Some(USUAL), always);
-    model.play(1_000..1_300, |_| Some(240), always);
-    let (_, silent) = model.play(1_300..5_000, |_| Some(240), always);
+    model.simulate(0..1_000, |_| Some(USUAL), always);
+    model.simulate(1_000..1_300, |_| Some(240), always);
+    let (_, silent) = model.simulate(1_300..5_000, |_| Some(240), always);
     assert_eq!(silent, None);
-    // Its silence is still noticed.
-    let (_, silent) = model.play(5_000..8_000, |_| None, always);
+    // A real outage is still detected.
+    let (_, silent) = model.simulate(5_000..8_000, |_| None, always);
     assert!(silent.is_some());
 }
--- a/crates/gateway-core/tests/log_reach.rs
+++ b/crates/gateway-core/tests/log_reach.rs
@@ -1,8 +1,8 @@
-//! When a node acts for a partition that is not its own.
+//! Tests when a node that is not a candidate serves a partition.
 
 use elderworks_gateway_core::log_reach::LogReach;
 
-/// What a call to the log has come to.
+/// Result of a call to the log.
 #[derive(Clone, Copy)]
 enum Call {
     Answered,
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_node_that_the_log_does_not_answer_leaves_partitions_to_their_candidates() {
+fn a_node_that_cannot_reach_the_log_leaves_partitions_to_their_candidates() {
     use Call::{Answered, Failed};
     struct Case {
         name: &'static str,
@@ -25,22 +25,27 @@
         may_act,
     };
     let cases = [
-        case("nothing is known yet", &[], false, true),
+        case("no calls yet", &[], false, true),
+        case("a single failure", &[Answered, Failed], false, true),
         case(
-            "a single failure may be chance",
-            &[Answered, Failed],
+            "two consecutive failures",
+            &[Answered, Failed, Failed],
+            false,
             false,
-            true,
         ),
-        case("two in a row", &[Answered, Failed, Failed], false, false),
         case(
-            "a candidate tries on",
+            "a candidate keeps trying",
             &[Failed, Failed, Failed],
             true,
             true,
         ),
-        case("back again", &[Failed, Failed, Answered], false, true),
-        case("not in a row", &[Failed, Answered, Failed], false, true),
+        case("reachable again", &[Failed, Failed, Answered], false, true),
+        case(
+            "failures that are not consecutive",
+            &[Failed, Answered, Failed],
+            false,
+            true,
+        ),
     ];
     for case in cases {
         let mut reach = LogReach::default();
--- a/crates/gateway-core/tests/ownership.rs
+++ b/crates/gateway-core/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! The order in which nodes act for a partition.
+//! Tests the ranking of nodes that serve a partition.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_order_does_not_depend_on_the_order_of_the_nodes() {
+fn the_ranking_does_not_depend_on_the_order_of_the_nodes() {
     let nodes = nodes(7);
     let forwards = nodes.iter().map(|node| (node, 5));
     let backwards = nodes.iter().rev().map(|node| (node, 5));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn partitions_are_dealt_by_capacity() {
+fn partitions_are_distributed_by_capacity() {
     let weighted: Vec<(NodeId, u32)> = nodes(6)
         .into_iter()
         .enumerate()
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_node_that_goes_moves_its_own_partitions_only() {
+fn a_node_that_leaves_moves_only_its_own_partitions() {
     let all: Vec<(NodeId, u32)> = nodes(6).into_iter().map(|node| (node, 10)).collect();
     let before = first_by_partition(&all);
     let after = first_by_partition(&all[1..]);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_node_without_capacity_still_takes_part() {
+fn a_node_without_capacity_is_still_ranked() {
     let nodes = nodes(2);
     let candidates = nodes.iter().map(|node| (node, 0));
     assert_eq!(rank_owners(PartitionId(0), candidates).len(), 2);
 }
 
 #[test]
-fn the_foremost_is_the_first_of_the_order() {
+fn the_preferred_owner_is_first_in_the_ranking() {
     for count in [0, 1, 7, 984] {
         let nodes = nodes(count);
         for partition in (0..24).map(PartitionId) {
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -1,4 +1,4 @@
-//! When a node that starts is ready, and the start of many at the same time.
+//! Tests when a starting node is ready, and the cost of a simultaneous start of many nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
 use elderworks_types::Timestamp;
 
-/// Milliseconds since the model's begin.
+/// Milliseconds since the start of the model.
 type Millis = u64;
 
 fn at(millis: Millis) -> Timestamp {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_node_is_ready_with_its_last_milestone_in_whatever_order() {
+fn a_node_is_ready_after_its_last_milestone_in_any_order() {
     use Milestone::{Configuration, Joined, Workers};
     let orders = [
         [Configuration, Workers, Joined],
@@ -38,13 +38,16 @@
             assert_eq!(is_last, number + 1 == order.len(), "{order:?}");
         }
         assert!(progress.is_complete());
-        assert!(!progress.reach(order[0], at(50)), "only once");
-        assert_eq!(progress.at(order[0]), Some(at(0)), "the first time stands");
+        assert!(
+            !progress.reach(order[0], at(50)),
+            "completion is reported once"
+        );
+        assert_eq!(progress.at(order[0]), Some(at(0)), "the first time is kept");
     }
 }
 
 #[test]
-fn requests_wait_a_part_of_their_time_and_never_long() {
+fn the_start_wait_is_a_fraction_of_the_remaining_time_and_bounded() {
     let table = [
         (None, MAX_START_WAIT),
         (Some(Duration::ZERO), Duration::ZERO),
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn nodes_that_are_not_heard_of_yet_are_presumed_alive_for_longer() {
+fn nodes_that_gossip_has_not_mentioned_are_presumed_alive_for_longer() {
     let table = [
         (0, false, true),
         (1_499, false, true),
@@ -66,49 +69,49 @@
         (2_999, true, true),
         (3_000, true, false),
     ];
-    for (millis, has_unheard, expected) in table {
+    for (millis, has_unmentioned, expected) in table {
         let since = Duration::from_millis(millis);
-        assert_eq!(presumes_alive(since, has_unheard), expected, "{millis}");
+        assert_eq!(presumes_alive(since, has_unmentioned), expected, "{millis}");
     }
 }
 
-/// Time from a call to the log to its answer.
+/// Time from a call to the log to its answer, in milliseconds.
 const ROUND_TRIP: Millis = 10;
 
-/// Time over which the nodes of the model start.
+/// Time over which the nodes of the model start, in milliseconds.
 const SPREAD: Millis = 1_000;
 
-/// How long the model runs.
+/// Duration of the model, in milliseconds.
 const END: Millis = 3_000;
 
-/// Interval at which a node looks for changes that wait.
-const LOOK: Millis = 100;
+/// Interval at which a node checks for pending changes, in milliseconds.
+const CHECK_INTERVAL: Millis = 100;
 
-/// One node of the model: it writes its entry, and follows the entries from there on.
+/// A node of the model, which writes its entry and then follows the entries of all nodes.
 struct Node {
-    /// When its entry stands in the log.
+    /// When its entry is in the log.
     written: Millis,
-    /// Entries it has read.
+    /// Number of entries that it has read.
     known: usize,
     reads: u32,
     recomputed: u32,
 }
 
-/// What a node does that writes its entry at `written`, given when all entries are written.
-fn play(written: Millis, entries: &[Millis], pace: Duration) -> Node {
+/// Simulates a node that writes its entry at `written`, given when each entry is written.
+fn simulate(written: Millis, entries: &[Millis], min_interval: Duration) -> Node {
     let deadlines = NewsDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
     let reads = StreamReads::new(Stream::Nodes, &deadlines);
-    let mut batch = ChangeBatch::new(pace);
+    let mut throttle = ChangeBatch::new(min_interval);
     let mut node = Node {
         written,
         known: 0,
         reads: 0,
         recomputed: 0,
     };
-    // Answers by the time at which they come, with how many entries they show.
+    // Number of entries in each answer, by its time of arrival.
     let mut answers: BTreeMap<Millis, usize> = BTreeMap::new();
     answers.insert(node.written + ROUND_TRIP, shown_at(entries, written));
     for now in 0..END {
@@ -116,14 +119,14 @@
             node.reads += 1;
             if shown > node.known {
                 node.known = shown;
-                node.recomputed += u32::from(batch.note(at(now)));
+                node.recomputed += u32::from(throttle.note(at(now)));
             }
             let pause = Millis::try_from(reads.pause().as_millis()).expect("short");
             let (answered, shown) = follow(entries, now + pause, node.known);
             answers.insert(answered, shown);
         }
-        if now % LOOK == written % LOOK {
-            node.recomputed += u32::from(batch.take_due(at(now)));
+        if now % CHECK_INTERVAL == written % CHECK_INTERVAL {
+            node.recomputed += u32::from(throttle.take_due(at(now)));
         }
     }
     node
@@ -133,29 +136,30 @@
     entries.iter().filter(|written| **written <= now).count()
 }
 
-/// A read that waits for an entry beyond those known.
+/// Returns the arrival and the number of entries of the answer to a read that waits for an entry
+/// beyond the `known` ones.
 fn follow(entries: &[Millis], sent: Millis, known: usize) -> (Millis, usize) {
     let seen = (sent..END).find(|now| shown_at(entries, *now) > known);
     let seen = seen.unwrap_or(END);
     (seen + ROUND_TRIP, shown_at(entries, seen))
 }
 
-/// Entries that are written over [`SPREAD`], in an order that has nothing to do with names.
+/// Returns the times at which entries are written, spread over [`SPREAD`] in pseudo-random order.
 fn entries(count: u64) -> Vec<Millis> {
     (0..count).map(|node| (node * 7_919) % SPREAD).collect()
 }
 
 #[test]
-fn calls_and_work_of_a_start_do_not_grow_with_the_number_of_nodes() {
+fn reads_and_recomputations_of_a_start_do_not_grow_with_the_number_of_nodes() {
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
         for written in entries.iter().copied().step_by(7) {
-            let node = play(written, &entries, RECOMPUTING_PACE);
-            assert_eq!(node.known, entries.len(), "every entry is learned");
+            let node = simulate(written, &entries, RECOMPUTING_PACE);
+            assert_eq!(node.known, entries.len(), "every entry is read");
             assert!(node.reads <= 6, "{count} nodes: {} reads", node.reads);
             assert!(
                 node.recomputed <= 6,
-                "{count} nodes: worked out {} times",
+                "{count} nodes: {} recomputations",
                 node.recomputed
             );
         }
@@ -163,19 +167,19 @@
 }
 
 #[test]
-fn gossip_of_many_nodes_costs_as_many_recomputations_as_time_allows() {
+fn recomputations_caused_by_gossip_are_limited_by_time() {
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
-        let mut batch = ChangeBatch::new(RECOMPUTING_PACE);
+        let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
         let mut recomputed = 0;
         for now in 0..END {
-            let heard = entries.iter().filter(|heard| **heard == now).count();
-            for _ in 0..heard {
-                recomputed += u32::from(batch.note(at(now)));
+            let received = entries.iter().filter(|received| **received == now).count();
+            for _ in 0..received {
+                recomputed += u32::from(throttle.note(at(now)));
             }
-            recomputed += u32::from(now % LOOK == 0 && batch.take_due(at(now)));
+            recomputed += u32::from(now % CHECK_INTERVAL == 0 && throttle.take_due(at(now)));
         }
         assert!(recomputed <= 12, "{count} nodes: {recomputed}");
-        assert!(!batch.take_due(at(END)), "nothing is left");
+        assert!(!throttle.take_due(at(END)), "no change is pending");
     }
 }
--- a/crates/gateway-core/tests/stream_reads.rs
+++ b/crates/gateway-core/tests/stream_reads.rs
@@ -1,48 +1,48 @@
-//! How late a follower of a stream learns of a change, on a clock of its own.
+//! Tests how late the follower of a stream receives a change, on a simulated clock.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::stream_reads::{NewsDeadlines, ReadTimes, StreamReads};
 
-/// Milliseconds since the test's begin.
+/// Milliseconds since the start of the test.
 type Millis = u64;
 
-/// Time from a request to its answer, when there is something to answer.
+/// Time from a request to its answer if data is available, in milliseconds.
 const ROUND_TRIP: Millis = 10;
 
-/// Part of the time within which a change must be acted on that may pass until it is learned: the
-/// rest is for the way of the record, the processor, and clocks that run apart.
-const LEARNING_SHARE: f64 = 0.8;
+/// Fraction of the deadline within which a change must be received. The rest covers the propagation
+/// of the record, processing, and clock differences.
+const RECEIVE_FRACTION: f64 = 0.8;
 
-/// The log: it answers nothing that was asked or would be answered in its silence. A silence
-/// without length is that of connections that are forgotten while new ones work.
+/// A log that loses all requests and answers during an outage. An outage without length drops
+/// existing connections, while new ones work.
 #[derive(Clone, Copy, Debug)]
 struct Log {
-    silence_begins: Millis,
-    silence_ends: Millis,
-    /// When it takes the change that the follower is to learn.
+    outage_starts: Millis,
+    outage_ends: Millis,
+    /// When the change is appended that the follower must receive.
     change: Millis,
 }
 
 impl Log {
-    /// When a read that is sent at `sent` would be answered.
+    /// Returns when a read that is sent at `sent` would be answered.
     fn answers(&self, sent: Millis, times: ReadTimes) -> Millis {
         let waited = self.change.clamp(sent, sent + millis(times.wait));
         waited + ROUND_TRIP
     }
 
     fn loses(&self, sent: Millis, answered: Millis) -> bool {
-        sent < self.silence_ends.max(self.silence_begins + 1) && answered > self.silence_begins
+        sent < self.outage_ends.max(self.outage_starts + 1) && answered > self.outage_starts
     }
 }
 
 fn millis(time: Duration) -> Millis {
-    u64::try_from(time.as_millis()).expect("a short time")
+    u64::try_from(time.as_millis()).expect("a short duration")
 }
 
-/// When a follower whose first read is sent at `first` learns of the change.
-fn learned_at(stream: Stream, deadlines: &NewsDeadlines, first: Millis, log: &Log) -> Millis {
+/// Returns when a follower receives the change if its first read is sent at `first`.
+fn received_at(stream: Stream, deadlines: &NewsDeadlines, first: Millis, log: &Log) -> Millis {
     let mut reads = StreamReads::new(stream, deadlines);
     let mut sent = first;
     loop {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_change_is_learned_in_time_after_any_silence() {
+fn a_change_is_received_in_time_after_any_outage() {
     let seconds = Duration::from_secs_f64;
     for (stream, within) in [
         (Stream::Configuration, 2.0),
@@ -76,18 +76,18 @@
             apply: seconds(within),
             drain: seconds(within),
         };
-        let allowed = millis(deadlines.apply.mul_f64(LEARNING_SHARE));
-        let silence_begins = 5_000;
+        let allowed = millis(deadlines.apply.mul_f64(RECEIVE_FRACTION));
+        let outage_starts = 5_000;
         for length in [0, 50, 300, 1_000, 3_000, 6_000] {
             for pause in [0, 10, 500, 1_000] {
-                let silence_ends = silence_begins + length;
+                let outage_ends = outage_starts + length;
                 let log = Log {
-                    silence_begins,
-                    silence_ends,
-                    change: silence_ends + pause,
+                    outage_starts,
+                    outage_ends,
+                    change: outage_ends + pause,
                 };
-                for first in (0..=silence_begins).step_by(10) {
-                    let took = learned_at(stream, &deadlines, first, &log) - log.change;
+                for first in (0..=outage_starts).step_by(10) {
+                    let took = received_at(stream, &deadlines, first, &log) - log.change;
                     assert!(
                         took <= allowed,
                         "{stream:?} within {within} s: {took} ms, first read at {first}, {log:?}"
@@ -99,38 +99,41 @@
 }
 
 #[test]
-fn a_change_is_learned_at_once_while_the_log_answers() {
+fn a_change_is_received_immediately_while_the_log_answers() {
     let deadlines = NewsDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
     for change in (1_000..6_000).step_by(10) {
         let log = Log {
-            silence_begins: 60_000,
-            silence_ends: 60_000,
+            outage_starts: 60_000,
+            outage_ends: 60_000,
             change,
         };
-        let learned = learned_at(Stream::Configuration, &deadlines, 0, &log);
-        assert!(learned <= change + 2 * ROUND_TRIP, "{learned} {log:?}");
+        let received = received_at(Stream::Configuration, &deadlines, 0, &log);
+        assert!(received <= change + 2 * ROUND_TRIP, "{received} {log:?}");
     }
 }
 
 #[test]
-fn a_log_that_answers_late_is_given_more_time_once_it_has_failed_again() {
+fn repeated_failures_extend_the_timeout_once() {
     let deadlines = NewsDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
     let mut reads = StreamReads::new(Stream::Configuration, &deadlines);
-    assert!(!reads.next_read().wait.is_zero(), "it waits for news");
+    assert!(!reads.next_read().wait.is_zero(), "it waits for updates");
     assert_eq!(reads.note_failure(), 1);
     let first = reads.next_read();
-    assert!(first.wait.is_zero(), "it asks for what there is");
+    assert!(first.wait.is_zero(), "it requests existing records");
     assert_eq!(reads.note_failure(), 2);
     let second = reads.next_read();
     assert!(second.answer > first.answer);
     reads.note_failure();
-    assert_eq!(reads.next_read(), second, "but no longer than that");
+    assert_eq!(reads.next_read(), second, "the timeout grows no further");
     assert_eq!(reads.note_answer(), 3);
-    assert!(!reads.next_read().wait.is_zero(), "it waits for news again");
+    assert!(
+        !reads.next_read().wait.is_zero(),
+        "it waits for updates again"
+    );
 }
