--- a/crates/gateway-core/tests/ledger/budgets.rs
+++ b/crates/gateway-core/tests/ledger/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets and advances.
+//! Tests of budgets and advances.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use elderworks_protocol::ledger::{LedgerRecord, LedgerReply};
 use elderworks_types::Offset;
 
-use crate::fixtures::{START, begin, carry_out, finish, nothing, synced_owner};
+use crate::fixtures::{START, begin, carry_out, finish, no_records, synced_owner};
 
 #[test]
-fn what_a_budget_allows() {
+fn open_reservations_count_in_full_against_a_budget() {
     struct Case {
         name: &'static str,
         settled: u64,
@@ -31,7 +31,7 @@
             allowed: true,
         },
         Case {
-            name: "a turn that does not fit on top of what was generated",
+            name: "a turn that does not fit with the tokens generated",
             settled: 50,
             open: &[],
             budget: 100,
@@ -39,7 +39,7 @@
             allowed: false,
         },
         Case {
-            name: "a turn that fits only if those under way do not generate their most",
+            name: "a turn that fits only if running turns stay below their maximum",
             settled: 10,
             open: &[40, 40],
             budget: 100,
@@ -47,7 +47,7 @@
             allowed: false,
         },
         Case {
-            name: "a turn that fits whatever those under way generate",
+            name: "a turn that fits even if running turns reach their maximum",
             settled: 10,
             open: &[40, 40],
             budget: 100,
@@ -59,7 +59,9 @@
         let open = case.open.iter().enumerate();
         let account = Account {
             settled: case.settled,
-            open: open.map(|(turn, most)| (turn.to_string(), *most)).collect(),
+            open: open
+                .map(|(turn, tokens)| (turn.to_string(), *tokens))
+                .collect(),
         };
         let allowed = account.allows(case.budget, case.tokens);
         assert_eq!(allowed, case.allowed, "{}", case.name);
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn two_turns_decided_together_cannot_both_take_the_last_tokens() {
+fn turns_in_one_append_cannot_both_take_the_last_tokens() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("one", 10, 10));
     owner.submit(START, Ticket(2), begin("two", 10, 10));
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn what_an_ended_turn_gives_back_is_at_hand_at_once() {
+fn unused_tokens_of_a_finished_turn_are_available_immediately() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 20, 20));
     assert_eq!(
@@ -134,11 +136,14 @@
     let LedgerRecord::Reserved { tokens, .. } = &records[0] else {
         panic!("an advance");
     };
-    assert_eq!(*tokens, 11, "a quarter of the four that are left");
+    assert_eq!(
+        *tokens, 11,
+        "the turn and a quarter of the remaining 4 tokens"
+    );
 }
 
 #[test]
-fn an_idle_advance_is_settled_with_what_its_turns_have_used() {
+fn an_idle_advance_is_settled_with_the_tokens_used() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 1_000, 10));
     carry_out(&mut owner, begin("two", 1_000, 10));
@@ -149,7 +154,7 @@
     };
     assert_eq!(idle, START + IDLE_BEFORE_SETTLING);
     let Action::Wait { until: Some(due) } = owner.next_action(idle) else {
-        panic!("settlements are held back");
+        panic!("settlements are delayed");
     };
     assert_eq!(due, idle + SETTLEMENT_DELAY);
     assert!(matches!(owner.next_action(due), Action::Append { .. }));
@@ -160,7 +165,7 @@
 }
 
 #[test]
-fn an_owner_that_is_not_asked_any_more_settles_without_delay() {
+fn an_owner_that_is_no_longer_preferred_settles_without_delay() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 1_000, 10));
     owner.set_preferred(false);
@@ -173,7 +178,7 @@
 }
 
 #[test]
-fn a_lost_settlement_is_made_again_until_it_is_durable() {
+fn an_unsettled_append_of_a_settlement_is_repeated() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 1_000, 10));
     carry_out(&mut owner, finish("one", 4, None));
@@ -182,14 +187,14 @@
     owner.on_append(START, AppendOutcome::Unknown);
     let later = START + FAILURE_RETRY_DELAY;
     assert_eq!(owner.next_action(later), Action::Read { from: Offset(1) });
-    owner.on_read(later, nothing(1));
+    owner.on_read(later, no_records(1));
     assert!(matches!(owner.next_action(later), Action::Append { .. }));
     owner.on_append(later, AppendOutcome::Done);
     assert_eq!(owner.next_action(later), Action::Wait { until: None });
 }
 
 #[test]
-fn a_turn_asked_for_again_draws_once() {
+fn a_repeated_request_draws_once() {
     let mut owner = synced_owner();
     for _ in 0..3 {
         let reply = carry_out(&mut owner, begin("one", 20, 20));
@@ -198,7 +203,7 @@
 }
 
 #[test]
-fn a_turn_asked_for_again_waits_for_its_advance() {
+fn a_repeated_request_waits_for_the_advance() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("one", 20, 20));
     assert!(matches!(owner.next_action(START), Action::Append { .. }));
@@ -210,7 +215,7 @@
 }
 
 #[test]
-fn a_turn_given_up_before_it_was_granted_draws_nothing() {
+fn a_turn_abandoned_before_its_permit_draws_nothing() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("one", 20, 20));
     assert!(matches!(owner.next_action(START), Action::Append { .. }));
@@ -221,7 +226,7 @@
 }
 
 #[test]
-fn the_end_of_a_turn_counts_once() {
+fn a_repeated_completion_counts_once() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 1_000, 10));
     for _ in 0..3 {
@@ -235,7 +240,7 @@
 }
 
 #[test]
-fn advances_are_charged_in_order_and_the_last_with_the_rest() {
+fn advances_are_charged_in_order_and_the_last_one_with_the_excess() {
     let mut wallet = Wallet::default();
     for (id, tokens) in [("a", 10), ("b", 10)] {
         let advance = Advance {
@@ -257,7 +262,7 @@
 }
 
 #[test]
-fn a_turn_whose_end_is_never_reported_counts_at_its_most() {
+fn a_turn_whose_end_is_never_reported_counts_in_full() {
     let mut wallet = Wallet::default();
     wallet.add(
         START,
@@ -274,7 +279,7 @@
     assert_eq!(wallet.into_spent()[0].used, 10);
 }
 
-/// An owner that finds what another has set aside for the program.
+/// Returns an owner that has read a reservation of another owner for the program.
 fn owner_after(reserved: u64) -> PartitionOwner {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("unknown", 0, 1));
@@ -292,7 +297,7 @@
 }
 
 #[test]
-fn what_another_owner_has_set_aside_makes_a_denial_unsure_for_a_while() {
+fn recent_reservations_of_another_owner_make_a_denial_unsure() {
     struct Case {
         name: &'static str,
         reserved: u64,
@@ -301,19 +306,19 @@
     }
     let cases = [
         Case {
-            name: "the other may give enough back",
+            name: "the other owner may return enough tokens",
             reserved: 10,
             waited: Duration::ZERO,
             expected: LedgerReply::BudgetUnsure,
         },
         Case {
-            name: "the other has had time enough to settle",
+            name: "the other owner has had enough time to settle",
             reserved: 10,
             waited: FOREIGN_SETTLEMENT_WAIT,
             expected: LedgerReply::BudgetSpent,
         },
         Case {
-            name: "the budget is too small whatever the other gives back",
+            name: "the budget is too small regardless of the other owner",
             reserved: 9,
             waited: Duration::ZERO,
             expected: LedgerReply::BudgetSpent,
@@ -326,7 +331,7 @@
         let now = START + case.waited;
         owner.submit(now, Ticket(2), begin("t", budget, tokens));
         assert!(matches!(owner.next_action(now), Action::Read { .. }));
-        owner.on_read(now, nothing(1));
+        owner.on_read(now, no_records(1));
         owner.next_action(now);
         let replies = owner.take_replies();
         assert_eq!(replies, [(Ticket(2), case.expected)], "{}", case.name);
@@ -334,7 +339,7 @@
 }
 
 #[test]
-fn a_budget_that_ended_turns_have_used_is_denied_without_a_call() {
+fn a_budget_used_by_finished_turns_is_denied_without_a_call() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 25, 20));
     carry_out(&mut owner, finish("one", 20, None));
@@ -349,11 +354,14 @@
     owner.submit(START, Ticket(2), begin("two", 25, 6));
     assert_eq!(owner.take_replies(), denied, "once it is settled");
     let reply = carry_out(&mut owner, begin("three", 25, 5));
-    assert!(matches!(reply, LedgerReply::Granted { .. }), "what is left");
+    assert!(
+        matches!(reply, LedgerReply::Granted { .. }),
+        "the rest of the budget"
+    );
 }
 
 #[test]
-fn a_denial_that_rests_on_turns_under_way_needs_a_call() {
+fn a_denial_caused_by_running_turns_needs_a_call() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 20, 20));
     owner.submit(START, Ticket(2), begin("two", 20, 20));
@@ -361,12 +369,12 @@
     assert!(matches!(owner.next_action(START), Action::Read { .. }));
 }
 
-/// The records of an owner that let one turn of 10 run and was lost.
-fn left_by_a_lost_owner(budget: u64) -> Vec<LedgerRecord> {
+/// Returns the records of a lost owner that has granted one turn of 10 tokens.
+fn records_of_a_lost_owner(budget: u64) -> Vec<LedgerRecord> {
     let mut lost = PartitionOwner::new("lost".to_owned());
     lost.submit(START, Ticket(1), begin("one", budget, 10));
     assert!(matches!(lost.next_action(START), Action::Read { .. }));
-    lost.on_read(START, nothing(0));
+    lost.on_read(START, no_records(0));
     let Action::Append { records, .. } = lost.next_action(START) else {
         panic!("the turn needs an advance");
     };
@@ -374,9 +382,9 @@
 }
 
 #[test]
-fn an_advance_that_is_lost_leaves_room_for_a_turn_that_the_budget_held() {
+fn a_lost_advance_leaves_budget_for_another_turn() {
     for budget in 20..=60 {
-        let records = left_by_a_lost_owner(budget);
+        let records = records_of_a_lost_owner(budget);
         let end = Offset(records.len() as u64);
         let mut owner = PartitionOwner::new("next".to_owned());
         owner.submit(START, Ticket(1), begin("two", budget, 10));
--- a/crates/gateway-core/tests/ledger/calls.rs
+++ b/crates/gateway-core/tests/ledger/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the log: what they prove, and what is done while they fail.
+//! Tests of calls to the log: what their answers prove, and the behavior while they fail.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use elderworks_types::Offset;
 
 use crate::fixtures::{
-    START, begin, begin_after, carry_out, finish, finish_waiting, kept, nothing,
-    owner_of_a_log_that_is_down, synced_owner,
+    START, begin, begin_after, carry_out, finish, finish_waiting, kept, no_records,
+    owner_with_log_down, synced_owner,
 };
 
 #[test]
-fn a_reservation_is_granted_only_once_it_is_durable() {
+fn a_turn_is_granted_only_after_its_reservation_is_durable() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("t", 100, 10));
     let Action::Append { at, records } = owner.next_action(START) else {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_conflict_changes_nothing_and_is_decided_anew() {
+fn a_conflicting_append_changes_nothing_and_the_request_is_decided_again() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("t", 10, 10));
     assert!(matches!(owner.next_action(START), Action::Append { .. }));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_append_without_answer_that_was_carried_out_is_not_repeated() {
+fn an_unanswered_append_that_succeeded_is_not_repeated() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("t", 10, 10));
     let Action::Append { records, .. } = owner.next_action(START) else {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn refusals_are_sure_only_after_the_log_was_read_to_its_end() {
+fn negative_replies_require_a_read_to_the_end_of_the_log() {
     for (request, reply) in [
         (begin_after("t", "unknown", None), LedgerReply::UnknownTurn),
         (begin("t", 5, 10), LedgerReply::BudgetSpent),
@@ -92,16 +92,16 @@
         let mut owner = synced_owner();
         owner.submit(START, Ticket(1), request);
         assert_eq!(owner.next_action(START), Action::Read { from: Offset(0) });
-        assert_eq!(owner.take_replies(), [], "not sure yet");
-        owner.on_read(START, nothing(0));
+        assert_eq!(owner.take_replies(), [], "not verified yet");
+        owner.on_read(START, no_records(0));
         owner.next_action(START);
         assert_eq!(owner.take_replies(), [(Ticket(1), reply)]);
     }
 }
 
 #[test]
-fn a_call_under_way_makes_no_later_request_sure() {
-    // What the log said to a call may be older than a request that came while it was under way.
+fn a_call_does_not_verify_requests_that_arrive_after_its_start() {
+    // The answer to a call may be older than a request that arrived while the call was in progress.
     let question = || LedgerRequest::Conversation {
         turn: "unknown".to_owned(),
     };
@@ -109,7 +109,7 @@
     owner.submit(START, Ticket(1), question());
     assert_eq!(owner.next_action(START), Action::Read { from: Offset(0) });
     owner.submit(START, Ticket(2), question());
-    owner.on_read(START, nothing(0));
+    owner.on_read(START, no_records(0));
     assert_eq!(owner.next_action(START), Action::Read { from: Offset(0) });
     assert_eq!(
         owner.take_replies(),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_read_that_was_given_up_makes_no_later_request_sure() {
+fn a_late_answer_does_not_verify_requests_that_arrived_after_its_call() {
     let question = || LedgerRequest::Conversation {
         turn: "unknown".to_owned(),
     };
@@ -139,14 +139,14 @@
     assert_eq!(owner.next_action(now), Action::Read { from: Offset(0) });
     assert!(owner.last_call() > given_up);
 
-    // What the first call says after all is older than the second request.
-    owner.on_answered_read(now, given_up, nothing(0));
+    // The late answer to the first call is older than the second request.
+    owner.on_answered_read(now, given_up, no_records(0));
     assert_eq!(owner.next_action(now), Action::Read { from: Offset(0) });
     assert_eq!(
         owner.take_replies(),
         [(Ticket(1), LedgerReply::UnknownTurn)]
     );
-    owner.on_read(now, nothing(0));
+    owner.on_read(now, no_records(0));
     assert!(matches!(owner.next_action(now), Action::Wait { .. }));
     assert_eq!(
         owner.take_replies(),
@@ -155,8 +155,8 @@
 }
 
 #[test]
-fn a_report_that_waits_is_carried_out_when_the_log_is_back() {
-    let mut owner = owner_of_a_log_that_is_down();
+fn a_held_completion_is_stored_when_the_log_recovers() {
+    let mut owner = owner_with_log_down();
     let now = START + FAILURE_RETRY_DELAY;
     owner.submit(
         now,
@@ -176,24 +176,24 @@
     let now = now + DOWN_RETRY_DELAY;
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
     owner.on_read(now, ReadOutcome::Failed);
-    assert_eq!(owner.take_replies(), [], "it still waits");
+    assert_eq!(owner.take_replies(), [], "the completion is still held");
 
     let now = now + DOWN_RETRY_DELAY;
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
-    owner.on_read(now, nothing(owner.end().0));
+    owner.on_read(now, no_records(owner.end().0));
     assert!(matches!(owner.next_action(now), Action::Append { .. }));
     owner.on_append(now, AppendOutcome::Done);
     assert_eq!(owner.take_replies(), [(Ticket(6), LedgerReply::Finished)]);
 }
 
 #[test]
-fn an_owner_that_is_not_preferred_gives_way_after_an_outage() {
-    let mut owner = owner_of_a_log_that_is_down();
+fn an_owner_that_is_not_preferred_yields_after_an_outage() {
+    let mut owner = owner_with_log_down();
     owner.set_preferred(false);
     let now = START + FAILURE_RETRY_DELAY + DOWN_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
-    owner.on_read(now, nothing(owner.end().0));
+    owner.on_read(now, no_records(owner.end().0));
     assert_eq!(
         owner.take_replies(),
         [(Ticket(5), LedgerReply::Unavailable)]
@@ -216,15 +216,15 @@
 }
 
 #[test]
-fn a_report_does_not_wait_for_long() {
-    let mut owner = owner_of_a_log_that_is_down();
-    let began = START + FAILURE_RETRY_DELAY;
+fn the_wait_of_a_held_completion_is_bounded() {
+    let mut owner = owner_with_log_down();
+    let submitted = START + FAILURE_RETRY_DELAY;
     owner.submit(
-        began,
+        submitted,
         Ticket(5),
         finish_waiting("u", kept(None, b"in", b"out")),
     );
-    let mut now = began;
+    let mut now = submitted;
     let mut replies = Vec::new();
     while replies.is_empty() {
         match owner.next_action(now) {
@@ -235,7 +235,7 @@
         replies = owner.take_replies();
     }
     assert_eq!(replies, [(Ticket(5), LedgerReply::Unavailable)]);
-    let waited = now.since(began);
+    let waited = now.since(submitted);
     assert!(waited >= MAX_HOLD_WHILE_DOWN, "{waited:?}");
     assert!(
         waited < MAX_HOLD_WHILE_DOWN + DOWN_RETRY_DELAY * 2,
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn while_the_log_fails_nothing_is_granted_and_nothing_denied() {
+fn nothing_is_granted_or_denied_while_calls_fail() {
     let mut owner = synced_owner();
     owner.submit(START, Ticket(1), begin("t", 5, 10));
     owner.submit(START, Ticket(2), begin("u", 100, 10));
@@ -259,7 +259,7 @@
         replies.extend(owner.take_replies());
         assert!(
             now.since(START) <= FAILURE_RETRY_DELAY,
-            "given up after two calls"
+            "refused after two failed calls"
         );
     }
     for (_, reply) in replies {
@@ -268,8 +268,8 @@
 }
 
 #[test]
-fn while_the_log_is_down_requests_are_answered_at_once() {
-    let mut owner = owner_of_a_log_that_is_down();
+fn requests_are_answered_immediately_while_the_log_is_down() {
+    let mut owner = owner_with_log_down();
     let now = START + FAILURE_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     owner.submit(now, Ticket(6), begin_after("v", "k", None));
@@ -284,8 +284,8 @@
 }
 
 #[test]
-fn one_request_at_a_time_finds_out_whether_the_log_is_still_down() {
-    let mut owner = owner_of_a_log_that_is_down();
+fn one_request_at_a_time_probes_a_log_that_is_down() {
+    let mut owner = owner_with_log_down();
     let now = START + FAILURE_RETRY_DELAY + DOWN_RETRY_DELAY;
     owner.submit(now, Ticket(5), begin("u", 100, 10));
     assert!(matches!(owner.next_action(now), Action::Read { .. }));
@@ -294,7 +294,7 @@
         owner.take_replies(),
         [(Ticket(6), LedgerReply::Unavailable)]
     );
-    owner.on_read(now, nothing(owner.end().0));
+    owner.on_read(now, no_records(owner.end().0));
     assert!(!owner.is_down());
     assert!(matches!(owner.next_action(now), Action::Append { .. }));
     owner.on_append(now, AppendOutcome::Done);
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn while_the_log_is_down_turns_run_on_what_is_set_aside() {
+fn turns_draw_on_advances_while_the_log_is_down() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("one", 1_000, 10));
     owner.submit(START, Ticket(1), begin("large", 1_000, 500));
@@ -331,14 +331,14 @@
 }
 
 #[test]
-fn history_that_is_gone_is_passed_over() {
+fn truncated_records_are_skipped() {
     let mut owner = PartitionOwner::new("owner".to_owned());
     owner.submit(START, Ticket(1), begin("t", 100, 10));
     owner.next_action(START);
     let first = Offset(500);
     owner.on_read(START, ReadOutcome::Gone { first });
     assert_eq!(owner.next_action(START), Action::Read { from: first });
-    owner.on_read(START, nothing(500));
+    owner.on_read(START, no_records(500));
     let Action::Append { at, .. } = owner.next_action(START) else {
         panic!("a reservation must be appended");
     };
@@ -346,9 +346,9 @@
 }
 
 #[test]
-fn programs_spread_over_the_partitions() {
-    let met: std::collections::BTreeSet<_> = (0..200)
+fn programs_are_spread_over_all_partitions() {
+    let partitions: std::collections::BTreeSet<_> = (0..200)
         .map(|number| partition_of(&format!("program-{number}"), 12))
         .collect();
-    assert_eq!(met.len(), 12);
+    assert_eq!(partitions.len(), 12);
 }
--- a/crates/gateway-core/tests/ledger/fixtures.rs
+++ b/crates/gateway-core/tests/ledger/fixtures.rs
@@ -1,4 +1,4 @@
-//! Requests, and owners in given states.
+//! Requests, and owners in defined states.
 
 use bytes::Bytes;
 use elderworks_gateway_core::ledger::{Action, AppendOutcome, PartitionOwner, ReadOutcome, Ticket};
@@ -43,7 +43,7 @@
     })
 }
 
-/// A report that waits while the log is down.
+/// Returns a completion report that is held while the log is down.
 pub fn finish_waiting(turn: &str, kept: KeptTurn) -> LedgerRequest {
     LedgerRequest::Finish(FinishTurn {
         program: "p".to_owned(),
@@ -62,14 +62,14 @@
     }
 }
 
-pub fn nothing(end: u64) -> ReadOutcome {
+pub fn no_records(end: u64) -> ReadOutcome {
     ReadOutcome::Records {
         records: Vec::new(),
         end: Offset(end),
     }
 }
 
-/// An owner that has read the log, which holds nothing.
+/// Returns an owner that has read an empty log.
 pub fn synced_owner() -> PartitionOwner {
     let mut owner = PartitionOwner::new("owner".to_owned());
     let question = LedgerRequest::Conversation {
@@ -77,7 +77,7 @@
     };
     owner.submit(START, Ticket(0), question);
     assert_eq!(owner.next_action(START), Action::Read { from: Offset(0) });
-    owner.on_read(START, nothing(0));
+    owner.on_read(START, no_records(0));
     owner.next_action(START);
     assert_eq!(
         owner.take_replies(),
@@ -86,7 +86,7 @@
     owner
 }
 
-/// Has a request carried out on a log that works.
+/// Carries a request out with a working log and returns the reply.
 pub fn carry_out(owner: &mut PartitionOwner, request: LedgerRequest) -> LedgerReply {
     let ticket = Ticket(77);
     let mut now = START;
@@ -97,7 +97,7 @@
         }
         match owner.next_action(now) {
             Action::Append { .. } => owner.on_append(now, AppendOutcome::Done),
-            Action::Read { from } => owner.on_read(now, nothing(from.0)),
+            Action::Read { from } => owner.on_read(now, no_records(from.0)),
             Action::Wait { until } => now = until.unwrap_or(now),
         }
         if let Some((_, reply)) = owner.take_replies().pop() {
@@ -107,8 +107,8 @@
     panic!("no reply");
 }
 
-/// An owner that takes the log to be down, at the time of its last failed call.
-pub fn owner_of_a_log_that_is_down() -> PartitionOwner {
+/// Returns an owner that considers the log down, at the time of its last failed call.
+pub fn owner_with_log_down() -> PartitionOwner {
     let mut owner = synced_owner();
     carry_out(&mut owner, finish("k", 0, Some(kept(None, b"in", b"out"))));
     owner.submit(START, Ticket(1), begin("t", 100, 10));
--- a/crates/gateway-core/tests/ledger/main.rs
+++ b/crates/gateway-core/tests/ledger/main.rs
@@ -1,4 +1,4 @@
-//! The ledger's rules as tables: budgets, kept turns, what is answered at once and what is not.
+//! Table-driven tests of the ledger: budgets, stored turns, calls to the log and overdrafts.
 
 mod budgets;
 mod calls;
--- a/crates/gateway-core/tests/ledger/overdrafts.rs
+++ b/crates/gateway-core/tests/ledger/overdrafts.rs
@@ -1,4 +1,4 @@
-//! Overdrafts: when they are opened, used, recorded, closed, and charged to others.
+//! Tests of overdrafts: opening, activation, recording, closing, and charges to other owners.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 };
 use elderworks_types::{NodeId, Offset, Timestamp};
 
-use crate::fixtures::{START, begin, begin_of, finish, nothing};
+use crate::fixtures::{START, begin, begin_of, finish, no_records};
 
 fn witness(boot: u64) -> Witness {
     Witness {
@@ -25,25 +25,25 @@
     boots.iter().map(|boot| witness(*boot)).collect()
 }
 
-/// An owner with three witnesses that has read an empty log.
+/// Returns an owner with three witnesses that has read an empty log.
 fn owner() -> PartitionOwner {
     let mut owner = PartitionOwner::new("owner".to_owned());
     owner.set_witnesses(witnesses(&[1, 2, 3]).into());
     assert_eq!(owner.next_action(START), Action::Read { from: Offset(0) });
-    owner.on_read(START, nothing(0));
+    owner.on_read(START, no_records(0));
     owner
 }
 
-/// The records of the owner's next action, which must be an append.
+/// Returns the records of the owner's next action, which must be an append.
 fn appended(owner: &mut PartitionOwner, now: Timestamp) -> Vec<LedgerRecord> {
     match owner.next_action(now) {
         Action::Append { records, .. } => records,
-        action => panic!("an append, not {action:?}"),
+        action => panic!("expected an append, got {action:?}"),
     }
 }
 
-/// An owner whose overdraft stands.
-fn standing() -> PartitionOwner {
+/// Returns an owner with an open, unused overdraft.
+fn with_open_overdraft() -> PartitionOwner {
     let mut owner = owner();
     let records = appended(&mut owner, START);
     assert!(matches!(records[..], [LedgerRecord::Overdraft { .. }]));
@@ -56,9 +56,9 @@
     owner.on_inquiry(now, &inquiry.question, Some(answer));
 }
 
-/// An owner whose overdraft is active while a call to the log is under way.
-fn active() -> PartitionOwner {
-    let mut owner = standing();
+/// Returns an owner with an active overdraft and a call to the log in progress.
+fn with_active_overdraft() -> PartitionOwner {
+    let mut owner = with_open_overdraft();
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_overdraft_is_opened_unasked_where_there_are_witnesses() {
+fn an_overdraft_is_opened_without_requests_if_there_are_witnesses() {
     struct Case {
         name: &'static str,
         boots: &'static [u64],
@@ -103,14 +103,14 @@
             opens: false,
         },
         Case {
-            name: "another node should act",
+            name: "another node is preferred",
             boots: &[1, 2, 3],
             is_preferred: false,
             policy: on,
             opens: false,
         },
         Case {
-            name: "switched off",
+            name: "disabled by the policy",
             boots: &[1, 2, 3],
             is_preferred: true,
             policy: Policy {
@@ -125,7 +125,7 @@
         owner.set_witnesses(witnesses(case.boots).into());
         owner.set_preferred(case.is_preferred);
         if matches!(owner.next_action(START), Action::Read { .. }) {
-            owner.on_read(START, nothing(0));
+            owner.on_read(START, no_records(0));
         }
         let action = owner.next_action(START);
         let opens = matches!(action, Action::Append { .. });
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn while_the_log_is_down_nobody_waits_for_preparation() {
+fn preparatory_calls_are_rare_while_the_log_is_down() {
     let mut owner = PartitionOwner::new("owner".to_owned());
     owner.set_witnesses(witnesses(&[1, 2]).into());
     let mut now = START;
@@ -145,42 +145,42 @@
                 calls += 1;
                 owner.on_read(now, ReadOutcome::Failed);
             }
-            Action::Wait { until } => now = until.expect("it tries again"),
-            Action::Append { .. } => panic!("nothing was read"),
+            Action::Wait { until } => now = until.expect("calls are retried"),
+            Action::Append { .. } => panic!("no read has succeeded"),
         }
     }
     assert!((8..=14).contains(&calls), "{calls} calls in five seconds");
 }
 
 #[test]
-fn turns_begin_on_an_active_overdraft_up_to_its_share() {
-    let mut owner = active();
+fn turns_start_on_an_active_overdraft_up_to_its_share() {
+    let mut owner = with_active_overdraft();
     assert_eq!(granted(&mut owner), 1, "the turn that waited for the log");
-    // A third of 90 is 30: a turn may begin if it fits into that whole.
+    // The share is a third of 90, that is 30. A turn may start if it fits into that completely.
     for (number, turn) in ["two", "three", "four", "five"].iter().enumerate() {
         let ticket = Ticket(10 + number as u64);
         owner.submit(START, ticket, begin(turn, 90, 10));
     }
-    assert_eq!(granted(&mut owner), 2, "the fourth would make it 40");
+    assert_eq!(granted(&mut owner), 2, "the fourth turn exceeds the share");
     owner.submit(START, Ticket(20), finish("one", 5, None));
     owner.submit(START, Ticket(21), finish("two", 4, None));
     owner.submit(START, Ticket(23), begin("too large", 90, 12));
     assert_eq!(
         granted(&mut owner),
         0,
-        "19 are drawn, and 12 would make it 31"
+        "19 are drawn, and another 12 exceed the share"
     );
     owner.submit(START, Ticket(22), begin("six", 90, 10));
     assert_eq!(
         granted(&mut owner),
         1,
-        "ended turns count with what they used"
+        "finished turns count with the tokens used"
     );
 }
 
 #[test]
-fn a_minority_of_witnesses_is_not_enough_and_is_asked_again_later() {
-    let mut owner = standing();
+fn an_activation_by_a_minority_fails_and_is_retried_later() {
+    let mut owner = with_open_overdraft();
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
@@ -197,10 +197,10 @@
 }
 
 #[test]
-fn a_log_that_answers_fast_again_ends_the_use() {
-    let mut owner = active();
+fn an_overdraft_is_recorded_and_replaced_after_the_log_recovers() {
+    let mut owner = with_active_overdraft();
     owner.on_append(START + SLOW_CALL / 2, AppendOutcome::Refused);
-    // What was drawn is recorded as soon as the log takes it.
+    // The tokens drawn are recorded as soon as the log accepts appends.
     let mut now = START + Duration::from_millis(200);
     let records = appended(&mut owner, now);
     let covered = records
@@ -209,7 +209,7 @@
     assert!(covered, "{records:?}");
     owner.on_append(now, AppendOutcome::Done);
     owner.take_replies();
-    // Turns wait for the log again, and a second later the overdraft is replaced.
+    // Turns wait for the log again, and the overdraft is replaced a second later.
     owner.submit(now, Ticket(5), begin("two", 90, 10));
     assert_eq!(granted(&mut owner), 0);
     appended(&mut owner, now);
@@ -228,8 +228,8 @@
 }
 
 #[test]
-fn an_owner_that_is_not_asked_any_more_closes_an_unused_overdraft() {
-    let mut owner = standing();
+fn an_owner_that_is_no_longer_preferred_closes_an_unused_overdraft() {
+    let mut owner = with_open_overdraft();
     owner.set_preferred(false);
     let records = appended(&mut owner, START);
     assert!(matches!(
@@ -242,8 +242,8 @@
 }
 
 #[test]
-fn an_overdraft_whose_witnesses_are_gone_is_replaced_with_the_next_append() {
-    let mut owner = standing();
+fn an_overdraft_with_lost_witnesses_is_replaced_with_the_next_append() {
+    let mut owner = with_open_overdraft();
     owner.set_witnesses(witnesses(&[1, 4, 5]).into());
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     let records = appended(&mut owner, START);
@@ -254,8 +254,8 @@
     assert_eq!(opened, Some(witnesses(&[1, 4, 5])));
 }
 
-/// A log that holds another owner's overdraft with the witnesses 1, 2 and 3.
-fn others_overdraft() -> ReadOutcome {
+/// Returns a log with another owner's overdraft, whose witnesses are 1, 2 and 3.
+fn foreign_overdraft() -> ReadOutcome {
     ReadOutcome::Records {
         records: vec![Some(LedgerRecord::Overdraft {
             overdraft: "lost/1".to_owned(),
@@ -271,14 +271,14 @@
     let mut owner = PartitionOwner::new("successor".to_owned());
     owner.set_witnesses(witnesses(&[1, 2, 3]).into());
     owner.next_action(START);
-    owner.on_read(START, others_overdraft());
+    owner.on_read(START, foreign_overdraft());
     owner
 }
 
 #[test]
-fn a_fenced_overdraft_is_closed_and_its_charge_ends() {
+fn a_fenced_overdraft_is_closed_and_no_longer_charged() {
     let mut owner = successor();
-    // A third of 25 is charged: two turns of 10 do not fit.
+    // A third of 25 is charged, so two turns of 10 do not fit.
     owner.submit(START, Ticket(1), begin("one", 25, 10));
     owner.submit(START, Ticket(2), begin("two", 25, 10));
     owner.next_action(START);
@@ -302,14 +302,17 @@
     owner.submit(START, Ticket(3), begin("two", 25, 10));
     owner.next_action(START);
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(granted(&mut owner), 1, "the second turn fits now");
+    assert_eq!(
+        granted(&mut owner),
+        1,
+        "the second turn fits after the close"
+    );
 }
 
-/// What an owner that is cut off from the log grants on its overdraft, and what its successor grants
-/// beside that, are spent together.
+/// An owner without access to the log and its successor must not exceed a budget together.
 #[test]
-fn no_budget_is_passed_whoever_acts_for_the_partition() {
-    let mut cut_off = active();
+fn an_isolated_owner_and_its_successor_do_not_exceed_a_budget() {
+    let mut cut_off = with_active_overdraft();
     for (number, turn) in ["two", "three", "four", "five"].iter().enumerate() {
         let ticket = Ticket(10 + number as u64);
         cut_off.submit(START, ticket, begin(turn, 90, 10));
@@ -328,7 +331,7 @@
 }
 
 #[test]
-fn a_denial_that_rests_on_anothers_overdraft_is_never_sure() {
+fn a_denial_caused_by_a_foreign_overdraft_is_never_final() {
     struct Case {
         name: &'static str,
         answer: Option<WitnessAnswer>,
@@ -337,7 +340,7 @@
     }
     let cases = [
         Case {
-            name: "the witnesses have not answered yet",
+            name: "no witness has answered yet",
             answer: None,
             after: Duration::ZERO,
             reply: LedgerReply::BudgetUnsure,
@@ -349,7 +352,7 @@
             reply: LedgerReply::BudgetInDoubt,
         },
         Case {
-            name: "the witnesses are gone",
+            name: "the witnesses are lost",
             answer: None,
             after: Duration::from_millis(1_100),
             reply: LedgerReply::BudgetInDoubt,
@@ -363,13 +366,13 @@
             answer(&mut owner, START, &inquiries[0], given);
         }
         let now = START + case.after;
-        // Of 12, a third is charged, so that a turn of 10 does not fit.
+        // A third of 12 is charged, so a turn of 10 does not fit.
         owner.submit(now, Ticket(1), begin("one", 12, 10));
         let mut replies = Vec::new();
         for _ in 0..6 {
             match owner.next_action(now) {
                 Action::Append { .. } => owner.on_append(now, AppendOutcome::Done),
-                Action::Read { from } => owner.on_read(now, nothing(from.0)),
+                Action::Read { from } => owner.on_read(now, no_records(from.0)),
                 Action::Wait { .. } => {}
             }
             replies.extend(owner.take_replies());
@@ -379,7 +382,7 @@
 }
 
 #[test]
-fn what_stands_in_the_log_for_an_owner_is_not_charged_twice() {
+fn reservations_in_the_log_reduce_the_charge_for_an_overdraft() {
     let mut state = LedgerState::default();
     let overdraft = |owner: &str| LedgerRecord::Overdraft {
         overdraft: format!("{owner}/1"),
@@ -396,15 +399,19 @@
         tokens,
     };
     state.apply(START, reserve("lost/2", 20));
-    assert_eq!(charge(&state), 10, "20 count already");
+    assert_eq!(charge(&state), 10, "20 are reserved already");
     state.apply(START, reserve("other/2", 50));
-    assert_eq!(charge(&state), 10, "another owner's do not matter");
+    assert_eq!(
+        charge(&state),
+        10,
+        "reservations of a third owner are irrelevant"
+    );
     state.apply(START, reserve("lost/3", 20));
     assert_eq!(charge(&state), 0);
 }
 
 #[test]
-fn a_witness_decides_once_and_only_for_its_own_start() {
+fn a_witness_decides_once_and_answers_only_for_its_own_start() {
     struct Case {
         name: &'static str,
         questions: &'static [(u64, WitnessWish)],
@@ -422,7 +429,7 @@
             answers: &[WitnessAnswer::Fenced, WitnessAnswer::Fenced],
         },
         Case {
-            name: "asked as an earlier start",
+            name: "question for an earlier start",
             questions: &[(6, WitnessWish::Fence), (7, WitnessWish::Activate)],
             answers: &[WitnessAnswer::Unknown, WitnessAnswer::Activated],
         },
@@ -445,9 +452,9 @@
     }
 }
 
-/// What a lost owner's log holds: an overdraft that serves budgets from `min_budget` on.
+/// Returns a log with a lost owner's overdraft, which serves budgets of at least `min_budget`.
 fn lost_overdraft(min_budget: u64) -> ReadOutcome {
-    let ReadOutcome::Records { mut records, .. } = others_overdraft() else {
+    let ReadOutcome::Records { mut records, .. } = foreign_overdraft() else {
         panic!("records");
     };
     records.push(Some(LedgerRecord::OverdraftTerms {
@@ -461,7 +468,8 @@
     }
 }
 
-/// An owner after a loss of all machines: the witnesses of the lost overdraft have forgotten it.
+/// Returns an owner after the loss of all machines: the witnesses of the lost overdraft do not
+/// remember it.
 fn owner_after_loss_of_all(min_budget: u64) -> PartitionOwner {
     let mut owner = PartitionOwner::new("successor".to_owned());
     owner.set_witnesses(witnesses(&[11, 12, 13]).into());
@@ -474,14 +482,14 @@
     owner
 }
 
-/// Time after which witnesses that have not fenced an overdraft are taken to be lost.
+/// Time after which witnesses that have not fenced an overdraft are considered lost.
 const FENCING: Duration = Duration::from_secs(1);
 
 #[test]
-fn after_a_loss_of_all_machines_an_overdraft_is_opened_beside_the_lost_one() {
+fn an_overdraft_is_opened_in_addition_to_a_lost_one() {
     let mut owner = owner_after_loss_of_all(0);
     let Action::Wait { until: Some(until) } = owner.next_action(START) else {
-        panic!("the lost one may yet turn out to be unused");
+        panic!("the lost overdraft may still prove unused");
     };
     assert_eq!(until, START + FENCING);
     let records = appended(&mut owner, until);
@@ -497,9 +505,9 @@
     assert!(matches!(owner.next_action(until), Action::Wait { .. }));
 }
 
-/// The programs that an overdraft beside a lost one serves: those that the log knows.
+/// An overdraft opened in addition to a lost one must only serve programs that the log knows.
 #[test]
-fn an_overdraft_beside_a_lost_one_serves_known_programs_alone() {
+fn an_overdraft_in_addition_to_a_lost_one_serves_known_programs_only() {
     let mut owner = owner_after_loss_of_all(0);
     let now = START + FENCING;
     appended(&mut owner, now);
@@ -510,9 +518,13 @@
     appended(&mut owner, now);
     owner.on_append(now, AppendOutcome::Done);
     owner.take_replies();
-    // The first turn's advance holds another; the call for the next one takes long.
+    // The first turn's advance holds another turn; the call for the one after that is slow.
     owner.submit(now, Ticket(2), begin("two", 90, 10));
-    assert_eq!(granted(&mut owner), 1, "on the first turn's advance");
+    assert_eq!(
+        granted(&mut owner),
+        1,
+        "drawn from the first turn's advance"
+    );
     owner.submit(now, Ticket(3), begin("three", 90, 10));
     appended(&mut owner, now);
     owner.note_slow_call(now);
@@ -520,18 +532,23 @@
         answer(&mut owner, now, &inquiry, WitnessAnswer::Activated);
     }
     assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
-    assert_eq!(granted(&mut owner), 1, "a third of 90 holds the third turn");
+    assert_eq!(
+        granted(&mut owner),
+        1,
+        "the third turn fits into a third of 90"
+    );
     owner.submit(now, Ticket(5), begin_of("new", "first", 90, 10));
     assert_eq!(
         granted(&mut owner),
         0,
-        "the log knows nothing of the program"
+        "the program has no account in the log"
     );
 }
 
-/// What a second loss of all machines leaves: the overdraft of the first, and one opened beside it.
+/// After a second loss of all machines, the log contains the overdraft of the first owner and the
+/// one opened in addition.
 #[test]
-fn programs_that_begin_after_a_second_loss_are_held_back_for_one_overdraft() {
+fn programs_that_start_after_a_second_loss_are_charged_for_one_overdraft() {
     let mut owner = PartitionOwner::new("third".to_owned());
     owner.set_witnesses(witnesses(&[21, 22, 23]).into());
     owner.next_action(START);
@@ -571,16 +588,16 @@
             .state()
             .overdrawn_by_others(program, 90, |name| name.starts_with("third"))
     };
-    assert_eq!(charge("new"), 30, "for the first overdraft alone");
+    assert_eq!(charge("new"), 30, "for the first overdraft only");
     assert_eq!(
         charge("known"),
         50,
-        "for both, less what the log holds of one"
+        "for both, minus the reservation in the log"
     );
 }
 
 #[test]
-fn no_fourth_overdraft_is_opened_beside_three_that_were_lost() {
+fn no_overdraft_is_opened_in_addition_to_three_lost_ones() {
     let mut owner = PartitionOwner::new("successor".to_owned());
     owner.set_witnesses(witnesses(&[11, 12, 13]).into());
     owner.next_action(START);
@@ -603,8 +620,8 @@
     assert!(matches!(action, Action::Wait { .. }), "{action:?}");
 }
 
-/// Draws what the owner lets run, until it grants no more.
-fn granted_of(owner: &mut PartitionOwner, now: Timestamp, budget: u64) -> usize {
+/// Requests turns and returns how many the owner grants.
+fn grant_all(owner: &mut PartitionOwner, now: Timestamp, budget: u64) -> usize {
     for number in 0..20 {
         let turn = format!("turn-{number}");
         owner.submit(now, Ticket(100 + number), begin(&turn, budget, 10));
@@ -616,7 +633,7 @@
 }
 
 #[test]
-fn budgets_below_the_least_of_a_lost_overdraft_are_not_charged_for_it() {
+fn budgets_below_the_minimum_of_a_lost_overdraft_are_not_charged() {
     struct Case {
         name: &'static str,
         min_budget: u64,
@@ -625,19 +642,19 @@
     }
     let cases = [
         Case {
-            name: "no least budget: a third of 12 is held back, and a turn of 10 does not fit",
+            name: "no minimum: a third of 12 is charged, and a turn of 10 does not fit",
             min_budget: 0,
             budget: 12,
             granted: 0,
         },
         Case {
-            name: "a budget that holds one turn, below the least",
+            name: "a budget for one turn, below the minimum",
             min_budget: 30,
             budget: 12,
             granted: 1,
         },
         Case {
-            name: "the least budget",
+            name: "the minimum budget",
             min_budget: 30,
             budget: 30,
             granted: 2,
@@ -645,25 +662,25 @@
     ];
     for case in cases {
         let mut owner = owner_after_loss_of_all(case.min_budget);
-        let granted = granted_of(&mut owner, START + FENCING, case.budget);
+        let granted = grant_all(&mut owner, START + FENCING, case.budget);
         assert_eq!(granted, case.granted, "{}", case.name);
     }
 }
 
 #[test]
-fn an_overdraft_serves_only_budgets_whose_share_holds_a_usual_turn() {
-    let mut owner = standing();
+fn an_overdraft_serves_only_budgets_whose_share_holds_a_typical_turn() {
+    let mut owner = with_open_overdraft();
     owner.submit(START, Ticket(1), begin("one", 900, 10));
     appended(&mut owner, START);
     owner.on_append(START, AppendOutcome::Done);
-    // The next append replaces the overdraft by one with a least budget.
+    // The next append replaces the overdraft by one with a minimum budget.
     owner.submit(START, Ticket(2), begin("two", 900, 200));
     let records = appended(&mut owner, START);
-    let least = records.iter().find_map(|record| match record {
+    let min_budget = records.iter().find_map(|record| match record {
         LedgerRecord::OverdraftTerms { min_budget, .. } => Some(*min_budget),
         _ => None,
     });
-    assert_eq!(least, Some(30), "{records:?}");
+    assert_eq!(min_budget, Some(30), "{records:?}");
     owner.on_append(START, AppendOutcome::Done);
     owner.take_replies();
     owner.submit(START, Ticket(3), begin("three", 900, 300));
@@ -686,9 +703,9 @@
 }
 
 #[test]
-fn nothing_is_drawn_on_an_overdraft_that_is_known_to_be_superseded() {
+fn a_superseded_overdraft_is_not_drawn_on() {
     for is_superseded in [false, true] {
-        let mut owner = active();
+        let mut owner = with_active_overdraft();
         granted(&mut owner);
         owner.on_append(START, AppendOutcome::Conflict);
         owner.next_action(START);
@@ -700,7 +717,7 @@
             .into_iter()
             .collect();
         let end = Offset(1 + records.len() as u64);
-        // The log answers, but slowly, so that the overdraft would still be of use.
+        // The log answers slowly, so that the overdraft would still be useful.
         let now = START + SLOW_CALL;
         owner.on_read(now, ReadOutcome::Records { records, end });
         owner.submit(now, Ticket(2), begin("two", 90, 10));
@@ -716,7 +733,7 @@
     owner.on_append(START, AppendOutcome::Unknown);
     let now = START + Duration::from_secs(1);
     owner.next_action(now);
-    // A page that ends before the terms.
+    // A page of records that ends before the terms.
     let page = ReadOutcome::Records {
         records: records.into_iter().take(1).map(Some).collect(),
         end: Offset(2),
@@ -727,7 +744,7 @@
 }
 
 #[test]
-fn an_owner_that_is_not_preferred_does_not_promise_a_decision_soon() {
+fn an_owner_that_is_not_preferred_does_not_reply_budget_unsure() {
     let mut owner = successor();
     owner.set_preferred(false);
     owner.submit(START, Ticket(1), begin("one", 12, 10));
@@ -735,7 +752,7 @@
     for _ in 0..6 {
         match owner.next_action(START) {
             Action::Append { .. } => owner.on_append(START, AppendOutcome::Done),
-            Action::Read { from } => owner.on_read(START, nothing(from.0)),
+            Action::Read { from } => owner.on_read(START, no_records(from.0)),
             Action::Wait { .. } => {}
         }
         replies.extend(owner.take_replies());
@@ -743,14 +760,14 @@
     assert_eq!(replies, [(Ticket(1), LedgerReply::BudgetInDoubt)]);
 }
 
-/// Witnesses forget an activation in time, so an overdraft is not used for ever.
+/// Witnesses forget an activation eventually, so an overdraft must not be used indefinitely.
 #[test]
-fn an_overdraft_is_closed_before_its_witnesses_forget_it_though_the_log_stays_slow() {
-    let mut owner = active();
+fn an_overdraft_is_closed_before_its_witnesses_forget_it_even_if_the_log_stays_slow() {
+    let mut owner = with_active_overdraft();
     owner.on_append(START + SLOW_CALL, AppendOutcome::Done);
     let old = START + OVERDRAFT_RETENTION;
     let Action::Append { records, .. } = owner.next_action(old) else {
-        panic!("it is to be closed");
+        panic!("the overdraft must be closed");
     };
     let is_close = |record: &LedgerRecord| matches!(record, LedgerRecord::OverdraftClosed { .. });
     assert!(records.iter().any(is_close), "{records:?}");
@@ -758,7 +775,7 @@
 
 #[test]
 fn budgets_and_turns_of_any_size_are_decided() {
-    let mut owner = active();
+    let mut owner = with_active_overdraft();
     for (number, (budget, tokens)) in [(u64::MAX, u64::MAX), (1, u64::MAX), (u64::MAX, 1)]
         .into_iter()
         .enumerate()
@@ -774,19 +791,20 @@
     }
 }
 
-/// An owner of a partition whose turns are all to be kept: none can end while the log is away.
-fn owner_of_kept_turns() -> PartitionOwner {
+/// Returns an owner of a partition whose turns must all be stored, so that none can finish without
+/// the log.
+fn owner_of_stored_turns() -> PartitionOwner {
     let mut owner = PartitionOwner::new("owner".to_owned());
     owner.set_witnesses(witnesses(&[1, 2, 3]).into());
     owner.set_serves_without_log(false);
     owner.next_action(START);
-    owner.on_read(START, nothing(0));
+    owner.on_read(START, no_records(0));
     owner
 }
 
 #[test]
-fn no_overdraft_is_opened_where_every_turn_is_kept() {
-    let mut owner = owner_of_kept_turns();
+fn no_overdraft_is_opened_if_all_turns_are_stored() {
+    let mut owner = owner_of_stored_turns();
     assert!(matches!(owner.next_action(START), Action::Wait { .. }));
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     let records = appended(&mut owner, START);
@@ -802,8 +820,8 @@
 }
 
 #[test]
-fn an_overdraft_is_closed_once_every_turn_is_kept() {
-    let mut owner = standing();
+fn an_unused_overdraft_is_closed_once_all_turns_are_stored() {
+    let mut owner = with_open_overdraft();
     owner.set_serves_without_log(false);
     let records = appended(&mut owner, START);
     assert!(
@@ -816,8 +834,8 @@
 }
 
 #[test]
-fn an_overdraft_that_stands_is_not_activated_once_every_turn_is_kept() {
-    let mut owner = standing();
+fn an_open_overdraft_is_not_activated_once_all_turns_are_stored() {
+    let mut owner = with_open_overdraft();
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.set_serves_without_log(false);
@@ -830,14 +848,14 @@
 }
 
 #[test]
-fn an_overdraft_in_use_is_recorded_and_closed_after_every_turn_is_kept() {
-    let mut owner = active();
+fn an_active_overdraft_is_recorded_and_closed_once_all_turns_are_stored() {
+    let mut owner = with_active_overdraft();
     assert_eq!(granted(&mut owner), 1);
     owner.set_serves_without_log(false);
     owner.on_append(START, AppendOutcome::Done);
-    let calm = START + SLOW_CALL;
+    let recovered_at = START + SLOW_CALL;
     let mut records = Vec::new();
-    let mut now = calm;
+    let mut now = recovered_at;
     for _ in 0..6 {
         match owner.next_action(now) {
             Action::Append { records: some, .. } => {
@@ -856,17 +874,17 @@
     assert_eq!(owner.overdraft_use(), OverdraftUse::None);
 }
 
-/// All machines are lost after a program's first turn, of a budget that holds nine; whoever takes the
-/// partition over grants all that is left but for what the lost owner had set aside.
+/// All machines are lost after the first turn of a program with budget for nine. The next owner
+/// must grant everything except the tokens that the lost owner had reserved.
 #[test]
-fn after_a_loss_of_all_kept_turns_are_held_back_for_advances_alone() {
-    let mut lost = owner_of_kept_turns();
+fn after_a_loss_of_all_machines_stored_turns_are_charged_for_advances_only() {
+    let mut lost = owner_of_stored_turns();
     lost.submit(START, Ticket(1), begin("one", 90, 10));
     let records = appended(&mut lost, START);
     let [LedgerRecord::Reserved { tokens, .. }] = &records[..] else {
         panic!("{records:?}");
     };
-    let set_aside = *tokens;
+    let reserved = *tokens;
     let mut owner = PartitionOwner::new("successor".to_owned());
     owner.set_witnesses(witnesses(&[11, 12, 13]).into());
     owner.set_serves_without_log(false);
@@ -886,5 +904,5 @@
         }
         turns += granted(&mut owner) as u64;
     }
-    assert_eq!(turns, (90 - set_aside) / 10);
+    assert_eq!(turns, (90 - reserved) / 10);
 }
--- a/crates/gateway-core/tests/ledger/turns.rs
+++ b/crates/gateway-core/tests/ledger/turns.rs
@@ -1,4 +1,4 @@
-//! Kept turns and conversations.
+//! Tests of stored turns and conversations.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::fixtures::{START, begin, begin_after, carry_out, finish, kept, synced_owner};
 
 #[test]
-fn a_conversation_is_every_input_and_output_in_order() {
+fn a_conversation_contains_all_inputs_and_outputs_in_order() {
     let mut state = LedgerState::default();
     let turns = [
         ("a", kept(None, b"in-a ", b"out-a\n")),
@@ -26,7 +26,7 @@
         };
         state.apply(START, record);
     }
-    let conversation = state.conversation("c").expect("all turns are kept");
+    let conversation = state.conversation("c").expect("all turns are stored");
     assert_eq!(
         conversation.as_ref(),
         b"in-a out-a\nin-b out-b\nin-c out-c\n"
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_kept_turn_can_be_gone_on_from() {
+fn a_stored_turn_can_be_continued() {
     let mut owner = synced_owner();
     let content = kept(None, b"in ", b"out\n");
     carry_out(&mut owner, finish("t", 0, Some(content)));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_imported_conversation_is_kept_like_the_partitions_own() {
+fn an_imported_conversation_is_stored() {
     let mut owner = synced_owner();
     let reply = carry_out(&mut owner, begin_after("u", "t", Some(b"from afar\n")));
     let conversation = Bytes::from_static(b"from afar\n");
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn what_is_still_kept_is_written_anew_before_the_log_drops_it() {
+fn retained_entries_are_rewritten_before_the_log_truncates_them() {
     let mut owner = synced_owner();
     carry_out(&mut owner, begin("t", 100, 10));
     carry_out(&mut owner, finish("k", 0, Some(kept(None, b"in", b"out"))));
     assert_eq!(owner.plan_rewrite(START), None, "nothing is old yet");
     let later = START + Duration::from_secs(101);
     let Some(Action::Append { records, .. }) = owner.plan_rewrite(later) else {
-        panic!("old records must be written anew");
+        panic!("old records must be rewritten");
     };
     let mut state = LedgerState::default();
     for record in records {
@@ -100,14 +100,14 @@
     assert_eq!(owner.state().conversation("k"), None);
     assert!(
         owner.state().account("p").is_some(),
-        "a tool may take minutes"
+        "accounts are retained for longer than turns"
     );
     owner.expire(START + ACCOUNT_RETENTION, Duration::from_secs(75));
     assert!(owner.state().is_empty());
 }
 
 #[test]
-fn a_turn_is_kept_as_long_as_the_conversation_goes_on() {
+fn a_turn_is_retained_while_its_conversation_continues() {
     let retention = Duration::from_secs(75);
     let mut state = LedgerState::default();
     let names: Vec<String> = (0..5).map(|number| format!("t{number}")).collect();
@@ -127,11 +127,11 @@
         "200 s after its first turn"
     );
     state.expire(now + Duration::from_secs(76), retention);
-    assert!(state.is_empty(), "nothing goes on from it any more");
+    assert!(state.is_empty(), "no recent turn continues it");
 }
 
 #[test]
-fn a_turn_too_large_for_a_record_is_kept_in_pieces() {
+fn a_turn_too_large_for_a_record_is_split() {
     let cases = [
         (MAX_CONTENT_BYTES, 0, 1),
         (MAX_CONTENT_BYTES, 1, 2),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_append_stays_within_what_the_log_takes() {
+fn an_append_stays_within_the_size_limit() {
     let mut owner = synced_owner();
     let turns = 30;
     for number in 0..turns {
@@ -172,7 +172,7 @@
     let mut finished = 0;
     while finished < turns {
         let Action::Append { records, .. } = owner.next_action(START) else {
-            panic!("turns must be kept");
+            panic!("turns must be stored");
         };
         let bytes: usize = records.iter().map(approximate_bytes).sum();
         assert!(bytes < 2 * 1024 * 1024, "{bytes} bytes in one append");
--- a/crates/gateway-core/tests/outage_load.rs
+++ b/crates/gateway-core/tests/outage_load.rs
@@ -1,67 +1,69 @@
-//! Replays a load of programs whose turns are kept through a silence of the log, by the callers' rules:
-//! a turn has 2.5 s, one more try within them after a refusal, and goes out again twice after a failure.
+//! Simulates programs whose turns must be stored during an outage of the log. Callers follow these
+//! rules: a turn has a deadline of 2.5 s, is retried once within it after a refusal, and is sent
+//! again at most twice after a failure.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::outage_wait::{COME_BACK, outage_wait};
 use elderworks_gateway_core::policy::Policy;
 
-/// Seconds.
+/// Duration or point in time in seconds.
 type Seconds = f64;
 
-/// What a turn takes at an engine, and a program between two turns.
+/// Duration of a turn at an engine, and of the tools between two turns.
 const TURN: Seconds = 0.06;
 const TOOLS: Seconds = 0.07;
 
-/// A turn's deadline, and the gap after which a stream is given up.
+/// Deadline of a turn, and the gap without output after which a stream is given up.
 const DEADLINE: Seconds = 2.5;
-const LONGEST_GAP: Seconds = 2.4;
+const MAX_GAP: Seconds = 2.4;
 
-/// Part of the time left for which callers wait before they come back.
-const LONGEST_RETURN: f64 = 1.0 / 3.0;
+/// Maximum wait of a caller before a retry, as a fraction of its remaining time.
+const RETRY_WAIT_FRACTION: f64 = 1.0 / 3.0;
 
-/// Times that a turn goes out.
-const GOES: u32 = 3;
+/// Maximum number of times that a turn is sent.
+const MAX_SENDS: u32 = 3;
 
-/// Programs that begin each second, and the turns of each.
+/// Programs that start per second, and turns per program.
 const PROGRAMS: u32 = 72;
 const TURNS: u32 = 6;
 
-/// A program's aim in terms of what it takes undisturbed.
-const AIM: f64 = 1.6;
-const AIM_ADDED: Seconds = 0.2;
+/// A program's target time: its undisturbed duration times this factor, plus a constant.
+const TARGET_FACTOR: f64 = 1.6;
+const TARGET_ADDED: Seconds = 0.2;
 
-/// Programs that begin while one turn runs: what waits ends later than what has run, by a turn.
-const A_TURNS_PROGRAMS: u32 = (TURN * PROGRAMS as f64) as u32 + 2;
+/// Number of programs that start during one turn. Turns that wait finish later than turns that run
+/// by the duration of one turn, which may affect this many programs.
+const PROGRAMS_PER_TURN: u32 = (TURN * PROGRAMS as f64) as u32 + 2;
 
 const SILENT_FROM: Seconds = 10.0;
 
-/// What is done with a turn while the log is silent.
+/// How turns are handled while the log is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// It runs, and its end waits.
-    Begin,
-    /// It waits for this share of its time, then is refused.
+enum Handling {
+    /// The turn runs, and its completion waits.
+    Start,
+    /// The turn waits for this fraction of its time and is then refused.
     Wait(f64),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     until: Seconds,
-    known_after: Seconds,
-    way: Way,
+    detected_after: Seconds,
+    handling: Handling,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Counted {
     in_time: u32,
-    /// Within twice the aim.
+    /// Finished within twice the target time.
     late: u32,
     later: u32,
     failed: u32,
-    runs_in_vain: u32,
-    /// Those of them that began when the silence was known.
-    begun_in_vain: u32,
+    wasted_runs: u32,
+    /// Wasted runs that started after the outage had been detected.
+    wasted_after_detection: u32,
 }
 
 impl Outage {
@@ -69,34 +71,36 @@
         (SILENT_FROM..self.until).contains(&now)
     }
 
-    fn is_known(&self, now: Seconds) -> bool {
-        self.is_silent(now) && now >= SILENT_FROM + self.known_after
+    fn is_detected(&self, now: Seconds) -> bool {
+        self.is_silent(now) && now >= SILENT_FROM + self.detected_after
     }
 
-    /// A turn that runs from `now` on: when its end is durable, or when it is given up.
+    /// Runs a turn from `now` on. Returns when its completion is durable, or as an error when it is
+    /// given up.
     fn run(&self, now: Seconds, deadline: Seconds) -> Result<Seconds, Seconds> {
-        let made = now + TURN;
-        if !self.is_silent(made) {
-            return Ok(made);
+        let finished = now + TURN;
+        if !self.is_silent(finished) {
+            return Ok(finished);
         }
-        let given_up = deadline.min(made + LONGEST_GAP);
+        let given_up = deadline.min(finished + MAX_GAP);
         match self.until <= given_up {
             true => Ok(self.until),
             false => Err(given_up),
         }
     }
 
-    /// One turn as it goes out once: when it has ended, or when it has failed.
-    fn go(&self, from: Seconds, counted: &mut Counted) -> Result<Seconds, Seconds> {
+    /// Sends a turn once. Returns when it has finished, or as an error when it has failed.
+    fn send(&self, from: Seconds, counted: &mut Counted) -> Result<Seconds, Seconds> {
         let deadline = from + DEADLINE;
         let mut now = from;
         for tries_left in [1, 0] {
-            let share = match self.way {
-                Way::Wait(share) if self.is_known(now) => share,
+            let share = match self.handling {
+                Handling::Wait(share) if self.is_detected(now) => share,
                 _ => {
                     let ran = self.run(now, deadline);
-                    counted.runs_in_vain += u32::from(ran.is_err());
-                    counted.begun_in_vain += u32::from(ran.is_err() && self.is_known(now));
+                    counted.wasted_runs += u32::from(ran.is_err());
+                    counted.wasted_after_detection +=
+                        u32::from(ran.is_err() && self.is_detected(now));
                     return ran;
                 }
             };
@@ -109,26 +113,26 @@
             if tries_left > 0 {
                 now += COME_BACK
                     .as_secs_f64()
-                    .min((deadline - now) * LONGEST_RETURN);
+                    .min((deadline - now) * RETRY_WAIT_FRACTION);
             }
         }
         Err(now)
     }
 
-    /// A whole program: its time, `None` if it fails.
+    /// Runs a program and returns its duration; `None` if it fails.
     fn program(&self, from: Seconds, pauses: f64, counted: &mut Counted) -> Option<Seconds> {
         let mut now = from;
         for turn in 0..TURNS {
             let mut ended = None;
-            for go in 0..GOES {
-                match self.go(now, counted) {
+            for attempt in 0..MAX_SENDS {
+                match self.send(now, counted) {
                     Ok(end) => {
                         ended = Some(end);
                         break;
                     }
-                    // From 0.1 to 0.4 s, each a little different.
+                    // Delays from 0.1 to 0.4 s that differ between attempts.
                     Err(failed) => {
-                        now = failed + 0.1 + 0.3 * (pauses + f64::from(go) * 0.37).fract()
+                        now = failed + 0.1 + 0.3 * (pauses + f64::from(attempt) * 0.37).fract()
                     }
                 }
             }
@@ -140,7 +144,7 @@
     fn replay(&self) -> Counted {
         let mut counted = Counted::default();
         let alone = f64::from(TURNS) * TURN + f64::from(TURNS - 1) * TOOLS;
-        let aim = alone * AIM + AIM_ADDED;
+        let target = alone * TARGET_FACTOR + TARGET_ADDED;
         let first = SILENT_FROM - alone;
         let last = self.until;
         let mut number = 0;
@@ -152,32 +156,32 @@
             number += 1;
             match self.program(from, f64::from(number) * 0.618, &mut counted) {
                 None => counted.failed += 1,
-                Some(took) if took <= aim => counted.in_time += 1,
-                Some(took) if took <= 2.0 * aim => counted.late += 1,
+                Some(took) if took <= target => counted.in_time += 1,
+                Some(took) if took <= 2.0 * target => counted.late += 1,
                 Some(_) => counted.later += 1,
             }
         }
     }
 }
 
-fn replay(lasts: Seconds, known_after: Seconds, way: Way) -> Counted {
+fn replay(lasts: Seconds, detected_after: Seconds, handling: Handling) -> Counted {
     let outage = Outage {
         until: SILENT_FROM + lasts,
-        known_after,
-        way,
+        detected_after,
+        handling,
     };
     let counted = outage.replay();
-    println!("{lasts} s, known after {known_after} s, {way:?}: {counted:?}");
+    println!("{lasts} s, detected after {detected_after} s, {handling:?}: {counted:?}");
     counted
 }
 
-/// How long a turn that first goes out at the begin of a silence can be tried.
-fn cover(way: Way) -> Seconds {
+/// Returns the longest outage that a turn survives if it is first sent when the outage starts.
+fn longest_survived_outage(handling: Handling) -> Seconds {
     let survives = |lasts: Seconds| {
         let outage = Outage {
             until: SILENT_FROM + lasts,
-            known_after: 0.0,
-            way,
+            detected_after: 0.0,
+            handling,
         };
         let mut counted = Counted::default();
         outage.program(SILENT_FROM, 0.0, &mut counted).is_some()
@@ -189,60 +193,60 @@
         .unwrap_or(0.0)
 }
 
-/// The longest outages that deployments name.
+/// Durations of the longest outages that deployments report.
 const OUTAGES: [Seconds; 2] = [4.1, 7.0];
 
-fn chosen() -> Way {
-    Way::Wait(Policy::default().outage_wait_share)
+fn default_handling() -> Handling {
+    Handling::Wait(Policy::default().outage_wait_share)
 }
 
 #[test]
-fn a_turns_tries_cover_the_longest_outage() {
-    for way in [
-        Way::Begin,
-        Way::Wait(0.0),
-        Way::Wait(0.4),
-        Way::Wait(0.6),
-        Way::Wait(0.75),
-        Way::Wait(0.9),
+fn the_attempts_of_a_turn_cover_the_longest_outage() {
+    for handling in [
+        Handling::Start,
+        Handling::Wait(0.0),
+        Handling::Wait(0.4),
+        Handling::Wait(0.6),
+        Handling::Wait(0.75),
+        Handling::Wait(0.9),
     ] {
-        println!("{way:?}: {:.1} s", cover(way));
+        println!("{handling:?}: {:.1} s", longest_survived_outage(handling));
     }
-    assert!(cover(chosen()) >= 7.0);
+    assert!(longest_survived_outage(default_handling()) >= 7.0);
     assert!(
-        cover(Way::Wait(0.0)) < 4.1,
-        "refused at once, it is tried in vain"
+        longest_survived_outage(Handling::Wait(0.0)) < 4.1,
+        "an immediate refusal exhausts the attempts too early"
     );
 }
 
 #[test]
-fn no_program_fails_and_no_turn_begins_in_vain() {
+fn no_program_fails_and_no_run_is_wasted_after_detection() {
     for lasts in OUTAGES {
-        let begun = replay(lasts, 0.0, Way::Begin);
-        let waits = replay(lasts, 0.1, chosen());
-        let refused = replay(lasts, 0.1, Way::Wait(0.0));
+        let started = replay(lasts, 0.0, Handling::Start);
+        let waits = replay(lasts, 0.1, default_handling());
+        let refused = replay(lasts, 0.1, Handling::Wait(0.0));
         for share in [0.4, 0.75, 0.9] {
-            replay(lasts, 0.1, Way::Wait(share));
+            replay(lasts, 0.1, Handling::Wait(share));
         }
         assert_eq!(waits.failed, 0, "{lasts} s");
         assert!(refused.failed > 0, "{lasts} s");
         let served = |counted: Counted| counted.in_time + counted.late;
         assert!(
-            served(waits) + A_TURNS_PROGRAMS >= served(begun),
+            served(waits) + PROGRAMS_PER_TURN >= served(started),
             "{lasts} s"
         );
         assert!(
-            begun.begun_in_vain > 0 && waits.begun_in_vain == 0,
+            started.wasted_after_detection > 0 && waits.wasted_after_detection == 0,
             "{lasts} s"
         );
     }
 }
 
 #[test]
-fn knowing_sooner_spares_runs_in_vain() {
+fn faster_detection_avoids_wasted_runs() {
     for lasts in OUTAGES {
-        let soon = replay(lasts, 0.1, chosen());
-        let late = replay(lasts, 0.5, chosen());
-        assert!(soon.runs_in_vain < late.runs_in_vain);
+        let soon = replay(lasts, 0.1, default_handling());
+        let late = replay(lasts, 0.5, default_handling());
+        assert!(soon.wasted_runs < late.wasted_runs);
     }
 }
