--- a/crates/gateway-core/tests/ledger_model.rs
+++ b/crates/gateway-core/tests/ledger_model.rs
@@ -1,8 +1,8 @@
-//! Several owners act for one partition on one log, whose calls are refused, lost or carried out
-//! late, while owners lose their memory. What the ledger promises must hold throughout.
+//! Model test: several owners serve one partition on one log, whose calls are refused, lost or
+//! carried out late, while owners and witnesses restart. The guarantees of the ledger must hold
+//! throughout: no program exceeds its budget, and stored turns are not lost.
 //!
-//! Without witnesses no owner has an overdraft. A program never exceeds its budget, with them or
-//! without.
+//! Without witnesses no owner has an overdraft.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 use proptest::test_runner::RngSeed;
 
 const OWNERS: usize = 3;
-/// Nodes that can witness: the owners' own, and others.
+/// Number of nodes that can act as witnesses; the owners run on the first ones.
 const NODES: usize = 5;
 const PROGRAMS: [&str; 4] = ["a", "b", "c", "d"];
-const MOST: u64 = 10;
-/// The budget of a program: one is too small for a turn on an overdraft.
+const MAX_TOKENS: u64 = 10;
+/// Returns the budget of a program. One of them is too small for a turn on an overdraft.
 fn budget(program: &str) -> u64 {
     match program {
         "c" => 25,
@@ -32,31 +32,31 @@
     }
 }
 
-/// What a turn generates at most: turns of two sizes take turns.
-fn most(ticket: Ticket) -> u64 {
+/// Returns the maximum tokens of a turn, which alternates between two sizes.
+fn turn_tokens(ticket: Ticket) -> u64 {
     match ticket.0 % 3 {
         0 => 4,
-        _ => MOST,
+        _ => MAX_TOKENS,
     }
 }
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// A call that the log has not carried out yet and may carry out later.
+/// An append that the log may still carry out.
 #[derive(Clone)]
 struct LateAppend {
     at: Offset,
     records: Vec<LedgerRecord>,
 }
 
-/// The platform's log as its pages describe it.
+/// The platform's log as specified.
 #[derive(Default)]
 struct Log {
     records: Vec<LedgerRecord>,
     late: Vec<LateAppend>,
 }
 
-/// What becomes of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
     Works,
@@ -116,43 +116,43 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A turn begins at an owner.
+    /// Request a turn from an owner.
     Begin { owner: usize, program: usize },
-    /// A granted turn ends; kept or not.
+    /// Finish a granted turn, reported to its owner or to `other`.
     Finish {
         other: Option<usize>,
         used: u64,
         kept: bool,
     },
-    /// An owner is asked for a turn that was answered as kept.
-    Ask { owner: usize },
-    /// An owner begins its next action, and the log carries it out.
+    /// Request a stored turn from an owner.
+    Query { owner: usize },
+    /// Start the next action of an owner; the log handles it according to `fate`.
     Act { owner: usize, fate: Fate },
-    /// An owner learns how its action has ended.
-    Learn { owner: usize },
-    /// An owner loses its memory.
+    /// Report the result of its action to an owner.
+    Report { owner: usize },
+    /// Restart an owner, which loses its state.
     Restart { owner: usize },
-    /// Requests go to an owner, or no longer.
+    /// Set whether an owner is preferred.
     Prefer { owner: usize, is_preferred: bool },
-    /// Lost calls are carried out now, if their condition holds.
-    Late,
-    /// The call of an owner takes long.
+    /// Carry out the delayed appends whose condition holds.
+    CarryOutLate,
+    /// Report the call of an owner as slow.
     Slow { owner: usize },
-    /// A question reaches its witness or not, and its answer the owner or not.
-    Inquire { is_asked: bool, is_heard: bool },
-    /// A node forgets what it has witnessed, with the owner that runs there if there is one.
+    /// Deliver a question to its witness if `is_asked`, and its answer to the owner if `is_answered`.
+    Inquire { is_asked: bool, is_answered: bool },
+    /// Restart a node with its witness memory and its owner, if there is one.
     RestartNode { node: usize },
-    /// Time passes.
+    /// Advance the clock.
     Pass { steps: u32 },
 }
 
-/// The steps of days on which owners have overdrafts.
+/// Steps of a scenario with overdrafts.
 fn step_with_witnesses() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => step(),
         3 => (0..OWNERS).prop_map(|owner| Step::Slow { owner }),
         8 => (prop::bool::weighted(0.8), prop::bool::weighted(0.8))
-            .prop_map(|(is_asked, is_heard)| Step::Inquire { is_asked, is_heard }),
+            .prop_map(|(is_asked, is_answered)| Step::Inquire { is_asked, is_answered }),
         1 => (0..NODES).prop_map(|node| Step::RestartNode { node }),
         1 => (1_u32..60).prop_map(|steps| Step::Pass { steps }),
     ]
@@ -172,46 +172,46 @@
     prop_oneof![
         3 => (0..OWNERS, 0..PROGRAMS.len())
             .prop_map(|(owner, program)| Step::Begin { owner, program }),
-        3 => (prop::option::weighted(0.2, 0..OWNERS), 0..=MOST, any::<bool>())
+        3 => (prop::option::weighted(0.2, 0..OWNERS), 0..=MAX_TOKENS, any::<bool>())
             .prop_map(|(other, used, kept)| Step::Finish { other, used, kept }),
         9 => (0..OWNERS, fate()).prop_map(|(owner, fate)| Step::Act { owner, fate }),
-        9 => (0..OWNERS).prop_map(|owner| Step::Learn { owner }),
+        9 => (0..OWNERS).prop_map(|owner| Step::Report { owner }),
         1 => (0..OWNERS).prop_map(|owner| Step::Restart { owner }),
         1 => (0..OWNERS, any::<bool>())
             .prop_map(|(owner, is_preferred)| Step::Prefer { owner, is_preferred }),
-        2 => (0..OWNERS).prop_map(|owner| Step::Ask { owner }),
-        1 => Just(Step::Late),
+        2 => (0..OWNERS).prop_map(|owner| Step::Query { owner }),
+        1 => Just(Step::CarryOutLate),
     ]
 }
 
-/// What the callers have seen.
+/// State as observed by callers.
 #[derive(Default)]
 struct Seen {
-    /// Turns granted and not ended.
+    /// Turns that were granted and have not finished.
     running: Vec<Granted>,
-    /// Tokens of ended turns by program.
+    /// Tokens of finished turns by program.
     used: BTreeMap<&'static str, u64>,
-    /// Turns that were answered as kept, with their input.
+    /// Turns that were confirmed as stored, with their input.
     kept: BTreeMap<String, Bytes>,
     /// Requests without a reply, by ticket.
     asked: BTreeMap<Ticket, Asked>,
 }
 
-/// A turn that runs.
+/// A running turn.
 struct Granted {
     owner: usize,
     program: &'static str,
     turn: String,
-    most: u64,
+    max_tokens: u64,
 }
 
 enum Asked {
-    /// For a kept turn with this input.
+    /// Request for a stored turn with this input.
     Conversation(Bytes),
     Begin {
         program: &'static str,
         turn: String,
-        /// Whether the log left no room for the turn at some time since.
+        /// Whether the budget had no room for the turn at any time since the request.
         was_full: bool,
     },
     Finish {
@@ -222,7 +222,7 @@
 
 enum Outcome {
     Append(AppendOutcome),
-    /// By the call of that number.
+    /// A read answered by the call of this number.
     Read(CallNumber, ReadOutcome),
 }
 
@@ -237,19 +237,19 @@
 struct World {
     log: Log,
     owners: Vec<PartitionOwner>,
-    /// How each owner's action has ended, which it has not learnt yet.
-    under_way: Vec<Option<Outcome>>,
-    /// Reads that each owner has given up, whose answers may come yet.
+    /// Result of each owner's action that has not been reported to it.
+    unreported: Vec<Option<Outcome>>,
+    /// Reads that each owner has given up, which may still be answered.
     given_up: Vec<Vec<GivenUp>>,
     now: Timestamp,
     tickets: u64,
     seen: Seen,
-    /// What each node witnesses; empty if there are no witnesses.
+    /// Witness memory of each node; empty in scenarios without witnesses.
     witnesses: Vec<WitnessMemory>,
-    /// Questions that have not been answered, with who asks.
+    /// Unanswered questions, with the owner that asks.
     inquiries: Vec<(usize, Inquiry)>,
     boots: u64,
-    /// Turns that were granted by an owner whose overdraft was in use.
+    /// Number of turns granted by an owner whose overdraft was active.
     overdraft_turns: u64,
 }
 
@@ -271,7 +271,7 @@
             owners: (0..OWNERS)
                 .map(|owner| PartitionOwner::new(format!("owner-{owner}")))
                 .collect(),
-            under_way: (0..OWNERS).map(|_| None).collect(),
+            unreported: (0..OWNERS).map(|_| None).collect(),
             given_up: vec![Vec::new(); OWNERS],
             now: Timestamp(1_000_000),
             tickets: 0,
@@ -284,12 +284,12 @@
         Ticket(self.tickets)
     }
 
-    /// Loses the memory of an owner and of the witness on its node.
+    /// Restarts a node: its owner and its witness lose their memory.
     fn restart(&mut self, node: usize) {
         if node < OWNERS {
             let name = format!("owner-{node}-at-{}", self.now.0);
             self.owners[node] = PartitionOwner::new(name);
-            self.under_way[node] = None;
+            self.unreported[node] = None;
             self.given_up[node].clear();
             self.inquiries.retain(|(owner, _)| *owner != node);
         }
@@ -299,18 +299,18 @@
         }
     }
 
-    fn inquire(&mut self, is_asked: bool, is_heard: bool) {
+    fn inquire(&mut self, is_asked: bool, is_answered: bool) {
         if self.inquiries.is_empty() {
             return;
         }
         let (owner, inquiry) = self.inquiries.remove(0);
         let node: usize = inquiry.witness.node.as_str().parse().expect("a number");
         let answer = is_asked.then(|| self.witnesses[node].answer(self.now, &inquiry.question));
-        let heard = answer.filter(|_| is_heard);
-        self.owners[owner].on_inquiry(self.now, &inquiry.question, heard);
+        let delivered = answer.filter(|_| is_answered);
+        self.owners[owner].on_inquiry(self.now, &inquiry.question, delivered);
     }
 
-    fn tell_witnesses(&mut self, owner: usize) {
+    fn update_witnesses(&mut self, owner: usize) {
         let others = self.witnesses.iter().enumerate();
         let others = others.filter(|(node, _)| *node != owner);
         let witnesses = others.map(|(node, witness)| Witness {
@@ -323,30 +323,33 @@
     fn step(&mut self, step: Step) {
         self.now = self.now + STEP;
         for owner in 0..OWNERS {
-            self.tell_witnesses(owner);
+            self.update_witnesses(owner);
         }
         match step {
             Step::Begin { owner, program } => self.begin(owner, PROGRAMS[program]),
             Step::Finish { other, used, kept } => self.finish(other, used, kept),
-            Step::Ask { owner } => self.ask(owner),
-            Step::Act { owner, fate } => self.act(owner, fate),
-            Step::Learn { owner } => self.learn(owner),
+            Step::Query { owner } => self.query(owner),
+            Step::Act { owner, fate } => self.start_action(owner, fate),
+            Step::Report { owner } => self.report(owner),
             Step::Restart { owner } => self.restart(owner),
             Step::RestartNode { node } => self.restart(node),
             Step::Slow { owner } => {
-                if self.under_way[owner].is_some() {
+                if self.unreported[owner].is_some() {
                     self.owners[owner].note_slow_call(self.now);
                 }
             }
-            Step::Inquire { is_asked, is_heard } => self.inquire(is_asked, is_heard),
+            Step::Inquire {
+                is_asked,
+                is_answered,
+            } => self.inquire(is_asked, is_answered),
             Step::Pass { steps } => self.now = self.now + STEP * steps,
             Step::Prefer {
                 owner,
                 is_preferred,
             } => self.owners[owner].set_preferred(is_preferred),
-            Step::Late => self.log.carry_out_late(),
+            Step::CarryOutLate => self.log.carry_out_late(),
         }
-        self.note_whether_full();
+        self.record_full_budgets();
         for owner in 0..OWNERS {
             self.take_replies(owner);
             let asked = self.owners[owner].take_inquiries();
@@ -363,12 +366,12 @@
             program: program.to_owned(),
             turn: turn.clone(),
             budget: Some(budget(program)),
-            tokens: most(ticket),
+            tokens: turn_tokens(ticket),
             previous: None,
             imported: None,
         });
         self.owners[owner].submit(self.now, ticket, request);
-        let was_full = self.is_full(program, most(ticket));
+        let was_full = self.is_full(program, turn_tokens(ticket));
         let asked = Asked::Begin {
             program,
             turn,
@@ -377,15 +380,15 @@
         self.seen.asked.insert(ticket, asked);
     }
 
-    /// The end of a turn is reported to its granter, or to another owner.
+    /// Reports the end of a turn to the owner that granted it, or to another one.
     fn finish(&mut self, other: Option<usize>, used: u64, kept: bool) {
         let Some(granted) = self.seen.running.pop() else {
             return;
         };
         let owner = other.unwrap_or(granted.owner);
         let (program, turn) = (granted.program, granted.turn);
-        let used = used.min(granted.most);
-        // Its tokens have reached the caller, whether or not the ledger learns of it.
+        let used = used.min(granted.max_tokens);
+        // The tokens have reached the caller, whether or not the ledger receives the report.
         *self.seen.used.entry(program).or_default() += used;
         let ticket = self.next_ticket();
         let input = Bytes::from(format!("input of {turn}"));
@@ -406,7 +409,7 @@
         self.seen.asked.insert(ticket, Asked::Finish { turn, kept });
     }
 
-    fn ask(&mut self, owner: usize) {
+    fn query(&mut self, owner: usize) {
         let Some((turn, input)) = self.seen.kept.last_key_value() else {
             return;
         };
@@ -417,11 +420,11 @@
         self.seen.asked.insert(ticket, asked);
     }
 
-    fn act(&mut self, owner: usize, fate: Fate) {
-        if self.under_way[owner].is_some() {
+    fn start_action(&mut self, owner: usize, fate: Fate) {
+        if self.unreported[owner].is_some() {
             return;
         }
-        self.under_way[owner] = match self.owners[owner].next_action(self.now) {
+        self.unreported[owner] = match self.owners[owner].next_action(self.now) {
             Action::Append { at, records } => {
                 Some(Outcome::Append(self.log.append(fate, at, records)))
             }
@@ -430,8 +433,8 @@
         };
     }
 
-    /// A read as its fate has it: one that is answered later is given up, and a later one that is
-    /// refused may be answered in its place.
+    /// Carries out a read according to `fate`: a delayed read is given up, and a later one that is
+    /// refused may receive its answer.
     fn read(&mut self, owner: usize, fate: Fate, from: Offset) -> Outcome {
         let call = self.owners[owner].last_call();
         if matches!(fate, Fate::LostAndDoneLater) {
@@ -447,8 +450,8 @@
         Outcome::Read(call, self.log.read(fate, from))
     }
 
-    fn learn(&mut self, owner: usize) {
-        match self.under_way[owner].take() {
+    fn report(&mut self, owner: usize) {
+        match self.unreported[owner].take() {
             Some(Outcome::Append(outcome)) => self.owners[owner].on_append(self.now, outcome),
             Some(Outcome::Read(call, outcome)) => {
                 if outcome != ReadOutcome::Failed {
@@ -467,13 +470,13 @@
             };
             match (asked, reply) {
                 (Asked::Begin { program, turn, .. }, LedgerReply::Granted { .. }) => {
-                    let present = self.owners[owner].overdraft_use();
-                    self.overdraft_turns += u64::from(present == OverdraftUse::Active);
+                    let status = self.owners[owner].overdraft_use();
+                    self.overdraft_turns += u64::from(status == OverdraftUse::Active);
                     self.seen.running.push(Granted {
                         owner,
                         program,
                         turn,
-                        most: most(ticket),
+                        max_tokens: turn_tokens(ticket),
                     });
                 }
                 (
@@ -485,8 +488,8 @@
                     | LedgerReply::BudgetInDoubt,
                 ) => {
                     assert!(
-                        was_full || self.is_full(program, most(ticket)),
-                        "denied while there was room"
+                        was_full || self.is_full(program, turn_tokens(ticket)),
+                        "denied although the budget had room"
                     );
                 }
                 (Asked::Finish { turn, kept }, LedgerReply::Finished) => {
@@ -501,13 +504,13 @@
         }
     }
 
-    /// Whether what is set aside and generated leaves no room for a turn.
+    /// Returns whether reservations and generated tokens leave no room for a turn.
     fn is_full(&self, program: &str, tokens: u64) -> bool {
-        self.room(program) < tokens
+        self.available(program) < tokens
     }
 
-    /// Tokens of a program's budget that are neither set aside nor generated.
-    fn room(&self, program: &str) -> u64 {
+    /// Returns the tokens of a program's budget that are neither reserved nor generated.
+    fn available(&self, program: &str) -> u64 {
         let state = self.replayed();
         let account = state.account(program);
         let committed = account.map_or(0, |account| account.committed());
@@ -515,23 +518,26 @@
         budget(program).saturating_sub(committed + overdrawn)
     }
 
-    fn note_whether_full(&mut self) {
-        let room = PROGRAMS.map(|program| self.room(program));
+    fn record_full_budgets(&mut self) {
+        let available = PROGRAMS.map(|program| self.available(program));
         for (ticket, asked) in &mut self.seen.asked {
             if let Asked::Begin {
                 program, was_full, ..
             } = asked
             {
                 let number = PROGRAMS.iter().position(|known| known == program);
-                *was_full |= number.is_some_and(|number| room[number] < most(*ticket));
+                *was_full |= number.is_some_and(|number| available[number] < turn_tokens(*ticket));
             }
         }
     }
 
     fn check(&self) {
         for program in PROGRAMS {
-            let most = self.most_generated(program);
-            assert!(most <= budget(program), "{most} tokens may be generated");
+            let max_generated = self.max_generated(program);
+            assert!(
+                max_generated <= budget(program),
+                "up to {max_generated} tokens may be generated"
+            );
         }
         let state = self.replayed();
         for (turn, input) in &self.seen.kept {
@@ -539,12 +545,13 @@
         }
     }
 
-    /// Tokens that a program's callers get if every running turn generates its most.
-    fn most_generated(&self, program: &str) -> u64 {
+    /// Returns the tokens that a program's callers receive if every running turn generates its
+    /// maximum.
+    fn max_generated(&self, program: &str) -> u64 {
         let used = self.seen.used.get(program).copied().unwrap_or(0);
         let running = self.seen.running.iter();
         let running = running.filter(|granted| granted.program == program);
-        used + running.map(|granted| granted.most).sum::<u64>()
+        used + running.map(|granted| granted.max_tokens).sum::<u64>()
     }
 
     fn replayed(&self) -> LedgerState {
@@ -556,15 +563,15 @@
     }
 }
 
-/// Whether each of `count` questions reaches its witness, and its answer the owner.
+/// Returns whether each of `count` questions reaches its witness, and its answer the owner.
 fn answers(count: usize) -> impl Strategy<Value = Vec<(bool, bool)>> {
     let answer = (prop::bool::weighted(0.7), prop::bool::weighted(0.9));
     prop::collection::vec(answer, count)
 }
 
 impl World {
-    /// Takes the log away from an owner that is asked for a turn.
-    fn cut_off(&mut self, owner: usize) {
+    /// Makes the log unreachable for an owner with a pending request.
+    fn isolate(&mut self, owner: usize) {
         self.step(Step::Begin { owner, program: 1 });
         self.step(Step::Act {
             owner,
@@ -573,7 +580,7 @@
         self.step(Step::Slow { owner });
     }
 
-    /// An owner that the log serves does all that it has to do, for two seconds.
+    /// Lets an owner with access to the log do all pending work for two seconds.
     fn serve(&mut self, owner: usize) {
         for _ in 0..2 {
             for _ in 0..4 {
@@ -581,21 +588,24 @@
                     owner,
                     fate: Fate::Works,
                 });
-                self.step(Step::Learn { owner });
-                self.hear(vec![(true, true); 8]);
+                self.step(Step::Report { owner });
+                self.deliver(vec![(true, true); 8]);
             }
             self.step(Step::Pass { steps: 55 });
         }
     }
 
-    fn hear(&mut self, answers: Vec<(bool, bool)>) {
-        for (is_asked, is_heard) in answers {
-            self.step(Step::Inquire { is_asked, is_heard });
+    fn deliver(&mut self, answers: Vec<(bool, bool)>) {
+        for (is_asked, is_answered) in answers {
+            self.step(Step::Inquire {
+                is_asked,
+                is_answered,
+            });
         }
     }
 
-    /// An owner that the log serves lets all turns run that it can.
-    fn let_run_all(&mut self, owner: usize, fencing: Vec<(bool, bool)>) {
+    /// Lets an owner with access to the log grant all turns that it can.
+    fn grant_all(&mut self, owner: usize, fencing: Vec<(bool, bool)>) {
         for answers in fencing.chunks(4) {
             for _ in 0..3 {
                 self.step(Step::Begin { owner, program: 1 });
@@ -604,16 +614,16 @@
                         owner,
                         fate: Fate::Works,
                     });
-                    self.step(Step::Learn { owner });
+                    self.step(Step::Report { owner });
                 }
             }
-            self.hear(answers.to_vec());
+            self.deliver(answers.to_vec());
             self.step(Step::Pass { steps: 55 });
         }
     }
 }
 
-/// Has the first owner open an overdraft.
+/// Lets the first owner open an overdraft.
 fn open_overdraft(world: &mut World) {
     world.step(Step::Begin {
         owner: 0,
@@ -624,53 +634,54 @@
             owner: 0,
             fate: Fate::Works,
         });
-        world.step(Step::Learn { owner: 0 });
+        world.step(Step::Report { owner: 0 });
     }
-    let present = world.owners[0].overdraft_use();
-    assert_eq!(present, OverdraftUse::Standing);
+    let status = world.owners[0].overdraft_use();
+    assert_eq!(status, OverdraftUse::Standing);
 }
 
-/// While the close of an overdraft is in doubt, nothing may be drawn on it: it can be carried out
-/// at any time.
+/// While the close of an overdraft is unsettled, it may take effect at any time, so the overdraft
+/// must not be drawn on.
 #[test]
-fn an_overdraft_whose_close_is_in_doubt_is_not_drawn_on() {
+fn an_overdraft_with_an_unsettled_close_is_not_drawn_on() {
     let mut world = World::with_witnesses();
     open_overdraft(&mut world);
-    world.cut_off(0);
-    world.hear(vec![(true, true); 4]);
+    world.isolate(0);
+    world.deliver(vec![(true, true); 4]);
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
-    let act = |world: &mut World, fate| {
+    let act_and_report = |world: &mut World, fate| {
         world.step(Step::Act { owner: 0, fate });
-        world.step(Step::Learn { owner: 0 });
+        world.step(Step::Report { owner: 0 });
     };
-    // The log answers again: what was drawn is recorded, and a second later the overdraft closed.
+    // The log answers again: the tokens drawn are recorded, and the overdraft is closed a second
+    // later.
     for _ in 0..3 {
-        act(&mut world, Fate::Works);
+        act_and_report(&mut world, Fate::Works);
     }
     world.step(Step::Pass { steps: 60 });
-    act(&mut world, Fate::LostAndDoneLater);
+    act_and_report(&mut world, Fate::LostAndDoneLater);
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
     world.step(Step::Pass { steps: 10 });
-    act(&mut world, Fate::Works);
+    act_and_report(&mut world, Fate::Works);
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
-    // A later append that the log refuses says nothing of the close.
+    // A later append that is refused says nothing about the close.
     world.step(Step::Begin {
         owner: 0,
         program: 3,
     });
-    act(&mut world, Fate::Refused);
+    act_and_report(&mut world, Fate::Refused);
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
-    // The log falls silent, and turns are asked for.
+    // The log becomes silent, and turns are requested.
     for _ in 0..6 {
         world.step(Step::Begin {
             owner: 0,
             program: 1,
         });
-        act(&mut world, Fate::Lost);
+        act_and_report(&mut world, Fate::Lost);
         world.step(Step::Slow { owner: 0 });
-        world.hear(vec![(true, true); 4]);
+        world.deliver(vec![(true, true); 4]);
     }
-    world.step(Step::Late);
+    world.step(Step::CarryOutLate);
     world.restart(0);
     for _ in 0..6 {
         world.step(Step::Begin {
@@ -682,14 +693,14 @@
                 owner: 1,
                 fate: Fate::Works,
             });
-            world.step(Step::Learn { owner: 1 });
+            world.step(Step::Report { owner: 1 });
         }
     }
 }
 
-/// The random days do use overdrafts: one that never did would prove nothing.
+/// Ensures that the random scenarios can use overdrafts at all.
 #[test]
-fn turns_run_on_an_overdraft_while_the_log_is_silent() {
+fn overdrafts_are_used_while_the_log_is_silent() {
     let mut world = World::with_witnesses();
     open_overdraft(&mut world);
     for _ in 0..4 {
@@ -705,26 +716,26 @@
         for _ in 0..NODES {
             world.step(Step::Inquire {
                 is_asked: true,
-                is_heard: true,
+                is_answered: true,
             });
         }
     }
     assert!(world.overdraft_turns > 0);
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
-    // Once the log answers, what was drawn is recorded and the overdraft replaced.
-    world.step(Step::Learn { owner: 0 });
+    // Once the log answers, the tokens drawn are recorded and the overdraft is replaced.
+    world.step(Step::Report { owner: 0 });
     for _ in 0..8 {
         world.step(Step::Pass { steps: 20 });
         world.step(Step::Act {
             owner: 0,
             fate: Fate::Works,
         });
-        world.step(Step::Learn { owner: 0 });
+        world.step(Step::Report { owner: 0 });
     }
     assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Standing);
     let state = world.replayed();
     let account = state.account(PROGRAMS[1]).expect("an account");
-    assert!(account.committed() >= world.most_generated(PROGRAMS[1]));
+    assert!(account.committed() >= world.max_generated(PROGRAMS[1]));
 }
 
 proptest! {
@@ -736,7 +747,7 @@
     })]
 
     #[test]
-    fn budgets_hold_and_kept_turns_stay(steps in prop::collection::vec(step(), 1..160)) {
+    fn budgets_hold_and_stored_turns_are_retained(steps in prop::collection::vec(step(), 1..160)) {
         let mut world = World::new();
         for step in steps {
             world.step(step);
@@ -744,7 +755,7 @@
     }
 
     #[test]
-    fn budgets_hold_where_turns_run_on_overdrafts(
+    fn budgets_hold_with_overdrafts(
         steps in prop::collection::vec(step_with_witnesses(), 1..260),
     ) {
         let mut world = World::with_witnesses();
@@ -753,70 +764,69 @@
         }
     }
 
-    /// The same with an owner that is cut off from the log for a long time and is asked all the
-    /// while, beside one that the log serves.
+    /// One owner has no access to the log for a long time but receives requests, while another
+    /// owner has access.
     #[test]
-    fn an_owner_that_is_cut_off_and_its_successor_keep_a_budget_together(
+    fn an_isolated_owner_and_its_successor_do_not_exceed_a_budget(
         program in 1..PROGRAMS.len(),
         before in prop::collection::vec(step_with_witnesses(), 0..40),
-        cut_off in prop::collection::vec((0..10_u8, 0..=MOST), 1..60),
+        isolated_steps in prop::collection::vec((0..10_u8, 0..=MAX_TOKENS), 1..60),
     ) {
         let mut world = World::with_witnesses();
         open_overdraft(&mut world);
         for step in before {
             world.step(step);
         }
-        for (kind, used) in cut_off {
+        for (kind, used) in isolated_steps {
             world.step(match kind {
                 0 | 1 => Step::Begin { owner: 0, program },
                 2 => Step::Begin { owner: 1, program },
                 3 => Step::Finish { other: None, used, kept: false },
                 4 => Step::Act { owner: 0, fate: Fate::Lost },
-                5 => Step::Learn { owner: 0 },
+                5 => Step::Report { owner: 0 },
                 6 | 7 => Step::Act { owner: 1, fate: Fate::Works },
-                8 => Step::Learn { owner: 1 },
+                8 => Step::Report { owner: 1 },
                 _ => Step::Slow { owner: 0 },
             });
-            world.step(Step::Inquire { is_asked: true, is_heard: true });
+            world.step(Step::Inquire { is_asked: true, is_answered: true });
         }
     }
 
-    /// An owner that is cut off from the log activates its overdraft or not, draws on it or not, is
-    /// lost or not; witnesses may be lost too. Its successor fences the overdraft or not, and lets
-    /// run all that it can.
+    /// An isolated owner may activate its overdraft, draw on it, and be lost; witnesses may be lost
+    /// too. Its successor may fence the overdraft, and grants all turns that it can.
     #[test]
     fn a_fenced_overdraft_was_never_drawn_on(
         activation in answers(4),
         draws in 0..6_usize,
         lost in prop::collection::vec(0..NODES, 0..3),
         fencing in answers(12),
-        last_draws in 0..4_usize,
+        late_draws in 0..4_usize,
     ) {
         let mut world = World::with_witnesses();
         open_overdraft(&mut world);
-        world.cut_off(0);
-        world.hear(activation);
+        world.isolate(0);
+        world.deliver(activation);
         for _ in 0..draws {
             world.step(Step::Begin { owner: 0, program: 1 });
         }
-        let is_first_lost = lost.contains(&0);
+        let is_first_owner_lost = lost.contains(&0);
         for node in lost {
             world.restart(node);
         }
-        world.let_run_all(1, fencing);
-        if !is_first_lost {
-            for _ in 0..last_draws {
+        world.grant_all(1, fencing);
+        if !is_first_owner_lost {
+            for _ in 0..late_draws {
                 world.step(Step::Begin { owner: 0, program: 1 });
                 world.step(Step::Slow { owner: 0 });
-                world.hear(vec![(true, true); 4]);
+                world.deliver(vec![(true, true); 4]);
             }
         }
     }
 
-    /// Owners act one after the other, each until it loses the log and then perhaps its memory,
-    /// while all witnesses lose theirs. Those that live go on asking and letting run what they can.
+    /// Owners serve the partition in succession, each until it loses the log and possibly its
+    /// memory, while all witnesses lose theirs. The surviving owners keep granting turns.
     #[test]
-    fn owners_lost_one_after_the_other_keep_a_budget_together(
+    fn owners_lost_in_succession_do_not_exceed_a_budget(
         turns in prop::collection::vec((0..OWNERS, 0..PROGRAMS.len()), 30),
         lost in prop::collection::vec(any::<bool>(), OWNERS),
         rounds in 2..6_usize,
@@ -831,13 +841,13 @@
                 }
             }
             world.serve(owner);
-            world.cut_off(owner);
-            world.hear(vec![(true, true); 8]);
+            world.isolate(owner);
+            world.deliver(vec![(true, true); 8]);
             for (drawing, program) in turns.by_ref().take(5) {
                 let owner = drawing.min(owner);
                 world.step(Step::Begin { owner, program });
                 world.step(Step::Slow { owner });
-                world.hear(vec![(true, true); 4]);
+                world.deliver(vec![(true, true); 4]);
             }
             for node in OWNERS..NODES {
                 world.restart(node);
@@ -848,9 +858,9 @@
         }
     }
 
-    /// Once the log works again, every request gets its answer.
+    /// Every request is answered after the log has recovered.
     #[test]
-    fn every_request_is_answered_in_the_end(steps in prop::collection::vec(step(), 1..100)) {
+    fn every_request_is_eventually_answered(steps in prop::collection::vec(step(), 1..100)) {
         let mut world = World::new();
         for step in steps {
             if !matches!(step, Step::Restart { .. }) {
@@ -860,7 +870,7 @@
         for _ in 0..60 {
             for owner in 0..OWNERS {
                 world.step(Step::Act { owner, fate: Fate::Works });
-                world.step(Step::Learn { owner });
+                world.step(Step::Report { owner });
             }
         }
         prop_assert!(world.seen.asked.is_empty(), "{} unanswered", world.seen.asked.len());
