--- a/crates/gateway-core/src/ledger/fencing.rs
+++ b/crates/gateway-core/src/ledger/fencing.rs
@@ -1,8 +1,9 @@
 //! Determines whether overdrafts of other owners were used.
 //!
-//! The preferred owner of a partition asks the witnesses of each foreign overdraft to fence it. If
-//! a majority of them does, the overdraft was never used and cannot be activated any more, so it
-//! can be closed. Otherwise it is charged to programs until it expires.
+//! The preferred owner of a partition asks the witnesses of every *foreign* overdraft, that is, one
+//! of another owner, to fence it. If a majority of them does, the overdraft was never used and
+//! cannot be activated any more, so it can be closed. Otherwise it is charged to programs until it
+//! expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -259,7 +259,7 @@
     /// Returns the overdraft to close with an append that also records everything drawn on it. It
     /// is closed if it was used and the log has recovered, if its witnesses may soon forget the
     /// activation, or if it is unused and `is_unwanted`.
-    pub(super) fn to_close(&self, now: Timestamp, is_unwanted: bool) -> Option<&str> {
+    pub(super) fn overdraft_to_close(&self, now: Timestamp, is_unwanted: bool) -> Option<&str> {
         let has_recovered = self
             .responsive_since
             .is_some_and(|since| now.since(since) >= RECOVERY_TIME);
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Returns when [`Self::to_close`] will return an active overdraft, provided that the log keeps
+    /// Returns when [`Self::overdraft_to_close`] will return an active overdraft, provided that the log keeps
     /// answering promptly.
     pub(super) fn closing_due_at(&self) -> Option<Timestamp> {
         let is_active = matches!(self.mode, Mode::Active { .. });
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -31,7 +31,7 @@
         }
         let witnesses = self.own_witnesses();
         if let Some(name) = self.overdraft.activate(now, &witnesses) {
-            self.inquire(&name, &witnesses, WitnessWish::Activate);
+            self.ask_witnesses(&name, &witnesses, WitnessWish::Activate);
         }
     }
 
@@ -47,7 +47,7 @@
         own.map_or_else(Vec::new, |overdraft| overdraft.witnesses.clone())
     }
 
-    fn inquire(&mut self, overdraft: &str, witnesses: &[Witness], wish: WitnessWish) {
+    fn ask_witnesses(&mut self, overdraft: &str, witnesses: &[Witness], wish: WitnessWish) {
         for witness in witnesses {
             let question = WitnessQuestion {
                 overdraft: overdraft.to_owned(),
@@ -102,11 +102,14 @@
     /// Returns whether an append is needed even without requests: to record tokens that were drawn
     /// on the overdraft, or to open, close or supersede overdrafts.
     pub(super) fn needs_overdraft_change(&self, now: Timestamp) -> bool {
-        let is_unwanted = !self.is_wanted() || self.has_unsuitable_terms();
+        let is_unwanted = !self.should_have_overdraft() || self.has_unsuitable_terms();
         self.wallets.has_overdrawn()
-            || self.overdraft.to_close(now, is_unwanted).is_some()
+            || self
+                .overdraft
+                .overdraft_to_close(now, is_unwanted)
+                .is_some()
             || self.is_preferred && self.fencing.unused(&self.state).next().is_some()
-            || self.is_preferred && !self.to_supersede(now).is_empty()
+            || self.is_preferred && !self.overdrafts_to_supersede(now).is_empty()
     }
 
     /// Adds records that close, supersede and open overdrafts to an append at the end of the log.
@@ -116,7 +119,7 @@
         if !self.is_preferred {
             return;
         }
-        let superseded = self.to_supersede(now).into_iter();
+        let superseded = self.overdrafts_to_supersede(now).into_iter();
         plan.records
             .extend(superseded.map(|overdraft| LedgerRecord::OverdraftSuperseded { overdraft }));
         if self.may_open_overdraft(now, &closed) {
@@ -129,9 +132,9 @@
     /// unused. Returns their names.
     fn plan_closings(&mut self, now: Timestamp, plan: &mut Plan) -> Vec<String> {
         let is_unwanted =
-            !self.is_wanted() || self.lacks_witnesses() || self.has_unsuitable_terms();
+            !self.should_have_overdraft() || self.lacks_witnesses() || self.has_unsuitable_terms();
         let mut closed: Vec<String> = Vec::new();
-        if let Some(overdraft) = self.overdraft.to_close(now, is_unwanted) {
+        if let Some(overdraft) = self.overdraft.overdraft_to_close(now, is_unwanted) {
             closed.push(overdraft.to_owned());
             self.overdraft.start_closing(self.end);
             plan.closes_own = true;
@@ -148,7 +151,7 @@
 
     /// Returns foreign overdrafts that may have been used and are to be superseded, so that they
     /// are not charged to programs that start later.
-    fn to_supersede(&self, now: Timestamp) -> Vec<String> {
+    fn overdrafts_to_supersede(&self, now: Timestamp) -> Vec<String> {
         let others = self.state.overdrafts();
         others
             .filter(|(_, overdraft)| overdraft.known_programs && overdraft.superseded.is_none())
@@ -183,13 +186,14 @@
     /// own one is open, few enough foreign ones remain, and none of these may soon prove unused.
     pub(super) fn may_open_overdraft(&self, now: Timestamp, closed: &[String]) -> bool {
         let open = self.state.overdrafts().map(|(name, _)| name);
-        let left: Vec<&str> = open
+        let remaining: Vec<&str> = open
             .filter(|name| !closed.iter().any(|other| other == name))
             .collect();
         let blocks_opening =
             |name: &&str| self.wallets.is_own(name) || self.fencing.is_undecided(now, name);
-        let is_free = left.len() <= MAX_FOREIGN_OVERDRAFTS && !left.iter().any(blocks_opening);
-        is_free && self.can_open_overdraft()
+        let is_unblocked =
+            remaining.len() <= MAX_FOREIGN_OVERDRAFTS && !remaining.iter().any(blocks_opening);
+        is_unblocked && self.can_open_overdraft()
     }
 
     fn can_open_overdraft(&self) -> bool {
@@ -198,7 +202,7 @@
     }
 
     /// Returns whether this owner should have an open overdraft.
-    fn is_wanted(&self) -> bool {
+    fn should_have_overdraft(&self) -> bool {
         self.is_preferred && self.serves_without_log
     }
 
@@ -247,7 +251,7 @@
                 continue;
             };
             let witnesses = overdraft.witnesses.clone();
-            self.inquire(&name, &witnesses, WitnessWish::Fence);
+            self.ask_witnesses(&name, &witnesses, WitnessWish::Fence);
         }
     }
 
@@ -278,6 +282,6 @@
 
 /// Returns whether a minimum budget differs from the suitable one by more than
 /// [`MAX_MIN_BUDGET_RATIO`].
-fn differs_too_much(present: u64, suitable: u64) -> bool {
-    present.max(suitable) > present.min(suitable).saturating_mul(MAX_MIN_BUDGET_RATIO)
+fn differs_too_much(current: u64, suitable: u64) -> bool {
+    current.max(suitable) > current.min(suitable).saturating_mul(MAX_MIN_BUDGET_RATIO)
 }
--- a/crates/gateway-core/src/ledger/witness.rs
+++ b/crates/gateway-core/src/ledger/witness.rs
@@ -1,9 +1,9 @@
 //! Memory of a node that acts as a witness of overdrafts.
 //!
-//! An owner activates its overdraft at a majority of the witnesses before it lets a turn draw on
-//! it. An owner that takes over the partition fences the overdraft at a majority: if that succeeds,
-//! the overdraft was never used and never will be. Each witness sides with the first request that
-//! it receives for an overdraft.
+//! An owner activates its overdraft at a majority of the witnesses before it lets a turn draw on it.
+//! An owner that takes over the partition fences the overdraft at a majority: if that succeeds, the
+//! overdraft was never used and never will be. For each overdraft, a witness grants only the first
+//! of these two requests that it receives.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -5,7 +5,7 @@
 //! merely slow, or that only fails to answer one node, is not silent; the first answer to any node
 //! proves that.
 //!
-//! Time during which this process did not run is not counted, so a node that was frozen or is
+//! Time during which this process did not run is not counted, so a node that was suspended or is
 //! overloaded does not report an outage.
 
 use std::collections::BTreeMap;
