--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -92,11 +92,12 @@
     mode: Mode,
     /// Whether the latest call to the log failed or was slow.
     is_degraded: bool,
+    /// Since when all answers were prompt.
     responsive_since: Option<Timestamp>,
     last_answer: Timestamp,
+    /// Earliest time of the next activation attempt.
     retry_at: Timestamp,
-    /// When the latest activation started.
-    activated: Timestamp,
+    activation_started: Timestamp,
 }
 
 impl OwnOverdraft {
@@ -107,7 +108,7 @@
             responsive_since: None,
             last_answer: Timestamp::default(),
             retry_at: Timestamp::default(),
-            activated: Timestamp::default(),
+            activation_started: Timestamp::default(),
         }
     }
 
@@ -190,7 +191,7 @@
 
     /// Returns whether witnesses may soon forget the activation.
     fn is_expiring(&self, now: Timestamp) -> bool {
-        now.since(self.activated) >= OVERDRAFT_RETENTION
+        now.since(self.activation_started) >= OVERDRAFT_RETENTION
     }
 
     /// Starts the activation if the log is slow or fails. Returns the name of the overdraft if its
@@ -203,7 +204,7 @@
             return None;
         }
         let name = name.clone();
-        self.activated = now;
+        self.activation_started = now;
         self.mode = Mode::Activating {
             name: name.clone(),
             activated: BTreeSet::new(),
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -118,7 +118,7 @@
 /// Detects outages of the log from this node's calls and from the reports of other nodes.
 #[derive(Debug)]
 pub struct LogWatch {
-    usual: Option<ResponseTime>,
+    response_time: Option<ResponseTime>,
     /// Start times of unanswered calls. Calls that were given up remain until a later call is
     /// answered.
     unanswered: BTreeMap<u64, Timestamp>,
@@ -134,7 +134,7 @@
 impl Default for LogWatch {
     fn default() -> Self {
         Self {
-            usual: None,
+            response_time: None,
             unanswered: BTreeMap::new(),
             last_poll: Timestamp::default(),
             latest_answered: None,
@@ -169,7 +169,7 @@
     /// Records that a call was answered, possibly with a refusal, `took` after its start. Calls
     /// that started before it are dropped: they were lost or are slow for reasons of their own.
     pub fn answered(&mut self, now: Timestamp, call: u64, took: Duration) {
-        self.usual = Some(ResponseTime::update(self.usual, took));
+        self.response_time = Some(ResponseTime::update(self.response_time, took));
         let started = self.unanswered.remove(&call).unwrap_or(now - took);
         self.record_answer(started);
         self.update_state(now);
@@ -181,9 +181,9 @@
         let gap = now.since(self.last_poll);
         self.last_poll = now;
         if gap > MAX_POLL_GAP {
-            let lost = gap - LOOK_INTERVAL;
+            let suspended = gap - LOOK_INTERVAL;
             for started in self.unanswered.values_mut() {
-                *started = (*started + lost).min(now);
+                *started = (*started + suspended).min(now);
             }
         }
         self.peer_reports
@@ -197,9 +197,7 @@
         let late = self.late_since(now);
         LogWord {
             waits: late.map(|since| now.since(since)),
-            answered: self
-                .latest_answered
-                .map(|latest_answered| now.since(latest_answered)),
+            answered: self.latest_answered.map(|at| now.since(at)),
             is_silent: self.state.is_silent() && late.is_some(),
         }
     }
@@ -213,7 +211,7 @@
         let since = word.waits.map(|waits| now - waits);
         let is_refuted = self
             .latest_answered
-            .is_some_and(|latest_answered| since.is_some_and(|since| since <= latest_answered));
+            .is_some_and(|at| since.is_some_and(|since| since <= at));
         match since.filter(|_| !is_refuted) {
             Some(since) => {
                 let is_silent = word.is_silent;
@@ -242,10 +240,10 @@
 
     /// Returns the time after which a call is late.
     fn late_after(&self) -> Duration {
-        let Some(usual) = self.usual else {
+        let Some(time) = self.response_time else {
             return INITIAL_LATE_AFTER;
         };
-        let limit = usual.smoothed * 2 + usual.deviation * 4;
+        let limit = time.smoothed * 2 + time.deviation * 4;
         limit.clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
     }
 
--- a/crates/gateway-core/tests/append_pace.rs
+++ b/crates/gateway-core/tests/append_pace.rs
@@ -51,43 +51,43 @@
 /// When the oldest request of each kind that waits for a call arrived, in milliseconds.
 #[derive(Default)]
 struct Waiting {
-    leave: Option<u64>,
-    ends: Option<u64>,
+    permit: Option<u64>,
+    completion: Option<u64>,
 }
 
 /// Number of calls, and the longest wait of each kind of request in milliseconds.
 #[derive(Debug, Default)]
 struct Simulated {
     calls: u32,
-    leave: u64,
-    ends: u64,
+    permit_wait: u64,
+    completion_wait: u64,
 }
 
 /// Simulates requests that arrive at the given times; each call takes `took` milliseconds.
-fn simulate(leaves: &[u64], ends: &[u64], took: u64, paces: Paces) -> Simulated {
+fn simulate(permits: &[u64], completions: &[u64], took: u64, paces: Paces) -> Simulated {
     let mut pacer = AppendPace::new(paces);
     let mut simulated = Simulated::default();
     let mut waiting = Waiting::default();
     let mut busy_until = 0;
     for now in 0..3_000 {
-        if leaves.contains(&now) {
-            waiting.leave.get_or_insert(now);
+        if permits.contains(&now) {
+            waiting.permit.get_or_insert(now);
         }
-        if ends.contains(&now) {
-            waiting.ends.get_or_insert(now);
+        if completions.contains(&now) {
+            waiting.completion.get_or_insert(now);
         }
-        let urgency = match waiting.leave {
+        let urgency = match waiting.permit {
             Some(_) => Urgency::Leave,
             None => Urgency::Ends,
         };
-        let is_wanted = waiting.leave.or(waiting.ends).is_some();
+        let is_wanted = waiting.permit.or(waiting.completion).is_some();
         let may_call = now >= busy_until && pacer.wait(at(now), urgency).is_none();
         if !is_wanted || !may_call {
             continue;
         }
         let waited = |since: Option<u64>| since.map_or(0, |since| now - since);
-        simulated.leave = simulated.leave.max(waited(waiting.leave));
-        simulated.ends = simulated.ends.max(waited(waiting.ends));
+        simulated.permit_wait = simulated.permit_wait.max(waited(waiting.permit));
+        simulated.completion_wait = simulated.completion_wait.max(waited(waiting.completion));
         simulated.calls += 1;
         pacer.note(at(now));
         busy_until = now + took;
@@ -98,19 +98,19 @@
 
 #[test]
 fn a_busy_partition_makes_fewer_calls_and_no_wait_exceeds_the_interval() {
-    let leaves: Vec<u64> = (0..2_000).step_by(190).collect();
-    let ends: Vec<u64> = (0..2_000).step_by(17).collect();
-    let unpaced = simulate(&leaves, &ends, 5, NO_INTERVALS);
-    let paced = simulate(&leaves, &ends, 5, INTERVALS);
+    let permits: Vec<u64> = (0..2_000).step_by(190).collect();
+    let completions: Vec<u64> = (0..2_000).step_by(17).collect();
+    let unpaced = simulate(&permits, &completions, 5, NO_INTERVALS);
+    let paced = simulate(&permits, &completions, 5, INTERVALS);
     assert!(paced.calls * 2 <= unpaced.calls, "{paced:?} {unpaced:?}");
-    assert!(paced.leave <= 20, "{paced:?}");
-    assert!(paced.ends <= 80, "{paced:?}");
+    assert!(paced.permit_wait <= 20, "{paced:?}");
+    assert!(paced.completion_wait <= 80, "{paced:?}");
 }
 
 #[test]
 fn a_partition_with_little_load_is_not_delayed() {
-    let leaves: Vec<u64> = (0..2_000).step_by(300).collect();
-    let ends: Vec<u64> = (150..2_000).step_by(300).collect();
-    let paced = simulate(&leaves, &ends, 5, INTERVALS);
-    assert_eq!((paced.leave, paced.ends), (0, 0));
+    let permits: Vec<u64> = (0..2_000).step_by(300).collect();
+    let completions: Vec<u64> = (150..2_000).step_by(300).collect();
+    let paced = simulate(&permits, &completions, 5, INTERVALS);
+    assert_eq!((paced.permit_wait, paced.completion_wait), (0, 0));
 }
--- a/crates/gateway-core/tests/outage_load.rs
+++ b/crates/gateway-core/tests/outage_load.rs
@@ -54,13 +54,15 @@
     handling: Handling,
 }
 
+/// Number of programs by result, and of wasted runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Counted {
+struct Counts {
     in_time: u32,
     /// Finished within twice the target time.
     late: u32,
     later: u32,
     failed: u32,
+    /// Runs whose result could not be stored before the turn was given up.
     wasted_runs: u32,
     /// Wasted runs that started after the outage had been detected.
     wasted_after_detection: u32,
@@ -90,7 +92,7 @@
     }
 
     /// Sends a turn once. Returns when it has finished, or as an error when it has failed.
-    fn send(&self, from: Seconds, counted: &mut Counted) -> Result<Seconds, Seconds> {
+    fn send(&self, from: Seconds, counts: &mut Counts) -> Result<Seconds, Seconds> {
         let deadline = from + DEADLINE;
         let mut now = from;
         for tries_left in [1, 0] {
@@ -98,8 +100,8 @@
                 Handling::Wait(share) if self.is_detected(now) => share,
                 _ => {
                     let ran = self.run(now, deadline);
-                    counted.wasted_runs += u32::from(ran.is_err());
-                    counted.wasted_after_detection +=
+                    counts.wasted_runs += u32::from(ran.is_err());
+                    counts.wasted_after_detection +=
                         u32::from(ran.is_err() && self.is_detected(now));
                     return ran;
                 }
@@ -120,29 +122,29 @@
     }
 
     /// Runs a program and returns its duration; `None` if it fails.
-    fn program(&self, from: Seconds, pauses: f64, counted: &mut Counted) -> Option<Seconds> {
+    fn program(&self, from: Seconds, jitter: f64, counts: &mut Counts) -> Option<Seconds> {
         let mut now = from;
         for turn in 0..TURNS {
-            let mut ended = None;
+            let mut finished = None;
             for attempt in 0..MAX_SENDS {
-                match self.send(now, counted) {
+                match self.send(now, counts) {
                     Ok(end) => {
-                        ended = Some(end);
+                        finished = Some(end);
                         break;
                     }
                     // Delays from 0.1 to 0.4 s that differ between attempts.
                     Err(failed) => {
-                        now = failed + 0.1 + 0.3 * (pauses + f64::from(attempt) * 0.37).fract()
+                        now = failed + 0.1 + 0.3 * (jitter + f64::from(attempt) * 0.37).fract()
                     }
                 }
             }
-            now = ended? + if turn + 1 < TURNS { TOOLS } else { 0.0 };
+            now = finished? + if turn + 1 < TURNS { TOOLS } else { 0.0 };
         }
         Some(now - from)
     }
 
-    fn replay(&self) -> Counted {
-        let mut counted = Counted::default();
+    fn simulate(&self) -> Counts {
+        let mut counts = Counts::default();
         let alone = f64::from(TURNS) * TURN + f64::from(TURNS - 1) * TOOLS;
         let target = alone * TARGET_FACTOR + TARGET_ADDED;
         let first = SILENT_FROM - alone;
@@ -151,44 +153,44 @@
         loop {
             let from = first + f64::from(number) / f64::from(PROGRAMS);
             if from >= last {
-                return counted;
+                return counts;
             }
             number += 1;
-            match self.program(from, f64::from(number) * 0.618, &mut counted) {
-                None => counted.failed += 1,
-                Some(took) if took <= target => counted.in_time += 1,
-                Some(took) if took <= 2.0 * target => counted.late += 1,
-                Some(_) => counted.later += 1,
+            match self.program(from, f64::from(number) * 0.618, &mut counts) {
+                None => counts.failed += 1,
+                Some(took) if took <= target => counts.in_time += 1,
+                Some(took) if took <= 2.0 * target => counts.late += 1,
+                Some(_) => counts.later += 1,
             }
         }
     }
 }
 
-fn replay(lasts: Seconds, detected_after: Seconds, handling: Handling) -> Counted {
+fn simulate(duration: Seconds, detected_after: Seconds, handling: Handling) -> Counts {
     let outage = Outage {
-        until: SILENT_FROM + lasts,
+        until: SILENT_FROM + duration,
         detected_after,
         handling,
     };
-    let counted = outage.replay();
-    println!("{lasts} s, detected after {detected_after} s, {handling:?}: {counted:?}");
-    counted
+    let counts = outage.simulate();
+    println!("{duration} s, detected after {detected_after} s, {handling:?}: {counts:?}");
+    counts
 }
 
 /// Returns the longest outage that a turn survives if it is first sent when the outage starts.
 fn longest_survived_outage(handling: Handling) -> Seconds {
-    let survives = |lasts: Seconds| {
+    let survives = |duration: Seconds| {
         let outage = Outage {
-            until: SILENT_FROM + lasts,
+            until: SILENT_FROM + duration,
             detected_after: 0.0,
             handling,
         };
-        let mut counted = Counted::default();
-        outage.program(SILENT_FROM, 0.0, &mut counted).is_some()
+        let mut counts = Counts::default();
+        outage.program(SILENT_FROM, 0.0, &mut counts).is_some()
     };
     let tenths = (1..100).map(|tenths| f64::from(tenths) / 10.0);
     tenths
-        .take_while(|lasts| survives(*lasts))
+        .take_while(|duration| survives(*duration))
         .last()
         .unwrap_or(0.0)
 }
@@ -221,32 +223,32 @@
 
 #[test]
 fn no_program_fails_and_no_run_is_wasted_after_detection() {
-    for lasts in OUTAGES {
-        let started = replay(lasts, 0.0, Handling::Start);
-        let waits = replay(lasts, 0.1, default_handling());
-        let refused = replay(lasts, 0.1, Handling::Wait(0.0));
+    for duration in OUTAGES {
+        let started = simulate(duration, 0.0, Handling::Start);
+        let waits = simulate(duration, 0.1, default_handling());
+        let refused = simulate(duration, 0.1, Handling::Wait(0.0));
         for share in [0.4, 0.75, 0.9] {
-            replay(lasts, 0.1, Handling::Wait(share));
+            simulate(duration, 0.1, Handling::Wait(share));
         }
-        assert_eq!(waits.failed, 0, "{lasts} s");
-        assert!(refused.failed > 0, "{lasts} s");
-        let served = |counted: Counted| counted.in_time + counted.late;
+        assert_eq!(waits.failed, 0, "{duration} s");
+        assert!(refused.failed > 0, "{duration} s");
+        let served = |counts: Counts| counts.in_time + counts.late;
         assert!(
             served(waits) + PROGRAMS_PER_TURN >= served(started),
-            "{lasts} s"
+            "{duration} s"
         );
         assert!(
             started.wasted_after_detection > 0 && waits.wasted_after_detection == 0,
-            "{lasts} s"
+            "{duration} s"
         );
     }
 }
 
 #[test]
 fn faster_detection_avoids_wasted_runs() {
-    for lasts in OUTAGES {
-        let soon = replay(lasts, 0.1, default_handling());
-        let late = replay(lasts, 0.5, default_handling());
+    for duration in OUTAGES {
+        let soon = simulate(duration, 0.1, default_handling());
+        let late = simulate(duration, 0.5, default_handling());
         assert!(soon.wasted_runs < late.wasted_runs);
     }
 }
