--- a/crates/gateway-core/src/append_pace.rs
+++ b/crates/gateway-core/src/append_pace.rs
@@ -52,8 +52,8 @@
     pub fn wait(&self, now: Timestamp, urgency: Urgency) -> Option<Duration> {
         let last_start = self.last_start?;
         let pace = match urgency {
-            Urgency::Leave => self.paces.leave,
-            Urgency::Ends => self.paces.ends,
+            AppendUrgency::Permit => self.paces.permits,
+            AppendUrgency::Completions => self.paces.completions,
         };
         let left = pace.saturating_sub(now.since(last_start));
         (!left.is_zero()).then_some(left)
--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -173,11 +173,11 @@
     /// Returns the state of the overdraft.
     pub(super) fn status(&self) -> OverdraftUse {
         match self.mode {
-            Mode::None => OverdraftUse::None,
-            Mode::Standing { .. } => OverdraftUse::Standing,
-            Mode::Activating { .. } => OverdraftUse::Activating,
-            Mode::Active { .. } => OverdraftUse::Active,
-            Mode::Closing { .. } => OverdraftUse::Closing,
+            Mode::None => OverdraftStatus::None,
+            Mode::Standing { .. } => OverdraftStatus::Standing,
+            Mode::Activating { .. } => OverdraftStatus::Activating,
+            Mode::Active { .. } => OverdraftStatus::Active,
+            Mode::Closing { .. } => OverdraftStatus::Closing,
         }
     }
 
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -55,7 +55,7 @@
                 wish,
             };
             let witness = witness.clone();
-            self.inquiries.push(Inquiry { witness, question });
+            self.inquiries.push(WitnessQuery { witness, question });
         }
     }
 
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -68,7 +68,7 @@
     /// Returns when the call started that has been waiting for an answer.
     pub fn since(self) -> Option<Timestamp> {
         match self {
-            Self::Usual => None,
+            Self::Normal => None,
             Self::Late { since } | Self::Silent { since } => Some(since),
         }
     }
@@ -131,7 +131,7 @@
     state: LogState,
 }
 
-impl Default for LogWatch {
+impl Default for LogOutageDetector {
     fn default() -> Self {
         Self {
             response_time: None,
@@ -208,7 +208,7 @@
         if let Some(age) = word.answered {
             self.record_answer(now - age);
         }
-        let since = word.waits.map(|waits| now - waits);
+        let since = word.oldest_wait.map(|waits| now - waits);
         let is_refuted = self
             .latest_answered
             .is_some_and(|at| since.is_some_and(|since| since <= at));
@@ -272,7 +272,7 @@
             None if is_reported => LogState::Silent {
                 since: self.earliest_report().unwrap_or(now),
             },
-            None => LogState::Usual,
+            None => LogState::Normal,
         };
     }
 
--- a/crates/gateway-core/src/change_batch.rs
+++ b/crates/gateway-core/src/recompute_throttle.rs
@@ -43,7 +43,7 @@
         if !self.is_pending || self.last_run.is_some_and(is_recent) {
             return false;
         }
-        self.act(now);
+        self.mark_recomputed(now);
         true
     }
 
--- a/crates/gateway-core/src/start.rs
+++ b/crates/gateway-core/src/start.rs
@@ -75,7 +75,7 @@
         let reached = *self;
         Milestone::ALL
             .into_iter()
-            .filter(move |milestone| !reached.has(*milestone))
+            .filter(move |milestone| !reached.has_reached(*milestone))
     }
 }
 
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::directory::Stream;
+use crate::log_streams::Stream;
 
 /// Fraction of the update deadline for which one read waits for updates. A lost read takes the
 /// first two fractions, and a lost retry the third one: four fifths of the deadline in total. The
--- a/crates/gateway-core/tests/append_pace.rs
+++ b/crates/gateway-core/tests/append_pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::append_pace::{AppendPace, Paces, Urgency};
+use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_types::Timestamp;
 
 const INTERVALS: Paces = Paces {
@@ -27,12 +27,12 @@
     }
     pacer.note(at(0));
     let table = [
-        (5, Urgency::Leave, Some(15)),
-        (5, Urgency::Ends, Some(75)),
-        (20, Urgency::Leave, None),
-        (20, Urgency::Ends, Some(60)),
-        (80, Urgency::Ends, None),
-        (500, Urgency::Leave, None),
+        (5, AppendUrgency::Permit, Some(15)),
+        (5, AppendUrgency::Completions, Some(75)),
+        (20, AppendUrgency::Permit, None),
+        (20, AppendUrgency::Completions, Some(60)),
+        (80, AppendUrgency::Completions, None),
+        (500, AppendUrgency::Permit, None),
     ];
     for (now, urgency, expected) in table {
         let expected = expected.map(Duration::from_millis);
--- a/crates/gateway-core/tests/change_batch.rs
+++ b/crates/gateway-core/tests/change_batch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_types::Timestamp;
 
 fn at(millis: u64) -> Timestamp {
--- a/crates/gateway-core/tests/ledger/overdrafts.rs
+++ b/crates/gateway-core/tests/ledger/overdrafts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::ledger::{
-    Action, AppendOutcome, Inquiry, LedgerState, OVERDRAFT_RETENTION, OverdraftUse, PartitionOwner,
-    ReadOutcome, SLOW_CALL, Ticket, WitnessMemory,
+    Action, AppendOutcome, LedgerState, OVERDRAFT_RETENTION, OverdraftStatus, PartitionOwner,
+    ReadOutcome, SLOW_CALL_THRESHOLD, Ticket, WitnessMemory, WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_protocol::ledger::{
@@ -48,12 +48,17 @@
     let records = appended(&mut owner, START);
     assert!(matches!(records[..], [LedgerRecord::Overdraft { .. }]));
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     owner
 }
 
-fn answer(owner: &mut PartitionOwner, now: Timestamp, inquiry: &Inquiry, answer: WitnessAnswer) {
-    owner.on_inquiry(now, &inquiry.question, Some(answer));
+fn answer(
+    owner: &mut PartitionOwner,
+    now: Timestamp,
+    inquiry: &WitnessQuery,
+    answer: WitnessAnswer,
+) {
+    owner.on_witness_answer(now, &inquiry.question, Some(answer));
 }
 
 /// Returns an owner with an active overdraft and a call to the log in progress.
@@ -62,12 +67,12 @@
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     assert_eq!(inquiries.len(), 3);
     for inquiry in &inquiries[..2] {
         answer(&mut owner, START, inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     owner
 }
 
@@ -184,16 +189,16 @@
     owner.submit(START, Ticket(1), begin("one", 90, 10));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     answer(&mut owner, START, &inquiries[0], WitnessAnswer::Activated);
     answer(&mut owner, START, &inquiries[1], WitnessAnswer::Unknown);
-    owner.on_inquiry(START, &inquiries[2].question, None);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    owner.on_witness_answer(START, &inquiries[2].question, None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     assert_eq!(granted(&mut owner), 0);
     owner.note_slow_call(START + Duration::from_millis(100));
-    assert_eq!(owner.take_inquiries(), [], "too soon");
+    assert_eq!(owner.take_witness_queries(), [], "too soon");
     owner.note_slow_call(START + Duration::from_millis(600));
-    assert_eq!(owner.take_inquiries().len(), 3);
+    assert_eq!(owner.take_witness_queries().len(), 3);
 }
 
 #[test]
@@ -224,7 +229,7 @@
         .position(|record| matches!(record, LedgerRecord::Overdraft { .. }));
     assert!(closed.is_some() && closed < opened, "{records:?}");
     owner.on_append(now, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
 }
 
 #[test]
@@ -237,7 +242,7 @@
         [LedgerRecord::OverdraftClosed { .. }]
     ));
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
     assert!(matches!(owner.next_action(START), Action::Wait { .. }));
 }
 
@@ -284,7 +289,7 @@
     owner.next_action(START);
     owner.on_append(START, AppendOutcome::Done);
     assert_eq!(granted(&mut owner), 1);
-    let inquiries = owner.take_inquiries();
+    let inquiries = owner.take_witness_queries();
     assert!(
         inquiries
             .iter()
@@ -361,7 +366,7 @@
     for case in cases {
         let mut owner = successor();
         owner.next_action(START);
-        let inquiries = owner.take_inquiries();
+        let inquiries = owner.take_witness_queries();
         if let Some(given) = case.answer {
             answer(&mut owner, START, &inquiries[0], given);
         }
@@ -476,7 +481,7 @@
     owner.next_action(START);
     owner.on_read(START, lost_overdraft(min_budget));
     owner.next_action(START);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, START, &inquiry, WitnessAnswer::Unknown);
     }
     owner
@@ -501,7 +506,7 @@
         "{terms:?}"
     );
     owner.on_append(until, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     assert!(matches!(owner.next_action(until), Action::Wait { .. }));
 }
 
@@ -528,7 +533,7 @@
     owner.submit(now, Ticket(3), begin("three", 90, 10));
     appended(&mut owner, now);
     owner.note_slow_call(now);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, now, &inquiry, WitnessAnswer::Activated);
     }
     assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
@@ -615,7 +620,11 @@
     };
     owner.on_read(START, outcome);
     owner.next_action(START);
-    assert_eq!(owner.take_inquiries().len(), 9, "the witnesses of all");
+    assert_eq!(
+        owner.take_witness_queries().len(),
+        9,
+        "the witnesses of all"
+    );
     let action = owner.next_action(START + FENCING);
     assert!(matches!(action, Action::Wait { .. }), "{action:?}");
 }
@@ -686,10 +695,10 @@
     owner.submit(START, Ticket(3), begin("three", 900, 300));
     appended(&mut owner, START);
     owner.note_slow_call(START);
-    for inquiry in owner.take_inquiries() {
+    for inquiry in owner.take_witness_queries() {
         answer(&mut owner, START, &inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     for (budget, expected) in [(29, 0), (30, 1)] {
         let program = format!("of {budget}");
         owner.take_replies();
@@ -740,7 +749,7 @@
     };
     owner.on_read(now, page);
     owner.expire(now, Duration::from_secs(75));
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
 }
 
 #[test]
@@ -813,7 +822,7 @@
         "{records:?}"
     );
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries(), []);
+    assert_eq!(owner.take_witness_queries(), []);
     assert_eq!(granted(&mut owner), 0, "the turn waits for the log");
     owner.on_append(START, AppendOutcome::Done);
     assert_eq!(granted(&mut owner), 1);
@@ -829,7 +838,7 @@
         "{records:?}"
     );
     owner.on_append(START, AppendOutcome::Done);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
     assert!(matches!(owner.next_action(START), Action::Wait { .. }));
 }
 
@@ -840,11 +849,11 @@
     appended(&mut owner, START);
     owner.set_serves_without_log(false);
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries(), []);
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(owner.take_witness_queries(), []);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Standing);
     owner.set_serves_without_log(true);
     owner.note_slow_call(START);
-    assert_eq!(owner.take_inquiries().len(), 3);
+    assert_eq!(owner.take_witness_queries().len(), 3);
 }
 
 #[test]
@@ -871,7 +880,7 @@
     let is_opening = |record: &LedgerRecord| matches!(record, LedgerRecord::Overdraft { .. });
     assert!(records.iter().any(is_closing), "{records:?}");
     assert!(!records.iter().any(is_opening), "{records:?}");
-    assert_eq!(owner.overdraft_use(), OverdraftUse::None);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::None);
 }
 
 /// All machines are lost after the first turn of a program with budget for nine. The next owner
--- a/crates/gateway-core/tests/ledger_model.rs
+++ b/crates/gateway-core/tests/ledger_model.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::ledger::{
-    Action, AppendOutcome, CallNumber, Inquiry, LedgerState, OverdraftUse, PartitionOwner,
-    ReadOutcome, Ticket, WitnessMemory,
+    Action, AppendOutcome, CallNumber, LedgerState, OverdraftStatus, PartitionOwner, ReadOutcome,
+    Ticket, WitnessMemory, WitnessQuery,
 };
 use elderworks_protocol::ledger::{
     BeginTurn, FinishTurn, KeptTurn, LedgerRecord, LedgerReply, LedgerRequest, Witness,
@@ -352,7 +352,7 @@
         self.record_full_budgets();
         for owner in 0..OWNERS {
             self.take_replies(owner);
-            let asked = self.owners[owner].take_inquiries();
+            let asked = self.owners[owner].take_witness_queries();
             let asked = asked.into_iter().map(|inquiry| (owner, inquiry));
             self.inquiries.extend(asked);
         }
@@ -732,7 +732,10 @@
         });
         world.step(Step::Report { owner: 0 });
     }
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Standing);
+    assert_eq!(
+        world.owners[0].overdraft_status(),
+        OverdraftStatus::Standing
+    );
     let state = world.replayed();
     let account = state.account(PROGRAMS[1]).expect("an account");
     assert!(account.committed() >= world.max_generated(PROGRAMS[1]));
--- a/crates/gateway-core/tests/log_outage.rs
+++ b/crates/gateway-core/tests/log_outage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::log_outage::{LOOK_INTERVAL, LogState, LogWatch, LogWord};
+use elderworks_gateway_core::log_outage::{LogOutageDetector, LogState, LogStatus, POLL_INTERVAL};
 use elderworks_types::{NodeId, Timestamp};
 
 /// Milliseconds since the start of the model.
@@ -23,7 +23,7 @@
 
 /// Simulates the calls of one node.
 struct Model {
-    watch: LogWatch,
+    watch: LogOutageDetector,
     open: Vec<(u64, Millis, Millis)>,
     next_call: u64,
 }
@@ -31,7 +31,7 @@
 impl Model {
     fn new() -> Self {
         Self {
-            watch: LogWatch::default(),
+            watch: LogOutageDetector::default(),
             open: Vec::new(),
             next_call: 0,
         }
@@ -54,24 +54,24 @@
             // In the worst case, a process that was suspended polls before it reads its sockets.
             if now.is_multiple_of(LOOK_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
             {
-                self.watch.look(at(now));
+                self.watch.poll(at(now));
             }
             let due: Vec<_> = self
                 .open
                 .extract_if(.., |(_, _, due)| *due <= now)
                 .collect();
             for (call, began, _) in due {
-                self.watch.answered(at(now), call, ms(now - began));
+                self.watch.call_answered(at(now), call, ms(now - began));
             }
             if now.is_multiple_of(CALL_INTERVAL) {
                 self.next_call += 1;
-                self.watch.begin(at(now), self.next_call);
+                self.watch.call_started(at(now), self.next_call);
                 if let Some(takes) = takes(now) {
                     self.open.push((self.next_call, now, now + takes));
                 }
             }
             match self.watch.state() {
-                LogState::Usual => {}
+                LogState::Normal => {}
                 LogState::Late { .. } => {
                     late.get_or_insert(now);
                 }
@@ -125,16 +125,16 @@
     assert!(
         !model
             .watch
-            .take(at(1_041), NodeId::new("n2"), waiting(35, 45, false))
+            .on_peer_status(at(1_041), NodeId::new("n2"), waiting(35, 45, false))
     );
     assert!(!model.watch.state().is_silent());
     assert!(
         !model
             .watch
-            .take(at(1_042), NodeId::new("n3"), waiting(35, 45, false))
+            .on_peer_status(at(1_042), NodeId::new("n3"), waiting(35, 45, false))
     );
     assert!(model.watch.state().is_silent());
-    assert!(model.watch.word(at(1_042)).is_silent);
+    assert!(model.watch.status(at(1_042)).is_silent);
 }
 
 #[test]
@@ -150,13 +150,23 @@
             answered: Some(ms(5)),
             is_silent: false,
         };
-        model.watch.take(at(from + 20), NodeId::new("n2"), word);
+        model
+            .watch
+            .on_peer_status(at(from + 20), NodeId::new("n2"), word);
     }
     assert_eq!(silent, None);
     // It also refutes reports of other nodes.
     let word = waiting(500, 510, true);
-    assert!(model.watch.take(at(2_000), NodeId::new("n3"), word));
-    assert!(model.watch.take(at(2_000), NodeId::new("n4"), word));
+    assert!(
+        model
+            .watch
+            .on_peer_status(at(2_000), NodeId::new("n3"), word)
+    );
+    assert!(
+        model
+            .watch
+            .on_peer_status(at(2_000), NodeId::new("n4"), word)
+    );
     assert!(!model.watch.state().is_silent());
 }
 
@@ -173,7 +183,7 @@
     );
     watch.take(at(103), NodeId::new("n3"), waiting(61, 96, true));
     assert!(watch.state().is_silent());
-    watch.look(at(500));
+    watch.poll(at(500));
     assert!(watch.state().is_silent());
     watch.look(at(900));
     assert_eq!(watch.state(), LogState::Usual, "the reports have expired");
--- a/crates/gateway-core/tests/log_reach.rs
+++ b/crates/gateway-core/tests/log_reach.rs
@@ -1,6 +1,6 @@
 //! Tests when a node that is not a candidate serves a partition.
 
-use elderworks_gateway_core::log_reach::LogReach;
+use elderworks_gateway_core::log_reachability::LogReachability;
 
 /// Result of a call to the log.
 #[derive(Clone, Copy)]
@@ -48,7 +48,7 @@
         ),
     ];
     for case in cases {
-        let mut reach = LogReach::default();
+        let mut reach = LogReachability::default();
         for call in case.calls {
             match call {
                 Answered => reach.note_answer(),
@@ -56,7 +56,7 @@
             }
         }
         assert_eq!(
-            reach.may_act(case.is_candidate),
+            reach.may_serve(case.is_candidate),
             case.may_act,
             "{}",
             case.name
--- a/crates/gateway-core/tests/outage_load.rs
+++ b/crates/gateway-core/tests/outage_load.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::outage_wait::{COME_BACK, outage_wait};
+use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
 use elderworks_gateway_core::policy::Policy;
 
 /// Duration or point in time in seconds.
@@ -113,7 +113,7 @@
             }
             now = waits_until;
             if tries_left > 0 {
-                now += COME_BACK
+                now += RETRY_AFTER
                     .as_secs_f64()
                     .min((deadline - now) * RETRY_WAIT_FRACTION);
             }
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::start::{
     MAX_START_WAIT, Milestone, StartProgress, presumes_alive, starting_patience,
 };
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
+use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
 
 /// Milliseconds since the start of the model.
@@ -55,7 +55,7 @@
         (Some(Duration::from_secs(60)), MAX_START_WAIT),
     ];
     for (left, expected) in table {
-        assert_eq!(starting_patience(left), expected, "{left:?}");
+        assert_eq!(start_wait(left), expected, "{left:?}");
     }
 }
 
--- a/crates/gateway-core/tests/stream_reads.rs
+++ b/crates/gateway-core/tests/stream_reads.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, ReadTimes, StreamReads};
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule, UpdateDeadlines};
 
 /// Milliseconds since the start of the test.
 type Millis = u64;
@@ -72,7 +72,7 @@
         (Stream::Workers, 2.0),
         (Stream::Workers, 3.0),
     ] {
-        let deadlines = NewsDeadlines {
+        let deadlines = UpdateDeadlines {
             apply: seconds(within),
             drain: seconds(within),
         };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,17 +7,19 @@
 
 use actix_http::ServiceConfig;
 use elderworks_gateway_core::access::KeyLeases;
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
 use elderworks_gateway_core::cold::ColdSenders;
 use elderworks_gateway_core::config::{ActiveConfig, ServingConfig};
-use elderworks_gateway_core::config_proof::{ConfigProof, asking_age, denial_lease_of, lease_of};
+use elderworks_gateway_core::config_proof::{
+    ConfigProof, denial_lease_of, lease_of, proof_request_age,
+};
 use elderworks_gateway_core::evacuations::Evacuations;
-use elderworks_gateway_core::log_reach::LogReach;
+use elderworks_gateway_core::log_reachability::LogReachability;
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::quota::{BegunPrograms, Division, Fleet, QuotaBook};
+use elderworks_gateway_core::quota::{Division, Fleet, QuotaTracker, StartedPrograms};
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_gateway_core::run_moves::backups::Backups;
-use elderworks_gateway_core::split::SplitState;
+use elderworks_gateway_core::split::WeightedRoundRobin;
 use elderworks_gateway_core::unreadable::UnreadableKeys;
 use elderworks_gateway_core::workers::WorkerDirectory;
 use elderworks_types::{Incarnation, NodeId, Offset, Timestamp};
@@ -29,9 +31,9 @@
 use crate::feed::Feed;
 use crate::ledger::Ledger;
 use crate::log_outage::LogOutage;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::metrics::Metrics;
-use crate::peers::{LessorDesk, Peers};
+use crate::peers::{Lessors, Peers};
 use crate::ports::{Platform, StreamRecord};
 use crate::settings::GatewaySettings;
 use crate::start::Start;
@@ -64,28 +66,28 @@
     /// The record of that configuration, for nodes that cannot read the log.
     pub(crate) config_record: RefCell<Option<StreamRecord>>,
     /// Where the stream of configurations ended when it was last read.
-    pub(crate) config_end: Cell<Option<Offset>>,
+    pub(crate) config_stream_end: Cell<Option<Offset>>,
     /// Zones whose workers are to get nothing more.
     pub(crate) evacuations: RefCell<Evacuations>,
     /// Keys of entries that could not be read.
     pub(crate) unreadable_entries: RefCell<UnreadableKeys>,
     /// When another node last answered a question for its proof, whatever it had.
-    pub(crate) proof_answered: Cell<Option<Timestamp>>,
+    pub(crate) last_proof_reply: Cell<Option<Timestamp>>,
     /// How old that proof may be.
     pub(crate) key_leases: KeyLeases,
     /// What was sent on for tenants, here and elsewhere.
-    pub(crate) quotas: RefCell<QuotaBook>,
+    pub(crate) quotas: RefCell<QuotaTracker>,
     /// Who grants requests within quotas.
-    pub(crate) lessors: LessorDesk,
+    pub(crate) lessors: Lessors,
     /// Programs of tenants with quotas that have begun here.
-    pub(crate) begun_programs: RefCell<BegunPrograms>,
+    pub(crate) begun_programs: RefCell<StartedPrograms>,
     /// Whether this node reads the log's streams, and what it hears of them otherwise.
     pub(crate) feed: Feed,
     /// Engines whose memory this node reads.
     pub(crate) engines: Engines,
     pub(crate) workers: RefCell<WorkerDirectory>,
     pub(crate) nodes: RefCell<NodeDirectory>,
-    pub(crate) splits: RefCell<SplitState>,
+    pub(crate) splits: RefCell<WeightedRoundRobin>,
     pub(crate) peers: Peers,
     pub(crate) pool: Rc<Pool>,
     pub(crate) ledger: Ledger,
@@ -94,7 +96,7 @@
     /// Response times of the log's reads for the ledger, which may bring many records.
     pub(crate) log_read_timer: RefCell<ResponseTimer>,
     /// Whether the log answers this node.
-    pub(crate) log_reach: RefCell<LogReach>,
+    pub(crate) log_reach: RefCell<LogReachability>,
     /// Whether the log answers anybody.
     pub(crate) log_outage: LogOutage,
     pub(crate) metrics: Metrics,
@@ -104,7 +106,7 @@
     /// Those nodes.
     pub(crate) serving: RefCell<BTreeSet<NodeId>>,
     /// What is held for callers, workers and peers.
-    pub(crate) memory: Memory,
+    pub(crate) memory: MemoryTracker,
     /// Turns that wait for places at engines.
     pub(crate) admission: AdmissionDriver,
     /// Runs of this node that have a backup.
@@ -114,7 +116,7 @@
     /// What this node knows already, and what it still needs to serve.
     pub(crate) start: Start,
     /// Changes of nodes that wait to be acted on together.
-    node_changes: RefCell<ChangeBatch>,
+    node_changes: RefCell<RecomputeThrottle>,
     sequence: Cell<u64>,
 }
 
@@ -134,11 +136,11 @@
         };
         let metrics = Metrics::new();
         let pace = match policy.batched_changes {
-            true => RECOMPUTING_PACE,
+            true => MIN_RECOMPUTE_INTERVAL,
             false => Duration::ZERO,
         };
-        let quotas = QuotaBook::new(settings.quotas, division, rand::random(), clock.now())
-            .with_order(policy.quota_order);
+        let quotas = QuotaTracker::new(settings.quotas, division, rand::random(), clock.now())
+            .with_program_priority(policy.quota_order);
         let cold = ColdSenders::new(settings.cold, &settings.node);
         let workers = WorkerDirectory::new(policy)
             .with_cold_senders(cold)
@@ -151,7 +153,7 @@
             log_read_timer: RefCell::default(),
             log_reach: RefCell::default(),
             log_outage: LogOutage::default(),
-            memory: Memory::new(settings.memory_bytes, &metrics),
+            memory: MemoryTracker::new(settings.memory_bytes, &metrics),
             admission: AdmissionDriver::new(&settings),
             backups: RefCell::default(),
             settings,
@@ -161,18 +163,18 @@
             config: RefCell::default(),
             config_proof: RefCell::default(),
             config_record: RefCell::default(),
-            config_end: Cell::default(),
+            config_stream_end: Cell::default(),
             evacuations: RefCell::default(),
             unreadable_entries: RefCell::default(),
-            proof_answered: Cell::default(),
+            last_proof_reply: Cell::default(),
             key_leases,
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
-            lessors: LessorDesk::default(),
+            lessors: Lessors::default(),
             begun_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
-            splits: RefCell::new(SplitState::new(rand::random())),
+            splits: RefCell::new(WeightedRoundRobin::new(rand::random())),
             pool: Rc::default(),
             metrics,
             stage,
@@ -180,7 +182,7 @@
             serving: RefCell::default(),
             in_flight: Cell::new(0),
             start: Start::default(),
-            node_changes: RefCell::new(ChangeBatch::new(pace)),
+            node_changes: RefCell::new(RecomputeThrottle::new(pace)),
             sequence: Cell::new(0),
         })
     }
@@ -191,7 +193,7 @@
     }
 
     /// Time since the start.
-    pub(crate) fn age(&self) -> Duration {
+    pub(crate) fn uptime(&self) -> Duration {
         self.now().since(Timestamp::default())
     }
 
@@ -211,9 +213,9 @@
     }
 
     /// Age of the proof of the configuration at which other nodes are asked for a younger one.
-    pub(crate) fn asking_age(&self) -> Duration {
+    pub(crate) fn proof_request_age(&self) -> Duration {
         let reads = self.feed.reads();
-        asking_age(self.key_lease(), self.settings.apply_within, reads)
+        proof_request_age(self.key_lease(), self.settings.apply_within, reads)
     }
 
     /// The present stage.
@@ -228,21 +230,21 @@
 
     /// Notes that nodes have come, gone or changed. What follows from it is worked out now or soon.
     pub(crate) fn note_node_changes(&self) {
-        if self.node_changes.borrow_mut().note(self.now()) {
+        if self.node_changes.borrow_mut().on_change(self.now()) {
             self.recompute_nodes();
         }
     }
 
     /// Acts on changes of nodes that have waited for others.
-    pub(crate) fn act_on_node_changes(&self) {
+    pub(crate) fn apply_due_node_changes(&self) {
         if self.node_changes.borrow_mut().take_due(self.now()) {
             self.recompute_nodes();
         }
     }
 
     /// Acts on changes of nodes without delay: what follows must not rest on what was known before.
-    pub(crate) fn act_on_node_changes_now(&self) {
-        self.node_changes.borrow_mut().act(self.now());
+    pub(crate) fn apply_node_changes_now(&self) {
+        self.node_changes.borrow_mut().mark_recomputed(self.now());
         self.recompute_nodes();
     }
 
@@ -252,11 +254,11 @@
         }
         self.metrics.node_recomputations.inc();
         self.feed.note_node_changes();
-        self.count_serving_nodes();
+        self.update_serving_nodes();
     }
 
     /// Counts the nodes that callers are sent to.
-    pub(crate) fn count_serving_nodes(&self) {
+    pub(crate) fn update_serving_nodes(&self) {
         let nodes = self.nodes.borrow();
         let serving = self.serving_nodes(&nodes);
         let count = serving.len();
@@ -268,7 +270,7 @@
     }
 
     /// Brings what is believed of workers in line with the zones that are to get nothing more.
-    pub(crate) fn act_on_evacuations(&self) {
+    pub(crate) fn apply_evacuations(&self) {
         let evacuations = self.evacuations.borrow();
         let now = self.now();
         let mut workers = self.workers.borrow_mut();
@@ -281,12 +283,12 @@
 
     /// The nodes of all zones that callers are sent to.
     pub(crate) fn serving_nodes<'a>(&self, nodes: &'a NodeDirectory) -> BTreeSet<&'a NodeId> {
-        nodes.offered_anywhere(|node| self.is_serving(node))
+        nodes.offered_in_any_zone(|node| self.is_serving(node))
     }
 
     /// The nodes between which quotas are divided.
     pub(crate) fn fleet(&self) -> Fleet {
-        let proof_age = self.config_proof.borrow().own_age(self.now());
+        let proof_age = self.config_proof.borrow().last_read_age(self.now());
         Fleet {
             nodes: self.nodes_serving.get(),
             is_cut_off: proof_age.is_none_or(|age| age > LATE_READ),
@@ -304,7 +306,7 @@
 
     /// Whether callers are to be sent to a node, as far as this one knows.
     pub(crate) fn is_offered(&self, node: &NodeId) -> bool {
-        self.is_serving(node) && !self.peers.is_zone_suspected(self, node)
+        self.is_serving(node) && !self.peers.is_in_suspected_zone(self, node)
     }
 
     /// Listed nodes that are neither alive nor this one.
