--- a/crates/gateway-core/src/append_pace.rs
+++ b/crates/gateway-core/src/append_pace.rs
@@ -11,32 +11,32 @@
 
 /// The most urgent kind of request that waits for the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
+pub enum AppendUrgency {
     /// A permit, or an answer that needs a read.
-    Leave,
+    Permit,
     /// Completions of turns only, or nothing.
-    Ends,
+    Completions,
 }
 
 /// Minimum time between the starts of two calls, by what waits for the second one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Paces {
+pub struct AppendIntervals {
     /// If a turn waits for its permit.
-    pub leave: Duration,
+    pub permits: Duration,
     /// If only completions wait.
-    pub ends: Duration,
+    pub completions: Duration,
 }
 
 /// Limits the rate of calls for one partition.
 #[derive(Clone, Copy, Debug)]
-pub struct AppendPace {
-    paces: Paces,
+pub struct AppendPacer {
+    paces: AppendIntervals,
     last_start: Option<Timestamp>,
 }
 
-impl AppendPace {
+impl AppendPacer {
     /// Creates a pacer with the given minimum intervals.
-    pub fn new(paces: Paces) -> Self {
+    pub fn new(paces: AppendIntervals) -> Self {
         Self {
             paces,
             last_start: None,
@@ -44,12 +44,12 @@
     }
 
     /// Records the start of a call.
-    pub fn note(&mut self, now: Timestamp) {
+    pub fn call_started(&mut self, now: Timestamp) {
         self.last_start = Some(now);
     }
 
     /// Returns how long to wait before the next call; `None` if it may start now.
-    pub fn wait(&self, now: Timestamp, urgency: Urgency) -> Option<Duration> {
+    pub fn wait(&self, now: Timestamp, urgency: AppendUrgency) -> Option<Duration> {
         let last_start = self.last_start?;
         let pace = match urgency {
             AppendUrgency::Permit => self.paces.permits,
--- a/crates/gateway-core/src/ledger/calls.rs
+++ b/crates/gateway-core/src/ledger/calls.rs
@@ -76,9 +76,9 @@
 }
 
 /// A question for the driver to send to a witness. The driver reports the answer to
-/// `PartitionOwner::on_inquiry`.
+/// `PartitionOwner::on_witness_answer`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Inquiry {
+pub struct WitnessQuery {
     /// The witness to ask.
     pub witness: Witness,
     /// The question to send.
--- a/crates/gateway-core/src/ledger/mod.rs
+++ b/crates/gateway-core/src/ledger/mod.rs
@@ -20,15 +20,17 @@
 mod witness;
 
 pub use account::Account;
-pub use calls::{Action, AppendOutcome, CallNumber, Inquiry, ReadOutcome, Ticket};
-pub use overdraft::{MIN_WITNESSES, MOST_WITNESSES, OverdraftUse, SLOW_CALL};
+pub use calls::{Action, AppendOutcome, CallNumber, ReadOutcome, Ticket, WitnessQuery};
+pub use overdraft::{MIN_WITNESSES, MOST_WITNESSES, OverdraftStatus, SLOW_CALL_THRESHOLD};
 pub use owner::{
     DOWN_RETRY_DELAY, FAILURE_RETRY_DELAY, FAILURES_BEFORE_DOWN, MAX_HOLD_WHILE_DOWN,
     PartitionOwner, SETTLEMENT_DELAY, YIELD_AFTER_OUTAGE,
 };
 pub use pieces::{MAX_APPEND_BYTES, MAX_CONTENT_BYTES, approximate_bytes, kept_records};
 pub use plan::FOREIGN_SETTLEMENT_WAIT;
-pub use state::{ACCOUNT_RETENTION, LedgerState, OVERDRAFT_RETENTION, OpenOverdraft, RETENTION};
+pub use state::{
+    ACCOUNT_RETENTION, LedgerState, OVERDRAFT_RETENTION, OpenOverdraft, TURN_RETENTION,
+};
 pub use wallet::{Advance, IDLE_BEFORE_SETTLING, SpentAdvance, Wallet};
 pub use witness::WitnessMemory;
 
--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -25,7 +25,7 @@
 
 /// Calls to the log that take longer count as slow: turns draw on an active overdraft in place of
 /// waiting for them.
-pub const SLOW_CALL: Duration = Duration::from_millis(40);
+pub const SLOW_CALL_THRESHOLD: Duration = Duration::from_millis(40);
 
 /// How long the log must have answered promptly before a used overdraft is replaced.
 const RECOVERY_TIME: Duration = Duration::from_secs(1);
@@ -49,7 +49,7 @@
 
 /// State of an owner's overdraft, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverdraftUse {
+pub enum OverdraftStatus {
     /// No overdraft is known to be open in the log.
     None,
     /// Open in the log, not activated.
@@ -151,7 +151,7 @@
     /// Records an answer of the log after `took`.
     pub(super) fn record_answer(&mut self, now: Timestamp, took: Duration) {
         self.last_answer = now;
-        if took >= SLOW_CALL {
+        if took >= SLOW_CALL_THRESHOLD {
             self.record_degraded();
             return;
         }
@@ -171,7 +171,7 @@
     }
 
     /// Returns the state of the overdraft.
-    pub(super) fn status(&self) -> OverdraftUse {
+    pub(super) fn status(&self) -> OverdraftStatus {
         match self.mode {
             Mode::None => OverdraftStatus::None,
             Mode::Standing { .. } => OverdraftStatus::Standing,
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -8,8 +8,8 @@
 };
 use elderworks_types::Timestamp;
 
-use super::super::calls::Inquiry;
-use super::super::overdraft::{MIN_WITNESSES, OverdraftUse, majority};
+use super::super::calls::WitnessQuery;
+use super::super::overdraft::{MIN_WITNESSES, OverdraftStatus, majority};
 use super::super::plan::Plan;
 use super::PartitionOwner;
 use crate::ledger::OpenOverdraft;
@@ -60,12 +60,12 @@
     }
 
     /// Returns the questions to send to witnesses. Each is returned once.
-    pub fn take_inquiries(&mut self) -> Vec<Inquiry> {
+    pub fn take_witness_queries(&mut self) -> Vec<WitnessQuery> {
         std::mem::take(&mut self.inquiries)
     }
 
     /// Reports a witness's answer; `None` if there was none.
-    pub fn on_inquiry(
+    pub fn on_witness_answer(
         &mut self,
         now: Timestamp,
         question: &WitnessQuestion,
@@ -95,7 +95,7 @@
     }
 
     /// Returns the state of this owner's overdraft.
-    pub fn overdraft_use(&self) -> OverdraftUse {
+    pub fn overdraft_status(&self) -> OverdraftStatus {
         self.overdraft.status()
     }
 
--- a/crates/gateway-core/src/ledger/state.rs
+++ b/crates/gateway-core/src/ledger/state.rs
@@ -12,7 +12,7 @@
 use super::wallet::saturating_sum;
 
 /// How long turns are retained after their last use, unless the configuration asks for longer.
-pub const RETENTION: Duration = Duration::from_secs(75);
+pub const TURN_RETENTION: Duration = Duration::from_secs(75);
 
 /// How long accounts are retained after their last use, or longer if turns are. A program may wait
 /// minutes for a tool, and dropping its account would restore its full budget.
--- a/crates/gateway-core/src/log_call_purpose.rs
+++ b/crates/gateway-core/src/log_call_purpose.rs
@@ -4,7 +4,7 @@
 
 /// The purpose of a call to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LogCause {
+pub enum LogCallPurpose {
     /// Reserves tokens for waiting turns.
     Reserve,
     /// Stores finished turns whose callers wait until they are durable, without reserving tokens.
@@ -23,7 +23,7 @@
     Prove,
 }
 
-impl LogCause {
+impl LogCallPurpose {
     /// Returns the purpose of an append. If the records have several, the one that callers wait for
     /// takes precedence.
     pub fn of_append(records: &[LedgerRecord]) -> Self {
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -13,8 +13,8 @@
 
 use elderworks_types::{NodeId, Timestamp};
 
-/// Interval at which the driver calls [`LogWatch::look`] while calls are in progress.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the driver calls [`LogOutageDetector::look`] while calls are in progress.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time between two polls that indicates that the process was suspended or starved.
 const MAX_POLL_GAP: Duration = Duration::from_millis(25);
@@ -46,7 +46,7 @@
 pub enum LogState {
     /// Calls are answered in the usual time, or no calls are in progress.
     #[default]
-    Usual,
+    Normal,
     /// A call has taken longer than usual.
     Late {
         /// When the unanswered call started.
@@ -76,9 +76,9 @@
 
 /// A node's report on its calls to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LogWord {
+pub struct LogStatus {
     /// Age of the oldest unanswered call if that is late.
-    pub waits: Option<Duration>,
+    pub oldest_wait: Option<Duration>,
     /// Time since the start of the latest call, by any node, that the sender knows to have been
     /// answered.
     pub answered: Option<Duration>,
@@ -117,7 +117,7 @@
 
 /// Detects outages of the log from this node's calls and from the reports of other nodes.
 #[derive(Debug)]
-pub struct LogWatch {
+pub struct LogOutageDetector {
     response_time: Option<ResponseTime>,
     /// Start times of unanswered calls. Calls that were given up remain until a later call is
     /// answered.
@@ -140,14 +140,14 @@
             latest_answered: None,
             peer_reports: BTreeMap::new(),
             required_confirmations: CONFIRMING_NODES,
-            state: LogState::Usual,
+            state: LogState::Normal,
         }
     }
 }
 
-impl LogWatch {
+impl LogOutageDetector {
     /// Sets the number of other nodes.
-    pub fn set_others(&mut self, others: usize) {
+    pub fn set_peer_count(&mut self, others: usize) {
         self.required_confirmations = others.clamp(1, CONFIRMING_NODES);
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Records the start of a call.
-    pub fn begin(&mut self, now: Timestamp, call: u64) {
+    pub fn call_started(&mut self, now: Timestamp, call: u64) {
         if self.unanswered.is_empty() {
             self.last_poll = now;
         }
@@ -168,7 +168,7 @@
 
     /// Records that a call was answered, possibly with a refusal, `took` after its start. Calls
     /// that started before it are dropped: they were lost or are slow for reasons of their own.
-    pub fn answered(&mut self, now: Timestamp, call: u64, took: Duration) {
+    pub fn call_answered(&mut self, now: Timestamp, call: u64, took: Duration) {
         self.response_time = Some(ResponseTime::update(self.response_time, took));
         let started = self.unanswered.remove(&call).unwrap_or(now - took);
         self.record_answer(started);
@@ -177,11 +177,11 @@
 
     /// Updates the state. Must be called every [`LOOK_INTERVAL`] while calls are in progress, and
     /// occasionally otherwise.
-    pub fn look(&mut self, now: Timestamp) {
+    pub fn poll(&mut self, now: Timestamp) {
         let gap = now.since(self.last_poll);
         self.last_poll = now;
         if gap > MAX_POLL_GAP {
-            let suspended = gap - LOOK_INTERVAL;
+            let suspended = gap - POLL_INTERVAL;
             for started in self.unanswered.values_mut() {
                 *started = (*started + suspended).min(now);
             }
@@ -193,10 +193,10 @@
 
     /// Returns the report for other nodes. It claims an outage only if this node's own calls
     /// indicate one.
-    pub fn word(&self, now: Timestamp) -> LogWord {
+    pub fn status(&self, now: Timestamp) -> LogStatus {
         let late = self.late_since(now);
-        LogWord {
-            waits: late.map(|since| now.since(since)),
+        LogStatus {
+            oldest_wait: late.map(|since| now.since(since)),
             answered: self.latest_answered.map(|at| now.since(at)),
             is_silent: self.state.is_silent() && late.is_some(),
         }
@@ -204,7 +204,7 @@
 
     /// Records the report of another node. Returns whether this node knows of a later answer, which
     /// the sender should be informed of.
-    pub fn take(&mut self, now: Timestamp, node: NodeId, word: LogWord) -> bool {
+    pub fn on_peer_status(&mut self, now: Timestamp, node: NodeId, word: LogStatus) -> bool {
         if let Some(age) = word.answered {
             self.record_answer(now - age);
         }
--- a/crates/gateway-core/src/log_reachability.rs
+++ b/crates/gateway-core/src/log_reachability.rs
@@ -5,11 +5,11 @@
 
 /// Results of this node's latest calls to the log, for all streams together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogReach {
+pub struct LogReachability {
     consecutive_failures: u32,
 }
 
-impl LogReach {
+impl LogReachability {
     /// Records an answered call.
     pub fn note_answer(&mut self) {
         self.consecutive_failures = 0;
@@ -28,7 +28,7 @@
     /// Returns whether this node should serve a partition after the candidates before it have
     /// failed. A node that cannot reach the log is of no use to other nodes' partitions, and would
     /// compete with the candidates once the log is reachable again.
-    pub fn may_act(&self, is_candidate: bool) -> bool {
+    pub fn may_serve(&self, is_candidate: bool) -> bool {
         is_candidate || !self.is_unreachable()
     }
 }
--- a/crates/gateway-core/src/outage_wait.rs
+++ b/crates/gateway-core/src/outage_wait.rs
@@ -8,7 +8,7 @@
 
 /// Time after which to retry a turn that was refused after an unsuccessful wait. Outages last
 /// seconds, and callers with less time retry sooner.
-pub const COME_BACK: Duration = Duration::from_millis(900);
+pub const RETRY_AFTER: Duration = Duration::from_millis(900);
 
 /// Minimum time reserved for running the turn once the log answers again.
 const MIN_TURN_TIME: Duration = Duration::from_millis(150);
--- a/crates/gateway-core/src/ownership.rs
+++ b/crates/gateway-core/src/ownership.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the first node of [`rank_owners`] without sorting all nodes.
-pub fn foremost_owner<'a>(
+pub fn preferred_owner<'a>(
     partition: PartitionId,
     nodes: impl Iterator<Item = (&'a NodeId, u32)>,
 ) -> Option<&'a NodeId> {
--- a/crates/gateway-core/src/partition_failover.rs
+++ b/crates/gateway-core/src/partition_failover.rs
@@ -18,7 +18,7 @@
 
 /// Why a candidate did not carry out a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum SkipReason {
     /// It replied that it is unavailable.
     Unavailable,
     /// It is unreachable or shows no sign of life.
@@ -27,25 +27,25 @@
 
 /// Restrains failover while nodes are starting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct StartupGrace {
     /// Time since the start of this node.
     pub age: Duration,
 }
 
-impl Standing {
+impl StartupGrace {
     /// Returns whether to skip a candidate, that is, to ask the next one or to serve the partition
     /// in its place. If not, the request is retried after a delay while its caller has time left.
-    pub fn may_pass_over(&self, reason: PassedOver) -> bool {
+    pub fn may_skip(&self, reason: SkipReason) -> bool {
         match reason {
             // It is reading the partition, as any other node would have to.
-            PassedOver::Unavailable => self.age >= PEER_READ_GRACE,
-            PassedOver::Absent => self.age >= PEER_START_GRACE,
+            SkipReason::Unavailable => self.age >= PEER_READ_GRACE,
+            SkipReason::Absent => self.age >= PEER_START_GRACE,
         }
     }
 
     /// Returns whether to serve a partition for which no other candidate is known. Before joining,
     /// a node may not know the others yet.
-    pub fn may_act_alone(&self, has_joined: bool) -> bool {
+    pub fn may_serve_alone(&self, has_joined: bool) -> bool {
         has_joined || self.age >= PEER_START_GRACE
     }
 }
--- a/crates/gateway-core/src/recompute_throttle.rs
+++ b/crates/gateway-core/src/recompute_throttle.rs
@@ -11,17 +11,17 @@
 /// Minimum time between two recomputations. If one takes ten milliseconds on a slow machine, this
 /// uses a tenth of its time; the delay is small compared with the time after which a silent node is
 /// dropped.
-pub const RECOMPUTING_PACE: Duration = Duration::from_millis(100);
+pub const MIN_RECOMPUTE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Tracks pending changes and the latest recomputation.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangeBatch {
+pub struct RecomputeThrottle {
     min_interval: Duration,
     last_run: Option<Timestamp>,
     is_pending: bool,
 }
 
-impl ChangeBatch {
+impl RecomputeThrottle {
     /// Allows one recomputation per `min_interval`, or one per change if that is zero.
     pub fn new(min_interval: Duration) -> Self {
         Self {
@@ -32,7 +32,7 @@
     }
 
     /// Records a change. Returns whether to recompute now, which covers all pending changes.
-    pub fn note(&mut self, now: Timestamp) -> bool {
+    pub fn on_change(&mut self, now: Timestamp) -> bool {
         self.is_pending = true;
         self.take_due(now)
     }
@@ -48,7 +48,7 @@
     }
 
     /// Records a recomputation, which covers all pending changes.
-    pub fn act(&mut self, now: Timestamp) {
+    pub fn mark_recomputed(&mut self, now: Timestamp) {
         self.last_run = Some(now);
         self.is_pending = false;
     }
--- a/crates/gateway-core/src/start.rs
+++ b/crates/gateway-core/src/start.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether a milestone has been reached.
-    pub fn has(&self, milestone: Milestone) -> bool {
+    pub fn has_reached(&self, milestone: Milestone) -> bool {
         self.at(milestone).is_some()
     }
 
@@ -100,7 +100,7 @@
 
 /// Returns how long a request waits for its node to finish starting, given the time it has left, if
 /// known.
-pub fn starting_patience(left: Option<Duration>) -> Duration {
+pub fn start_wait(left: Option<Duration>) -> Duration {
     let limit = left.map(|left| left.mul_f64(WAIT_FRACTION));
     limit.map_or(MAX_START_WAIT, |limit| limit.min(MAX_START_WAIT))
 }
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -26,7 +26,7 @@
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// Timeouts of reads of the node entries, which are less urgent because of gossip.
-const NODES_TIMEOUTS: ReadTimes = ReadTimes {
+const NODES_TIMEOUTS: ReadTimeouts = ReadTimeouts {
     wait: Duration::from_secs(4),
     answer: MAX_ANSWER,
 };
@@ -56,7 +56,7 @@
 
 /// Deadlines for acting on updates, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsDeadlines {
+pub struct UpdateDeadlines {
     /// Maximum time until a new configuration is in effect.
     pub apply: Duration,
     /// Maximum time until a draining worker receives no more requests.
@@ -65,16 +65,16 @@
 
 /// Time limits of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadTimes {
+pub struct ReadTimeouts {
     /// How long the log waits for updates before it returns none.
     pub wait: Duration,
     /// Maximum time until the answer, in addition to the wait.
     pub answer: Duration,
 }
 
-impl ReadTimes {
+impl ReadTimeouts {
     /// Creates the limits of a read that returns existing records without waiting.
-    pub fn at_once(answer: Duration) -> Self {
+    pub fn immediate(answer: Duration) -> Self {
         Self {
             wait: Duration::ZERO,
             answer,
@@ -84,16 +84,16 @@
 
 /// Determines timeouts and delays of the reads of one stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StreamReads {
-    updates: ReadTimes,
+pub struct StreamReadSchedule {
+    updates: ReadTimeouts,
     recovery: Duration,
     pause: Duration,
     failures: u32,
 }
 
-impl StreamReads {
+impl StreamReadSchedule {
     /// Creates a schedule for `stream`, before the first read.
-    pub fn new(stream: Stream, deadlines: &NewsDeadlines) -> Self {
+    pub fn new(stream: Stream, deadlines: &UpdateDeadlines) -> Self {
         let (updates, recovery) = match stream {
             Stream::Configuration => timeouts_within(deadlines.apply),
             Stream::Workers => timeouts_within(deadlines.drain),
@@ -113,10 +113,10 @@
     }
 
     /// Returns the time limits of the next read.
-    pub fn next_read(&self) -> ReadTimes {
+    pub fn next_read(&self) -> ReadTimeouts {
         match self.failures {
             0 => self.updates,
-            failures => ReadTimes::at_once(self.recovery * failures.min(MAX_BACKOFF_FACTOR)),
+            failures => ReadTimeouts::immediate(self.recovery * failures.min(MAX_BACKOFF_FACTOR)),
         }
     }
 
@@ -147,9 +147,9 @@
 
 /// Returns the time limits of a read that waits for updates with the given deadline, and the time
 /// allowed for the answer to a read after a first failure.
-fn timeouts_within(deadline: Duration) -> (ReadTimes, Duration) {
+fn timeouts_within(deadline: Duration) -> (ReadTimeouts, Duration) {
     let part = |fraction: f64, max| deadline.mul_f64(fraction).clamp(MIN_TIME, max);
-    let updates = ReadTimes {
+    let updates = ReadTimeouts {
         wait: part(WAIT_FRACTION, MAX_WAIT),
         answer: part(ANSWER_FRACTION, MAX_ANSWER),
     };
--- a/crates/gateway-core/tests/acting.rs
+++ b/crates/gateway-core/tests/acting.rs
@@ -2,13 +2,15 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::acting::{PEER_READ_GRACE, PEER_START_GRACE, PassedOver, Standing};
+use elderworks_gateway_core::partition_failover::{
+    PEER_READ_GRACE, PEER_START_GRACE, SkipReason, StartupGrace,
+};
 
 const EPSILON: Duration = Duration::from_millis(1);
 
 #[test]
 fn candidates_are_skipped_only_after_their_grace_period() {
-    use PassedOver::{Absent, Unavailable};
+    use SkipReason::{Absent, Unavailable};
     let table = [
         (Duration::ZERO, Absent, false),
         (PEER_START_GRACE - EPSILON, Absent, false),
@@ -19,12 +21,8 @@
         (PEER_READ_GRACE, Absent, true),
     ];
     for (age, reason, expected) in table {
-        let grace = Standing { age };
-        assert_eq!(
-            grace.may_pass_over(reason),
-            expected,
-            "{grace:?} {reason:?}"
-        );
+        let grace = StartupGrace { age };
+        assert_eq!(grace.may_skip(reason), expected, "{grace:?} {reason:?}");
     }
 }
 
@@ -37,8 +35,8 @@
         (PEER_START_GRACE, false, true),
     ];
     for (age, has_joined, expected) in table {
-        let grace = Standing { age };
-        assert_eq!(grace.may_act_alone(has_joined), expected, "{grace:?}");
+        let grace = StartupGrace { age };
+        assert_eq!(grace.may_serve_alone(has_joined), expected, "{grace:?}");
     }
 }
 
@@ -53,13 +51,13 @@
         let mut now = starts(*node);
         while now < preferred_ready {
             let reason = match now < preferred_started {
-                true => PassedOver::Absent,
-                false => PassedOver::Unavailable,
+                true => SkipReason::Absent,
+                false => SkipReason::Unavailable,
             };
-            let grace = Standing {
+            let grace = StartupGrace {
                 age: now - starts(*node),
             };
-            if !restrained || grace.may_pass_over(reason) {
+            if !restrained || grace.may_skip(reason) {
                 return true;
             }
             now += step;
--- a/crates/gateway-core/tests/append_pace.rs
+++ b/crates/gateway-core/tests/append_pace.rs
@@ -5,14 +5,14 @@
 use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_types::Timestamp;
 
-const INTERVALS: Paces = Paces {
-    leave: Duration::from_millis(20),
-    ends: Duration::from_millis(80),
+const INTERVALS: AppendIntervals = AppendIntervals {
+    permits: Duration::from_millis(20),
+    completions: Duration::from_millis(80),
 };
 
-const NO_INTERVALS: Paces = Paces {
-    leave: Duration::ZERO,
-    ends: Duration::ZERO,
+const NO_INTERVALS: AppendIntervals = AppendIntervals {
+    permits: Duration::ZERO,
+    completions: Duration::ZERO,
 };
 
 fn at(millis: u64) -> Timestamp {
@@ -21,11 +21,11 @@
 
 #[test]
 fn the_first_call_after_an_idle_period_starts_immediately() {
-    let mut pacer = AppendPace::new(INTERVALS);
-    for urgency in [Urgency::Leave, Urgency::Ends] {
+    let mut pacer = AppendPacer::new(INTERVALS);
+    for urgency in [AppendUrgency::Permit, AppendUrgency::Completions] {
         assert_eq!(pacer.wait(at(0), urgency), None);
     }
-    pacer.note(at(0));
+    pacer.call_started(at(0));
     let table = [
         (5, AppendUrgency::Permit, Some(15)),
         (5, AppendUrgency::Completions, Some(75)),
@@ -42,10 +42,10 @@
 
 #[test]
 fn without_intervals_no_call_is_delayed() {
-    let mut pacer = AppendPace::new(NO_INTERVALS);
-    pacer.note(at(3));
-    assert_eq!(pacer.wait(at(3), Urgency::Ends), None);
-    assert_eq!(pacer.wait(at(3), Urgency::Leave), None);
+    let mut pacer = AppendPacer::new(NO_INTERVALS);
+    pacer.call_started(at(3));
+    assert_eq!(pacer.wait(at(3), AppendUrgency::Completions), None);
+    assert_eq!(pacer.wait(at(3), AppendUrgency::Permit), None);
 }
 
 /// When the oldest request of each kind that waits for a call arrived, in milliseconds.
@@ -64,8 +64,8 @@
 }
 
 /// Simulates requests that arrive at the given times; each call takes `took` milliseconds.
-fn simulate(permits: &[u64], completions: &[u64], took: u64, paces: Paces) -> Simulated {
-    let mut pacer = AppendPace::new(paces);
+fn simulate(permits: &[u64], completions: &[u64], took: u64, paces: AppendIntervals) -> Simulated {
+    let mut pacer = AppendPacer::new(paces);
     let mut simulated = Simulated::default();
     let mut waiting = Waiting::default();
     let mut busy_until = 0;
@@ -77,8 +77,8 @@
             waiting.completion.get_or_insert(now);
         }
         let urgency = match waiting.permit {
-            Some(_) => Urgency::Leave,
-            None => Urgency::Ends,
+            Some(_) => AppendUrgency::Permit,
+            None => AppendUrgency::Completions,
         };
         let is_wanted = waiting.permit.or(waiting.completion).is_some();
         let may_call = now >= busy_until && pacer.wait(at(now), urgency).is_none();
@@ -89,7 +89,7 @@
         simulated.permit_wait = simulated.permit_wait.max(waited(waiting.permit));
         simulated.completion_wait = simulated.completion_wait.max(waited(waiting.completion));
         simulated.calls += 1;
-        pacer.note(at(now));
+        pacer.call_started(at(now));
         busy_until = now + took;
         waiting = Waiting::default();
     }
--- a/crates/gateway-core/tests/change_batch.rs
+++ b/crates/gateway-core/tests/change_batch.rs
@@ -11,19 +11,19 @@
 
 #[test]
 fn a_change_after_an_idle_period_is_handled_immediately() {
-    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
+    let mut throttle = RecomputeThrottle::new(MIN_RECOMPUTE_INTERVAL);
     assert!(!throttle.take_due(at(0)), "no change yet");
-    assert!(throttle.note(at(5)));
+    assert!(throttle.on_change(at(5)));
     assert!(!throttle.take_due(at(500)), "it has been handled");
-    assert!(throttle.note(at(900)));
+    assert!(throttle.on_change(at(900)));
 }
 
 #[test]
 fn consecutive_changes_are_batched() {
-    let mut throttle = ChangeBatch::new(Duration::from_millis(100));
-    assert!(throttle.note(at(0)));
+    let mut throttle = RecomputeThrottle::new(Duration::from_millis(100));
+    assert!(throttle.on_change(at(0)));
     for millis in 1..100 {
-        assert!(!throttle.note(at(millis)), "{millis}");
+        assert!(!throttle.on_change(at(millis)), "{millis}");
     }
     assert!(!throttle.take_due(at(99)));
     assert!(throttle.take_due(at(100)));
@@ -32,24 +32,24 @@
 
 #[test]
 fn without_an_interval_each_change_is_handled() {
-    let mut throttle = ChangeBatch::new(Duration::ZERO);
+    let mut throttle = RecomputeThrottle::new(Duration::ZERO);
     for _ in 0..10 {
-        assert!(throttle.note(at(7)));
+        assert!(throttle.on_change(at(7)));
     }
 }
 
 #[test]
 fn no_change_is_lost_or_handled_late() {
     // Changes at pseudo-random times, and a check every ten milliseconds.
-    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
+    let mut throttle = RecomputeThrottle::new(MIN_RECOMPUTE_INTERVAL);
     let mut oldest: Option<u64> = None;
-    let min_interval = u64::try_from(RECOMPUTING_PACE.as_millis()).expect("short");
+    let min_interval = u64::try_from(MIN_RECOMPUTE_INTERVAL.as_millis()).expect("short");
     for millis in 0..20_000 {
         let is_change = (millis * 7_919) % 1_013 < 40 && millis < 19_000;
         let mut recomputed = false;
         if is_change {
             oldest.get_or_insert(millis);
-            recomputed = throttle.note(at(millis));
+            recomputed = throttle.on_change(at(millis));
         }
         if millis % 10 == 0 {
             recomputed |= throttle.take_due(at(millis));
@@ -65,9 +65,9 @@
 
 #[test]
 fn a_recomputation_covers_pending_changes() {
-    let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
-    assert!(throttle.note(at(0)));
-    assert!(!throttle.note(at(1)));
-    throttle.act(at(2));
+    let mut throttle = RecomputeThrottle::new(MIN_RECOMPUTE_INTERVAL);
+    assert!(throttle.on_change(at(0)));
+    assert!(!throttle.on_change(at(1)));
+    throttle.mark_recomputed(at(2));
     assert!(!throttle.take_due(at(500)));
 }
--- a/crates/gateway-core/tests/ledger/overdrafts.rs
+++ b/crates/gateway-core/tests/ledger/overdrafts.rs
@@ -204,7 +204,7 @@
 #[test]
 fn an_overdraft_is_recorded_and_replaced_after_the_log_recovers() {
     let mut owner = with_active_overdraft();
-    owner.on_append(START + SLOW_CALL / 2, AppendOutcome::Refused);
+    owner.on_append(START + SLOW_CALL_THRESHOLD / 2, AppendOutcome::Refused);
     // The tokens drawn are recorded as soon as the log accepts appends.
     let mut now = START + Duration::from_millis(200);
     let records = appended(&mut owner, now);
@@ -536,7 +536,7 @@
     for inquiry in owner.take_witness_queries() {
         answer(&mut owner, now, &inquiry, WitnessAnswer::Activated);
     }
-    assert_eq!(owner.overdraft_use(), OverdraftUse::Active);
+    assert_eq!(owner.overdraft_status(), OverdraftStatus::Active);
     assert_eq!(
         granted(&mut owner),
         1,
@@ -727,7 +727,7 @@
             .collect();
         let end = Offset(1 + records.len() as u64);
         // The log answers slowly, so that the overdraft would still be useful.
-        let now = START + SLOW_CALL;
+        let now = START + SLOW_CALL_THRESHOLD;
         owner.on_read(now, ReadOutcome::Records { records, end });
         owner.submit(now, Ticket(2), begin("two", 90, 10));
         let expected = usize::from(!is_superseded);
@@ -773,7 +773,7 @@
 #[test]
 fn an_overdraft_is_closed_before_its_witnesses_forget_it_even_if_the_log_stays_slow() {
     let mut owner = with_active_overdraft();
-    owner.on_append(START + SLOW_CALL, AppendOutcome::Done);
+    owner.on_append(START + SLOW_CALL_THRESHOLD, AppendOutcome::Done);
     let old = START + OVERDRAFT_RETENTION;
     let Action::Append { records, .. } = owner.next_action(old) else {
         panic!("the overdraft must be closed");
@@ -862,7 +862,7 @@
     assert_eq!(granted(&mut owner), 1);
     owner.set_serves_without_log(false);
     owner.on_append(START, AppendOutcome::Done);
-    let recovered_at = START + SLOW_CALL;
+    let recovered_at = START + SLOW_CALL_THRESHOLD;
     let mut records = Vec::new();
     let mut now = recovered_at;
     for _ in 0..6 {
--- a/crates/gateway-core/tests/ledger_model.rs
+++ b/crates/gateway-core/tests/ledger_model.rs
@@ -247,7 +247,7 @@
     /// Witness memory of each node; empty in scenarios without witnesses.
     witnesses: Vec<WitnessMemory>,
     /// Unanswered questions, with the owner that asks.
-    inquiries: Vec<(usize, Inquiry)>,
+    inquiries: Vec<(usize, WitnessQuery)>,
     boots: u64,
     /// Number of turns granted by an owner whose overdraft was active.
     overdraft_turns: u64,
@@ -307,7 +307,7 @@
         let node: usize = inquiry.witness.node.as_str().parse().expect("a number");
         let answer = is_asked.then(|| self.witnesses[node].answer(self.now, &inquiry.question));
         let delivered = answer.filter(|_| is_answered);
-        self.owners[owner].on_inquiry(self.now, &inquiry.question, delivered);
+        self.owners[owner].on_witness_answer(self.now, &inquiry.question, delivered);
     }
 
     fn update_witnesses(&mut self, owner: usize) {
@@ -470,8 +470,8 @@
             };
             match (asked, reply) {
                 (Asked::Begin { program, turn, .. }, LedgerReply::Granted { .. }) => {
-                    let status = self.owners[owner].overdraft_use();
-                    self.overdraft_turns += u64::from(status == OverdraftUse::Active);
+                    let status = self.owners[owner].overdraft_status();
+                    self.overdraft_turns += u64::from(status == OverdraftStatus::Active);
                     self.seen.running.push(Granted {
                         owner,
                         program,
@@ -636,8 +636,8 @@
         });
         world.step(Step::Report { owner: 0 });
     }
-    let status = world.owners[0].overdraft_use();
-    assert_eq!(status, OverdraftUse::Standing);
+    let status = world.owners[0].overdraft_status();
+    assert_eq!(status, OverdraftStatus::Standing);
 }
 
 /// While the close of an overdraft is unsettled, it may take effect at any time, so the overdraft
@@ -648,7 +648,7 @@
     open_overdraft(&mut world);
     world.isolate(0);
     world.deliver(vec![(true, true); 4]);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Active);
     let act_and_report = |world: &mut World, fate| {
         world.step(Step::Act { owner: 0, fate });
         world.step(Step::Report { owner: 0 });
@@ -660,17 +660,17 @@
     }
     world.step(Step::Pass { steps: 60 });
     act_and_report(&mut world, Fate::LostAndDoneLater);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     world.step(Step::Pass { steps: 10 });
     act_and_report(&mut world, Fate::Works);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     // A later append that is refused says nothing about the close.
     world.step(Step::Begin {
         owner: 0,
         program: 3,
     });
     act_and_report(&mut world, Fate::Refused);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Closing);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Closing);
     // The log becomes silent, and turns are requested.
     for _ in 0..6 {
         world.step(Step::Begin {
@@ -721,7 +721,7 @@
         }
     }
     assert!(world.overdraft_turns > 0);
-    assert_eq!(world.owners[0].overdraft_use(), OverdraftUse::Active);
+    assert_eq!(world.owners[0].overdraft_status(), OverdraftStatus::Active);
     // Once the log answers, the tokens drawn are recorded and the overdraft is replaced.
     world.step(Step::Report { owner: 0 });
     for _ in 0..8 {
--- a/crates/gateway-core/tests/log_outage.rs
+++ b/crates/gateway-core/tests/log_outage.rs
@@ -52,7 +52,7 @@
                 continue;
             }
             // In the worst case, a process that was suspended polls before it reads its sockets.
-            if now.is_multiple_of(LOOK_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
+            if now.is_multiple_of(POLL_INTERVAL.as_millis() as u64) || !runs(now.saturating_sub(1))
             {
                 self.watch.poll(at(now));
             }
@@ -90,9 +90,9 @@
 
 /// Returns the report of a node whose oldest unanswered call started `waits` milliseconds ago, and
 /// the latest answered one `answered` milliseconds ago.
-fn waiting(waits: Millis, answered: Millis, is_silent: bool) -> LogWord {
-    LogWord {
-        waits: Some(ms(waits)),
+fn waiting(waits: Millis, answered: Millis, is_silent: bool) -> LogStatus {
+    LogStatus {
+        oldest_wait: Some(ms(waits)),
         answered: Some(ms(answered)),
         is_silent,
     }
@@ -109,7 +109,7 @@
     assert_eq!(model.watch.state().since(), Some(at(1_000)));
     // The first answer ends the outage, although the lost calls remain unanswered.
     model.simulate(2_000..2_010, |_| Some(USUAL), always);
-    assert_eq!(model.watch.state(), LogState::Usual);
+    assert_eq!(model.watch.state(), LogState::Normal);
     let after = model.simulate(2_010..3_000, |_| Some(USUAL), always);
     assert_eq!(after, (None, None));
 }
@@ -120,8 +120,8 @@
     model.simulate(0..1_000, |_| Some(USUAL), always);
     model.simulate(1_000..1_041, |_| None, always);
     assert!(matches!(model.watch.state(), LogState::Late { .. }));
-    let own_report = model.watch.word(at(1_041));
-    assert!(own_report.waits.is_some() && !own_report.is_silent);
+    let own_report = model.watch.status(at(1_041));
+    assert!(own_report.oldest_wait.is_some() && !own_report.is_silent);
     assert!(
         !model
             .watch
@@ -145,8 +145,8 @@
     for round in 0..50 {
         let from = 1_000 + round * 20;
         silent = silent.or(model.simulate(from..from + 20, |_| None, always).1);
-        let word = LogWord {
-            waits: None,
+        let word = LogStatus {
+            oldest_wait: None,
             answered: Some(ms(5)),
             is_silent: false,
         };
@@ -172,41 +172,41 @@
 
 #[test]
 fn reports_of_two_nodes_suffice_without_own_calls_until_they_expire() {
-    let mut watch = LogWatch::default();
-    watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
-    watch.take(at(101), NodeId::new("n2"), waiting(91, 96, true));
+    let mut watch = LogOutageDetector::default();
+    watch.on_peer_status(at(100), NodeId::new("n2"), waiting(90, 95, true));
+    watch.on_peer_status(at(101), NodeId::new("n2"), waiting(91, 96, true));
     assert!(!watch.state().is_silent(), "one report is not enough");
-    watch.take(at(102), NodeId::new("n3"), waiting(60, 95, false));
+    watch.on_peer_status(at(102), NodeId::new("n3"), waiting(60, 95, false));
     assert!(
         !watch.state().is_silent(),
         "asking for confirmation is no report of an outage"
     );
-    watch.take(at(103), NodeId::new("n3"), waiting(61, 96, true));
+    watch.on_peer_status(at(103), NodeId::new("n3"), waiting(61, 96, true));
     assert!(watch.state().is_silent());
     watch.poll(at(500));
     assert!(watch.state().is_silent());
-    watch.look(at(900));
-    assert_eq!(watch.state(), LogState::Usual, "the reports have expired");
-    watch.take(at(1_000), NodeId::new("n2"), waiting(90, 95, true));
-    watch.take(at(1_000), NodeId::new("n3"), waiting(90, 95, true));
-    let back = LogWord {
-        waits: None,
+    watch.poll(at(900));
+    assert_eq!(watch.state(), LogState::Normal, "the reports have expired");
+    watch.on_peer_status(at(1_000), NodeId::new("n2"), waiting(90, 95, true));
+    watch.on_peer_status(at(1_000), NodeId::new("n3"), waiting(90, 95, true));
+    let back = LogStatus {
+        oldest_wait: None,
         answered: Some(Duration::ZERO),
         is_silent: false,
     };
-    watch.take(at(1_010), NodeId::new("n4"), back);
+    watch.on_peer_status(at(1_010), NodeId::new("n4"), back);
     assert_eq!(
         watch.state(),
-        LogState::Usual,
+        LogState::Normal,
         "another node has received an answer"
     );
 }
 
 #[test]
 fn one_report_suffices_in_a_fleet_of_two_nodes() {
-    let mut watch = LogWatch::default();
-    watch.set_others(1);
-    watch.take(at(100), NodeId::new("n2"), waiting(90, 95, true));
+    let mut watch = LogOutageDetector::default();
+    watch.set_peer_count(1);
+    watch.on_peer_status(at(100), NodeId::new("n2"), waiting(90, 95, true));
     assert!(watch.state().is_silent());
 }
 
--- a/crates/gateway-core/tests/start.rs
+++ b/crates/gateway-core/tests/start.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::start::{
-    MAX_START_WAIT, Milestone, StartProgress, presumes_alive, starting_patience,
+    MAX_START_WAIT, Milestone, StartProgress, presumes_alive, start_wait,
 };
 use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
@@ -99,12 +99,12 @@
 
 /// Simulates a node that writes its entry at `written`, given when each entry is written.
 fn simulate(written: Millis, entries: &[Millis], min_interval: Duration) -> Node {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
-    let reads = StreamReads::new(Stream::Nodes, &deadlines);
-    let mut throttle = ChangeBatch::new(min_interval);
+    let reads = StreamReadSchedule::new(Stream::Nodes, &deadlines);
+    let mut throttle = RecomputeThrottle::new(min_interval);
     let mut node = Node {
         written,
         known: 0,
@@ -119,7 +119,7 @@
             node.reads += 1;
             if shown > node.known {
                 node.known = shown;
-                node.recomputed += u32::from(throttle.note(at(now)));
+                node.recomputed += u32::from(throttle.on_change(at(now)));
             }
             let pause = Millis::try_from(reads.pause().as_millis()).expect("short");
             let (answered, shown) = follow(entries, now + pause, node.known);
@@ -154,7 +154,7 @@
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
         for written in entries.iter().copied().step_by(7) {
-            let node = simulate(written, &entries, RECOMPUTING_PACE);
+            let node = simulate(written, &entries, MIN_RECOMPUTE_INTERVAL);
             assert_eq!(node.known, entries.len(), "every entry is read");
             assert!(node.reads <= 6, "{count} nodes: {} reads", node.reads);
             assert!(
@@ -170,12 +170,12 @@
 fn recomputations_caused_by_gossip_are_limited_by_time() {
     for count in [61, 78, 295, 1_000] {
         let entries = entries(count);
-        let mut throttle = ChangeBatch::new(RECOMPUTING_PACE);
+        let mut throttle = RecomputeThrottle::new(MIN_RECOMPUTE_INTERVAL);
         let mut recomputed = 0;
         for now in 0..END {
             let received = entries.iter().filter(|received| **received == now).count();
             for _ in 0..received {
-                recomputed += u32::from(throttle.note(at(now)));
+                recomputed += u32::from(throttle.on_change(at(now)));
             }
             recomputed += u32::from(now % CHECK_INTERVAL == 0 && throttle.take_due(at(now)));
         }
--- a/crates/gateway-core/tests/stream_reads.rs
+++ b/crates/gateway-core/tests/stream_reads.rs
@@ -27,7 +27,7 @@
 
 impl Log {
     /// Returns when a read that is sent at `sent` would be answered.
-    fn answers(&self, sent: Millis, times: ReadTimes) -> Millis {
+    fn answers(&self, sent: Millis, times: ReadTimeouts) -> Millis {
         let waited = self.change.clamp(sent, sent + millis(times.wait));
         waited + ROUND_TRIP
     }
@@ -42,8 +42,8 @@
 }
 
 /// Returns when a follower receives the change if its first read is sent at `first`.
-fn received_at(stream: Stream, deadlines: &NewsDeadlines, first: Millis, log: &Log) -> Millis {
-    let mut reads = StreamReads::new(stream, deadlines);
+fn received_at(stream: Stream, deadlines: &UpdateDeadlines, first: Millis, log: &Log) -> Millis {
+    let mut reads = StreamReadSchedule::new(stream, deadlines);
     let mut sent = first;
     loop {
         let times = reads.next_read();
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_change_is_received_immediately_while_the_log_answers() {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
@@ -117,11 +117,11 @@
 
 #[test]
 fn repeated_failures_extend_the_timeout_once() {
-    let deadlines = NewsDeadlines {
+    let deadlines = UpdateDeadlines {
         apply: Duration::from_secs(2),
         drain: Duration::from_secs(2),
     };
-    let mut reads = StreamReads::new(Stream::Configuration, &deadlines);
+    let mut reads = StreamReadSchedule::new(Stream::Configuration, &deadlines);
     assert!(!reads.next_read().wait.is_zero(), "it waits for updates");
     assert_eq!(reads.note_failure(), 1);
     let first = reads.next_read();
