--- a/crates/gateway-core/src/admission/allotment.rs
+++ b/crates/gateway-core/src/admission/allotment.rs
@@ -1,8 +1,8 @@
-//! A node's share of the places that all nodes see free.
+//! Divides a service's free places between the nodes.
 
 use super::demand::{LEVELS, Waiting};
 
-/// What waits for a service at the other nodes.
+/// Turns that wait for a service at the other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PeerWaiting(pub(super) Waiting);
 
@@ -12,13 +12,19 @@
     }
 }
 
-/// How many of `free` places are this node's.
+/// Returns how many of `free` places this node may use.
 ///
-/// The floor's part goes by all that waits where; the rest by urgency, and within one level by
-/// what waits where. Every node computes the same division, as far as they have heard each other.
-pub(super) fn share_of(free: f64, own: Waiting, elsewhere: PeerWaiting, floor_share: f64) -> f64 {
-    let by_urgency = by_urgency(free * (1.0 - floor_share), own, elsewhere);
-    by_urgency + free * floor_share * own_part(own.total(), elsewhere.0.total())
+/// The fraction reserved for less urgent turns is divided in proportion to all turns that wait at
+/// each node. The rest serves the urgency levels in order, each in proportion to the turns of that
+/// level at each node. Nodes with the same reports compute the same division.
+pub(super) fn node_share(
+    free: f64,
+    own: Waiting,
+    elsewhere: PeerWaiting,
+    floor_fraction: f64,
+) -> f64 {
+    let by_urgency = by_urgency(free * (1.0 - floor_fraction), own, elsewhere);
+    by_urgency + free * floor_fraction * own_fraction(own.total(), elsewhere.0.total())
 }
 
 fn by_urgency(free: f64, own: Waiting, elsewhere: PeerWaiting) -> f64 {
@@ -27,13 +33,13 @@
     for level in 0..LEVELS {
         let (here, there) = (own.0[level], elsewhere.0.0[level]);
         let taken = left.min(f64::from(here) + f64::from(there));
-        share += taken * own_part(here, there);
+        share += taken * own_fraction(here, there);
         left -= taken;
     }
     share
 }
 
-fn own_part(here: u32, there: u32) -> f64 {
+fn own_fraction(here: u32, there: u32) -> f64 {
     let all = f64::from(here) + f64::from(there);
     if all > 0.0 {
         f64::from(here) / all
--- a/crates/gateway-core/src/admission/demand.rs
+++ b/crates/gateway-core/src/admission/demand.rs
@@ -1,4 +1,4 @@
-//! What waits at other nodes, as they tell it now and then.
+//! Turns that wait at other nodes, from their periodic reports.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 
 use crate::peer_loads::REPORT_LIFETIME;
 
-/// Levels of urgency that are told apart; ranks beyond them count as the last.
+/// Number of urgency levels; higher ranks count as the last level.
 pub const LEVELS: usize = 10;
 
-/// The level of a rank.
+/// Returns the urgency level of a rank.
 pub(super) fn level_of(urgency: u8) -> usize {
     usize::from(urgency).min(LEVELS - 1)
 }
 
-/// Stands for a service's name in reports.
+/// A hash that identifies a service in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceKey(pub u64);
 
 impl ServiceKey {
-    /// The key of a service.
+    /// Returns the key of a service.
     pub fn of(service: &str) -> Self {
         Self(xxh3_64(service.as_bytes()))
     }
 }
 
-/// How many turns wait, by level of urgency.
+/// The number of waiting turns at each urgency level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waiting(pub [u32; LEVELS]);
 
 impl Waiting {
-    /// All levels together.
+    /// Returns the number of turns at all levels.
     pub fn total(&self) -> u32 {
         self.0
             .iter()
             .fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// The level of a rank.
-    pub(super) fn alike(&self, urgency: u8) -> u32 {
+    /// Returns the number of turns at the level of a rank.
+    pub(super) fn same_level(&self, urgency: u8) -> u32 {
         self.0[level_of(urgency)]
     }
 
-    /// Levels that are more urgent than a rank.
+    /// Returns the number of turns at more urgent levels than that of a rank.
     pub(super) fn more_urgent_than(&self, urgency: u8) -> u32 {
         let levels = self.0.iter().take(level_of(urgency));
         levels.fold(0, |sum, count| sum.saturating_add(*count))
@@ -56,14 +56,14 @@
     }
 }
 
-/// The latest word of every node that has told lately.
+/// The latest report of every other node, until it expires.
 #[derive(Debug, Default)]
 pub(super) struct PeerDemand {
     reports: BTreeMap<NodeId, (Timestamp, BTreeMap<ServiceKey, Waiting>)>,
 }
 
 impl PeerDemand {
-    pub(super) fn take(
+    pub(super) fn apply_report(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -81,7 +81,7 @@
             .retain(|_, (at, _)| now.since(*at) < REPORT_LIFETIME);
     }
 
-    /// What waits at the others for one service.
+    /// Returns the turns that wait for a service at all other nodes.
     pub(super) fn waiting(&self, service: ServiceKey) -> Waiting {
         let mut sum = Waiting::default();
         for (_, services) in self.reports.values() {
--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -1,60 +1,59 @@
-//! The admission to one engine service.
+//! Admission control for one engine service.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::allotment::{PeerWaiting, share_of};
+use super::allotment::{PeerWaiting, node_share};
 use super::demand::{Waiting, level_of};
-use super::pace::{Inflow, Pace};
 use super::queue::{Queue, Ticket, Usage};
 use super::room::Room;
+use super::throughput::{ArrivalRate, TurnTime};
 use super::turn::{QueuedTurn, Standing};
 use super::{AdmissionMode, AdmissionRules};
 
-/// Time over which free places are handed out: nodes tell each other of their load as often, so
-/// within that time the others' releases are not seen.
-const ROUND: Duration = Duration::from_millis(100);
+/// Time over which free places are allotted. Nodes report their load at this interval, so releases
+/// of other nodes within it are not visible.
+const ALLOTMENT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Part of the places that look free, or are taken beyond all places, by which a round corrects
-/// what is handed out. All nodes see the same ones, and see them late: with all of it, they would
-/// swing between too many and too few.
-const CORRECTION: f64 = 0.5;
+/// Fraction of the free (or overcommitted) places by which the allotment of one interval is
+/// corrected. All nodes see the same delayed count; a full correction would oscillate.
+const CORRECTION_FACTOR: f64 = 0.5;
 
-/// Part of its patience that a new program may have to wait: beyond that, it would rather take the
-/// place of programs that have begun than be served.
-const NEWCOMERS_PART: f64 = 0.5;
+/// Fraction of its remaining waiting time that a new program's turn may be expected to wait. Beyond
+/// it, the turn is refused to leave the capacity to programs that have already run turns.
+const NEW_PROGRAM_PATIENCE_FRACTION: f64 = 0.5;
 
-/// Shortest time after which a refused caller comes back.
-const SHORTEST_RETRY: Duration = Duration::from_millis(150);
+/// Minimum time after which a refused caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Part by which times to come back are spread, so that callers who were refused together do not
-/// return together.
-const SPREAD: f64 = 0.5;
+/// Maximum jitter as a fraction of the retry time, so that callers that were refused together don't
+/// retry together.
+const RETRY_JITTER_FRACTION: f64 = 0.5;
 
-/// What becomes of a turn that has arrived.
+/// The outcome of a turn's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It goes now and counts as under way.
+    /// The turn may run now and counts as in flight.
     Go,
-    /// It waits.
+    /// The turn waits in the queue.
     Wait {
-        /// Names it.
+        /// Identifies the turn.
         ticket: Ticket,
-        /// Turns that go before it, here and elsewhere.
+        /// Turns ahead of it at all nodes.
         ahead: u32,
     },
-    /// It surely cannot be served in time, or there is no room for it to wait.
+    /// The turn can't be served in time, or the queue is full.
     Refuse(Refused),
 }
 
 /// The decision on a turn that has arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// What becomes of it.
+    /// The outcome of the arrival.
     pub arrival: Arrival,
-    /// Less pressing turns that were waiting and had to make room for it.
+    /// Waiting turns of lower priority that were removed from the full queue.
     pub displaced: Vec<Ticket>,
 }
 
@@ -67,34 +66,34 @@
     }
 }
 
-/// A turn that was refused.
+/// Why a turn was refused, and when its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Whether this node has no room for more waiting turns, rather than the service no place.
+    /// Whether this node's queue is full; otherwise the turn would wait too long for a place.
     pub queue_full: bool,
-    /// Turns that go before it, here and elsewhere.
+    /// Turns ahead of it at all nodes.
     pub ahead: u32,
-    /// When room is expected, spread out.
+    /// Time until a place is expected, with jitter.
     pub retry_after: Duration,
 }
 
-/// What a decision rests on.
+/// The inputs of a decision.
 pub(super) struct GateContext<'a> {
     pub(super) now: Timestamp,
     pub(super) rules: &'a AdmissionRules,
     pub(super) room: Room,
-    pub(super) elsewhere: PeerWaiting,
+    pub(super) waiting_elsewhere: PeerWaiting,
 }
 
-/// The turns of one service that wait or run.
+/// The turns of one service that wait at this node or were admitted by it.
 #[derive(Debug, Default)]
 pub(super) struct Gate {
     queue: Queue,
-    pace: Pace,
-    inflow: Inflow,
-    /// Turns of this node that have gone and not ended.
-    under_way: u32,
-    /// Places that this node may take now.
+    turn_time: TurnTime,
+    arrivals: ArrivalRate,
+    /// Admitted turns that have not completed.
+    in_flight: u32,
+    /// Places that this node may use now, including fractions carried over.
     allotted: f64,
     allotted_at: Option<Timestamp>,
     releases: u32,
@@ -109,78 +108,80 @@
         self.queue.waiting()
     }
 
-    /// Lets a turn go at once if there is nothing to wait for.
-    pub(super) fn passes(&mut self, context: &GateContext<'_>, urgency: u8) -> bool {
-        self.inflow.note(context.now, level_of(urgency));
-        // What is said if there is no worker at all is for the attempt to decide.
+    /// Admits a turn immediately if there is a place and no other turn waits; returns whether it
+    /// did.
+    pub(super) fn try_admit(&mut self, context: &GateContext<'_>, urgency: u8) -> bool {
+        self.arrivals.record(context.now, level_of(urgency));
+        // Without any worker, the turn is admitted, and the attempt reports the error.
         let is_open = context.rules.mode == AdmissionMode::Off || context.room.slots == 0;
-        let nobody_waits = self.queue.len() == 0 && context.elsewhere.is_nothing();
+        let none_waiting = self.queue.len() == 0 && context.waiting_elsewhere.is_nothing();
         let has_place = self.free(context.rules, context.room) >= 1.0;
-        let passes = is_open || (nobody_waits && has_place);
-        if passes {
-            self.under_way += 1;
+        let is_admitted = is_open || (none_waiting && has_place);
+        if is_admitted {
+            self.in_flight += 1;
         }
-        passes
+        is_admitted
     }
 
-    /// Lets a turn wait, if it can be served in time.
+    /// Adds a turn to the queue, or refuses it if it can't be served in time or the queue is full.
     pub(super) fn queue_up(
         &mut self,
         context: &GateContext<'_>,
         usage: &mut Usage,
         ticket: Ticket,
-        claim: QueuedTurn,
+        turn: QueuedTurn,
     ) -> Decision {
-        let ahead = self.ahead_of(context, &claim);
-        let wait = self.expected_wait(context, &claim, ahead);
+        let ahead = self.ahead_of(context, &turn);
+        let wait = self.expected_wait(context, &turn, ahead);
         let ahead = ahead.total();
         let refused = |queue_full| {
             Arrival::Refuse(Refused {
                 queue_full,
                 ahead,
-                retry_after: spread_out(wait, claim.spread),
+                retry_after: with_jitter(wait, turn.spread),
             })
         };
         let is_next = ahead == 0;
-        let comes_late = wait > longest_wait(&claim, context.now);
-        if self.pace.is_known() && !is_next && comes_late {
+        let is_too_late = wait > max_wait(&turn, context.now);
+        if self.turn_time.has_enough_samples() && !is_next && is_too_late {
             return Decision::from(refused(false));
         }
-        let displaced = self.make_room(context, usage, &claim);
-        if !usage.has_room(&context.rules.limits, claim.bytes) {
+        let displaced = self.make_room(context, usage, &turn);
+        if !usage.has_room(&context.rules.limits, turn.bytes) {
             return Decision {
                 arrival: refused(true),
                 displaced,
             };
         }
         if self.queue.len() == 0 {
-            self.begin_allotting(claim.spread);
+            self.init_allotment(turn.spread);
         }
-        self.queue.push(usage, ticket, claim);
+        self.queue.push(usage, ticket, turn);
         Decision {
             arrival: Arrival::Wait { ticket, ahead },
             displaced,
         }
     }
 
-    /// Takes out turns that go after one that has arrived, until there is room for it.
+    /// Removes turns that come after a new one from the full queue until the new one fits; returns
+    /// the removed turns.
     fn make_room(
         &mut self,
         context: &GateContext<'_>,
         usage: &mut Usage,
-        claim: &QueuedTurn,
+        turn: &QueuedTurn,
     ) -> Vec<Ticket> {
         let limits = &context.rules.limits;
         let mut displaced = Vec::new();
-        if claim.bytes > limits.bytes {
+        if turn.bytes > limits.bytes {
             return displaced;
         }
-        let least_turn = self.pace.least_turn();
-        let order = claim.order(context.now, least_turn);
-        while !usage.has_room(limits, claim.bytes) {
+        let min_turn_time = self.turn_time.min_turn_time();
+        let order = turn.order(context.now, min_turn_time);
+        while !usage.has_room(limits, turn.bytes) {
             let last = self
                 .queue
-                .take_last_after(usage, context.now, least_turn, order);
+                .take_last_after(usage, context.now, min_turn_time, order);
             let Some(last) = last else {
                 break;
             };
@@ -189,7 +190,7 @@
         displaced
     }
 
-    /// The turns that may go now.
+    /// Removes and returns the turns that may run now.
     pub(super) fn release(&mut self, context: &GateContext<'_>, usage: &mut Usage) -> Vec<Ticket> {
         self.allot(context);
         let mut released = Vec::new();
@@ -197,7 +198,7 @@
             let Some(ticket) = self.take_next(context, usage) else {
                 break;
             };
-            self.under_way += 1;
+            self.in_flight += 1;
             self.allotted -= 1.0;
             released.push(ticket);
         }
@@ -212,155 +213,161 @@
         match context.rules.mode {
             AdmissionMode::Off => true,
             AdmissionMode::ToldLoad => has_place,
-            AdmissionMode::ToldDemand if context.elsewhere.is_nothing() => has_place,
+            AdmissionMode::ToldDemand if context.waiting_elsewhere.is_nothing() => has_place,
             AdmissionMode::ToldDemand => self.allotted >= 1.0,
         }
     }
 
     fn take_next(&mut self, context: &GateContext<'_>, usage: &mut Usage) -> Option<Ticket> {
         self.releases = self.releases.wrapping_add(1);
-        let least_turn = self.pace.least_turn();
+        let min_turn_time = self.turn_time.min_turn_time();
         if self.releases.is_multiple_of(context.rules.floor_interval) {
-            return self.queue.take_for_floor(usage, context.now, least_turn);
+            return self.queue.take_for_floor(usage, context.now, min_turn_time);
         }
-        self.queue.take_first(usage, context.now, least_turn)
+        self.queue.take_first(usage, context.now, min_turn_time)
     }
 
     pub(super) fn withdraw(&mut self, usage: &mut Usage, ticket: Ticket) {
         self.queue.remove(usage, ticket);
     }
 
-    pub(super) fn end(&mut self, took: Option<Duration>) {
-        self.under_way = self.under_way.saturating_sub(1);
+    pub(super) fn complete(&mut self, took: Option<Duration>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(took) = took {
-            self.pace.note(took);
+            self.turn_time.record(took);
         }
     }
 
-    /// When a caller whose turn waited in vain should come back.
+    /// Returns when the caller of a turn that was never released should retry.
     pub(super) fn retry_after(
         &self,
         rules: &AdmissionRules,
         room: Room,
-        elsewhere: PeerWaiting,
+        waiting_elsewhere: PeerWaiting,
         spread: u64,
     ) -> Duration {
-        let ahead = saturating_u32(self.queue.len()).saturating_add(elsewhere.0.total());
-        let rate = self.pace.rate(places(rules, room));
-        spread_out(Duration::from_secs_f64(f64::from(ahead) / rate), spread)
+        let ahead = saturating_u32(self.queue.len()).saturating_add(waiting_elsewhere.0.total());
+        let rate = self.turn_time.completion_rate(places(rules, room));
+        with_jitter(Duration::from_secs_f64(f64::from(ahead) / rate), spread)
     }
 
-    /// Begins with a part of a place by chance: nodes whose shares are small fractions would else
-    /// release nothing for a while, and then all at the same time.
-    fn begin_allotting(&mut self, spread: u64) {
-        self.allotted = fraction(spread);
+    /// Starts with a random fraction of a place. Nodes with small shares would otherwise all reach a
+    /// whole place at the same time.
+    fn init_allotment(&mut self, spread: u64) {
+        self.allotted = unit_fraction(spread);
     }
 
-    /// Hands this node its share of the places that have become free since the last time: those
-    /// that turns everywhere have left by the pace at which they end, and part of those that look
-    /// free. What is left of less than a place is kept, so that small shares add up.
+    /// Adds this node's share of the places that became free since the last call: the expected
+    /// completions at all nodes, corrected by a fraction of the places that appear free. Fractions of
+    /// a place carry over to the next call.
     fn allot(&mut self, context: &GateContext<'_>) {
         let last = self.allotted_at.replace(context.now);
-        let passed = last.map_or(ROUND, |last| context.now.since(last).min(ROUND));
+        let passed = last.map_or(ALLOTMENT_INTERVAL, |last| {
+            context.now.since(last).min(ALLOTMENT_INTERVAL)
+        });
         let free = self.free(context.rules, context.room);
         let taken = places(context.rules, context.room) - free.max(0.0);
-        let in_round = self.pace.ends_within(ROUND, taken) + free * CORRECTION;
-        let share = share_of(
-            in_round.max(0.0),
+        let in_interval =
+            self.turn_time.completions_within(ALLOTMENT_INTERVAL, taken) + free * CORRECTION_FACTOR;
+        let share = node_share(
+            in_interval.max(0.0),
             self.queue.waiting(),
-            context.elsewhere,
-            floor_share(context.rules),
+            context.waiting_elsewhere,
+            floor_fraction(context.rules),
         );
-        let part = passed.as_secs_f64() / ROUND.as_secs_f64();
-        self.allotted = self.allotted.clamp(0.0, 1.0) + share * part;
+        let fraction = passed.as_secs_f64() / ALLOTMENT_INTERVAL.as_secs_f64();
+        self.allotted = self.allotted.clamp(0.0, 1.0) + share * fraction;
     }
 
     fn free(&self, rules: &AdmissionRules, room: Room) -> f64 {
-        let own = self.under_way.saturating_sub(room.apart);
-        places(rules, room) - f64::from(own) - f64::from(room.told)
+        let own = self.in_flight.saturating_sub(room.own_uncounted);
+        places(rules, room) - f64::from(own) - f64::from(room.taken_by_others)
     }
 
-    fn ahead_of(&self, context: &GateContext<'_>, claim: &QueuedTurn) -> Ahead {
-        let least_turn = self.pace.least_turn();
-        let order = claim.order(context.now, least_turn);
-        let here = saturating_u32(self.queue.ahead_of(context.now, least_turn, order));
-        let more_urgent = self.queue.waiting().more_urgent_than(claim.urgency);
-        let elsewhere = context.elsewhere.0;
+    fn ahead_of(&self, context: &GateContext<'_>, turn: &QueuedTurn) -> Ahead {
+        let min_turn_time = self.turn_time.min_turn_time();
+        let order = turn.order(context.now, min_turn_time);
+        let here = saturating_u32(self.queue.ahead_of(context.now, min_turn_time, order));
+        let more_urgent = self.queue.waiting().more_urgent_than(turn.urgency);
+        let waiting_elsewhere = context.waiting_elsewhere.0;
         Ahead {
-            more_urgent: more_urgent.saturating_add(elsewhere.more_urgent_than(claim.urgency)),
-            alike: here
+            more_urgent: more_urgent
+                .saturating_add(waiting_elsewhere.more_urgent_than(turn.urgency)),
+            same_level: here
                 .saturating_sub(more_urgent)
-                .saturating_add(elsewhere.alike(claim.urgency)),
+                .saturating_add(waiting_elsewhere.same_level(turn.urgency)),
         }
     }
 
-    /// How long a turn will wait: more urgent ones that wait go first, and those that keep coming
-    /// leave only part of the pace to it, but the floor at least.
+    /// Estimates how long a turn will wait. More urgent turns that wait are served first, and those
+    /// that arrive later reduce the rate that is left to this one, but not below the floor.
     fn expected_wait(
         &self,
         context: &GateContext<'_>,
-        claim: &QueuedTurn,
+        turn: &QueuedTurn,
         ahead: Ahead,
     ) -> Duration {
-        let rate = self.pace.rate(places(context.rules, context.room));
-        let floor = rate * floor_share(context.rules);
-        let inflow = self.inflow.more_urgent_than(level_of(claim.urgency));
-        let left = (rate - inflow * self.fleet_factor(context.room)).max(floor);
-        let alike = f64::from(ahead.alike) + 1.0;
-        let in_turn = f64::from(ahead.more_urgent) / rate + alike / left;
-        Duration::from_secs_f64(in_turn.min(alike / floor))
+        let rate = self
+            .turn_time
+            .completion_rate(places(context.rules, context.room));
+        let floor = rate * floor_fraction(context.rules);
+        let more_urgent_rate = self.arrivals.more_urgent_than(level_of(turn.urgency));
+        let left = (rate - more_urgent_rate * self.fleet_factor(context.room)).max(floor);
+        let same_level = f64::from(ahead.same_level) + 1.0;
+        let in_order = f64::from(ahead.more_urgent) / rate + same_level / left;
+        Duration::from_secs_f64(in_order.min(same_level / floor))
     }
 
-    /// How many times as much as this node all nodes together have under way, and so, about, how
-    /// many times as much they are asked for. A node that has next to nothing under way tells too
-    /// little of the others: it is taken for one that is asked as much as they are.
+    /// Estimates the ratio of all nodes' arrival rate to this node's from the ratio of their
+    /// requests in flight. The number of nodes bounds it, since the ratio says little about a node
+    /// that has almost nothing in flight.
     fn fleet_factor(&self, room: Room) -> f64 {
-        let own = f64::from(self.under_way.max(1));
-        let factor = (own + f64::from(room.told)) / own;
+        let own = f64::from(self.in_flight.max(1));
+        let factor = (own + f64::from(room.taken_by_others)) / own;
         factor.min(f64::from(room.nodes.max(1)))
     }
 }
 
-/// Turns that go before another one, here and elsewhere.
+/// Turns ahead of another one at all nodes.
 #[derive(Clone, Copy, Debug)]
 struct Ahead {
-    /// More urgent ones.
+    /// Turns of more urgent levels.
     more_urgent: u32,
-    /// Others.
-    alike: u32,
+    /// Turns of the same level.
+    same_level: u32,
 }
 
 impl Ahead {
     fn total(self) -> u32 {
-        self.more_urgent.saturating_add(self.alike)
+        self.more_urgent.saturating_add(self.same_level)
     }
 }
 
-/// Turns that may be under way at once.
+/// Returns how many turns may run at the service at the same time.
 fn places(rules: &AdmissionRules, room: Room) -> f64 {
     f64::from(room.slots) * rules.full_share
 }
 
-/// The longest that a turn may be expected to wait.
-fn longest_wait(claim: &QueuedTurn, now: Timestamp) -> Duration {
-    let patience = claim.patience(now);
-    match claim.standing {
+/// Returns the maximum expected wait with which a turn is accepted into the queue.
+fn max_wait(turn: &QueuedTurn, now: Timestamp) -> Duration {
+    let patience = turn.patience(now);
+    match turn.standing {
         Standing::Begun => patience,
-        Standing::New => patience.mul_f64(NEWCOMERS_PART),
+        Standing::New => patience.mul_f64(NEW_PROGRAM_PATIENCE_FRACTION),
     }
 }
 
-fn spread_out(wait: Duration, spread: u64) -> Duration {
-    wait.mul_f64(1.0 + SPREAD * fraction(spread))
-        .max(SHORTEST_RETRY)
+fn with_jitter(wait: Duration, spread: u64) -> Duration {
+    wait.mul_f64(1.0 + RETRY_JITTER_FRACTION * unit_fraction(spread))
+        .max(MIN_RETRY_AFTER)
 }
 
-/// A number from 0 to 1 that differs from turn to turn.
-fn fraction(spread: u64) -> f64 {
+/// Hashes a seed to a number from 0 to 1.
+fn unit_fraction(spread: u64) -> f64 {
     xxh3_64(&spread.to_le_bytes()) as f64 / u64::MAX as f64
 }
 
-fn floor_share(rules: &AdmissionRules) -> f64 {
+fn floor_fraction(rules: &AdmissionRules) -> f64 {
     1.0 / f64::from(rules.floor_interval)
 }
 
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -1,21 +1,21 @@
-//! Which turns may go to an engine service now, which wait at this node, and which are refused.
+//! Admission control: which turns may run at an engine service now, which wait at this node, and
+//! which are refused.
 //!
-//! Engines serve in order of arrival, so the only place where urgent work can overtake other work
-//! is before it is sent. While a service has places free, turns pass at once. When it is as full
-//! as is good for its pace, they wait here in the order of [`queue`], and a turn that cannot get
-//! a place in the time that it has is refused at once. Places are counted by service; which
-//! engine runs a turn is decided by [`balancer`](crate::balancer).
+//! Engines serve requests in order of arrival, so turns are prioritized before they are sent. While
+//! a service has free places, turns are admitted immediately. Otherwise they wait in the [`queue`],
+//! and a turn that can't get a place in time is refused immediately. Places are counted per
+//! service; the [`balancer`](crate::balancer) chooses the engine.
 //!
-//! Everything here is soft: it is rebuilt from what this node has under way and from what the
-//! others have told lately. Without their word a node acts on its own, as in a calm second.
+//! All state is in memory only and rebuilt from this node's requests in flight and the other nodes'
+//! recent reports. Without reports, a node decides on its own data.
 
 mod allotment;
 mod demand;
 mod gate;
-mod pace;
 mod queue;
 mod room;
 mod tenant_shares;
+mod throughput;
 mod turn;
 
 use std::collections::BTreeMap;
@@ -43,39 +43,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionMode {
-    /// Every turn goes at once.
+    /// Every turn is admitted immediately.
     Off,
-    /// A node lets turns go while places look free, from the load that the others tell.
+    /// A node admits turns while the loads that nodes report leave places free.
     ToldLoad,
-    /// Nodes also tell each other what waits where, and each takes its share of the free places.
+    /// Nodes also report their waiting turns, and each uses its share of the free places.
     ToldDemand,
 }
 
-/// Settings of the admission.
+/// Parameters of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRules {
     /// How turns are admitted.
     pub mode: AdmissionMode,
-    /// Share of an engine's slots that count as places.
+    /// Fraction of a service's slots that may be used, from 0 to 1.
     pub full_share: f64,
-    /// One release in so many goes to the turn that has waited longest.
+    /// Every how many releases a turn is released that would otherwise have to wait for more urgent
+    /// ones, so that no turn starves.
     pub floor_interval: u32,
-    /// Whether tenants share room that is short by the tokens that they were served lately.
+    /// Whether turns of tenants with more than their share of recent tokens come later.
     pub fair_share: bool,
-    /// What may wait at this node.
+    /// Limits on the turns that wait at this node.
     pub limits: QueueLimits,
 }
 
-/// What one node tells the others of the turns that wait at it.
+/// One node's report of its waiting turns to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Turns that wait, by service.
+    /// Waiting turns by service.
     pub waiting: BTreeMap<ServiceKey, Waiting>,
-    /// Tokens that this node served lately to the tenants that it served most.
+    /// Recent tokens of the tenants that the node served the most.
     pub served: Vec<(TenantKey, u64)>,
 }
 
-/// The admission of one node, for all engine services.
+/// Admission control of one node for all engine services.
 #[derive(Debug)]
 pub struct Admission {
     rules: AdmissionRules,
@@ -87,7 +88,7 @@
 }
 
 impl Admission {
-    /// Knows nothing yet; nothing waits.
+    /// Creates an admission control without waiting turns or reports.
     pub fn new(rules: AdmissionRules) -> Self {
         Self {
             rules,
@@ -99,17 +100,17 @@
         }
     }
 
-    /// Decides on a turn that has arrived. Those in [`Decision::displaced`] are to be refused.
+    /// Decides on a new turn. The caller must refuse the turns in [`Decision::displaced`].
     pub fn arrive(&mut self, now: Timestamp, service: &str, room: Room, turn: Turn) -> Decision {
         let tenant = turn.tenant;
         let context = GateContext {
             now,
             rules: &self.rules,
             room,
-            elsewhere: self.elsewhere(service),
+            waiting_elsewhere: self.waiting_elsewhere(service),
         };
         let gate = self.gates.entry(service.to_owned()).or_default();
-        if gate.passes(&context, turn.urgency) {
+        if gate.try_admit(&context, turn.urgency) {
             self.shares.charge(now, tenant, turn.prompt_tokens);
             return Decision::from(Arrival::Go);
         }
@@ -119,18 +120,18 @@
         };
         self.next += 1;
         let ticket = Ticket(self.next);
-        let claim = QueuedTurn::of(&turn, excess, now);
-        let decision = gate.queue_up(&context, &mut self.usage, ticket, claim);
+        let queued = QueuedTurn::of(&turn, excess, now);
+        let decision = gate.queue_up(&context, &mut self.usage, ticket, queued);
         if let Arrival::Wait { .. } = decision.arrival {
-            // Counted before it goes, so that a tenant's later turns stand behind its earlier ones.
+            // Charged on arrival, so that waiting turns already count against their tenant.
             self.shares.charge(now, tenant, turn.prompt_tokens);
         }
         decision
     }
 
-    /// The turns of a service that may go now; each of them counts as under way.
+    /// Returns the waiting turns of a service that may run now; each of them counts as in flight.
     pub fn release(&mut self, now: Timestamp, service: &str, room: Room) -> Vec<Ticket> {
-        let elsewhere = self.elsewhere(service);
+        let waiting_elsewhere = self.waiting_elsewhere(service);
         let Some(gate) = self.gates.get_mut(service) else {
             return Vec::new();
         };
@@ -138,42 +139,42 @@
             now,
             rules: &self.rules,
             room,
-            elsewhere,
+            waiting_elsewhere,
         };
         gate.release(&context, &mut self.usage)
     }
 
-    /// A turn waits no longer: its caller has left, or its time is over.
+    /// Removes a waiting turn whose caller has left or whose time is over.
     pub fn withdraw(&mut self, service: &str, ticket: Ticket) {
         if let Some(gate) = self.gates.get_mut(service) {
             gate.withdraw(&mut self.usage, ticket);
         }
     }
 
-    /// A turn that went has left its engine, or will not go to one.
+    /// Frees the place of an admitted turn that has left its engine or won't be sent to one.
     ///
-    /// `took` is its time there if it was run to its end.
+    /// `took` is its run time if it completed.
     pub fn end(&mut self, service: &str, took: Option<Duration>) {
         if let Some(gate) = self.gates.get_mut(service) {
-            gate.end(took);
+            gate.complete(took);
         }
     }
 
-    /// Counts tokens that were generated for a tenant.
+    /// Adds generated tokens to a tenant's usage.
     pub fn charge(&mut self, now: Timestamp, tenant: Option<TenantKey>, tokens: u64) {
         self.shares.charge(now, tenant, tokens);
     }
 
-    /// When a caller whose turn waited in vain should come back.
+    /// Returns when the caller of a turn that was never released should retry.
     pub fn retry_after(&self, service: &str, room: Room, spread: u64) -> Duration {
-        let elsewhere = self.elsewhere(service);
+        let waiting_elsewhere = self.waiting_elsewhere(service);
         let gate = self.gates.get(service);
         gate.map_or(Duration::ZERO, |gate| {
-            gate.retry_after(&self.rules, room, elsewhere, spread)
+            gate.retry_after(&self.rules, room, waiting_elsewhere, spread)
         })
     }
 
-    /// Services at which turns wait here.
+    /// Returns the services for which turns wait at this node.
     pub fn waiting_services(&self) -> Vec<String> {
         let gates = self.gates.iter();
         gates
@@ -182,12 +183,12 @@
             .collect()
     }
 
-    /// How many turns wait here.
+    /// Returns the number of turns that wait at this node.
     pub fn waiting_count(&self) -> usize {
         self.usage.entries
     }
 
-    /// What the others are to be told.
+    /// Returns the report to send to the other nodes.
     pub fn demand(&mut self, now: Timestamp) -> Demand {
         let mut waiting = BTreeMap::new();
         for (service, gate) in &self.gates {
@@ -202,19 +203,19 @@
         Demand { waiting, served }
     }
 
-    /// Takes what another node tells, in place of what it told before.
+    /// Replaces another node's report.
     pub fn take_demand(&mut self, now: Timestamp, node: NodeId, demand: Demand) {
-        self.shares.take(now, node.clone(), demand.served);
-        self.peers.take(now, node, demand.waiting);
+        self.shares.apply_report(now, node.clone(), demand.served);
+        self.peers.apply_report(now, node, demand.waiting);
     }
 
-    /// Drops what other nodes told too long ago.
+    /// Drops expired reports of other nodes.
     pub fn drop_old(&mut self, now: Timestamp) {
         self.peers.drop_old(now);
         self.shares.drop_old(now);
     }
 
-    fn elsewhere(&self, service: &str) -> PeerWaiting {
+    fn waiting_elsewhere(&self, service: &str) -> PeerWaiting {
         match self.rules.mode {
             AdmissionMode::ToldDemand => PeerWaiting(self.peers.waiting(ServiceKey::of(service))),
             AdmissionMode::Off | AdmissionMode::ToldLoad => PeerWaiting::default(),
--- a/crates/gateway-core/src/admission/queue.rs
+++ b/crates/gateway-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The turns of one service that wait at this node.
+//! The queue of turns that wait at this node for one service.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use super::demand::{LEVELS, Waiting, level_of};
 use super::turn::{Order, QueuedTurn};
 
-/// Names a turn that asked for a place.
+/// Identifies a turn that requested admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What may wait at one node, for all services together.
+/// Limits on the turns that wait at one node for all services together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Most turns.
+    /// Maximum number of turns.
     pub entries: usize,
-    /// Most bytes that they hold.
+    /// Maximum memory that they hold, in bytes.
     pub bytes: usize,
 }
 
-/// What waits at one node now, for all services together.
+/// The turns that currently wait at one node for all services together, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Usage {
     pub(super) entries: usize,
@@ -43,8 +43,10 @@
     }
 }
 
-/// Turns that wait, in order of arrival. Their number is bounded by [`QueueLimits`], so they are
-/// searched rather than kept in an order that changes with time.
+/// Waiting turns in order of arrival.
+///
+/// Their sort keys change with time, so the queue is searched when a turn is taken;
+/// [`QueueLimits`] bounds the cost.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     entries: Vec<(Ticket, QueuedTurn)>,
@@ -55,9 +57,9 @@
         self.entries.len()
     }
 
-    pub(super) fn push(&mut self, usage: &mut Usage, ticket: Ticket, claim: QueuedTurn) {
-        usage.add(claim.bytes);
-        self.entries.push((ticket, claim));
+    pub(super) fn push(&mut self, usage: &mut Usage, ticket: Ticket, turn: QueuedTurn) {
+        usage.add(turn.bytes);
+        self.entries.push((ticket, turn));
     }
 
     pub(super) fn remove(&mut self, usage: &mut Usage, ticket: Ticket) {
@@ -67,66 +69,65 @@
         }
     }
 
-    /// Takes the turn that goes first.
+    /// Removes the turn that comes first in [`Order`].
     pub(super) fn take_first(
         &mut self,
         usage: &mut Usage,
         now: Timestamp,
-        least_turn: Duration,
+        min_turn_time: Duration,
     ) -> Option<Ticket> {
-        let order = |index: &usize| self.entries[*index].1.order(now, least_turn);
+        let order = |index: &usize| self.entries[*index].1.order(now, min_turn_time);
         let index = (0..self.entries.len()).min_by_key(order)?;
         Some(self.take(usage, index))
     }
 
-    /// Takes the one that has waited longest of the turns that stand back for the first one: less
-    /// urgent ones, those of tenants that had more, those that end late. If there are none, the one
-    /// that has waited longest of all.
+    /// Removes the longest-waiting turn outside the group that would be served next, so that no
+    /// group starves. If all turns are of that group, removes the longest-waiting one.
     pub(super) fn take_for_floor(
         &mut self,
         usage: &mut Usage,
         now: Timestamp,
-        least_turn: Duration,
+        min_turn_time: Duration,
     ) -> Option<Ticket> {
-        let group = |index: &usize| self.entries[*index].1.group(now, least_turn);
+        let group = |index: &usize| self.entries[*index].1.group(now, min_turn_time);
         let first = (0..self.entries.len()).map(|index| group(&index)).min()?;
         let behind = (0..self.entries.len()).find(|index| group(index) > first);
         Some(self.take(usage, behind.unwrap_or(0)))
     }
 
-    /// Takes the turn that goes last, if it goes after `order`.
+    /// Removes the turn that comes last, if it comes after `order`.
     pub(super) fn take_last_after(
         &mut self,
         usage: &mut Usage,
         now: Timestamp,
-        least_turn: Duration,
+        min_turn_time: Duration,
         order: Order,
     ) -> Option<Ticket> {
-        let rank = |index: &usize| self.entries[*index].1.order(now, least_turn);
+        let rank = |index: &usize| self.entries[*index].1.order(now, min_turn_time);
         let index = (0..self.entries.len()).max_by_key(rank)?;
         (rank(&index) > order).then(|| self.take(usage, index))
     }
 
-    /// How many turns go before one of that order.
-    pub(super) fn ahead_of(&self, now: Timestamp, least_turn: Duration, order: Order) -> usize {
+    /// Returns how many turns are released before one with that sort key.
+    pub(super) fn ahead_of(&self, now: Timestamp, min_turn_time: Duration, order: Order) -> usize {
         let entries = self.entries.iter();
         entries
-            .filter(|(_, claim)| claim.order(now, least_turn) <= order)
+            .filter(|(_, turn)| turn.order(now, min_turn_time) <= order)
             .count()
     }
 
-    /// How many turns wait, by urgency.
+    /// Returns the number of waiting turns at each urgency level.
     pub(super) fn waiting(&self) -> Waiting {
         let mut waiting = [0; LEVELS];
-        for (_, claim) in &self.entries {
-            waiting[level_of(claim.urgency)] += 1;
+        for (_, turn) in &self.entries {
+            waiting[level_of(turn.urgency)] += 1;
         }
         Waiting(waiting)
     }
 
     fn take(&mut self, usage: &mut Usage, index: usize) -> Ticket {
-        let (ticket, claim) = self.entries.remove(index);
-        usage.remove(claim.bytes);
+        let (ticket, turn) = self.entries.remove(index);
+        usage.remove(turn.bytes);
         ticket
     }
 }
--- a/crates/gateway-core/src/admission/room.rs
+++ b/crates/gateway-core/src/admission/room.rs
@@ -1,28 +1,28 @@
-//! How much room the workers of a service have for turns, as one node sees it.
+//! Capacity and load of a service's workers, as one node knows them.
 
 use elderworks_types::Timestamp;
 
 use crate::workers::{Worker, WorkerDirectory};
 
-/// Slots of a service's workers and what is under way there.
+/// Slots of a service's workers and the requests that occupy them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Slots of the workers that take new work.
+    /// Slots of the workers that accept new requests.
     pub slots: u32,
-    /// Requests that take slots there, other than this node's.
-    pub told: u32,
-    /// This node's requests at the service's other workers, which take no slot that counts.
-    pub apart: u32,
-    /// Nodes that send requests there.
+    /// Slots of those workers that are occupied by other nodes' requests.
+    pub taken_by_others: u32,
+    /// This node's requests at workers whose slots aren't counted.
+    pub own_uncounted: u32,
+    /// Number of nodes that send requests to the service.
     pub nodes: u32,
 }
 
 impl Room {
-    /// The room of a service to which `nodes` nodes send requests.
+    /// Computes the room of a service to which `nodes` nodes send requests.
     ///
-    /// Workers that are leaving, missing or ejected have no slots, and what runs there takes none. One
-    /// that lately refused for lack of room keeps its slots and counts as full, so that others'
-    /// refusals do not make the service look smaller, or as if it had no worker at all.
+    /// Draining, missing and ejected workers contribute no slots, and their requests occupy none. A
+    /// worker that recently refused a request for lack of capacity contributes its slots and counts
+    /// as full, so that a full service isn't mistaken for one without workers.
     pub fn of(workers: &WorkerDirectory, service: &str, nodes: u32, now: Timestamp) -> Self {
         let mut room = Self {
             nodes,
@@ -30,11 +30,11 @@
         };
         for worker in workers.known(service) {
             if !workers.is_accepting(worker) || worker.is_ejected(now) {
-                room.apart += worker.in_flight;
+                room.own_uncounted += worker.in_flight;
                 continue;
             }
             room.slots += worker.record.slots;
-            room.told += taken_by_others(workers, worker, now);
+            room.taken_by_others += taken_by_others(workers, worker, now);
         }
         room
     }
--- a/crates/gateway-core/src/admission/tenant_shares.rs
+++ b/crates/gateway-core/src/admission/tenant_shares.rs
@@ -1,9 +1,9 @@
-//! Which tenants have had more than their share of what engines served lately.
+//! Recent token usage by tenant, and by how much a tenant exceeds an equal share of it.
 //!
-//! After the idea of the virtual token counter (Sheng et al., "Fairness in Serving Large Language
-//! Models", 2024): the tenant that was served least goes first. Counters here decay, so a tenant
-//! that was idle gathers no claim on later room, and all tenants at or below an equal share are
-//! alike, so room that one leaves is lent to whoever asks.
+//! A variant of the virtual token counter (Sheng et al., "Fairness in Serving Large Language
+//! Models", 2024), in which the least served tenant goes first. Counters decay, so that an idle
+//! tenant accumulates no credit, and all tenants at or below an equal share rank the same, so that
+//! unused capacity is available to any of them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -13,24 +13,22 @@
 use crate::peer_loads::REPORT_LIFETIME;
 use crate::tenants::TenantKey;
 
-/// Time in which what was served counts half: a hot tenant is behind within a second or two, and
-/// forgiven some seconds after.
+/// Half-life of the token counters.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Most tenants that are remembered: those served least are forgotten beyond that. As many are
-/// served in some seconds by one node at the most; the table is some 100 KB.
-const MOST_TENANTS: usize = 2_048;
+/// Maximum number of tenants with a counter; beyond it, the smallest counter is dropped.
+const MAX_TENANTS: usize = 2_048;
 
-/// Most tenants that are told of: what is served to the others makes no one hot.
-const MOST_TOLD: usize = 24;
+/// Maximum number of tenants in a report to other nodes, those with the most tokens.
+const MAX_REPORTED_TENANTS: usize = 24;
 
-/// Counters below this many tokens are forgotten: less than any prompt.
-const LEAST_TOKENS: f64 = 16.0;
+/// Counters below this many tokens are dropped.
+const MIN_TOKENS: f64 = 16.0;
 
-/// Greatest excess that is told apart; each step is twice as much as the one before.
-const MOST_EXCESS: u8 = 4;
+/// Highest excess level; each level stands for twice the usage of the one below.
+const MAX_EXCESS: u8 = 4;
 
-/// Tokens served by one node, by tenant; all counters decay alike.
+/// Decaying counts of the tokens that one node served, by tenant.
 #[derive(Clone, Debug, Default)]
 struct Counters {
     tokens: HashMap<TenantKey, f64>,
@@ -40,7 +38,7 @@
 impl Counters {
     fn decay(&mut self, now: Timestamp) {
         let passed = now.since(self.at).as_secs_f64();
-        // Decay is the same in steps; steps shorter than this are left to add up.
+        // Exponential decay doesn't depend on the step length, so short steps can be combined.
         if passed < HALF_LIFE.as_secs_f64() / 30.0 {
             return;
         }
@@ -48,48 +46,48 @@
         self.at = now;
         self.tokens.retain(|_, tokens| {
             *tokens *= factor;
-            *tokens >= LEAST_TOKENS
+            *tokens >= MIN_TOKENS
         });
     }
 
-    fn forget_least(&mut self) {
-        let least = self.tokens.iter().min_by(|a, b| a.1.total_cmp(b.1));
-        if let Some(key) = least.map(|(key, _)| *key) {
+    fn forget_smallest(&mut self) {
+        let smallest = self.tokens.iter().min_by(|a, b| a.1.total_cmp(b.1));
+        if let Some(key) = smallest.map(|(key, _)| *key) {
             self.tokens.remove(&key);
         }
     }
 }
 
-/// What was served to tenants, here and elsewhere.
+/// Tokens served to tenants by this node and, as reported, by the others.
 #[derive(Debug, Default)]
 pub(super) struct TenantShares {
     own: Counters,
-    told: BTreeMap<NodeId, (Timestamp, BTreeMap<TenantKey, u64>)>,
+    reported: BTreeMap<NodeId, (Timestamp, BTreeMap<TenantKey, u64>)>,
 }
 
 impl TenantShares {
-    /// Counts tokens served to a tenant.
+    /// Adds tokens to the counter of a tenant.
     pub(super) fn charge(&mut self, now: Timestamp, tenant: Option<TenantKey>, tokens: u64) {
         let Some(tenant) = tenant.filter(|_| tokens > 0) else {
             return;
         };
         self.own.decay(now);
-        if self.own.tokens.len() >= MOST_TENANTS && !self.own.tokens.contains_key(&tenant) {
-            self.own.forget_least();
+        if self.own.tokens.len() >= MAX_TENANTS && !self.own.tokens.contains_key(&tenant) {
+            self.own.forget_smallest();
         }
         *self.own.tokens.entry(tenant).or_default() += tokens as f64;
     }
 
-    /// By how much a tenant has had more than an equal share: 0 up to twice the share, then one
-    /// more for each doubling.
+    /// Returns by how much a tenant exceeds an equal share: 0 up to twice the share, then 1 more
+    /// for each doubling, up to [`MAX_EXCESS`].
     pub(super) fn excess(&mut self, now: Timestamp, tenant: Option<TenantKey>) -> u8 {
         let Some(tenant) = tenant else {
             return 0;
         };
         self.own.decay(now);
         let mut all = self.own.tokens.clone();
-        for (_, told) in self.told.values() {
-            for (key, tokens) in told {
+        for (_, reported) in self.reported.values() {
+            for (key, tokens) in reported {
                 *all.entry(*key).or_default() += *tokens as f64;
             }
         }
@@ -98,7 +96,7 @@
         doublings_beyond(had, share)
     }
 
-    /// The tenants that were served most by this node.
+    /// Returns the tenants that this node served the most tokens, for a report to other nodes.
     pub(super) fn most_served(&mut self, now: Timestamp) -> Vec<(TenantKey, u64)> {
         self.own.decay(now);
         let tokens = self.own.tokens.iter();
@@ -106,23 +104,28 @@
             .map(|(tenant, tokens)| (*tenant, *tokens as u64))
             .collect();
         served.sort_unstable_by_key(|(tenant, tokens)| (std::cmp::Reverse(*tokens), *tenant));
-        served.truncate(MOST_TOLD);
+        served.truncate(MAX_REPORTED_TENANTS);
         served
     }
 
-    /// Takes what another node has served.
-    pub(super) fn take(&mut self, now: Timestamp, node: NodeId, served: Vec<(TenantKey, u64)>) {
+    /// Replaces a node's report; an empty one removes it.
+    pub(super) fn apply_report(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        served: Vec<(TenantKey, u64)>,
+    ) {
         if served.is_empty() {
-            self.told.remove(&node);
+            self.reported.remove(&node);
             return;
         }
-        let served = served.into_iter().take(MOST_TOLD).collect();
-        self.told.insert(node, (now, served));
+        let served = served.into_iter().take(MAX_REPORTED_TENANTS).collect();
+        self.reported.insert(node, (now, served));
     }
 
-    /// Drops what was told too long ago.
+    /// Drops expired reports.
     pub(super) fn drop_old(&mut self, now: Timestamp) {
-        self.told
+        self.reported
             .retain(|_, (at, _)| now.since(*at) < REPORT_LIFETIME);
     }
 }
@@ -130,7 +133,7 @@
 fn doublings_beyond(had: f64, share: f64) -> u8 {
     let mut excess = 0;
     let mut bound = share * 2.0;
-    while excess < MOST_EXCESS && had > bound {
+    while excess < MAX_EXCESS && had > bound {
         excess += 1;
         bound *= 2.0;
     }
--- a/crates/gateway-core/src/admission/turn.rs
+++ b/crates/gateway-core/src/admission/turn.rs
@@ -1,4 +1,4 @@
-//! What the admission knows of a turn, and the order that follows from it.
+//! The properties of a turn that decide its position in the queue.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 
 use crate::tenants::TenantKey;
 
-/// Whether work was done for a turn's program already.
+/// Whether work has already been done for a turn's program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Earlier turns of the program have run, or its caller came back after a refusal: what was
-    /// done or waited for is lost if it fails now.
+    /// Earlier turns of the program have run, or its caller retries after a refusal; that work or
+    /// waiting time would be lost if the turn failed.
     Begun,
-    /// Nothing has been done for it.
+    /// The program's first turn, on its first try.
     New,
 }
 
-/// A turn that asks to go to an engine.
+/// A turn that requests admission to an engine service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turn {
-    /// Its rank; 0 is the most urgent.
+    /// Urgency rank; 0 is the most urgent.
     pub urgency: u8,
-    /// Whose it is; `None` where the configuration has no tenants.
+    /// Tenant of the caller; `None` where the configuration has no tenants.
     pub tenant: Option<TenantKey>,
-    /// Whether its program has begun.
+    /// Whether the program has already run turns.
     pub standing: Standing,
-    /// When the whole program should be over.
+    /// Deadline of the whole program.
     pub finish: Option<Timestamp>,
-    /// When the turn is of no use any more if it has not gone: its caller gives up, or its
-    /// deadline leaves no time to run it.
+    /// Time after which the turn must not start any more: its caller gives up, or its deadline
+    /// leaves no time to run it.
     pub latest_start: Timestamp,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Memory that it holds while it waits, in bytes.
+    /// Memory that the turn holds while it waits, in bytes.
     pub bytes: usize,
-    /// Differs between turns, to spread those who are asked to come back.
+    /// A number that differs between turns; seeds the jitter of their retry times.
     pub spread: u64,
 }
 
-/// A turn that waits.
+/// A turn in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedTurn {
     pub(super) urgency: u8,
@@ -51,15 +51,15 @@
     pub(super) spread: u64,
 }
 
-/// The order among turns that wait; the least goes first.
+/// Sort key of waiting turns; the smallest is released first.
 ///
-/// Urgency comes first. Within it, a program that can no longer end in time gives way to those that
-/// can; then come tenants that had less than their share, then programs that have begun, then the
-/// one whose time is over first.
+/// Compares the urgency, then whether the program can still meet its deadline, the tenant's excess
+/// over its share, whether the program has already run turns, the deadline and the arrival time.
 pub(super) type Order = (u8, bool, u8, Standing, Timestamp, Timestamp);
 
 impl QueuedTurn {
-    /// `excess` is by how much its tenant has had more than its share.
+    /// Creates the queue entry of a turn; `excess` is the level by which its tenant exceeds its
+    /// share.
     pub(super) fn of(turn: &Turn, excess: u8, now: Timestamp) -> Self {
         Self {
             urgency: turn.urgency,
@@ -73,16 +73,17 @@
         }
     }
 
-    /// Whether its program surely ends late: even one turn at the least takes longer than is left.
-    pub(super) fn is_late(&self, now: Timestamp, least_turn: Duration) -> bool {
-        self.finish.is_some_and(|finish| now + least_turn > finish)
+    /// Returns whether the program will miss its deadline even if it needs just one short turn.
+    pub(super) fn is_late(&self, now: Timestamp, min_turn_time: Duration) -> bool {
+        self.finish
+            .is_some_and(|finish| now + min_turn_time > finish)
     }
 
-    pub(super) fn order(&self, now: Timestamp, least_turn: Duration) -> Order {
+    pub(super) fn order(&self, now: Timestamp, min_turn_time: Duration) -> Order {
         let due = self.finish.unwrap_or(self.latest_start);
         (
             self.urgency,
-            self.is_late(now, least_turn),
+            self.is_late(now, min_turn_time),
             self.excess,
             self.standing,
             due,
@@ -90,13 +91,14 @@
         )
     }
 
-    /// What sets kinds of turns apart, each of which must get some room.
-    pub(super) fn group(&self, now: Timestamp, least_turn: Duration) -> (u8, bool, u8) {
-        let is_late = self.is_late(now, least_turn);
+    /// Returns the part of the sort key by which turns are grouped; the floor keeps each group from
+    /// starving.
+    pub(super) fn group(&self, now: Timestamp, min_turn_time: Duration) -> (u8, bool, u8) {
+        let is_late = self.is_late(now, min_turn_time);
         (self.urgency, is_late, self.excess)
     }
 
-    /// How much longer it may wait.
+    /// Returns how much longer the turn may wait.
     pub(super) fn patience(&self, now: Timestamp) -> Duration {
         self.latest_start.since(now)
     }
--- a/crates/gateway-core/tests/admission.rs
+++ b/crates/gateway-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of turns to engines: single decisions.
+//! Single decisions of the admission control.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 const START: Timestamp = Timestamp(1_000_000);
 const ROOM: Room = Room {
     slots: 2,
-    told: 0,
-    apart: 0,
+    taken_by_others: 0,
+    own_uncounted: 0,
     nodes: 1,
 };
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const MAX_WAIT: Duration = Duration::from_millis(1_500);
 
 fn after(milliseconds: u64) -> Timestamp {
     START + Duration::from_millis(milliseconds)
@@ -47,17 +47,16 @@
         tenant: None,
         standing: Standing::Begun,
         finish: None,
-        latest_start: START + PATIENCE,
+        latest_start: START + MAX_WAIT,
         prompt_tokens: 1_000,
         bytes: 10,
         spread: 1,
     }
 }
 
-/// An admission whose places are all taken.
-fn full() -> Admission {
+/// Returns an admission control with all places taken and a known turn time of 250 ms.
+fn full_admission() -> Admission {
     let mut admission = admission();
-    // The pace is known: turns take 250 ms.
     for _ in 0..8 {
         admission.arrive(START, SERVICE, ROOM, turn(9));
         admission.end(SERVICE, Some(Duration::from_millis(250)));
@@ -76,8 +75,8 @@
     }
 }
 
-/// The order in which turns go, one for each that ends.
-fn order_of(admission: &mut Admission, count: usize) -> Vec<Ticket> {
+/// Returns the order in which turns are released as `count` turns complete.
+fn release_order(admission: &mut Admission, count: usize) -> Vec<Ticket> {
     let mut order = Vec::new();
     for _ in 0..count {
         admission.end(SERVICE, None);
@@ -87,7 +86,7 @@
 }
 
 #[test]
-fn turns_go_at_once_while_there_are_places() {
+fn turns_are_admitted_immediately_while_places_are_free() {
     for mode in [
         AdmissionMode::Off,
         AdmissionMode::ToldLoad,
@@ -99,22 +98,25 @@
             assert_eq!(decision.arrival, Arrival::Go, "{mode:?}");
         }
         let decision = admission.arrive(START, SERVICE, ROOM, turn(0));
-        let goes = decision.arrival == Arrival::Go;
-        assert_eq!(goes, mode == AdmissionMode::Off, "{mode:?}");
+        let is_admitted = decision.arrival == Arrival::Go;
+        assert_eq!(is_admitted, mode == AdmissionMode::Off, "{mode:?}");
     }
 }
 
 #[test]
-fn places_that_others_have_taken_are_not_free() {
-    let told = Room { told: 2, ..ROOM };
+fn places_taken_by_other_nodes_are_not_free() {
+    let taken_by_others = Room {
+        taken_by_others: 2,
+        ..ROOM
+    };
     let mut admission = admission();
-    let decision = admission.arrive(START, SERVICE, told, turn(0));
+    let decision = admission.arrive(START, SERVICE, taken_by_others, turn(0));
     assert!(matches!(decision.arrival, Arrival::Wait { .. }));
 }
 
 #[test]
-fn a_service_without_workers_holds_nothing() {
-    let mut admission = full();
+fn turns_do_not_wait_for_a_service_without_workers() {
+    let mut admission = full_admission();
     let waiting = waits(&mut admission, turn(0));
     let none = Room::default();
     let decision = admission.arrive(START, SERVICE, none, turn(0));
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn the_order_is_urgency_then_standing_then_slack() {
+fn turns_are_ordered_by_urgency_then_program_state_then_deadline() {
     let finish = |milliseconds| Some(after(milliseconds));
     let with = |urgency, standing, finish| Turn {
         standing,
@@ -133,47 +135,50 @@
     let cases = [
         ("urgency", turn(2), turn(0)),
         (
-            "standing",
+            "program state",
             with(1, Standing::New, finish(900)),
             with(1, Standing::Begun, finish(2_000)),
         ),
         (
-            "slack",
+            "deadline",
             with(1, Standing::Begun, finish(2_000)),
             with(1, Standing::Begun, finish(900)),
         ),
         (
-            "a program that ends late anyhow gives way",
+            "a program that will miss its deadline comes later",
             with(1, Standing::Begun, finish(20)),
             with(1, Standing::New, finish(2_000)),
         ),
         (
-            "but not to what is less urgent",
+            "but still before less urgent turns",
             with(2, Standing::Begun, finish(2_000)),
             with(0, Standing::New, finish(20)),
         ),
     ];
     for (what, later, first) in cases {
-        let mut admission = full();
+        let mut admission = full_admission();
         let later = waits(&mut admission, later);
         let first = waits(&mut admission, first);
-        assert_eq!(order_of(&mut admission, 2), [first, later], "{what}");
+        assert_eq!(release_order(&mut admission, 2), [first, later], "{what}");
     }
 }
 
 #[test]
-fn one_release_in_four_is_the_one_that_has_waited_longest() {
-    let mut admission = full();
-    let patient = waits(&mut admission, turn(9));
+fn every_fourth_release_is_the_longest_waiting_turn() {
+    let mut admission = full_admission();
+    let longest_waiting = waits(&mut admission, turn(9));
     for _ in 0..6 {
         waits(&mut admission, turn(0));
     }
-    let order = order_of(&mut admission, 7);
-    assert_eq!(order.iter().position(|ticket| *ticket == patient), Some(3));
+    let order = release_order(&mut admission, 7);
+    assert_eq!(
+        order.iter().position(|ticket| *ticket == longest_waiting),
+        Some(3)
+    );
 }
 
 #[test]
-fn a_tenant_that_was_served_more_than_its_share_waits_behind_the_others() {
+fn tenants_above_their_share_wait_behind_the_others() {
     let of = |tenant| Turn {
         tenant: Some(TenantKey(tenant)),
         ..turn(1)
@@ -196,12 +201,12 @@
             true => [other, hot],
             false => [hot, other],
         };
-        assert_eq!(order_of(&mut admission, 2), expected);
+        assert_eq!(release_order(&mut admission, 2), expected);
     }
 }
 
 #[test]
-fn what_was_served_long_ago_does_not_count() {
+fn tokens_served_long_ago_do_not_count() {
     let mut admission = admission();
     let hot = Some(TenantKey(9));
     admission.charge(START, hot, 40_000);
@@ -214,7 +219,7 @@
     }
     let of = |tenant| Turn {
         tenant,
-        latest_start: later + PATIENCE,
+        latest_start: later + MAX_WAIT,
         ..turn(1)
     };
     let mut tickets = Vec::new();
@@ -224,19 +229,19 @@
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(order_of(&mut admission, 2), tickets);
+    assert_eq!(release_order(&mut admission, 2), tickets);
 }
 
 #[test]
-fn a_turn_that_cannot_go_in_time_is_refused_at_once() {
-    // Two places, 250 ms a turn: eight turns leave in a second, so twelve wait 1.5 s.
-    let mut admission = full();
+fn a_turn_that_cannot_start_in_time_is_refused_immediately() {
+    // Two places and 250 ms per turn: eight turns complete per second, so the twelfth waits 1.5 s.
+    let mut admission = full_admission();
     let mut waiting = 0;
     let refused = loop {
         match admission.arrive(START, SERVICE, ROOM, turn(1)).arrival {
             Arrival::Wait { .. } => waiting += 1,
             Arrival::Refuse(refused) => break refused,
-            Arrival::Go => panic!("every place is taken"),
+            Arrival::Go => panic!("admitted without a free place"),
         }
     };
     assert_eq!(waiting, 12);
@@ -245,12 +250,12 @@
     let wait = Duration::from_millis(13 * 125);
     assert!(refused.retry_after >= wait, "{refused:?}");
     assert!(refused.retry_after <= wait.mul_f64(1.5), "{refused:?}");
-    // More urgent work goes before all that, so it still can.
+    // A more urgent turn comes first and can still start in time.
     waits(&mut admission, turn(0));
 }
 
 #[test]
-fn nothing_is_refused_by_a_pace_that_is_not_known() {
+fn no_turn_is_refused_before_the_turn_time_is_known() {
     let mut admission = admission();
     for _ in 0..ROOM.slots {
         admission.arrive(START, SERVICE, ROOM, turn(1));
@@ -261,23 +266,23 @@
 }
 
 #[test]
-fn newcomers_are_refused_before_turns_of_programs_that_have_begun() {
-    let mut admission = full();
+fn turns_of_new_programs_are_refused_before_those_of_started_programs() {
+    let mut admission = full_admission();
     for _ in 0..7 {
         waits(&mut admission, turn(1));
     }
-    let newcomer = Turn {
+    let new_program = Turn {
         standing: Standing::New,
         ..turn(1)
     };
-    let decision = admission.arrive(START, SERVICE, ROOM, newcomer);
+    let decision = admission.arrive(START, SERVICE, ROOM, new_program);
     assert!(matches!(decision.arrival, Arrival::Refuse(_)));
     waits(&mut admission, turn(1));
 }
 
 #[test]
-fn refused_callers_are_asked_to_come_back_at_different_times() {
-    let mut admission = full();
+fn refused_callers_get_different_retry_times() {
+    let mut admission = full_admission();
     for _ in 0..12 {
         waits(&mut admission, turn(1));
     }
@@ -297,37 +302,37 @@
 }
 
 #[test]
-fn the_queue_is_bounded_and_the_least_pressing_makes_room() {
+fn a_full_queue_displaces_its_last_turn() {
     let heavy = |urgency, bytes| Turn {
         bytes,
         ..turn(urgency)
     };
-    let mut admission = full();
+    let mut admission = full_admission();
     let last = waits(&mut admission, heavy(5, 600));
     let first = waits(&mut admission, heavy(1, 300));
     let decision = admission.arrive(START, SERVICE, ROOM, heavy(6, 300));
     assert!(
         matches!(decision.arrival, Arrival::Refuse(refused) if refused.queue_full),
-        "nothing goes after it"
+        "no waiting turn comes after it"
     );
     let decision = admission.arrive(START, SERVICE, ROOM, heavy(2, 300));
     assert!(matches!(decision.arrival, Arrival::Wait { .. }));
     assert_eq!(decision.displaced, [last]);
     let decision = admission.arrive(START, SERVICE, ROOM, heavy(0, 2_000));
     assert!(matches!(decision.arrival, Arrival::Refuse(refused) if refused.queue_full));
-    assert_eq!(decision.displaced, [], "it fits in no queue");
-    assert_eq!(order_of(&mut admission, 1), [first]);
+    assert_eq!(decision.displaced, [], "larger than the whole queue");
+    assert_eq!(release_order(&mut admission, 1), [first]);
 }
 
 #[test]
-fn a_turn_that_left_is_not_called() {
-    let mut admission = full();
+fn a_withdrawn_turn_is_not_released() {
+    let mut admission = full_admission();
     let left = waits(&mut admission, turn(0));
     let stays = waits(&mut admission, turn(0));
     admission.withdraw(SERVICE, left);
     admission.withdraw(SERVICE, left);
     assert_eq!(admission.waiting_count(), 1);
-    assert_eq!(order_of(&mut admission, 2), [stays]);
+    assert_eq!(release_order(&mut admission, 2), [stays]);
 }
 
 fn demand(urgency: usize, count: u32) -> Demand {
@@ -339,16 +344,19 @@
     }
 }
 
-/// Turns that go at once when all places become free while others wait elsewhere. Half of the free
-/// places are handed out in the first round, since every node sees them.
-fn released_beside(urgency: u8, elsewhere: Demand, at: Timestamp) -> usize {
+/// Returns the number of turns that are released when all places become free while other turns
+/// wait elsewhere. Each interval allots half of the free places.
+fn released_with(urgency: u8, elsewhere: Demand, at: Timestamp) -> usize {
     let taken = Room {
         slots: 100,
-        told: 100,
-        apart: 0,
+        taken_by_others: 100,
+        own_uncounted: 0,
         nodes: 2,
     };
-    let free = Room { told: 0, ..taken };
+    let free = Room {
+        taken_by_others: 0,
+        ..taken
+    };
     let mut admission = Admission::new(AdmissionRules {
         limits: QueueLimits {
             entries: 100,
@@ -366,29 +374,23 @@
 }
 
 #[test]
-fn a_node_takes_its_share_of_the_places_and_yields_to_more_urgent_work() {
+fn free_places_are_divided_by_urgency_and_waiting_turns() {
     let late = START + REPORT_LIFETIME;
     let cases = [
-        ("nothing waits elsewhere", 1, Demand::default(), START, 100),
-        ("as much waits elsewhere", 1, demand(1, 100), START, 25),
-        ("three times as much", 1, demand(1, 300), START, 12),
-        ("more urgent work: the floor", 1, demand(0, 300), START, 3),
+        ("no turns elsewhere", 1, Demand::default(), START, 100),
+        ("as many turns elsewhere", 1, demand(1, 100), START, 25),
+        ("three times as many", 1, demand(1, 300), START, 12),
+        ("more urgent turns: the floor", 1, demand(0, 300), START, 3),
         (
-            "less urgent work: all but its floor",
+            "less urgent turns: all but their floor",
             1,
             demand(2, 300),
             START,
             40,
         ),
-        (
-            "a node that told nothing since",
-            1,
-            demand(0, 300),
-            late,
-            100,
-        ),
+        ("an expired report", 1, demand(0, 300), late, 100),
     ];
     for (what, urgency, elsewhere, at, expected) in cases {
-        assert_eq!(released_beside(urgency, elsewhere, at), expected, "{what}");
+        assert_eq!(released_with(urgency, elsewhere, at), expected, "{what}");
     }
 }
--- a/crates/gateway-core/tests/admission_load.rs
+++ b/crates/gateway-core/tests/admission_load.rs
@@ -1,5 +1,4 @@
-//! Admission of turns to engines under load: several nodes that know of each other what was told
-//! up to 100 ms ago.
+//! Simulates admission control under load at several nodes whose reports are up to 100 ms old.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,36 +14,39 @@
 const NODES: usize = 8;
 const SLOTS: u32 = 60 * 12;
 
-/// Time of a turn at an engine, in ms.
-const TURN: u64 = 250;
+/// Run time of a turn at an engine.
+const TURN_MS: u64 = 250;
 
-/// Turns that the engines can run in a second.
-const CAPACITY: f64 = SLOTS as f64 * 1_000.0 / TURN as f64;
+/// Turns per second that the engines can run.
+const CAPACITY_PER_S: f64 = SLOTS as f64 * 1_000.0 / TURN_MS as f64;
 
-/// Resolution, and interval at which nodes tell each other, in ms.
-const STEP: u64 = 10;
-const TOLD: u64 = 100;
+/// Resolution of the simulation.
+const STEP_MS: u64 = 10;
 
-/// How long a turn can wait, in ms.
-const PATIENCE: u64 = 1_500;
+/// Interval of the nodes' reports.
+const REPORT_INTERVAL_MS: u64 = 100;
 
-/// What callers ask for.
+/// Time after which a waiting turn is refused.
+const MAX_WAIT_MS: u64 = 1_500;
+
+/// Turns of one tenant and urgency during an interval.
 #[derive(Clone, Copy, Debug)]
-struct Kind {
+struct Load {
     urgency: u8,
     tenant: u64,
-    /// Turns a second, as a share of what the engines can run.
-    load: f64,
-    /// From when until when it is asked for, in ms.
+    /// Arrival rate as a fraction of the engines' capacity.
+    fraction: f64,
+    /// Start and end of the interval, in milliseconds.
     during: (u64, u64),
 }
 
-/// What became of one kind.
+/// Results of one load.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
-    asked: u32,
+    arrivals: u32,
     refused: u32,
-    in_vain: u32,
+    timed_out: u32,
+    /// Waiting times of the turns that ran, in milliseconds.
     waits: Vec<u64>,
 }
 
@@ -56,63 +58,64 @@
         waits.get(index).copied().unwrap_or(0)
     }
 
-    fn served_share(&self) -> f64 {
-        self.waits.len() as f64 / f64::from(self.asked.max(1))
+    fn served_fraction(&self) -> f64 {
+        self.waits.len() as f64 / f64::from(self.arrivals.max(1))
     }
 }
 
-/// A disturbance of the first node.
+/// A fault of the first node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// It ends, and callers go to the others.
-    Dies {
+    /// The node crashes, and callers use the others.
+    Crash {
         at: u64,
     },
-    /// It neither tells nor takes anything; callers go to the others, what it runs ends.
-    StandsStill {
+    /// The node neither sends nor processes anything and callers use the others; its running turns
+    /// complete.
+    Pause {
         from: u64,
         to: u64,
     },
-    /// It serves, and no word passes between it and the others.
-    CutOff {
+    /// The node serves callers, but no reports pass between it and the others.
+    Partition {
         from: u64,
         to: u64,
     },
 }
 
-impl Trouble {
-    fn is_away(self, now: u64) -> bool {
+impl Fault {
+    fn is_unavailable(self, now: u64) -> bool {
         match self {
-            Self::None | Self::CutOff { .. } => false,
-            Self::Dies { at } => now >= at,
-            Self::StandsStill { from, to } => (from..to).contains(&now),
+            Self::None | Self::Partition { .. } => false,
+            Self::Crash { at } => now >= at,
+            Self::Pause { from, to } => (from..to).contains(&now),
         }
     }
 
-    fn is_silent(self, now: u64) -> bool {
+    fn is_unreachable(self, now: u64) -> bool {
         match self {
-            Self::CutOff { from, to } => (from..to).contains(&now),
-            other => other.is_away(now),
+            Self::Partition { from, to } => (from..to).contains(&now),
+            other => other.is_unavailable(now),
         }
     }
 }
 
 struct Waiting {
-    kind: usize,
+    load: usize,
     arrived: u64,
 }
 
-struct Fleet {
+struct Cluster {
     nodes: Vec<Admission>,
     waiting: Vec<BTreeMap<Ticket, Waiting>>,
-    /// When the turns under way end, by node.
+    /// Completion times of the running turns, by node.
     running: Vec<Vec<u64>>,
-    /// When each slot of the engines is free again; a turn that is sent while none is waits there.
+    /// When each slot of the engines becomes free; turns wait at the engines for a free slot.
     slots: BinaryHeap<Reverse<u64>>,
-    /// What the nodes last told: when, and how much they had under way.
-    told: Vec<(u64, u32)>,
-    most_running: usize,
+    /// Time and number of running turns of each node's latest report.
+    reports: Vec<(u64, u32)>,
+    max_running: usize,
     outcomes: Vec<Outcome>,
 }
 
@@ -120,8 +123,8 @@
     Timestamp(1_000_000) + Duration::from_millis(milliseconds)
 }
 
-impl Fleet {
-    fn new(mode: AdmissionMode, fair_share: bool, kinds: usize) -> Self {
+impl Cluster {
+    fn new(mode: AdmissionMode, fair_share: bool, loads: usize) -> Self {
         let rules = AdmissionRules {
             mode,
             full_share: 1.0,
@@ -137,50 +140,50 @@
             waiting: (0..NODES).map(|_| BTreeMap::new()).collect(),
             running: vec![Vec::new(); NODES],
             slots: (0..SLOTS).map(|_| Reverse(0)).collect(),
-            told: vec![(0, 0); NODES],
-            most_running: 0,
-            outcomes: vec![Outcome::default(); kinds],
+            reports: vec![(0, 0); NODES],
+            max_running: 0,
+            outcomes: vec![Outcome::default(); loads],
         }
     }
 
-    /// What a node knows of the room: its own turns exactly, the others' as last told.
+    /// Returns the room as a node knows it: its own turns and the others' latest reports.
     fn room(&self, node: usize, now: u64) -> Room {
         let others = (0..NODES).filter(|other| *other != node);
-        let fresh = others.filter(|other| now - self.told[*other].0 < 1_200);
+        let fresh = others.filter(|other| now - self.reports[*other].0 < 1_200);
         Room {
             slots: SLOTS,
-            told: fresh.map(|other| self.told[other].1).sum(),
-            apart: 0,
+            taken_by_others: fresh.map(|other| self.reports[other].1).sum(),
+            own_uncounted: 0,
             nodes: NODES as u32,
         }
     }
 
-    /// Sends a turn to the engines; tells how long it waits there.
+    /// Sends a turn to the engines and returns how long it waits there, in milliseconds.
     fn send(&mut self, node: usize, now: u64) -> u64 {
         let Reverse(free) = self.slots.pop().expect("there are slots");
-        let begins = free.max(now);
-        self.slots.push(Reverse(begins + TURN));
-        self.running[node].push(begins + TURN);
-        begins - now
+        let start = free.max(now);
+        self.slots.push(Reverse(start + TURN_MS));
+        self.running[node].push(start + TURN_MS);
+        start - now
     }
 
-    fn arrive(&mut self, node: usize, now: u64, index: usize, kind: Kind, spread: u64) {
+    fn arrive(&mut self, node: usize, now: u64, index: usize, load: Load, spread: u64) {
         let turn = Turn {
-            urgency: kind.urgency,
-            tenant: Some(TenantKey(kind.tenant)),
+            urgency: load.urgency,
+            tenant: Some(TenantKey(load.tenant)),
             standing: Standing::Begun,
             finish: None,
-            latest_start: at(now + PATIENCE),
+            latest_start: at(now + MAX_WAIT_MS),
             prompt_tokens: 1_000,
             bytes: 1_000,
             spread,
         };
-        self.outcomes[index].asked += 1;
+        self.outcomes[index].arrivals += 1;
         let room = self.room(node, now);
         let decision = self.nodes[node].arrive(at(now), SERVICE, room, turn);
         for displaced in decision.displaced {
             let waiting = self.waiting[node].remove(&displaced).expect("it waits");
-            self.outcomes[waiting.kind].refused += 1;
+            self.outcomes[waiting.load].refused += 1;
         }
         match decision.arrival {
             Arrival::Go => {
@@ -189,7 +192,7 @@
             }
             Arrival::Wait { ticket, .. } => {
                 let waiting = Waiting {
-                    kind: index,
+                    load: index,
                     arrived: now,
                 };
                 self.waiting[node].insert(ticket, waiting);
@@ -202,7 +205,7 @@
         let ended = self.running[node].iter().filter(|end| **end <= now).count();
         self.running[node].retain(|end| *end > now);
         for _ in 0..ended {
-            let took = Duration::from_millis(TURN);
+            let took = Duration::from_millis(TURN_MS);
             self.nodes[node].end(SERVICE, Some(took));
         }
         self.nodes[node].drop_old(at(now));
@@ -210,9 +213,9 @@
         for ticket in self.nodes[node].release(at(now), SERVICE, room) {
             let waiting = self.waiting[node].remove(&ticket).expect("it waits");
             let waited = now - waiting.arrived + self.send(node, now);
-            self.outcomes[waiting.kind].waits.push(waited);
+            self.outcomes[waiting.load].waits.push(waited);
         }
-        let is_over = |waiting: &Waiting| now >= waiting.arrived + PATIENCE;
+        let is_over = |waiting: &Waiting| now >= waiting.arrived + MAX_WAIT_MS;
         let over: Vec<Ticket> = self.waiting[node]
             .iter()
             .filter(|(_, waiting)| is_over(waiting))
@@ -220,21 +223,21 @@
             .collect();
         for ticket in over {
             let waiting = self.waiting[node].remove(&ticket).expect("it waits");
-            self.outcomes[waiting.kind].in_vain += 1;
+            self.outcomes[waiting.load].timed_out += 1;
             self.nodes[node].withdraw(SERVICE, ticket);
         }
     }
 
-    fn tell(&mut self, now: u64, trouble: Trouble) {
+    fn send_reports(&mut self, now: u64, fault: Fault) {
         for node in 0..NODES {
-            if node == 0 && trouble.is_silent(now) {
+            if node == 0 && fault.is_unreachable(now) {
                 continue;
             }
-            self.told[node] = (now, u32::try_from(self.running[node].len()).expect("few"));
+            self.reports[node] = (now, u32::try_from(self.running[node].len()).expect("few"));
             let demand = self.nodes[node].demand(at(now));
             for other in 0..NODES {
-                let is_cut = other == 0 && trouble.is_silent(now);
-                if other != node && !is_cut {
+                let is_cut_off = other == 0 && fault.is_unreachable(now);
+                if other != node && !is_cut_off {
                     let name = NodeId::from(format!("n{node}").as_str());
                     self.nodes[other].take_demand(at(now), name, demand.clone());
                 }
@@ -243,96 +246,100 @@
     }
 }
 
-/// Plays kinds of load for a while; the outcomes are those of the kinds, in their order.
-fn play(
+/// Simulates loads for `length` milliseconds; the outcomes are in the order of the loads.
+fn simulate(
     mode: AdmissionMode,
     fair_share: bool,
-    trouble: Trouble,
+    fault: Fault,
     length: u64,
-    kinds: &[Kind],
-) -> Fleet {
-    let mut fleet = Fleet::new(mode, fair_share, kinds.len());
-    let mut due = vec![0.0; kinds.len()];
+    loads: &[Load],
+) -> Cluster {
+    let mut cluster = Cluster::new(mode, fair_share, loads.len());
+    let mut due = vec![0.0; loads.len()];
     let mut next = 0_u64;
-    for now in (0..length).step_by(usize::try_from(STEP).expect("small")) {
-        for (index, kind) in kinds.iter().enumerate() {
-            if (kind.during.0..kind.during.1).contains(&now) {
-                due[index] += kind.load * CAPACITY * STEP as f64 / 1_000.0;
+    for now in (0..length).step_by(usize::try_from(STEP_MS).expect("small")) {
+        for (index, load) in loads.iter().enumerate() {
+            if (load.during.0..load.during.1).contains(&now) {
+                due[index] += load.fraction * CAPACITY_PER_S * STEP_MS as f64 / 1_000.0;
             }
             while due[index] >= 1.0 {
                 due[index] -= 1.0;
                 next += 1;
                 let mut node = usize::try_from(next * 7 % NODES as u64).expect("small");
-                if node == 0 && trouble.is_away(now) {
+                if node == 0 && fault.is_unavailable(now) {
                     node = 1;
                 }
-                fleet.arrive(node, now, index, *kind, next);
+                cluster.arrive(node, now, index, *load, next);
             }
         }
         for node in 0..NODES {
-            if node > 0 || !trouble.is_away(now) {
-                fleet.step(node, now);
+            if node > 0 || !fault.is_unavailable(now) {
+                cluster.step(node, now);
             }
         }
-        if now % TOLD == 0 {
-            fleet.tell(now, trouble);
+        if now % REPORT_INTERVAL_MS == 0 {
+            cluster.send_reports(now, fault);
         }
-        let running: usize = fleet.running.iter().map(Vec::len).sum();
-        fleet.most_running = fleet.most_running.max(running);
+        let running: usize = cluster.running.iter().map(Vec::len).sum();
+        cluster.max_running = cluster.max_running.max(running);
     }
-    fleet
+    cluster
 }
 
-const fn kind(urgency: u8, tenant: u64, load: f64, during: (u64, u64)) -> Kind {
-    Kind {
+const fn load(urgency: u8, tenant: u64, fraction: f64, during: (u64, u64)) -> Load {
+    Load {
         urgency,
         tenant,
-        load,
+        fraction,
         during,
     }
 }
 
-const TOLD_MODES: [AdmissionMode; 2] = [AdmissionMode::ToldLoad, AdmissionMode::ToldDemand];
+const REPORTING_MODES: [AdmissionMode; 2] = [AdmissionMode::ToldLoad, AdmissionMode::ToldDemand];
 
 #[test]
-fn a_calm_load_is_never_delayed() {
-    for mode in TOLD_MODES {
-        let kinds = [kind(0, 1, 0.4, (0, 5_000)), kind(2, 2, 0.4, (0, 5_000))];
-        let fleet = play(mode, true, Trouble::None, 5_000, &kinds);
-        for outcome in &fleet.outcomes {
+fn turns_below_capacity_are_never_delayed() {
+    for mode in REPORTING_MODES {
+        let loads = [load(0, 1, 0.4, (0, 5_000)), load(2, 2, 0.4, (0, 5_000))];
+        let cluster = simulate(mode, true, Fault::None, 5_000, &loads);
+        for outcome in &cluster.outcomes {
             assert_eq!(outcome.percentile(100), 0, "{mode:?}");
-            assert_eq!(outcome.refused + outcome.in_vain, 0, "{mode:?}");
+            assert_eq!(outcome.refused + outcome.timed_out, 0, "{mode:?}");
         }
     }
 }
 
 #[test]
-fn in_a_burst_urgent_turns_go_first_and_the_others_keep_their_floor() {
-    // 0.6 of what the engines can run, and 2.4 times as much for three seconds.
-    let kinds = [
-        kind(0, 1, 0.3, (0, 8_000)),
-        kind(2, 2, 0.3, (0, 8_000)),
-        kind(0, 1, 0.42, (2_000, 5_000)),
-        kind(2, 2, 0.42, (2_000, 5_000)),
+fn in_a_burst_urgent_turns_come_first_and_the_others_keep_their_floor() {
+    // A load of 0.6, which rises to 1.44 for three seconds.
+    let loads = [
+        load(0, 1, 0.3, (0, 8_000)),
+        load(2, 2, 0.3, (0, 8_000)),
+        load(0, 1, 0.42, (2_000, 5_000)),
+        load(2, 2, 0.42, (2_000, 5_000)),
     ];
     let mode = AdmissionMode::ToldDemand;
-    let fleet = play(mode, true, Trouble::None, 8_000, &kinds);
-    for urgent in [&fleet.outcomes[0], &fleet.outcomes[2]] {
-        assert!(urgent.served_share() > 0.99, "{}", urgent.served_share());
+    let cluster = simulate(mode, true, Fault::None, 8_000, &loads);
+    for urgent in [&cluster.outcomes[0], &cluster.outcomes[2]] {
+        assert!(
+            urgent.served_fraction() > 0.99,
+            "{}",
+            urgent.served_fraction()
+        );
         assert!(urgent.percentile(95) <= 150, "{}", urgent.percentile(95));
     }
-    for other in [&fleet.outcomes[1], &fleet.outcomes[3]] {
-        assert!(other.served_share() > 0.5, "{}", other.served_share());
-        let in_vain = f64::from(other.in_vain) / f64::from(other.asked);
-        assert!(in_vain < 0.06, "{in_vain} waited and were refused");
+    for other in [&cluster.outcomes[1], &cluster.outcomes[3]] {
+        assert!(other.served_fraction() > 0.5, "{}", other.served_fraction());
+        let timed_out = f64::from(other.timed_out) / f64::from(other.arrivals);
+        assert!(timed_out < 0.06, "{timed_out} timed out");
     }
     let places = f64::from(SLOTS);
-    let most = fleet.most_running as f64;
-    assert!(most < places * 1.4, "{most} at {places} places");
-    // The ways that this one was compared with.
+    let max = cluster.max_running as f64;
+    assert!(max < places * 1.4, "{max} at {places} places");
+    // The other modes delay urgent turns.
     for other in [AdmissionMode::Off, AdmissionMode::ToldLoad] {
-        let fleet = play(other, true, Trouble::None, 8_000, &kinds);
-        let urgent = &fleet.outcomes[2];
+        let cluster = simulate(other, true, Fault::None, 8_000, &loads);
+        let urgent = &cluster.outcomes[2];
         assert!(
             urgent.percentile(95) > 1_000,
             "{other:?}: {}",
@@ -342,15 +349,15 @@
 }
 
 #[test]
-fn nothing_starves_while_urgent_work_alone_is_more_than_all_room() {
-    let kinds = [kind(0, 1, 1.5, (0, 8_000)), kind(5, 2, 0.2, (0, 8_000))];
-    for mode in TOLD_MODES {
-        let fleet = play(mode, true, Trouble::None, 8_000, &kinds);
-        let other = &fleet.outcomes[1];
+fn no_turn_starves_while_urgent_turns_exceed_the_capacity() {
+    let loads = [load(0, 1, 1.5, (0, 8_000)), load(5, 2, 0.2, (0, 8_000))];
+    for mode in REPORTING_MODES {
+        let cluster = simulate(mode, true, Fault::None, 8_000, &loads);
+        let other = &cluster.outcomes[1];
         assert!(
-            other.served_share() > 0.25,
+            other.served_fraction() > 0.25,
             "{mode:?}: {}",
-            other.served_share()
+            other.served_fraction()
         );
     }
 }
@@ -358,12 +365,12 @@
 #[test]
 fn a_hot_tenant_waits_behind_the_others() {
     let length = 8_000;
-    let mut kinds: Vec<Kind> = (1..=10)
-        .map(|tenant| kind(1, tenant, 0.07, (0, length)))
+    let mut loads: Vec<Load> = (1..=10)
+        .map(|tenant| load(1, tenant, 0.07, (0, length)))
         .collect();
-    kinds.push(kind(1, 10, 6.0 * 0.07, (2_000, 6_000)));
-    let slow = |fleet: &Fleet| {
-        let others = fleet.outcomes[..9].iter();
+    loads.push(load(1, 10, 6.0 * 0.07, (2_000, 6_000)));
+    let slowest = |cluster: &Cluster| {
+        let others = cluster.outcomes[..9].iter();
         others
             .map(|outcome| outcome.percentile(95))
             .max()
@@ -371,60 +378,64 @@
     };
     {
         let mode = AdmissionMode::ToldDemand;
-        let fair = play(mode, true, Trouble::None, length, &kinds);
-        let unfair = play(mode, false, Trouble::None, length, &kinds);
+        let fair = simulate(mode, true, Fault::None, length, &loads);
+        let unfair = simulate(mode, false, Fault::None, length, &loads);
         for outcome in &fair.outcomes[..9] {
             assert!(
-                outcome.served_share() > 0.99,
+                outcome.served_fraction() > 0.99,
                 "{mode:?}: {}",
-                outcome.served_share()
+                outcome.served_fraction()
             );
         }
-        assert!(slow(&fair) <= 150, "{mode:?}: {} ms", slow(&fair));
+        assert!(slowest(&fair) <= 150, "{mode:?}: {} ms", slowest(&fair));
         assert!(
-            slow(&fair) * 3 < slow(&unfair),
+            slowest(&fair) * 3 < slowest(&unfair),
             "{mode:?}: {} ms",
-            slow(&unfair)
+            slowest(&unfair)
         );
         let hot = &fair.outcomes[10];
-        assert!(hot.served_share() > 0.5, "{mode:?}: {}", hot.served_share());
+        assert!(
+            hot.served_fraction() > 0.5,
+            "{mode:?}: {}",
+            hot.served_fraction()
+        );
     }
 }
 
 #[test]
-fn a_node_in_trouble_blocks_no_other() {
-    let kinds = [kind(0, 1, 0.6, (0, 8_000)), kind(2, 2, 0.6, (0, 8_000))];
-    let troubles = [
-        Trouble::None,
-        Trouble::Dies { at: 2_000 },
-        Trouble::StandsStill {
+fn a_faulty_node_does_not_block_the_others() {
+    let loads = [load(0, 1, 0.6, (0, 8_000)), load(2, 2, 0.6, (0, 8_000))];
+    let faults = [
+        Fault::None,
+        Fault::Crash { at: 2_000 },
+        Fault::Pause {
             from: 2_000,
             to: 5_000,
         },
-        Trouble::CutOff {
+        Fault::Partition {
             from: 2_000,
             to: 5_000,
         },
     ];
     {
         let mode = AdmissionMode::ToldDemand;
-        for trouble in troubles {
-            let fleet = play(mode, true, trouble, 8_000, &kinds);
-            let urgent = &fleet.outcomes[0];
-            let served: usize = fleet
+        for fault in faults {
+            let cluster = simulate(mode, true, fault, 8_000, &loads);
+            let urgent = &cluster.outcomes[0];
+            let served: usize = cluster
                 .outcomes
                 .iter()
                 .map(|outcome| outcome.waits.len())
                 .sum();
-            let could = CAPACITY * 8.0;
+            let capacity = CAPACITY_PER_S * 8.0;
             assert!(
-                urgent.served_share() > 0.95,
-                "{mode:?} {trouble:?}: {}",
-                urgent.served_share()
+                urgent.served_fraction() > 0.95,
+                "{mode:?} {fault:?}: {}",
+                urgent.served_fraction()
             );
             assert!(
-                served as f64 > could * 0.85,
-                "{mode:?} {trouble:?}: {served} of {could}"
+                served as f64 > capacity * 0.85,
+                "{mode:?} {fault:?}: {served} of {capacity}"
             );
         }
     }
--- a/crates/gateway-core/tests/admission_room.rs
+++ b/crates/gateway-core/tests/admission_room.rs
@@ -1,4 +1,4 @@
-//! The room of a service: which workers' slots count, and what is taken of them.
+//! Computation of a service's room, and admission by many nodes that share it.
 
 mod common;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Two workers, at each of which this node has three requests under way.
+/// Returns two workers, each with three of this node's requests in flight.
 fn two_workers() -> WorkerDirectory {
     let mut workers = WorkerDirectory::new(Policy::default());
     for id in ["one", "two"] {
@@ -38,11 +38,11 @@
 type Change = fn(&mut WorkerDirectory);
 
 #[test]
-fn only_workers_that_take_work_have_slots() {
+fn only_workers_that_accept_requests_contribute_slots() {
     let cases: [(&str, Change, u32, u32, u32); 5] = [
-        ("both are well", |_| {}, 8, 0, 0),
+        ("both healthy", |_| {}, 8, 0, 0),
         (
-            "one drains: its streams take no slot of the other",
+            "one draining: its requests occupy no slot of the other",
             |workers| {
                 workers.upsert(record("two", true), NOW);
             },
@@ -51,7 +51,7 @@
             3,
         ),
         (
-            "one is missing",
+            "one missing",
             |workers| {
                 workers.mark_missing("two", NOW);
             },
@@ -60,7 +60,7 @@
             3,
         ),
         (
-            "one is ejected",
+            "one ejected",
             |workers| {
                 (0..3).for_each(|_| {
                     workers.note_failure("two", NOW);
@@ -71,20 +71,20 @@
             3,
         ),
         (
-            "one refused for lack of room: its slots are taken, not gone",
+            "one at capacity: its slots count as taken",
             |workers| workers.note_full("two", NOW),
             8,
             1,
             0,
         ),
     ];
-    for (what, change, slots, told, apart) in cases {
+    for (what, change, slots, taken_by_others, own_uncounted) in cases {
         let mut workers = two_workers();
         change(&mut workers);
         let expected = Room {
             slots,
-            told,
-            apart,
+            taken_by_others,
+            own_uncounted,
             nodes: NODES,
         };
         assert_eq!(Room::of(&workers, SERVICE, NODES, NOW), expected, "{what}");
@@ -117,7 +117,7 @@
     }
 }
 
-/// What the other nodes tell: so many turns wait there.
+/// Returns a report of `count` turns that wait at other nodes.
 fn waiting_elsewhere(count: u32) -> Demand {
     let mut waiting = Waiting::default();
     waiting.0[1] = count;
@@ -127,30 +127,35 @@
     }
 }
 
-/// Times that a case is played, each with other chances.
-const PLAYS: u64 = 50;
+/// Number of simulations with different seeds whose results are averaged.
+const SIMULATIONS: u64 = 50;
 
-/// Turns that 78 nodes, at each of which one waits, send within some rounds to twelve free places;
-/// the mean of all plays.
+/// Returns the mean number of turns that 78 nodes with one waiting turn each send to twelve free
+/// places within `rounds` intervals.
 fn sent_within(rounds: u32) -> f64 {
-    let sent: usize = (0..PLAYS).map(|play| sent_in_play(play, rounds)).sum();
-    sent as f64 / PLAYS as f64
+    let sent: usize = (0..SIMULATIONS)
+        .map(|simulation| sent_in_simulation(simulation, rounds))
+        .sum();
+    sent as f64 / SIMULATIONS as f64
 }
 
-fn sent_in_play(play: u64, rounds: u32) -> usize {
+fn sent_in_simulation(simulation: u64, rounds: u32) -> usize {
     let full = Room {
         slots: 12,
-        told: 12,
-        apart: 0,
+        taken_by_others: 12,
+        own_uncounted: 0,
         nodes: NODES,
     };
     let mut sent = 0;
     for node in 0..u64::from(NODES) {
         let mut admission = Admission::new(rules());
-        let decision = admission.arrive(NOW, SERVICE, full, turn(play * 1_000 + node));
+        let decision = admission.arrive(NOW, SERVICE, full, turn(simulation * 1_000 + node));
         assert!(matches!(decision.arrival, Arrival::Wait { .. }));
         admission.take_demand(NOW, NodeId::from("others"), waiting_elsewhere(NODES - 1));
-        let free = Room { told: 0, ..full };
+        let free = Room {
+            taken_by_others: 0,
+            ..full
+        };
         for round in 1..=rounds {
             let at = NOW + Duration::from_millis(100) * round;
             sent += admission.release(at, SERVICE, free).len();
@@ -160,7 +165,7 @@
 }
 
 #[test]
-fn many_nodes_with_small_shares_fill_free_places_at_once_and_do_not_rush() {
+fn many_nodes_with_small_shares_fill_free_places_without_overshooting() {
     let in_first = sent_within(1);
     assert!((5.0..=7.0).contains(&in_first), "{in_first} of 12 places");
     let in_two = sent_within(2);
@@ -168,17 +173,20 @@
 }
 
 #[test]
-fn a_node_that_has_next_to_nothing_under_way_does_not_take_the_others_for_many_more() {
+fn an_idle_node_does_not_overestimate_the_arrival_rate_of_the_others() {
     let room = Room {
         slots: 672,
-        told: 672,
-        apart: 0,
+        taken_by_others: 672,
+        own_uncounted: 0,
         nodes: NODES,
     };
     let mut admission = Admission::new(rules());
-    // The pace is known: turns take 250 ms, so 672 places leave 2,688 turns a second.
+    // With turns of 250 ms, 672 places complete 2,688 turns per second.
     for _ in 0..8 {
-        let free = Room { told: 0, ..room };
+        let free = Room {
+            taken_by_others: 0,
+            ..room
+        };
         admission.arrive(NOW, SERVICE, free, with_urgency(9));
         admission.end(SERVICE, Some(Duration::from_millis(250)));
     }
@@ -191,7 +199,7 @@
     );
 }
 
-/// A turn that can wait 250 ms.
+/// Returns a turn that can wait for 250 ms.
 fn with_urgency(urgency: u8) -> Turn {
     Turn {
         urgency,
