--- a/crates/gateway-core/src/attempt.rs
+++ b/crates/gateway-core/src/attempt.rs
@@ -1,91 +1,91 @@
-//! What becomes of a request after one attempt at a worker, and what may be said of it.
+//! Retries of a request after failed attempts, and whether a worker may have run it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How far an attempt had come when it failed.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No byte of the request can have reached the worker.
     NotSent,
-    /// The worker says that it did not run the request.
+    /// The worker reported that it did not run the request.
     RefusedByWorker,
-    /// Bytes were sent and no valid answer came: the request may have run.
+    /// Bytes were sent and no valid response was received; the request may have run.
     Unknown,
 }
 
-/// Shows that no worker has run a request or may yet run it. An answer that promises so is made
-/// from nothing else, so no path can promise it by mistake.
+/// Proof that no worker has run or will run a request.
+///
+/// Responses that state this can be created only from a value of this type.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NotRun(());
 
 impl NotRun {
-    /// For a request that is refused before its first attempt, when it has no history yet.
+    /// Creates the proof for a request that is refused before its first attempt.
     pub fn before_any_attempt() -> Self {
         Self(())
     }
 }
 
-/// Shared by the history with whoever sends: set before the first byte may go out.
+/// A flag that the sender of an attempt sets before it sends the first byte.
 #[derive(Clone, Debug, Default)]
 pub struct SendMark(Rc<Cell<bool>>);
 
 impl SendMark {
-    /// Notes that bytes of the request may reach the worker from now on.
+    /// Records that bytes of the request may reach the worker from now on.
     pub fn note_sending(&self) {
         self.0.set(true);
     }
 }
 
-/// What is known of the attempts made so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
-    /// Failed attempts after which the request may have run.
+    /// Number of failed attempts that may have run the request.
     possibly_run: u32,
-    /// Failed attempts that surely did not run the request.
+    /// Number of failed attempts that did not run the request.
     not_run: u32,
-    /// Whether an attempt that ended without a failure being noted may have run it: a stream that
-    /// broke off and is gone on with, for example.
+    /// Whether an earlier attempt without a recorded failure may have run it, such as one whose
+    /// stream broke off and is resumed.
     earlier: bool,
-    /// Whether the present attempt may have run it.
-    present: SendMark,
+    /// Set if the current attempt may have run it.
+    current: SendMark,
 }
 
-/// Attempts that surely did not run the request are tried again at most this often.
-const MAX_HARMLESS_FAILURES: u32 = 4;
+/// Maximum number of failed attempts that did not run the request after which it is retried.
+const MAX_NOT_RUN_FAILURES: u32 = 4;
 
 /// The next step after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try another worker.
+    /// Retry at another worker.
     TryAgain,
-    /// Try the same worker once more, on another connection: the route allows no other.
+    /// Retry once at the same worker on another connection, since the route allows no other worker.
     TrySameWorker,
-    /// Answer. Whether that may promise that the request was not run, [`AttemptHistory::not_run`]
-    /// tells.
+    /// Respond with an error; [`AttemptHistory::not_run`] returns whether it may state that the
+    /// request was not run.
     GiveUp,
 }
 
 impl AttemptHistory {
-    /// Begins an attempt. The mark is to be set before the first byte goes out.
+    /// Starts an attempt. The sender must set the returned flag before it sends the first byte.
     pub fn begin(&mut self) -> SendMark {
-        self.earlier |= self.present.0.get();
-        self.present = SendMark::default();
-        self.present.clone()
+        self.earlier |= self.current.0.get();
+        self.current = SendMark::default();
+        self.current.clone()
     }
 
-    /// Notes a failed attempt and decides the next step.
+    /// Records a failed attempt and returns the next step.
     ///
-    /// Invariants: once an attempt may have run, a request that is not repeatable is not tried
-    /// again. A repeatable one may run at no more than `max_attempts` workers, and at the last of
-    /// them twice.
+    /// A request that isn't repeatable is never retried once it may have run. A repeatable one runs
+    /// at no more than `max_attempts` workers, and at most twice at the last of them.
     pub fn after_failure(
         &mut self,
         failure: AttemptFailure,
         repeatable: bool,
         max_attempts: u32,
     ) -> NextStep {
-        self.present = SendMark::default();
+        self.current = SendMark::default();
         match failure {
             AttemptFailure::NotSent | AttemptFailure::RefusedByWorker => self.not_run += 1,
             AttemptFailure::Unknown => self.possibly_run += 1,
@@ -100,19 +100,19 @@
                 _ => NextStep::GiveUp,
             };
         }
-        match self.not_run <= MAX_HARMLESS_FAILURES {
+        match self.not_run <= MAX_NOT_RUN_FAILURES {
             true => NextStep::TryAgain,
             false => NextStep::GiveUp,
         }
     }
 
-    /// Whether a worker may have run the request, or may yet run it.
+    /// Returns whether a worker may have run the request or may still run it.
     pub fn may_have_run(&self) -> bool {
-        self.possibly_run > 0 || self.earlier || self.present.0.get()
+        self.possibly_run > 0 || self.earlier || self.current.0.get()
     }
 
-    /// Shows that no worker has run the request, unless one may have. To be asked for once no
-    /// further attempt will be made.
+    /// Returns the proof that no worker has run the request, or `None` if one may have. Must be
+    /// called only when no further attempt will be made.
     pub fn not_run(&self) -> Option<NotRun> {
         (!self.may_have_run()).then_some(NotRun(()))
     }
--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -1,10 +1,9 @@
-//! Chooses the worker of a request.
+//! Chooses the worker that runs a request.
 //!
-//! Requests of one program meet the same worker through rendezvous hashing, on whichever node of
-//! its zone they arrive, so that a prompt's prefix is found in that worker's memory. Workers of the
-//! node's own zone come first: they are nearer, and fewer pairs of node and worker need
-//! connections. A worker that has more than its share of the load, is failing or was already tried
-//! gives way to the next, and those of a zone that seems lost come last.
+//! Rendezvous hashing sends the requests of one program to the same worker from every node of a
+//! zone, so that the worker has the prompt's prefix in memory. Workers of the node's own zone are
+//! preferred, for lower latency and fewer connections. Workers that are overloaded, failing or
+//! already tried for the request are skipped, and those of suspected zones are used last.
 
 use std::cmp::Reverse;
 
@@ -12,33 +11,33 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::placement::demand::{EngineTurn, PartKey};
-use crate::placement::homes::{home_count, place};
+use crate::placement::homes::{home_count, rendezvous_rank};
 use crate::workers::{Worker, WorkerDirectory};
 
-/// What is asked of a worker.
+/// The properties of a request that the choice of its worker depends on.
 #[derive(Clone)]
 pub struct PlacementQuery<'a> {
-    /// Service of the route.
+    /// The service that runs the request.
     pub service: &'a str,
-    /// What requests have in common that are best run by the same worker.
+    /// Affinity key: requests with the same key should run at the same worker.
     pub key: Option<&'a str>,
     /// Zone of this node.
     pub zone: &'a str,
-    /// Whether the request may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Ids of workers that were tried for this request.
+    /// Ids of the workers that were already tried for this request.
     pub tried: &'a [String],
-    /// Set for turns of which an engine reads a prompt that begins with a shared part.
+    /// Set for turns that run at a model engine.
     pub turn: Option<EngineTurn>,
-    /// A number that differs between requests, to spread those without a key.
+    /// A number that differs between requests; distributes those without a key.
     pub spread: u64,
-    /// Whether this node has a connection at rest to the worker of that id.
+    /// Returns whether this node has an idle connection to the worker with that id.
     pub is_connected: &'a dyn Fn(&str) -> bool,
 }
 
-/// The worker to take; `None` if the service has none left that takes work.
+/// Returns the worker to use, or `None` if no worker of the service accepts requests.
 ///
-/// Workers that were tried are avoided unless there is no other.
+/// Workers that were already tried are used only if there is no other.
 pub fn choose<'a>(
     workers: &'a WorkerDirectory,
     query: &PlacementQuery<'a>,
@@ -49,93 +48,95 @@
             workers
                 .accepting(query.service)
                 .filter(|worker| !workers.is_held_back(worker, now))
-                .min_by_key(|worker| rank(workers, worker, query, now))
+                .min_by_key(|worker| fallback_rank(workers, worker, query, now))
         })
         .or_else(|| {
             workers
                 .last_resort(query.service, now)
                 .filter(|worker| !workers.is_held_back(worker, now))
-                .min_by_key(|worker| rank(workers, worker, query, now))
+                .min_by_key(|worker| fallback_rank(workers, worker, query, now))
         })
 }
 
-/// Whether a worker is home to the first part of the turn's prompt; `None` if no homes are chosen.
+/// Returns whether a worker is home to the prefix of the turn's prompt, or `None` if the request
+/// has no homes.
 pub fn is_at_home(
     workers: &WorkerDirectory,
     query: &PlacementQuery<'_>,
     worker: &Worker,
 ) -> Option<bool> {
     let homes = Homes::of(workers, query);
-    let is_turn = homes != Homes::Unasked;
-    is_turn.then(|| homes.include(worker))
+    let has_homes = homes != Homes::NotApplicable;
+    has_homes.then(|| homes.contains(worker))
 }
 
-/// A worker against which nothing speaks and that has its share of the load or less: one of the own
-/// zone while that has room.
+/// Returns the preferred worker among the healthy ones that are not overloaded, in the node's own
+/// zone first while that has capacity.
 ///
-/// A worker is taken for the programs that it is the first choice of while its load is at most
-/// [`Policy::load_bound`](crate::policy::Policy::load_bound) times the mean (after Mirrokni, Thorup
-/// and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016), or so small that it slows
-/// nobody.
+/// A worker is overloaded if its load exceeds
+/// [`Policy::load_bound`](crate::policy::Policy::load_bound) times the mean and
+/// [`Policy::calm_share`](crate::policy::Policy::calm_share) of its slots (after Mirrokni, Thorup
+/// and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016).
 fn choose_balanced<'a>(
     workers: &'a WorkerDirectory,
     query: &PlacementQuery<'a>,
     now: Timestamp,
 ) -> Option<&'a Worker> {
-    let is_near = |worker: &&Worker| worker.record.zone == query.zone;
-    let is_good = |worker: &&'a Worker| {
+    let is_in_own_zone = |worker: &&Worker| worker.record.zone == query.zone;
+    let is_eligible = |worker: &&'a Worker| {
         !query.tried.contains(&worker.record.id)
             && !worker.is_unfit(now, query.repeatable)
             && !worker.is_full(now)
             && !workers.is_held_back(worker, now)
-            && !workers.is_doubtful(worker, spread_of(query), now)
+            && !workers.is_zone_avoided(worker, seed_of(query), now)
     };
     let homes = Homes::of(workers, query);
-    if keeps_zone(workers, query, &homes) {
-        let near = workers.accepting(query.service).filter(is_near);
-        if let Some(worker) = within_bound(workers, query, &homes, near.filter(is_good)) {
+    if prefers_own_zone(workers, query, &homes) {
+        let near = workers.accepting(query.service).filter(is_in_own_zone);
+        if let Some(worker) = first_within_bound(workers, query, &homes, near.filter(is_eligible)) {
             return Some(worker);
         }
     }
-    let all = workers.accepting(query.service).filter(is_good);
-    within_bound(workers, query, &homes, all)
+    let all = workers.accepting(query.service).filter(is_eligible);
+    first_within_bound(workers, query, &homes, all)
 }
 
-/// Whether to look for a worker in the own zone before all others: it is calm, and no prompt has to
-/// be read there that would be in memory elsewhere.
-fn keeps_zone(workers: &WorkerDirectory, query: &PlacementQuery<'_>, homes: &Homes) -> bool {
+/// Returns whether workers of the node's own zone are considered first: the zone has capacity, and
+/// its engines don't have to read a prefix that engines of other zones have in memory.
+fn prefers_own_zone(workers: &WorkerDirectory, query: &PlacementQuery<'_>, homes: &Homes) -> bool {
     let policy = workers.policy();
     if !policy.near_workers {
         return false;
     }
     let all = || workers.accepting(query.service);
     let near = all().filter(|worker| worker.record.zone == query.zone);
-    let use_of_near = utilization(workers, near);
-    if use_of_near >= policy.calm_share {
+    let own_zone_utilization = utilization(workers, near);
+    if own_zone_utilization >= policy.calm_share {
         return false;
     }
     match homes {
-        Homes::Unasked => true,
+        Homes::NotApplicable => true,
         Homes::Some { .. } => false,
-        // Each turn slows the others at its engine a little, so load is kept even.
+        // Turns slow each other down at an engine, so the load of the zones is balanced.
         Homes::Everywhere => {
-            policy.near_homes && use_of_near <= utilization(workers, all()) + policy.zone_slack
+            policy.near_homes
+                && own_zone_utilization <= utilization(workers, all()) + policy.zone_slack
         }
     }
 }
 
-/// Which workers are home to the first part of a turn's prompt.
+/// The workers that are home to the prefix of a turn's prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Homes {
-    /// The request is no turn with such a part.
-    Unasked,
-    /// All engines: each has memory for every part that is asked for.
+    /// The request isn't a turn for a model engine.
+    NotApplicable,
+    /// All engines: each has memory for every prefix in demand.
     Everywhere,
-    /// The first ones in the part's order.
+    /// The first engines in the prefix's rendezvous order.
     Some {
-        /// The part.
+        /// The prefix.
         part: PartKey,
-        /// Place of the last home.
+        /// Rank of the last home.
         last: u64,
     },
 }
@@ -144,35 +145,35 @@
     fn of(workers: &WorkerDirectory, query: &PlacementQuery<'_>) -> Self {
         let turn = query.turn.filter(|_| workers.policy().part_homes);
         let Some(turn) = turn else {
-            return Self::Unasked;
+            return Self::NotApplicable;
         };
         let accepting = workers.accepting(query.service);
-        let mut places: Vec<u64> = accepting
-            .map(|worker| place(turn.part, &worker.record.id))
+        let mut ranks: Vec<u64> = accepting
+            .map(|worker| rendezvous_rank(turn.part, &worker.record.id))
             .collect();
-        places.sort_unstable();
-        let homes = home_count(workers.home_share(query.service, &turn), places.len());
-        if homes == places.len() {
+        ranks.sort_unstable();
+        let homes = home_count(workers.home_fraction(query.service, &turn), ranks.len());
+        if homes == ranks.len() {
             return Self::Everywhere;
         }
-        let last = homes.checked_sub(1).and_then(|index| places.get(index));
+        let last = homes.checked_sub(1).and_then(|index| ranks.get(index));
         Self::Some {
             part: turn.part,
             last: last.copied().unwrap_or(u64::MAX),
         }
     }
 
-    fn include(&self, worker: &Worker) -> bool {
+    fn contains(&self, worker: &Worker) -> bool {
         match self {
-            Self::Unasked | Self::Everywhere => true,
-            Self::Some { part, last } => place(*part, &worker.record.id) <= *last,
+            Self::NotApplicable | Self::Everywhere => true,
+            Self::Some { part, last } => rendezvous_rank(*part, &worker.record.id) <= *last,
         }
     }
 }
 
-/// Requests under way per slot; more than any worker has if there are no slots.
-fn utilization<'a>(workers: &WorkerDirectory, some: impl Iterator<Item = &'a Worker>) -> f64 {
-    let (load, slots) = some.fold((0.0, 0.0), |(load, slots), worker| {
+/// Returns the requests in flight per slot, or infinity if there are no candidates.
+fn utilization<'a>(workers: &WorkerDirectory, candidates: impl Iterator<Item = &'a Worker>) -> f64 {
+    let (load, slots) = candidates.fold((0.0, 0.0), |(load, slots), worker| {
         let own_slots = f64::from(worker.record.slots.max(1));
         (load + f64::from(workers.load(worker)), slots + own_slots)
     });
@@ -183,18 +184,23 @@
     }
 }
 
-/// The first in the order of preference whose load is within its bound; one always is.
-fn within_bound<'a>(
+/// Returns the most preferred candidate whose load is within the bound; at least one candidate is
+/// at or below the mean.
+fn first_within_bound<'a>(
     workers: &WorkerDirectory,
     query: &PlacementQuery<'_>,
     homes: &Homes,
-    some: impl Iterator<Item = &'a Worker>,
+    candidates: impl Iterator<Item = &'a Worker>,
 ) -> Option<&'a Worker> {
-    let candidates: Vec<&Worker> = some.collect();
+    let candidates: Vec<&Worker> = candidates.collect();
     if query.key.is_none() {
         let rank = |worker: &Worker| {
             let needs_connection = !(query.is_connected)(&worker.record.id);
-            (worker.in_flight, needs_connection, order(worker, query))
+            (
+                worker.in_flight,
+                needs_connection,
+                rendezvous_order(worker, query),
+            )
         };
         return candidates.into_iter().min_by_key(|worker| rank(worker));
     }
@@ -208,34 +214,34 @@
     candidates
         .into_iter()
         .filter(|worker| is_within(worker))
-        .min_by_key(|worker| (!homes.include(worker), order(worker, query)))
+        .min_by_key(|worker| (!homes.contains(worker), rendezvous_order(worker, query)))
 }
 
-/// Order of preference if something speaks against every worker; the least is best.
-type Rank = (bool, bool, bool, bool, bool, u32, u32, Reverse<u64>);
+/// Sort key of the workers if none is eligible; the lowest is used.
+type FallbackRank = (bool, bool, bool, bool, bool, u32, u32, Reverse<u64>);
 
-fn rank(
+fn fallback_rank(
     workers: &WorkerDirectory,
     worker: &Worker,
     query: &PlacementQuery<'_>,
     now: Timestamp,
-) -> Rank {
+) -> FallbackRank {
     let tried = query.tried.contains(&worker.record.id);
     let rounds = worker.in_flight / worker.record.slots.max(1);
     (
         tried,
-        workers.is_doubtful(worker, spread_of(query), now),
+        workers.is_zone_avoided(worker, seed_of(query), now),
         worker.is_ejected(now),
         worker.is_unfit(now, query.repeatable),
         worker.is_full(now),
         rounds,
         load(worker, query),
-        order(worker, query),
+        rendezvous_order(worker, query),
     )
 }
 
-/// Requests without a key go to the worker with the least under way; those with one keep to their
-/// order.
+/// Returns the number of this node's requests at the worker for requests without a key, and 0 for
+/// those with one, which follow the rendezvous order.
 fn load(worker: &Worker, query: &PlacementQuery<'_>) -> u32 {
     match query.key {
         Some(_) => 0,
@@ -243,14 +249,15 @@
     }
 }
 
-/// Rendezvous hashing: the order of the workers for one key.
-fn order(worker: &Worker, query: &PlacementQuery<'_>) -> Reverse<u64> {
-    let seed = spread_of(query);
+/// Returns the sort key of a worker in the request's rendezvous order.
+fn rendezvous_order(worker: &Worker, query: &PlacementQuery<'_>) -> Reverse<u64> {
+    let seed = seed_of(query);
     Reverse(xxh3_64_with_seed(worker.record.id.as_bytes(), seed))
 }
 
-/// The same number for all requests of one key, else one that differs between requests.
-fn spread_of(query: &PlacementQuery<'_>) -> u64 {
+/// Returns the hash seed: the same for all requests with the same key, and a different one for each
+/// request without a key.
+fn seed_of(query: &PlacementQuery<'_>) -> u64 {
     match query.key {
         Some(key) => xxh3_64_with_seed(key.as_bytes(), 0),
         None => query.spread,
--- a/crates/gateway-core/src/call.rs
+++ b/crates/gateway-core/src/call.rs
@@ -1,49 +1,49 @@
-//! What a caller says about a request, apart from its method, path and body.
+//! Attributes of a request that its caller sends in addition to method, path and body.
 
 use std::time::Duration;
 
 use crate::tenants::Credential;
 
-/// A part of a prompt that may be shared with other requests.
+/// A segment of a prompt that other requests may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Name of the part; equal names mean equal text.
+    /// Name of the segment; segments with equal names have equal text.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
 /// Attributes of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallAttributes {
-    /// The key that the request bears.
+    /// API key of the caller.
     pub credential: Credential,
-    /// Name of this try of the request; never used twice.
+    /// Unique id of this attempt of the caller.
     pub request_id: Option<String>,
-    /// How long the caller will wait from now.
+    /// How long the caller will wait, from the arrival of the request.
     pub deadline: Option<Duration>,
     /// Object that the request concerns.
     pub affinity_key: Option<String>,
-    /// Program under way that the request belongs to.
+    /// Id of the running program that the request belongs to.
     pub program: Option<String>,
-    /// Line of turns within the program.
+    /// Id of the sequence of turns within the program.
     pub session: Option<String>,
-    /// Time left from now before the whole program should be over.
+    /// Time until the deadline of the whole program, from the arrival of the request.
     pub finish: Option<Duration>,
-    /// Tokens that all turns of the program may generate together.
+    /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
-    /// Tokens that this turn generates at most.
+    /// Maximum number of tokens that this turn generates.
     pub most_tokens: u64,
-    /// The kept turn that this one goes on from.
+    /// Id of the stored turn that this one continues.
     pub previous_turn: Option<String>,
-    /// The prompt's parts in order.
+    /// Segments of the prompt in order.
     pub prompt: Vec<PromptSegment>,
-    /// Last event of the stream that the caller has received.
+    /// Id of the last event of the stream that the caller has received.
     pub last_event_id: Option<String>,
 }
 
 impl CallAttributes {
-    /// What requests have in common that are best run by the same worker.
+    /// Returns the affinity key: requests with the same key should run at the same worker.
     pub fn placement_key(&self) -> Option<&str> {
         self.program
             .as_deref()
--- a/crates/gateway-core/src/departures.rs
+++ b/crates/gateway-core/src/departures.rs
@@ -1,12 +1,12 @@
-//! Which listed nodes have been gone for so long that their entries are to be dropped.
+//! Detects nodes that have been absent for so long that their entries should be removed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use elderworks_types::{Incarnation, NodeId, Timestamp};
 
-/// A node that nobody has heard of for this long does not come back under its entry: one that is
-/// started again writes a new one.
+/// Absence after which the entry of a node is removed. A node that is restarted later writes a new
+/// entry.
 pub const DEPARTED_AFTER: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
@@ -15,15 +15,15 @@
     since: Timestamp,
 }
 
-/// Since when listed nodes have been absent.
+/// The listed nodes that are absent, and since when.
 #[derive(Debug, Default)]
 pub struct Departures {
     absent: BTreeMap<NodeId, Absence>,
 }
 
 impl Departures {
-    /// Takes the listed nodes that are not alive, with the incarnations of their entries; returns
-    /// those that have been absent for [`DEPARTED_AFTER`] under the same entry.
+    /// Sets the listed nodes that are not alive, with the incarnations of their entries; returns
+    /// those that have been absent for [`DEPARTED_AFTER`] with the same incarnation.
     pub fn update(&mut self, now: Timestamp, absent: Vec<(NodeId, Incarnation)>) -> Vec<NodeId> {
         let known = std::mem::take(&mut self.absent);
         for (node, incarnation) in absent {
--- a/crates/gateway-core/src/drain.rs
+++ b/crates/gateway-core/src/drain.rs
@@ -1,51 +1,51 @@
-//! How a node leaves: until when it takes new connections, and when it ends.
+//! Graceful shutdown of a node: until when it accepts connections, and when it exits.
 
 use std::time::Duration;
 
-/// A draining node takes connections for this long: callers hold on to the addresses that they
-/// were told for up to five seconds ([`crate::policy::Policy::addresses_ttl_ms`]), and a refused
-/// connection costs them a try.
-const LONGEST_OPEN: Duration = Duration::from_millis(4_500);
+/// Maximum time for which a draining node accepts connections. Callers use a node's address for up
+/// to [`addresses_ttl_ms`](crate::policy::Policy::addresses_ttl_ms) after it is withdrawn, and a
+/// refused connection costs them an attempt.
+const MAX_OPEN: Duration = Duration::from_millis(4_500);
 
-/// Share of the grace time after which no connection is taken any more: what is taken until then
-/// must have time to end.
-const OPEN_SHARE: f64 = 0.5625;
+/// Fraction of the grace period after which no connection is accepted, so that the requests
+/// accepted before have time to complete.
+const OPEN_FRACTION: f64 = 0.5625;
 
-/// Kept back from the time until the process is killed, for its own end.
-const END_RESERVE: Duration = Duration::from_millis(200);
+/// Time before the process is killed that is reserved for its exit.
+const EXIT_RESERVE: Duration = Duration::from_millis(200);
 
-/// What a draining node does now.
+/// The current step of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainStep {
-    /// It takes requests, and says in answers that their connections end.
+    /// The node accepts requests and closes each connection after the response.
     TakeRequests,
-    /// It finishes what is under way and takes nothing new.
+    /// The node completes requests in flight and accepts no new ones.
     Finish,
-    /// It ends.
+    /// The node exits.
     End,
 }
 
-/// The times of a drain, from the moment at which the node was told to stop.
+/// Durations of the steps of a drain, from the request to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainPlan {
     open_for: Duration,
-    ends_after: Duration,
+    exit_after: Duration,
 }
 
 impl DrainPlan {
-    /// For a process that is killed `grace` after it was told to stop.
+    /// Creates the plan for a process that is killed `grace` after the request to stop.
     pub fn new(grace: Duration) -> Self {
         Self {
-            open_for: LONGEST_OPEN.min(grace.mul_f64(OPEN_SHARE)),
-            ends_after: grace.saturating_sub(END_RESERVE),
+            open_for: MAX_OPEN.min(grace.mul_f64(OPEN_FRACTION)),
+            exit_after: grace.saturating_sub(EXIT_RESERVE),
         }
     }
 
-    /// What to do `elapsed` after the node was told to stop, with so many requests under way.
+    /// Returns the step at `elapsed` after the request to stop, with `in_flight` requests.
     pub fn step(&self, elapsed: Duration, in_flight: u32) -> DrainStep {
         if elapsed < self.open_for {
             DrainStep::TakeRequests
-        } else if in_flight > 0 && elapsed < self.ends_after {
+        } else if in_flight > 0 && elapsed < self.exit_after {
             DrainStep::Finish
         } else {
             DrainStep::End
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -72,13 +72,13 @@
 
 /// Fetches of late, by the engine that takes the part.
 #[derive(Clone, Debug, Default)]
-pub struct FetchBook {
+pub struct FetchLimiter {
     fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PartKey, u64)>>,
 }
 
-impl FetchBook {
+impl FetchLimiter {
     /// Notes a fetch if the engine may make it now; tells whether it may.
-    pub fn begin(
+    pub fn try_start(
         &mut self,
         engine: WorkerKey,
         fetch: &Fetch,
--- a/crates/gateway-core/src/engines.rs
+++ b/crates/gateway-core/src/engines.rs
@@ -1,135 +1,135 @@
-//! What engines say of their memory and their runs, and what they are asked to do with it.
+//! Reports of engines on their memory and runs, and requests to transfer memory between engines.
 
 use std::net::SocketAddr;
 
-/// Where an engine takes a request's prompt from, beyond what it has read itself.
+/// Where an engine gets the parts of a request's prompt that it doesn't have in memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum PromptSource {
-    /// It reads what it lacks.
+    /// The engine processes them itself.
     #[default]
     Read,
-    /// It first takes what another engine keeps of the prompt.
+    /// The engine first fetches what another engine has cached of the prompt.
     Engine(SocketAddr),
-    /// The request goes on as the same run with a copy of its memory.
+    /// The engine resumes a run with a copy of its memory.
     Copy(RunCopy),
 }
 
-/// A copy of a run's memory, good for one request.
+/// A copy of a run's memory, which can be used for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunCopy {
     /// The engine from which the copy was made.
     pub source: SocketAddr,
-    /// Names the copy there: the handle of a move, or, for a backup, the run's request id.
+    /// Identifies the copy at that engine: the handle of a move or, for a backup, the request id.
     pub handle: String,
 }
 
-/// What an engine does with requests.
+/// The stages of a request that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStage {
-    /// It reads prompts and generates.
+    /// Prefill and decode.
     Both,
-    /// It only reads prompts.
+    /// Only prefill: processes prompts.
     Prefill,
-    /// It only generates.
+    /// Only decode: generates tokens.
     Decode,
 }
 
-/// What an engine reports of itself, as of a moment ago.
+/// An engine's report of its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// What it does.
+    /// The stages that it runs.
     pub stage: EngineStage,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Tokens in memory that cannot give way.
+    /// Tokens in memory that can't be evicted.
     pub used_tokens: u64,
-    /// Tokens that its memory holds.
+    /// Capacity of its memory in tokens.
     pub memory_tokens: u64,
-    /// Tokens pinned for requests to come.
+    /// Tokens pinned for future requests.
     pub pinned_tokens: u64,
-    /// Tokens set aside by holds.
+    /// Tokens reserved by holds.
     pub held_tokens: u64,
-    /// Copies of runs that it keeps.
+    /// Number of stored copies of runs.
     pub copies: u32,
-    /// Its runs.
+    /// The running requests.
     pub runs: Vec<EngineRun>,
 }
 
-/// One run at an engine.
+/// One running request of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRun {
-    /// The request's id.
+    /// Id of the request.
     pub request_id: String,
     /// Tokens in memory.
     pub tokens: u64,
-    /// Events made so far.
+    /// Number of events generated so far.
     pub events: u64,
 }
 
-/// Changes of what an engine keeps of prompts.
+/// Changes of the prompt prefixes that an engine caches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryEvents {
-    /// Changes when the engine starts anew: what was known of it holds no more.
+    /// Changes when the engine restarts, which invalidates all earlier events.
     pub epoch: u64,
-    /// Where the next call goes on.
+    /// Number from which the next call continues.
     pub next: u64,
-    /// Whether earlier events are missing.
+    /// Whether events before the first one are missing.
     pub has_gap: bool,
-    /// In order.
+    /// The events in order.
     pub events: Vec<MemoryEvent>,
 }
 
-/// One change of what an engine keeps.
+/// One change of a cached prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryEvent {
-    /// The prompt's part.
+    /// Name of the prefix.
     pub part: String,
-    /// Tokens of it that the engine keeps now; 0 if it was dropped.
+    /// Number of its tokens that are now cached; 0 if it was evicted.
     pub tokens: u64,
 }
 
-/// Everything that an engine keeps of prompts.
+/// All prompt prefixes that an engine caches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryListing {
     /// As in [`MemoryEvents`].
     pub epoch: u64,
-    /// Where calls for events go on.
+    /// Number from which the next call for events continues.
     pub next: u64,
-    /// Parts with the tokens of each that are kept.
+    /// The cached prefixes and their numbers of tokens.
     pub parts: Vec<MemoryEvent>,
 }
 
-/// Asks an engine to copy a run's memory to another one.
+/// A request to an engine to copy a run's memory to another engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunMove {
-    /// The request's id.
+    /// Id of the run's request.
     pub request_id: String,
-    /// The other engine.
+    /// Address of the other engine.
     pub target: SocketAddr,
-    /// Set to stop the run: the last event that its caller has received. Its stream then ends
-    /// without its end, and the source keeps the memory.
+    /// Set to stop the run: id of the last event that its caller has received. The run's stream then
+    /// ends without a final event, and the source keeps the memory.
     pub stop_after: Option<String>,
 }
 
-/// How [`RunMove`] ended.
+/// The outcome of a [`RunMove`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MoveOutcome {
-    /// The copy is whole.
+    /// The copy is complete.
     Copied {
-        /// Names it.
+        /// Identifies the copy.
         handle: String,
-        /// Events that the run has made.
+        /// Number of events that the run has generated.
         events: u64,
     },
-    /// The engine does not run the request.
+    /// The engine doesn't run the request.
     NoSuchRun,
-    /// Another move of the run is under way.
+    /// Another move of the run is in progress.
     UnderWay,
-    /// There is no room or no way to the other engine.
+    /// The other engine has no capacity or is unreachable.
     NoRoom {
-        /// Names what the source keeps, if the run was stopped.
+        /// Identifies the memory that the source keeps, if the run was stopped.
         handle: Option<String>,
     },
 }
--- a/crates/gateway-core/src/evacuations.rs
+++ b/crates/gateway-core/src/evacuations.rs
@@ -1,54 +1,53 @@
-//! Zones whose workers are to get nothing more, as the operator wishes.
+//! Zones that the operator has ordered to be evacuated: their workers get no new requests.
 //!
-//! Wishes are ordered by their offsets on the log, whichever way they come here: read from the log
-//! or told by another node. A later one is never undone by an earlier one that arrives late.
+//! Orders are read from the log or received from other nodes, and are compared by their offset on
+//! the log, so that an old order that arrives late doesn't override a newer one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderworks_types::Offset;
 
-/// Most zones of which wishes are kept: far more than a deployment has, and little memory whatever
-/// is written to the log. Beyond it, wishes to empty a further zone are still taken while another one
-/// is no longer wanted.
-const MOST_ZONES: usize = 256;
+/// Maximum number of zones with an order, to bound the memory. Beyond it, an order for a further
+/// zone replaces one for a zone that is no longer evacuated.
+const MAX_ZONES: usize = 256;
 
-/// The operator's latest wish for one zone.
+/// The operator's latest order for one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneWish {
-    /// Position of the record that says so.
+    /// Offset of the order's record on the log.
     pub offset: Offset,
-    /// Whether the zone's workers are to get nothing more.
+    /// Whether the zone is evacuated.
     pub is_on: bool,
 }
 
-/// The latest wish for every zone that there was one for.
+/// The latest order for each zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     wishes: BTreeMap<String, ZoneWish>,
 }
 
 impl Evacuations {
-    /// Takes a wish; tells whether it changes what holds for the zone.
-    pub fn note(&mut self, zone: &str, wish: ZoneWish) -> bool {
+    /// Applies an order unless a newer one is known; returns whether it changed the zone's state.
+    pub fn note(&mut self, zone: &str, order: ZoneWish) -> bool {
         let known = self.wishes.get(zone).copied();
-        if known.is_some_and(|known| known.offset >= wish.offset) {
+        if known.is_some_and(|known| known.offset >= order.offset) {
             return false;
         }
-        if known.is_none() && self.wishes.len() >= MOST_ZONES && !self.drop_one_lifted() {
+        if known.is_none() && self.wishes.len() >= MAX_ZONES && !self.drop_lifted() {
             return false;
         }
-        self.wishes.insert(zone.to_owned(), wish);
-        known.is_some_and(|known| known.is_on) != wish.is_on
+        self.wishes.insert(zone.to_owned(), order);
+        known.is_some_and(|known| known.is_on) != order.is_on
     }
 
-    /// Takes what a reading of all records has shown: `listed` are the zones to be emptied, and those
-    /// known before `end` that are not among them are lifted. Returns those that are.
+    /// Applies the result of reading all records up to `end`: ends the evacuation of zones that are
+    /// not `listed` and whose order is older; returns these zones.
     pub fn lift_all_but(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
         let mut lifted = Vec::new();
-        for (zone, wish) in &mut self.wishes {
-            let is_over = wish.is_on && wish.offset < end && !listed.contains(zone.as_str());
+        for (zone, order) in &mut self.wishes {
+            let is_over = order.is_on && order.offset < end && !listed.contains(zone.as_str());
             if is_over {
-                *wish = ZoneWish {
+                *order = ZoneWish {
                     offset: end,
                     is_on: false,
                 };
@@ -58,27 +57,27 @@
         lifted
     }
 
-    /// Whether a zone's workers are to get nothing more.
+    /// Returns whether a zone is evacuated.
     pub fn is_on(&self, zone: &str) -> bool {
-        self.wishes.get(zone).is_some_and(|wish| wish.is_on)
+        self.wishes.get(zone).is_some_and(|order| order.is_on)
     }
 
-    /// The zones whose workers are to get nothing more.
+    /// Returns the evacuated zones.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         let wishes = self.wishes.iter();
         wishes
-            .filter(|(_, wish)| wish.is_on)
+            .filter(|(_, order)| order.is_on)
             .map(|(zone, _)| zone.as_str())
     }
 
-    /// Every wish, also those that are over, for other nodes.
+    /// Returns all orders, including those that ended an evacuation, for reports to other nodes.
     pub fn wishes(&self) -> impl Iterator<Item = (&str, ZoneWish)> {
         let wishes = self.wishes.iter();
-        wishes.map(|(zone, wish)| (zone.as_str(), *wish))
+        wishes.map(|(zone, order)| (zone.as_str(), *order))
     }
 
-    fn drop_one_lifted(&mut self) -> bool {
-        let mut lifted = self.wishes.iter().filter(|(_, wish)| !wish.is_on);
+    fn drop_lifted(&mut self) -> bool {
+        let mut lifted = self.wishes.iter().filter(|(_, order)| !order.is_on);
         let Some(zone) = lifted.next().map(|(zone, _)| zone.clone()) else {
             return false;
         };
--- a/crates/gateway-core/src/peer_loads.rs
+++ b/crates/gateway-core/src/peer_loads.rs
@@ -1,4 +1,4 @@
-//! Requests that other nodes have under way at workers, as those nodes tell now and then.
+//! Requests in flight of other nodes at the workers, from their periodic reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 use elderworks_types::{NodeId, Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A report counts for this long; nodes repeat theirs more often, also when nothing changes.
+/// Time after which a report expires; nodes send reports more often, also when nothing changes.
 pub const REPORT_LIFETIME: Duration = Duration::from_millis(1_200);
 
-/// Stands for a worker's id in reports.
+/// A hash that identifies a worker in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub u32);
 
 impl WorkerKey {
-    /// The key of a worker. Two workers may share one, which only blurs their load.
+    /// Returns the key of a worker. Collisions only make the load of two workers less accurate.
     pub fn of(id: &str) -> Self {
         let hash = xxh3_64(id.as_bytes());
         Self(u32::try_from(hash >> 32).expect("the upper half of 64 bits"))
     }
 }
 
-/// What one node has under way, by worker.
+/// One node's requests in flight by worker.
 #[derive(Clone, Debug)]
 struct Report {
     at: Timestamp,
     counts: BTreeMap<WorkerKey, u32>,
 }
 
-/// The latest report of every node that has told lately.
+/// The latest report of every other node, until it expires.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
     reports: BTreeMap<NodeId, Report>,
@@ -36,8 +36,13 @@
 }
 
 impl PeerLoads {
-    /// Takes a node's report in place of its earlier one.
-    pub fn take(&mut self, now: Timestamp, node: NodeId, counts: BTreeMap<WorkerKey, u32>) {
+    /// Replaces the report of a node.
+    pub fn replace_report(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        counts: BTreeMap<WorkerKey, u32>,
+    ) {
         self.drop_node(&node);
         for (key, count) in &counts {
             *self.totals.entry(*key).or_default() += count;
@@ -45,7 +50,7 @@
         self.reports.insert(node, Report { at: now, counts });
     }
 
-    /// Drops reports that are too old to count.
+    /// Drops expired reports.
     pub fn drop_old(&mut self, now: Timestamp) {
         let is_old = |report: &Report| now.since(report.at) >= REPORT_LIFETIME;
         let reports = self.reports.iter();
@@ -58,7 +63,7 @@
         }
     }
 
-    /// Drops what was told of a worker that has started again.
+    /// Drops the reported load of a worker that has restarted.
     pub fn forget_worker(&mut self, key: WorkerKey) {
         self.totals.remove(&key);
         for report in self.reports.values_mut() {
@@ -78,20 +83,20 @@
         self.totals.retain(|_, total| *total > 0);
     }
 
-    /// Requests of the nodes that have told, at one worker.
+    /// Returns the reported requests in flight at a worker.
     pub fn at(&self, key: WorkerKey) -> u32 {
         self.totals.get(&key).copied().unwrap_or(0)
     }
 }
 
-/// Whose turn it is to be told, where not all can be told at a time.
+/// Selects recipients in rotation if there are too many for one round.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rota {
     next: usize,
 }
 
 impl Rota {
-    /// As many of all as are told at a time, beginning behind those who were told last.
+    /// Returns up to `most` elements, starting after those of the previous call.
     pub fn pick<T>(&mut self, mut all: Vec<T>, most: usize) -> Vec<T> {
         if all.len() > most {
             let start = self.next % all.len();
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -1,4 +1,4 @@
-//! How much each first part of the prompts is asked for, and how many homes it has for that.
+//! Demand for each prompt prefix, and the fraction of engines that are its homes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,115 +6,115 @@
 use elderworks_types::{NodeId, Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::homes::{PartLoad, home_shares};
+use super::homes::{PrefixLoad, home_fractions};
 
-/// Time in which a past demand comes to count half. Long enough that a node's own sample of a few
-/// turns a second tells parts apart, short enough that homes follow a change within a minute.
+/// Half-life of the demand counters.
 const HALF_LIFE: Duration = Duration::from_secs(15);
 
-/// Homes are counted anew at this interval.
-const REFRESH: Duration = Duration::from_millis(500);
+/// Interval at which the homes are recomputed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What another node has told counts for this long; nodes repeat it more often.
-const TOLD_LIFETIME: Duration = Duration::from_secs(5);
+/// Time after which another node's report expires; nodes send reports more often.
+const PEER_REPORT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Most parts that a node tells of, those asked for most.
-const MOST_TOLD: usize = 32;
+/// Maximum number of prefixes in a report, those with the highest demand.
+const MAX_REPORTED: usize = 32;
 
-/// Parts of one service that are told apart; those asked for least are forgotten first. More than
-/// any engine's memory holds.
-const MOST_PARTS: usize = 256;
+/// Maximum number of prefixes of one service with a counter; those with the lowest demand are
+/// dropped first.
+const MAX_PREFIXES: usize = 256;
 
-/// A part asked for less than this, in turns that count in full, is forgotten.
-const COLD: f64 = 0.1;
+/// Decayed number of turns below which a prefix is dropped.
+const MIN_TURNS: f64 = 0.1;
 
-/// Share of an engine's memory beside running requests that kept parts may fill; the rest is for
-/// what single programs have read.
-const PARTS_SHARE: f64 = 0.6;
+/// Fraction of an engine's memory beside running requests that shared prefixes may fill; the rest
+/// is left to the cached prompts of single programs.
+const PREFIX_MEMORY_FRACTION: f64 = 0.6;
 
-/// Share of their slots that engines fill while room is short, as far as memory is concerned.
-const FILLED_SHARE: f64 = 0.75;
+/// Fraction of an engine's slots that are assumed to be occupied when its memory is divided.
+const FILLED_SLOTS_FRACTION: f64 = 0.75;
 
-/// Turns that parts not met yet count for beside the known ones, so that a node that has met few
-/// does not take all engines for their homes.
-const UNMET_TURNS: f64 = 8.0;
+/// Demand, in turns, that is reserved for prefixes not yet known, so that a node that knows only a
+/// few prefixes doesn't assign all engines to them.
+const UNKNOWN_PREFIX_TURNS: f64 = 8.0;
 
-/// Part of the mean by which one turn moves it.
-const MEAN_STEP: f64 = 0.02;
+/// Weight of one turn in the moving average of held tokens.
+const MEAN_WEIGHT: f64 = 0.02;
 
-/// Stands for a first part of prompts: equal keys mean equal text.
+/// A hash that identifies a prompt prefix; prefixes with equal keys have equal text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartKey(pub u32);
 
 impl PartKey {
-    /// The key of the part of that name.
+    /// Returns the key of the prefix with that name.
     pub fn of(name: &str) -> Self {
         let hash = xxh3_64(name.as_bytes());
         Self(u32::try_from(hash >> 32).expect("the upper half of 64 bits"))
     }
 }
 
-/// What placement needs to know of one turn for an engine.
+/// The properties of a turn that placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineTurn {
-    /// The first part of its prompt.
+    /// The prefix of its prompt.
     pub part: PartKey,
-    /// Length of that part in tokens.
+    /// Length of the prefix in tokens.
     pub part_tokens: u64,
-    /// Tokens of the prompt behind its first part.
+    /// Length of the prompt after the prefix in tokens.
     pub private_tokens: u64,
-    /// Tokens that the turn generates at most.
+    /// Maximum number of tokens that the turn generates.
     pub answer_tokens: u64,
-    /// Tokens that one engine's memory holds.
+    /// Capacity of one engine's memory in tokens.
     pub memory_tokens: u64,
-    /// Requests that one engine runs at once.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
 }
 
 impl EngineTurn {
-    /// Tokens that it holds at most while it runs.
+    /// Returns the maximum number of tokens that the turn occupies while it runs.
     pub fn held_tokens(&self) -> u64 {
         self.part_tokens + self.private_tokens + self.answer_tokens
     }
 }
 
-/// Demand for one part.
+/// Demand for one prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartUse {
-    /// Its length in tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// Turns that asked for it, past ones counted less.
+    /// Decayed number of turns whose prompt begins with it.
     pub turns: f64,
 }
 
-/// What another node has told of its demand.
+/// Another node's report of its demand.
 #[derive(Clone, Debug)]
-struct Told {
+struct PeerReport {
     at: Timestamp,
     uses: Vec<(PartKey, PartUse)>,
 }
 
-/// Demand for the parts of one service, and the share of engines that is home to each.
+/// Demand for the prefixes of one service, and the fraction of engines that are home to each.
 #[derive(Clone, Debug, Default)]
-pub struct PartDemand {
+pub struct PrefixDemand {
     own: BTreeMap<PartKey, PartUse>,
-    told: BTreeMap<NodeId, Told>,
-    shares: BTreeMap<PartKey, f64>,
-    /// Mean of the tokens that turns hold.
-    held_mean: f64,
-    refreshed: Option<Timestamp>,
+    peer_reports: BTreeMap<NodeId, PeerReport>,
+    home_fractions: BTreeMap<PartKey, f64>,
+    /// Moving average of the tokens that turns occupy.
+    mean_held_tokens: f64,
+    refreshed_at: Option<Timestamp>,
 }
 
-impl PartDemand {
-    /// Counts a turn; `engines` are those that take work.
+impl PrefixDemand {
+    /// Records a turn; `engines` is the number of engines that accept requests.
     pub fn note_turn(&mut self, turn: &EngineTurn, engines: usize, now: Timestamp) {
         let held = turn.held_tokens() as f64;
-        if self.held_mean == 0.0 {
-            self.held_mean = held;
+        if self.mean_held_tokens == 0.0 {
+            self.mean_held_tokens = held;
         }
-        self.held_mean += (held - self.held_mean) * MEAN_STEP;
-        let is_due = |at: Timestamp| now.since(at) >= REFRESH;
-        let is_due = self.refreshed.is_none_or(is_due) || !self.shares.contains_key(&turn.part);
+        self.mean_held_tokens += (held - self.mean_held_tokens) * MEAN_WEIGHT;
+        let is_due = |at: Timestamp| now.since(at) >= REFRESH_INTERVAL;
+        let is_due =
+            self.refreshed_at.is_none_or(is_due) || !self.home_fractions.contains_key(&turn.part);
         if is_due {
             self.decay(now);
         }
@@ -129,24 +129,29 @@
         }
     }
 
-    /// Takes another node's demand in place of what it told before.
-    pub fn take_told(&mut self, now: Timestamp, node: NodeId, uses: Vec<(PartKey, PartUse)>) {
-        self.told.insert(node, Told { at: now, uses });
+    /// Replaces another node's report.
+    pub fn apply_peer_demand(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        uses: Vec<(PartKey, PartUse)>,
+    ) {
+        self.peer_reports.insert(node, PeerReport { at: now, uses });
     }
 
-    /// What other nodes are told: this node's own demand.
+    /// Returns this node's own demand, for a report to the other nodes.
     pub fn own_demand(&self) -> Vec<(PartKey, PartUse)> {
         let mut uses: Vec<(PartKey, PartUse)> =
             self.own.iter().map(|(key, used)| (*key, *used)).collect();
         uses.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
-        uses.truncate(MOST_TOLD);
+        uses.truncate(MAX_REPORTED);
         uses
     }
 
-    /// Parts that turns ask for here or elsewhere, those asked for most.
-    pub fn most_wanted(&self, most: usize) -> Vec<PartKey> {
-        if self.shares.len() <= most {
-            return self.shares.keys().copied().collect();
+    /// Returns up to `most` prefixes with the highest demand at all nodes.
+    pub fn most_requested(&self, most: usize) -> Vec<PartKey> {
+        if self.home_fractions.len() <= most {
+            return self.home_fractions.keys().copied().collect();
         }
         let mut wanted: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
         wanted.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
@@ -154,32 +159,32 @@
         wanted.into_iter().map(|(part, _)| part).collect()
     }
 
-    /// Share of the engines that is home to a part; all of them if nothing is known of it.
-    pub fn share(&self, part: PartKey) -> f64 {
-        self.shares.get(&part).copied().unwrap_or(1.0)
+    /// Returns the fraction of engines that are home to a prefix, 1 for an unknown one.
+    pub fn home_fraction(&self, part: PartKey) -> f64 {
+        self.home_fractions.get(&part).copied().unwrap_or(1.0)
     }
 
-    /// Parts that are told apart.
+    /// Returns the number of known prefixes.
     pub fn len(&self) -> usize {
-        self.shares.len()
+        self.home_fractions.len()
     }
 
-    /// Whether no part is known.
+    /// Returns whether no prefix is known.
     pub fn is_empty(&self) -> bool {
-        self.shares.is_empty()
+        self.home_fractions.is_empty()
     }
 
     fn decay(&mut self, now: Timestamp) {
-        let since = self.refreshed.map_or(Duration::ZERO, |at| now.since(at));
-        self.refreshed = Some(now);
-        let left = 0.5_f64.powf(since.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        let since = self.refreshed_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.refreshed_at = Some(now);
+        let factor = 0.5_f64.powf(since.as_secs_f64() / HALF_LIFE.as_secs_f64());
         for part in self.own.values_mut() {
-            part.turns *= left;
+            part.turns *= factor;
         }
-        self.own.retain(|_, part| part.turns >= COLD);
-        self.told
-            .retain(|_, told| now.since(told.at) < TOLD_LIFETIME);
-        while self.own.len() > MOST_PARTS {
+        self.own.retain(|_, part| part.turns >= MIN_TURNS);
+        self.peer_reports
+            .retain(|_, peer_reports| now.since(peer_reports.at) < PEER_REPORT_LIFETIME);
+        while self.own.len() > MAX_PREFIXES {
             let parts = self.own.iter();
             let coldest = parts.min_by(|(_, one), (_, other)| one.turns.total_cmp(&other.turns));
             let Some((&key, _)) = coldest else { break };
@@ -187,10 +192,14 @@
         }
     }
 
-    /// Demand of all nodes that have told, and of this one.
+    /// Returns the demand of this node and, from their reports, of the others.
     fn all_demand(&self) -> BTreeMap<PartKey, PartUse> {
         let mut all = self.own.clone();
-        for (key, used) in self.told.values().flat_map(|told| &told.uses) {
+        for (key, used) in self
+            .peer_reports
+            .values()
+            .flat_map(|peer_reports| &peer_reports.uses)
+        {
             let sum = all.entry(*key).or_insert(PartUse {
                 tokens: used.tokens,
                 turns: 0.0,
@@ -201,21 +210,22 @@
     }
 
     fn refresh(&mut self, turn: &EngineTurn, engines: usize) {
-        let running = self.held_mean * f64::from(turn.slots) * FILLED_SHARE;
-        let room = (turn.memory_tokens as f64 - running).max(0.0) * PARTS_SHARE;
+        let running_tokens = self.mean_held_tokens * f64::from(turn.slots) * FILLED_SLOTS_FRACTION;
+        let room_tokens =
+            (turn.memory_tokens as f64 - running_tokens).max(0.0) * PREFIX_MEMORY_FRACTION;
         let demand = self.all_demand();
-        let mut loads: Vec<PartLoad> = demand
+        let mut loads: Vec<PrefixLoad> = demand
             .values()
-            .map(|used| PartLoad {
+            .map(|used| PrefixLoad {
                 tokens: used.tokens as f64,
                 weight: used.turns,
             })
             .collect();
-        loads.push(PartLoad {
+        loads.push(PrefixLoad {
             tokens: turn.part_tokens as f64,
-            weight: UNMET_TURNS,
+            weight: UNKNOWN_PREFIX_TURNS,
         });
-        let shares = home_shares(&loads, room, engines);
-        self.shares = demand.into_keys().zip(shares).collect();
+        let home_fractions = home_fractions(&loads, room_tokens, engines);
+        self.home_fractions = demand.into_keys().zip(home_fractions).collect();
     }
 }
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -1,35 +1,37 @@
-//! How many engines are home to each first part of the prompts, and which.
+//! Which engines are home to each prompt prefix.
 //!
-//! The engines of a part are the first ones in its rendezvous order, which is the same on every
-//! node; only how far the homes reach in it follows from demand. If an engine goes, the parts
-//! that it was home to move on by one engine each, and no other part moves.
+//! The homes of a prefix are the first engines in its rendezvous hashing order, which is the same
+//! on every node; only their number depends on demand. When an engine leaves, each prefix that it
+//! was home to gets one other engine, and no other prefix moves.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::demand::PartKey;
 
-/// Fewest homes of a part, so that one engine's loss or spell of noise leaves another one.
-const FEWEST_HOMES: f64 = 2.0;
+/// Minimum number of homes of a prefix, so that the loss of one engine leaves another.
+const MIN_HOMES: f64 = 2.0;
 
-/// Steps of the search for the shares; each halves the error.
+/// Number of bisection steps in [`home_fractions`].
 const SEARCH_STEPS: u32 = 24;
 
-/// One part as the search for homes sees it.
+/// Length and relative demand of one prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PartLoad {
-    /// Its length in tokens.
+pub struct PrefixLoad {
+    /// Length of the prefix in tokens.
     pub tokens: f64,
-    /// How much it is asked for, compared with other parts.
+    /// Demand relative to the other prefixes.
     pub weight: f64,
 }
 
-/// The share of all engines that is home to each part: in proportion to demand, so that homes are
-/// asked alike, as far as `room_tokens` of each engine's memory hold the parts.
-pub fn home_shares(parts: &[PartLoad], room_tokens: f64, engines: usize) -> Vec<f64> {
-    let least = (FEWEST_HOMES / engines.max(1) as f64).min(1.0);
-    let share = |part: &PartLoad, scale: f64| (part.weight * scale).clamp(least, 1.0);
+/// Returns the fraction of engines that are home to each prefix.
+///
+/// Fractions are proportional to demand, to spread the load evenly over the homes, and as large as
+/// `room_tokens` of each engine's memory allow.
+pub fn home_fractions(parts: &[PrefixLoad], room_tokens: f64, engines: usize) -> Vec<f64> {
+    let min_fraction = (MIN_HOMES / engines.max(1) as f64).min(1.0);
+    let fraction = |part: &PrefixLoad, scale: f64| (part.weight * scale).clamp(min_fraction, 1.0);
     let needed = |scale: f64| -> f64 {
-        let tokens = parts.iter().map(|part| part.tokens * share(part, scale));
+        let tokens = parts.iter().map(|part| part.tokens * fraction(part, scale));
         tokens.sum()
     };
     let smallest = parts
@@ -49,16 +51,17 @@
         }
         high = low;
     }
-    parts.iter().map(|part| share(part, high)).collect()
+    parts.iter().map(|part| fraction(part, high)).collect()
 }
 
-/// Place of an engine in a part's order; the least is the part's first home.
-pub fn place(part: PartKey, engine: &str) -> u64 {
+/// Returns the rank of an engine in a prefix's rendezvous order; the lowest is the first home.
+pub fn rendezvous_rank(part: PartKey, engine: &str) -> u64 {
     xxh3_64_with_seed(engine.as_bytes(), u64::from(part.0))
 }
 
-/// How many of so many engines a share stands for.
-pub fn home_count(share: f64, engines: usize) -> usize {
-    let homes = (share * engines as f64).ceil().max(FEWEST_HOMES);
+/// Returns the number of homes for a fraction of `engines`, at least [`MIN_HOMES`] if there are
+/// that many.
+pub fn home_count(fraction: f64, engines: usize) -> usize {
+    let homes = (fraction * engines as f64).ceil().max(MIN_HOMES);
     (homes as usize).min(engines)
 }
--- a/crates/gateway-core/src/response_time.rs
+++ b/crates/gateway-core/src/response_time.rs
@@ -1,21 +1,20 @@
-//! How long to wait for an answer, from how long answers have taken.
+//! Adaptive time-outs based on observed response times.
 
 use std::time::Duration;
 
-/// Shortest time-out: answers may be held up by our own processor for a while.
-const SHORTEST: Duration = Duration::from_millis(150);
+/// Minimum time-out, to tolerate scheduling delays of this process.
+const MIN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Longest time-out.
-const LONGEST: Duration = Duration::from_millis(1_200);
+/// Maximum time-out.
+const MAX_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time-out before the first answer.
-const INITIAL: Duration = Duration::from_millis(300);
+/// Time-out before the first response.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A time-out of a few deviations above the smoothed response time (after RFC 6298).
+/// Computes a time-out from the smoothed response time and its deviation (see RFC 6298).
 ///
-/// It does not grow while nothing is answered: calls that were given up go on, and the time of an
-/// answer that comes late counts like any other, so the estimate follows a service that has become
-/// slow.
+/// The time-out doesn't back off while there are no responses. Calls continue after their time-out,
+/// and late responses are recorded too, so the estimate adapts to a service that has become slow.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseTimer {
     estimate: Option<Estimate>,
@@ -28,16 +27,16 @@
 }
 
 impl ResponseTimer {
-    /// How long to wait for the next answer.
+    /// Returns how long to wait for the next response.
     pub fn timeout(&self) -> Duration {
         let base = match self.estimate {
             Some(estimate) => estimate.smoothed + estimate.deviation * 4,
-            None => INITIAL,
+            None => INITIAL_TIMEOUT,
         };
-        base.clamp(SHORTEST, LONGEST)
+        base.clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 
-    /// Notes how long an answer took.
+    /// Records how long a response took.
     pub fn note_answer(&mut self, took: Duration) {
         let estimate = match self.estimate {
             None => Estimate {
--- a/crates/gateway-core/src/worker_health.rs
+++ b/crates/gateway-core/src/worker_health.rs
@@ -1,73 +1,75 @@
-//! Whether a worker is to be given requests, from how its answers have been: a circuit breaker.
+//! A circuit breaker for each worker.
 //!
-//! Failures that outweigh the successes *eject* a worker for a pause that doubles each time. After
-//! the pause it is on *probation*: it gets one request at a time, and only requests that may be
-//! repeated, until one succeeds. What other nodes report of a worker makes this one quicker to
-//! eject it, and two reports eject it without a failure of this node's own.
+//! Repeated failures *eject* a worker for a pause that doubles with each ejection. After the pause
+//! it is on *probation*: it gets one repeatable request at a time until one succeeds. A report of an
+//! ejection by another node lowers the threshold, and two reports eject the worker without a failure
+//! observed by this node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use elderworks_types::{NodeId, Timestamp};
 
-/// What a failure adds to the suspicion against a worker.
+/// Amount by which a failure increases a worker's suspicion level.
 const FAILURE_WEIGHT: u32 = 2;
 
-/// What a success takes away: a worker that fails less often than one time in three stays in use.
+/// Amount by which a success decreases it. A worker that fails less than one time in three isn't
+/// ejected.
 const SUCCESS_WEIGHT: u32 = 1;
 
-/// Suspicion at which a worker is left alone for a while: two failures in a row suffice.
+/// Suspicion level at which a worker is ejected: two consecutive failures.
 const EJECTION_THRESHOLD: u32 = 4;
 
-/// First pause of a failing worker; doubled with each further one.
+/// Duration of a worker's first ejection; doubled with each further one.
 const FIRST_EJECTION: Duration = Duration::from_millis(300);
 
-/// Longest pause of a failing worker.
-const LONGEST_EJECTION: Duration = Duration::from_secs(3);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(3);
 
-/// Longest probation: a service may have no requests that may be repeated.
+/// Maximum duration of the probation, since a service may have no repeatable requests.
 const PROBATION: Duration = Duration::from_secs(3);
 
-/// A report of another node counts for this long.
+/// Time after which another node's report expires.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Nodes whose reports together eject a worker.
+/// Number of nodes whose reports eject a worker.
 const REPORTS_TO_EJECT: usize = 2;
 
-/// How a worker stands.
+/// Health of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
-    /// Nothing speaks against it.
-    Good,
-    /// It was ejected, and no answer since has shown that it is well again.
+pub enum HealthStatus {
+    /// The worker isn't known to fail.
+    Healthy,
+    /// The worker was ejected and has not succeeded since.
     OnProbation,
-    /// It gets requests only if there is no other worker.
+    /// The worker gets requests only if there is no other.
     Ejected,
 }
 
-/// What speaks for and against one worker.
+/// Failures and ejections of one worker.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerHealth {
+    /// Weighted failures minus successes.
     suspicion: u32,
-    /// Ejections without a success since.
+    /// Number of ejections since the worker last recovered.
     ejections: u32,
     ejected_until: Timestamp,
     reports: BTreeMap<NodeId, Timestamp>,
 }
 
 impl WorkerHealth {
-    /// How the worker stands.
-    pub fn standing(&self, now: Timestamp) -> Standing {
+    /// Returns the health of the worker.
+    pub fn status(&self, now: Timestamp) -> HealthStatus {
         if now < self.ejected_until {
-            Standing::Ejected
+            HealthStatus::Ejected
         } else if self.ejections > 0 && now < self.ejected_until + PROBATION {
-            Standing::OnProbation
+            HealthStatus::OnProbation
         } else {
-            Standing::Good
+            HealthStatus::Healthy
         }
     }
 
-    /// Notes a valid answer.
+    /// Records a valid response.
     pub fn note_success(&mut self) {
         self.suspicion = self.suspicion.saturating_sub(SUCCESS_WEIGHT);
         if self.suspicion == 0 {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Notes a failure; tells whether the worker is ejected now.
+    /// Records a failure; returns whether it ejected the worker.
     pub fn note_failure(&mut self, now: Timestamp) -> bool {
         self.suspicion += FAILURE_WEIGHT;
         if self.suspicion < EJECTION_THRESHOLD {
@@ -85,14 +87,14 @@
         true
     }
 
-    /// Notes that another node has ejected the worker; tells whether it is ejected now.
+    /// Records that another node has ejected the worker; returns whether this ejected it here, too.
     pub fn note_report(&mut self, now: Timestamp, node: NodeId) -> bool {
         self.reports
             .retain(|_, reported| now.since(*reported) < REPORT_LIFETIME);
         self.reports.insert(node, now);
         self.expect_failure();
         let is_confirmed = self.reports.len() >= REPORTS_TO_EJECT;
-        let is_new = self.standing(now) == Standing::Good;
+        let is_new = self.status(now) == HealthStatus::Healthy;
         if is_confirmed && is_new {
             self.eject(now);
         }
@@ -101,13 +103,13 @@
 
     fn eject(&mut self, now: Timestamp) {
         let pause = FIRST_EJECTION * 2u32.pow(self.ejections.min(4));
-        self.ejected_until = now + pause.min(LONGEST_EJECTION);
+        self.ejected_until = now + pause.min(MAX_EJECTION);
         self.ejections += 1;
         self.suspicion = 0;
         self.expect_failure();
     }
 
-    /// One more failure ejects the worker.
+    /// Raises the suspicion level so that one more failure ejects the worker.
     fn expect_failure(&mut self) {
         let nearly = EJECTION_THRESHOLD - FAILURE_WEIGHT;
         self.suspicion = self.suspicion.max(nearly);
--- a/crates/gateway-core/src/workers/demand.rs
+++ b/crates/gateway-core/src/workers/demand.rs
@@ -1,29 +1,31 @@
-//! What turns ask of engines for the first parts of their prompts, by service.
+//! Demand for prompt prefixes by service.
 
 use elderworks_types::{NodeId, Timestamp};
 
 use super::WorkerDirectory;
-use crate::placement::demand::{EngineTurn, PartDemand, PartKey, PartUse};
+use crate::placement::demand::{EngineTurn, PartKey, PartUse, PrefixDemand};
 
 impl WorkerDirectory {
-    /// Counts the demand of a turn for the first part of its prompt.
+    /// Records the demand of a turn for its prompt's prefix.
     pub fn note_turn(&mut self, service: &str, turn: &EngineTurn, now: Timestamp) {
         let engines = self.accepting(service).count();
-        if !self.parts.contains_key(service) {
-            self.parts.insert(service.to_owned(), PartDemand::default());
+        if !self.prefix_demand.contains_key(service) {
+            self.prefix_demand
+                .insert(service.to_owned(), PrefixDemand::default());
         }
-        if let Some(parts) = self.parts.get_mut(service) {
-            parts.note_turn(turn, engines, now);
+        if let Some(prefix_demand) = self.prefix_demand.get_mut(service) {
+            prefix_demand.note_turn(turn, engines, now);
         }
     }
 
-    /// Demand for first parts that other nodes are told of, by service.
+    /// Returns this node's demand for prefixes by service, for reports to other nodes.
     pub fn own_demand(&self) -> impl Iterator<Item = (&str, Vec<(PartKey, PartUse)>)> {
-        let parts = self.parts.iter();
-        parts.map(|(service, demand)| (service.as_str(), demand.own_demand()))
+        let prefix_demand = self.prefix_demand.iter();
+        prefix_demand.map(|(service, demand)| (service.as_str(), demand.own_demand()))
     }
 
-    /// Takes what another node tells of its demand; of no more services than have workers here.
+    /// Replaces another node's report of its demand; ignores services without workers, to bound the
+    /// memory.
     pub fn take_demand(
         &mut self,
         now: Timestamp,
@@ -34,13 +36,13 @@
         if self.accepting(service).next().is_none() {
             return;
         }
-        let parts = self.parts.entry(service.to_owned()).or_default();
-        parts.take_told(now, node, uses);
+        let prefix_demand = self.prefix_demand.entry(service.to_owned()).or_default();
+        prefix_demand.apply_peer_demand(now, node, uses);
     }
 
-    /// Share of a service's engines that is home to the first part of a turn's prompt.
-    pub fn home_share(&self, service: &str, turn: &EngineTurn) -> f64 {
-        let parts = self.parts.get(service);
-        parts.map_or(1.0, |parts| parts.share(turn.part))
+    /// Returns the fraction of a service's engines that are home to the prefix of a turn's prompt.
+    pub fn home_fraction(&self, service: &str, turn: &EngineTurn) -> f64 {
+        let prefix_demand = self.prefix_demand.get(service);
+        prefix_demand.map_or(1.0, |prefix_demand| prefix_demand.home_fraction(turn.part))
     }
 }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -1,4 +1,4 @@
-//! What engines hold of prompts, as placement sees it.
+//! Contents of the engines' memory, for the choice of prefix fetches.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,27 +15,28 @@
 use crate::placement::demand::{EngineTurn, PartKey};
 
 impl WorkerDirectory {
-    /// Takes a belief on an engine unless a later one is known or the engine is not; tells whether it
+    /// Stores the snapshot of a known engine's memory unless a newer one is stored; returns whether it
     /// did.
     pub fn take_memory(&mut self, engine: WorkerKey, belief: Belief) -> bool {
         let is_known = self.workers.values().any(|worker| worker.key == engine);
         is_known && self.memories.take(engine, belief)
     }
 
-    /// Drops beliefs that are too old.
+    /// Drops expired snapshots.
     pub fn drop_old_memories(&mut self, now: Timestamp) {
         self.memories.drop_old(now);
     }
 
-    /// What is believed of the engines' memory.
+    /// Returns the last known contents of the engines' memory.
     pub fn memories(&self) -> &EngineMemories {
         &self.memories
     }
 
-    /// What a reader of an engine believes of it: the parts that turns ask for, those asked for most.
+    /// Creates a snapshot of an engine's memory from its event log, limited to the prefixes with the
+    /// highest demand.
     pub fn belief_of(&self, worker: &Worker, heard: Timestamp, log: &EngineLog) -> Belief {
-        let demand = self.parts.get(&worker.record.service);
-        let wanted = demand.map(|demand| demand.most_wanted(MOST_PARTS_TOLD));
+        let demand = self.prefix_demand.get(&worker.record.service);
+        let wanted = demand.map(|demand| demand.most_requested(MOST_PARTS_TOLD));
         let wanted = wanted.into_iter().flatten();
         let parts: BTreeMap<PartKey, u64> = wanted
             .filter_map(|part| Some((part, log.held(part)?)))
@@ -47,15 +48,15 @@
         }
     }
 
-    /// Whether an engine holds the first part of a turn's prompt.
+    /// Returns whether an engine holds the prefix of a turn's prompt.
     pub fn holding(&self, worker: &Worker, turn: &EngineTurn, now: Timestamp) -> Holding {
         let (key, born) = (worker.key, worker.record.born);
         self.memories
             .holding(key, born, turn.part, turn.part_tokens, now)
     }
 
-    /// The engine from which a worker is to take the first part of a turn's prompt, with the bytes that
-    /// this moves; `None` if it reads the part, or holds it.
+    /// Starts a fetch of the prompt's prefix from another engine if that is faster than reading it;
+    /// returns the address of that engine and the bytes to transfer.
     pub fn prompt_source(
         &mut self,
         id: &str,
@@ -74,11 +75,12 @@
             crosses_zones: source.record.zone != target.record.zone,
         };
         let (address, engine) = (source.record.address, target.key);
-        let is_begun = fetch.pays(moves) && self.fetches.begin(engine, &fetch, moves, now);
-        is_begun.then(|| (address, fetch.bytes(moves)))
+        let is_started =
+            fetch.pays(moves) && self.fetch_limiter.try_start(engine, &fetch, moves, now);
+        is_started.then(|| (address, fetch.bytes(moves)))
     }
 
-    /// The engine with the least under way, of the target's zone first, that holds the part.
+    /// Returns the least loaded engine that holds the prefix, in the target's zone if there is one.
     fn source_for<'a>(
         &'a self,
         target: &'a Worker,
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -1,8 +1,8 @@
-//! What one node knows of the workers: their records, its own requests there, and their failures.
+//! The workers as one node knows them: their records, requests in flight and health.
 
 mod demand;
 mod memory;
-mod restraint;
+mod throttling;
 mod zones;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,135 +13,135 @@
 
 use crate::cold::ColdSenders;
 use crate::engine_memory::beliefs::EngineMemories;
-use crate::engine_memory::fetching::FetchBook;
+use crate::engine_memory::fetching::FetchLimiter;
 use crate::peer_loads::{PeerLoads, WorkerKey};
-use crate::placement::demand::PartDemand;
+use crate::placement::demand::PrefixDemand;
 use crate::policy::Policy;
-use crate::worker_health::{Standing, WorkerHealth};
+use crate::worker_health::{HealthStatus, WorkerHealth};
 use crate::zone_health::ZoneHealth;
 
-/// What taking a worker's entry has changed.
+/// The outcome of [`WorkerDirectory::upsert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// Nothing.
-    Known,
-    /// The worker is new, or something of it has changed.
+    /// The record equals the known one.
+    Unchanged,
+    /// The worker is new, or its record has changed.
     Changed,
-    /// The worker has started again: what was known of it holds no more.
+    /// The worker has restarted; its health and load were reset.
     Reborn,
-    /// Nothing: the entry is of an earlier start than the one that is known.
+    /// The record is of an earlier start than the known one and was ignored.
     Outdated,
 }
 
-/// A start of a worker at which a request runs.
+/// One start of a worker, to which a request in flight belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLife {
-    /// The worker.
+    /// Id of the worker.
     pub id: String,
     born: u64,
 }
 
-/// Most connections at rest that a node keeps to one worker.
-const MOST_IDLE_CONNECTIONS: u32 = 16;
+/// Maximum number of idle connections that a node keeps to one worker.
+const MAX_IDLE_CONNECTIONS: u32 = 16;
 
-/// Part of a worker's connections that all nodes together keep at rest, in quarters; the rest is
-/// for requests that need a new one.
+/// Quarters of a worker's connection limit that all nodes together may keep idle; the rest is left
+/// for new connections.
 const IDLE_QUARTERS: u32 = 3;
 
-/// How many connections at rest a node may keep to a worker that takes `max_connections` from all
-/// callers together, so that the nodes do not take the worker's connections from each other.
+/// Returns how many idle connections a node may keep to a worker that accepts `max_connections`
+/// in total, so that the idle connections of some nodes don't lock out the others.
 pub fn idle_connections_share(max_connections: u32, nodes: u32) -> u32 {
     let for_all = max_connections / 4 * IDLE_QUARTERS;
-    (for_all / nodes.max(1)).clamp(1, MOST_IDLE_CONNECTIONS)
+    (for_all / nodes.max(1)).clamp(1, MAX_IDLE_CONNECTIONS)
 }
 
-/// A worker that refused for lack of room is avoided for this long.
+/// How long a worker that refused a request for lack of capacity is avoided.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// A worker whose record is gone is a last resort for this long.
+/// How long a worker whose record is gone remains a last resort.
 const MISSING_GRACE: Duration = Duration::from_millis(1_000);
 
-/// The same for records that go right after an outage: a store that was down drops those of workers
-/// that are well, and takes them up again with one of their next heartbeats.
+/// Like [`MISSING_GRACE`], right after an outage of the store. The store then drops records of
+/// healthy workers until their next heartbeats.
 const MISSING_GRACE_AFTER_OUTAGE: Duration = Duration::from_millis(3_500);
 
-/// Records that go within this time after an outage are taken to have gone because of it. Shorter
-/// than the time after which a store counts as stable again.
+/// Time after an outage during which the loss of a record is attributed to the outage. Shorter than
+/// the time after which the store counts as stable.
 const OUTAGE_AFTERMATH: Duration = Duration::from_secs(2);
 
-/// One worker as this node sees it.
+/// One worker as this node knows it.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its latest record.
+    /// The latest record.
     pub record: WorkerRecord,
-    /// Requests that this node is running there.
+    /// This node's requests in flight.
     pub in_flight: u32,
     key: WorkerKey,
     health: WorkerHealth,
     full_until: Timestamp,
     cold_until: Timestamp,
-    /// When this node may send it the next request while it is cold.
-    next_cold: Timestamp,
-    /// Set while its record is gone: until when it is a last resort.
+    /// When this node may send the next request while the worker is cold.
+    next_cold_request: Timestamp,
+    /// Set while the record is gone: until when the worker is a last resort.
     missing_until: Option<Timestamp>,
 }
 
 impl Worker {
-    /// Whether it is ejected for failures.
+    /// Returns whether the worker is ejected because of failures.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
-        self.health.standing(now) == Standing::Ejected
+        self.health.status(now) == HealthStatus::Ejected
     }
 
-    /// Whether a request is to be kept from it while there are others: it is ejected, or on
-    /// probation and the request is not one to try it with.
+    /// Returns whether a request should use another worker if possible: this one is ejected, or it
+    /// is on probation and the request isn't suitable as a probe.
     pub fn is_unfit(&self, now: Timestamp, repeatable: bool) -> bool {
-        match self.health.standing(now) {
-            Standing::Good => false,
-            Standing::OnProbation => !repeatable || self.in_flight > 0,
-            Standing::Ejected => true,
+        match self.health.status(now) {
+            HealthStatus::Healthy => false,
+            HealthStatus::OnProbation => !repeatable || self.in_flight > 0,
+            HealthStatus::Ejected => true,
         }
     }
 
-    /// What stands for its id in reports.
+    /// Returns the key that identifies the worker in reports.
     pub fn key(&self) -> WorkerKey {
         self.key
     }
 
-    /// Whether it started a short while ago and bears little.
+    /// Returns whether the worker has recently started and can run only few requests.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now < self.cold_until
     }
 
-    /// Whether it lately refused for lack of room.
+    /// Returns whether the worker recently refused a request for lack of capacity.
     pub fn is_full(&self, now: Timestamp) -> bool {
         now < self.full_until
     }
 }
 
-/// Every worker by id.
+/// All known workers by id.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerDirectory {
     policy: Policy,
     workers: BTreeMap<String, Worker>,
     peer_loads: PeerLoads,
-    /// Demand for first parts of prompts, by service of engines.
-    parts: BTreeMap<String, PartDemand>,
-    /// What is believed of the engines' memory.
+    /// Demand for prompt prefixes, by engine service.
+    prefix_demand: BTreeMap<String, PrefixDemand>,
+    /// Last known contents of the engines' memory.
     memories: EngineMemories,
-    /// Parts that engines were told to take from others of late.
-    fetches: FetchBook,
-    /// Zones whose workers are to get nothing more.
+    /// Recent fetches of prefixes from other engines.
+    fetch_limiter: FetchLimiter,
+    /// Zones whose workers get no new requests.
     closed_zones: BTreeSet<String>,
-    /// Who may send to cold workers.
-    cold: ColdSenders,
-    /// Zones that seem lost as a whole.
+    /// Which nodes may send requests to cold workers.
+    cold_senders: ColdSenders,
+    /// Health of the zones as a whole.
     zone_health: ZoneHealth,
-    /// When the store last answered again after an outage.
-    outage_over: Option<Timestamp>,
+    /// When the latest outage of the store ended.
+    outage_ended: Option<Timestamp>,
 }
 
 impl WorkerDirectory {
-    /// Knows no worker yet.
+    /// Creates a directory without workers.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -149,18 +149,18 @@
         }
     }
 
-    /// The same, with who may send to cold workers.
-    pub fn with_cold_senders(mut self, cold: ColdSenders) -> Self {
-        self.cold = cold;
+    /// Sets which nodes may send requests to cold workers.
+    pub fn with_cold_senders(mut self, cold_senders: ColdSenders) -> Self {
+        self.cold_senders = cold_senders;
         self
     }
 
-    /// The mechanisms in use.
+    /// Returns the policy.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Takes a worker's record.
+    /// Adds a worker or updates its record.
     pub fn upsert(&mut self, record: WorkerRecord, now: Timestamp) -> Taken {
         let cold_until = now + record.cold_left;
         if let Some(known) = self.workers.get_mut(&record.id) {
@@ -168,12 +168,12 @@
                 return Taken::Outdated;
             }
             if record.born == known.record.born {
-                let is_same = known.record.is_alike(&record) && known.missing_until.is_none();
+                let is_unchanged = known.record.is_alike(&record) && known.missing_until.is_none();
                 known.record = record;
                 known.missing_until = None;
                 known.cold_until = cold_until;
-                return if is_same {
-                    Taken::Known
+                return if is_unchanged {
+                    Taken::Unchanged
                 } else {
                     Taken::Changed
                 };
@@ -186,7 +186,7 @@
             health: WorkerHealth::default(),
             full_until: Timestamp::default(),
             cold_until,
-            next_cold: Timestamp::default(),
+            next_cold_request: Timestamp::default(),
             missing_until: None,
         };
         let key = worker.key;
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Notes that a worker's entry was overwritten by something that names no worker; tells whether
-    /// it was there. It is not even a last resort.
+    /// Records that a worker's entry was overwritten by data that can't be read; returns whether its
+    /// record was present. The worker isn't used even as a last resort.
     pub fn mark_unreadable(&mut self, id: &str, now: Timestamp) -> bool {
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
@@ -211,18 +211,18 @@
         was_there
     }
 
-    /// Notes that the store answers again after an outage.
+    /// Records that an outage of the store has ended.
     pub fn note_outage_over(&mut self, now: Timestamp) {
-        self.outage_over = Some(now);
+        self.outage_ended = Some(now);
     }
 
-    /// How long a worker whose record goes now is a last resort.
-    fn grace(&self, now: Timestamp) -> Duration {
+    /// Returns how long a worker whose record disappears now remains a last resort.
+    fn missing_grace(&self, now: Timestamp) -> Duration {
         if !self.policy.missing_grace {
             return Duration::ZERO;
         }
         let after_outage = self
-            .outage_over
+            .outage_ended
             .is_some_and(|over| now.since(over) < OUTAGE_AFTERMATH);
         if after_outage {
             MISSING_GRACE_AFTER_OUTAGE
@@ -231,9 +231,9 @@
         }
     }
 
-    /// Notes that a worker's record is gone; tells whether it was there.
+    /// Records that a worker's record is gone; returns whether it was present.
     pub fn mark_missing(&mut self, id: &str, now: Timestamp) -> bool {
-        let until = now + self.grace(now);
+        let until = now + self.missing_grace(now);
         match self.workers.get_mut(id) {
             Some(worker) if worker.missing_until.is_none() => {
                 worker.missing_until = Some(until);
@@ -243,10 +243,10 @@
         }
     }
 
-    /// Notes as missing all workers but those named, after the whole list was read anew; returns
-    /// those that were there.
+    /// Marks all workers except the given ones as missing, after the complete list was read; returns
+    /// those whose record was present.
     pub fn mark_all_missing_but(&mut self, ids: &BTreeSet<String>, now: Timestamp) -> Vec<String> {
-        let until = now + self.grace(now);
+        let until = now + self.missing_grace(now);
         let mut gone = Vec::new();
         for (id, worker) in &mut self.workers {
             if worker.missing_until.is_none() && !ids.contains(id) {
@@ -257,7 +257,7 @@
         gone
     }
 
-    /// Forgets workers that have been missing for too long; returns them.
+    /// Removes workers that have been missing for longer than their grace time; returns their ids.
     pub fn forget_missing(&mut self, now: Timestamp) -> Vec<String> {
         let is_over = |worker: &Worker| worker.missing_until.is_some_and(|until| until <= now);
         let gone: Vec<String> = self
@@ -274,39 +274,39 @@
         gone
     }
 
-    /// The worker of that id.
+    /// Returns the worker with that id.
     pub fn get(&self, id: &str) -> Option<&Worker> {
         self.workers.get(id)
     }
 
-    /// Workers of a service that take new work.
+    /// Returns the workers of a service that accept new requests.
     pub fn accepting<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Worker> {
         self.of_service(service)
             .filter(|worker| worker.missing_until.is_none())
     }
 
-    /// Every worker.
+    /// Returns all workers.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
 
-    /// Workers of a service that are known, whatever their state.
+    /// Returns all known workers of a service, whatever their state.
     pub fn known<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Worker> {
         let workers = self.workers.values();
         workers.filter(move |worker| worker.record.service == service)
     }
 
-    /// Whether a worker takes new work.
+    /// Returns whether a worker accepts new requests.
     pub fn is_accepting(&self, worker: &Worker) -> bool {
         worker.missing_until.is_none() && self.is_open(worker)
     }
 
-    /// Whether nothing that the worker or the operator has said keeps new work from it.
+    /// Returns whether the worker isn't draining and its zone isn't closed.
     pub fn is_open(&self, worker: &Worker) -> bool {
         !worker.record.draining && !self.closed_zones.contains(&worker.record.zone)
     }
 
-    /// Workers of a service whose records went missing a moment ago.
+    /// Returns the workers of a service whose records disappeared within the grace time.
     pub fn last_resort<'a>(
         &'a self,
         service: &'a str,
@@ -322,18 +322,18 @@
             .filter(move |worker| worker.record.service == service && self.is_open(worker))
     }
 
-    /// How many workers are known.
+    /// Returns the number of known workers.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether no worker is known.
+    /// Returns whether no worker is known.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// Notes that a request goes to a worker; the start of it at which the request runs is to be
-    /// named at its end.
+    /// Records that a request is sent to a worker; the returned value has to be passed to
+    /// [`Self::note_end`].
     pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerLife {
         let mut life = WorkerLife {
             id: id.to_owned(),
@@ -345,13 +345,13 @@
         life.born = worker.record.born;
         worker.in_flight += 1;
         if worker.is_cold(now) {
-            let pause = self.cold.pause(&worker.record.service, id);
-            worker.next_cold = now + pause.unwrap_or_default();
+            let pause = self.cold_senders.pause(&worker.record.service, id);
+            worker.next_cold_request = now + pause.unwrap_or_default();
         }
         life
     }
 
-    /// Notes that a request no longer occupies a worker.
+    /// Records that a request no longer occupies a worker.
     pub fn note_end(&mut self, life: &WorkerLife) {
         let worker = self.workers.get_mut(&life.id);
         if let Some(worker) = worker.filter(|worker| worker.record.born == life.born) {
@@ -359,54 +359,54 @@
         }
     }
 
-    /// Takes what another node says of its requests under way.
+    /// Replaces another node's report of its requests in flight.
     pub fn take_peer_load(
         &mut self,
         now: Timestamp,
         node: NodeId,
         counts: BTreeMap<WorkerKey, u32>,
     ) {
-        self.peer_loads.take(now, node, counts);
+        self.peer_loads.replace_report(now, node, counts);
     }
 
-    /// Drops what other nodes have said too long ago.
+    /// Drops expired reports of other nodes.
     pub fn drop_old_loads(&mut self, now: Timestamp) {
         self.peer_loads.drop_old(now);
     }
 
-    /// What this node has under way, by worker, without those where it has nothing.
+    /// Returns this node's requests in flight by worker, without idle workers.
     pub fn own_load(&self) -> BTreeMap<WorkerKey, u32> {
         let busy = self.workers.values().filter(|worker| worker.in_flight > 0);
         busy.map(|worker| (worker.key, worker.in_flight)).collect()
     }
 
-    /// Requests under way at a worker: this node's and those that others have told of.
+    /// Returns the requests in flight at a worker: this node's and those reported by others.
     pub fn load(&self, worker: &Worker) -> u32 {
         worker.in_flight + self.peer_loads.at(worker.key)
     }
 
-    /// Notes a valid answer.
+    /// Records a valid response.
     pub fn note_success(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.health.note_success();
         }
     }
 
-    /// Notes that a worker refused for lack of room.
+    /// Records that a worker refused a request for lack of capacity.
     pub fn note_full(&mut self, id: &str, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.full_until = now + FULL_PAUSE;
         }
     }
 
-    /// Notes a failure; tells whether the worker is ejected now.
+    /// Records a failure; returns whether it ejected the worker.
     pub fn note_failure(&mut self, id: &str, now: Timestamp) -> bool {
         self.note_zone_failure(id, now);
         let worker = self.workers.get_mut(id).filter(|_| self.policy.ejection);
         worker.is_some_and(|worker| worker.health.note_failure(now))
     }
 
-    /// Notes that another node has ejected a worker; tells whether it is ejected here now.
+    /// Records that another node has ejected a worker; returns whether this ejected it here, too.
     pub fn note_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
         let worker = self.workers.get_mut(id).filter(|_| self.policy.ejection);
         worker.is_some_and(|worker| worker.health.note_report(now, node))
--- a/crates/gateway-core/src/workers/zones.rs
+++ b/crates/gateway-core/src/workers/zones.rs
@@ -1,29 +1,29 @@
-//! Workers of zones that seem lost as a whole.
+//! Avoidance of workers in zones that are suspected to have failed as a whole.
 
 use elderworks_types::Timestamp;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{Worker, WorkerDirectory};
-use crate::zone_health::{Source, ZoneHealth, ZonePart, ZoneStanding};
+use crate::zone_health::{Source, ZoneHealth, ZonePart, ZoneStatus};
 
 impl WorkerDirectory {
-    /// The same, with this node's zone, which is never taken for lost.
+    /// Sets this node's zone, which is never suspected.
     pub fn with_own_zone(mut self, zone: &str) -> Self {
         self.zone_health = ZoneHealth::new(zone);
         self
     }
 
-    /// What is believed of zones as a whole.
+    /// Returns the health of the zones.
     pub fn zone_health(&self) -> &ZoneHealth {
         &self.zone_health
     }
 
-    /// The same, to take what nodes of a zone show.
+    /// Returns the health of the zones, to record responses and failures of nodes.
     pub fn zone_health_mut(&mut self) -> &mut ZoneHealth {
         &mut self.zone_health
     }
 
-    /// Notes that something was heard from a worker.
+    /// Records that a worker has sent data, as a sign of life of its zone.
     pub fn note_heard(&mut self, id: &str, now: Timestamp) {
         if !self.policy.zone_suspicion {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes a worker's failure for what it may say of its zone.
+    /// Records a worker's failure as a failure in its zone.
     pub(super) fn note_zone_failure(&mut self, id: &str, now: Timestamp) {
         if !self.policy.zone_suspicion {
             return;
@@ -46,20 +46,21 @@
         }
     }
 
-    /// Whether a request, of which `spread` is a number drawn evenly, is to use a worker only if there
-    /// is no other: its zone seems lost, or has just come back and takes part of its work so far.
-    pub fn is_doubtful(&self, worker: &Worker, spread: u64, now: Timestamp) -> bool {
+    /// Returns whether a request should use a worker only if there is no other, because its zone is
+    /// suspected or is recovering and receives only a fraction of its requests. `spread` is a
+    /// uniformly distributed number that selects the requests of that fraction.
+    pub fn is_zone_avoided(&self, worker: &Worker, spread: u64, now: Timestamp) -> bool {
         let zone = worker.record.zone.as_str();
-        match self.zone_health.standing(now, zone, ZonePart::Workers) {
-            ZoneStanding::Good => false,
-            ZoneStanding::Suspected => true,
-            ZoneStanding::Returning(share) => unit(zone, spread) >= share,
+        match self.zone_health.status(now, zone, ZonePart::Workers) {
+            ZoneStatus::Healthy => false,
+            ZoneStatus::Suspected => true,
+            ZoneStatus::Recovering(fraction) => unit_fraction(zone, spread) >= fraction,
         }
     }
 }
 
-/// A number from 0 to 1, evenly distributed, that does not depend on the order of workers.
-fn unit(zone: &str, spread: u64) -> f64 {
+/// Hashes a zone and a seed to a uniformly distributed number from 0 to 1.
+fn unit_fraction(zone: &str, spread: u64) -> f64 {
     let hash = xxh3_64_with_seed(zone.as_bytes(), spread);
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/crates/gateway-core/src/zone_health.rs
+++ b/crates/gateway-core/src/zone_health.rs
@@ -1,12 +1,12 @@
-//! Whether a whole zone seems lost or cut off, from machines and workers there that fall silent
-//! together.
+//! Detection of failures and network partitions of whole zones.
 //!
-//! A zone is one domain of failure: when several of its sources fail within a short time and nothing
-//! else is heard from there, the rest is *suspected* at once, long before each of them has failed by
-//! itself. What is suspected is used last, never left out. One answer ends the suspicion, and so does
-//! a short time without further failures. Afterwards work moves back gradually.
+//! A zone is a failure domain. When several of its workers or nodes fail within a short time and no
+//! response comes from the zone, the rest is *suspected* before each of them has failed
+//! individually. Suspected workers and nodes are used last but never excluded. One response, or a
+//! short time without further failures, ends the suspicion; afterwards the load returns gradually.
 //!
-//! Workers and nodes of a zone are suspected apart: the way to one kind may be cut alone.
+//! The workers and the nodes of a zone are suspected separately, since only one of them may be
+//! unreachable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,38 +14,39 @@
 use elderworks_types::{NodeId, Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Sources that fail together if a zone is lost: fewer may well fail by chance.
+/// Number of failing sources for which a zone is suspected; fewer may fail independently.
 const SOURCES_TO_SUSPECT: usize = 3;
 
-/// A zone is not suspected within this time of an answer: at a busy zone, answers come far more often.
-const QUIET: Duration = Duration::from_millis(250);
+/// Minimum time since the latest response before a zone is suspected. Responses of a busy zone
+/// arrive much more often.
+const SILENCE_BEFORE_SUSPICION: Duration = Duration::from_millis(250);
 
-/// A failure counts for this long. Bounds a wrong suspicion.
+/// Time after which a failure expires; bounds the duration of a wrong suspicion.
 const FAILURE_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Work moves back to a zone that was suspected over this time.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+/// Time over which the load returns to a zone that was suspected.
+const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// Most zones of which anything is kept.
-const MOST_ZONES: usize = 256;
+/// Maximum number of zones with recorded state.
+const MAX_ZONES: usize = 256;
 
-/// Most sources of a zone whose failures are kept: more show nothing further.
-const MOST_SOURCES: usize = 64;
+/// Maximum number of failing sources that are recorded per zone.
+const MAX_SOURCES: usize = 64;
 
-/// A kind of machines.
+/// The workers or the nodes of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ZonePart {
-    /// Those that run requests.
+    /// The workers, which run requests.
     Workers,
-    /// The nodes of this system.
+    /// The gateway nodes.
     Nodes,
 }
 
 impl ZonePart {
-    /// Every kind.
+    /// All values.
     pub const ALL: [Self; 2] = [Self::Workers, Self::Nodes];
 
-    /// For logs and counters.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Workers => "workers",
@@ -54,50 +55,51 @@
     }
 }
 
-/// A machine or worker that has failed to answer.
+/// A worker or node whose failures are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Source(ZonePart, u64);
 
 impl Source {
-    /// A worker, by its id.
+    /// Creates the source for the worker with that id.
     pub fn worker(id: &str) -> Self {
         Self(ZonePart::Workers, xxh3_64(id.as_bytes()))
     }
 
-    /// A node.
+    /// Creates the source for a node.
     pub fn node(node: &NodeId) -> Self {
         Self(ZonePart::Nodes, xxh3_64(node.as_str().as_bytes()))
     }
 }
 
-/// How one kind of machines of a zone stands.
+/// Health of the workers or nodes of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ZoneStanding {
-    /// Nothing speaks against it.
-    Good,
-    /// It seems lost, and is used last.
+pub enum ZoneStatus {
+    /// The part isn't suspected.
+    Healthy,
+    /// The part is suspected to have failed and is used last.
     Suspected,
-    /// It was suspected a short while ago: this share of the work goes there, above 0 and below 1.
-    Returning(f64),
+    /// The part was suspected until recently and gets this fraction of its load, from 0 to 1.
+    Recovering(f64),
 }
 
-/// A change of what is believed of a zone, for the log.
+/// The start or end of a suspicion, for logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneChange {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Which machines there.
+    /// The affected part of the zone.
     pub part: ZonePart,
-    /// Whether they are suspected from now on.
+    /// Whether the suspicion started; otherwise it ended.
     pub is_suspected: bool,
-    /// How many sources fail.
+    /// Number of failing sources.
     pub failing: usize,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct PartState {
+    /// Time of the latest response.
     answered: Option<Timestamp>,
-    /// Whether it was suspected when last looked at.
+    /// Whether the part was suspected at the last call of [`ZoneHealth::changes`].
     was_suspected: bool,
     /// When the latest suspicion ended.
     cleared: Option<Timestamp>,
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Sources that count against a part: those that failed lately and after its last answer.
+    /// Returns the number of sources that failed recently and after the part's latest response.
     fn failing(&self, part: ZonePart, now: Timestamp) -> usize {
         let answered = self.part(part).answered;
         let counts = |at: Timestamp| {
@@ -135,23 +137,23 @@
     }
 
     fn is_suspected(&self, part: ZonePart, now: Timestamp) -> bool {
-        let is_quiet = |answered: Timestamp| now.since(answered) >= QUIET;
+        let is_quiet = |answered: Timestamp| now.since(answered) >= SILENCE_BEFORE_SUSPICION;
         self.failures.len() >= SOURCES_TO_SUSPECT
             && self.part(part).answered.is_none_or(is_quiet)
             && self.failing(part, now) >= SOURCES_TO_SUSPECT
     }
 }
 
-/// What speaks for and against the other zones, in this node's eyes.
+/// Health of the other zones as observed by this node.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneHealth {
-    /// This node's zone, which is never suspected: what is left of it is nearest.
+    /// This node's zone, which is never suspected.
     own: String,
     zones: BTreeMap<String, ZoneState>,
 }
 
 impl ZoneHealth {
-    /// Suspects no zone; `own` is this node's.
+    /// Creates the state of a node in zone `own`, without suspicions.
     pub fn new(own: &str) -> Self {
         Self {
             own: own.to_owned(),
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Notes that a machine or worker of a zone did not answer, or is held to be gone.
+    /// Records that a worker or node of a zone didn't respond or is considered dead.
     pub fn note_failure(&mut self, now: Timestamp, zone: &str, source: Source) {
         let Some(state) = self.state_of(zone) else {
             return;
@@ -167,12 +169,12 @@
         state
             .failures
             .retain(|_, at| now.since(*at) < FAILURE_LIFETIME);
-        if state.failures.len() < MOST_SOURCES || state.failures.contains_key(&source) {
+        if state.failures.len() < MAX_SOURCES || state.failures.contains_key(&source) {
             state.failures.insert(source, now);
         }
     }
 
-    /// Notes that something was heard from a kind of machines of a zone.
+    /// Records a response from a part of a zone.
     pub fn note_answer(&mut self, now: Timestamp, zone: &str, part: ZonePart) {
         let Some(state) = self.state_of(zone) else {
             return;
@@ -188,7 +190,7 @@
             return None;
         }
         if !self.zones.contains_key(zone) {
-            if self.zones.len() >= MOST_ZONES {
+            if self.zones.len() >= MAX_ZONES {
                 return None;
             }
             self.zones.insert(zone.to_owned(), ZoneState::default());
@@ -196,28 +198,30 @@
         self.zones.get_mut(zone)
     }
 
-    /// Whether a kind of machines of a zone is to be used last.
+    /// Returns whether a part of a zone is suspected.
     pub fn is_suspected(&self, now: Timestamp, zone: &str, part: ZonePart) -> bool {
         let state = self.zones.get(zone);
         state.is_some_and(|state| state.is_suspected(part, now))
     }
 
-    /// How a kind of machines of a zone stands.
-    pub fn standing(&self, now: Timestamp, zone: &str, part: ZonePart) -> ZoneStanding {
+    /// Returns the health of a part of a zone.
+    pub fn status(&self, now: Timestamp, zone: &str, part: ZonePart) -> ZoneStatus {
         let Some(state) = self.zones.get(zone) else {
-            return ZoneStanding::Good;
+            return ZoneStatus::Healthy;
         };
         if state.is_suspected(part, now) {
-            return ZoneStanding::Suspected;
+            return ZoneStatus::Suspected;
         }
         let cleared = state.part(part).cleared.map(|at| now.since(at));
-        match cleared.filter(|since| *since < RETURN_TIME) {
-            Some(since) => ZoneStanding::Returning(since.as_secs_f64() / RETURN_TIME.as_secs_f64()),
-            None => ZoneStanding::Good,
+        match cleared.filter(|since| *since < RECOVERY_TIME) {
+            Some(since) => {
+                ZoneStatus::Recovering(since.as_secs_f64() / RECOVERY_TIME.as_secs_f64())
+            }
+            None => ZoneStatus::Healthy,
         }
     }
 
-    /// What has changed since the last call, and forgets what is over.
+    /// Returns the suspicions that started or ended since the last call, and drops expired state.
     pub fn changes(&mut self, now: Timestamp) -> Vec<ZoneChange> {
         let mut changes = Vec::new();
         for (zone, state) in &mut self.zones {
@@ -247,7 +251,7 @@
         changes
     }
 
-    /// Zones of which a kind of machines is to be used last.
+    /// Returns the zones of which a part is suspected.
     pub fn suspected(&self, now: Timestamp, part: ZonePart) -> impl Iterator<Item = &str> {
         let zones = self.zones.iter();
         let suspected = zones.filter(move |(_, state)| state.is_suspected(part, now));
@@ -261,18 +265,18 @@
                 .retain(|_, at| now.since(*at) < FAILURE_LIFETIME);
             for part in ZonePart::ALL {
                 let known = state.part_mut(part);
-                known.cleared = known.cleared.filter(|at| now.since(*at) < RETURN_TIME);
+                known.cleared = known.cleared.filter(|at| now.since(*at) < RECOVERY_TIME);
                 known.answered = known
                     .answered
                     .filter(|at| now.since(*at) < FAILURE_LIFETIME);
             }
         }
         self.zones.retain(|_, state| {
-            let is_at_rest = |part: ZonePart| {
+            let is_idle = |part: ZonePart| {
                 let known = state.part(part);
                 !known.was_suspected && known.cleared.is_none() && known.answered.is_none()
             };
-            !state.failures.is_empty() || !ZonePart::ALL.into_iter().all(is_at_rest)
+            !state.failures.is_empty() || !ZonePart::ALL.into_iter().all(is_idle)
         });
     }
 }
--- a/crates/gateway-core/src/zone_spread.rs
+++ b/crates/gateway-core/src/zone_spread.rs
@@ -1,48 +1,48 @@
-//! Spreads over zones the nodes that remember something for a partition, and those that are asked to
-//! act for it: a zone may be lost as a whole.
+//! Distribution of a partition's witnesses and candidate owners over zones, since a zone may fail
+//! as a whole.
 //!
-//! Both begin with an order that all nodes share (see [`crate::ownership`]) and keep to it as far as
-//! zones allow. Nodes that spread in different ways, as during an upgrade, agree on the foremost
-//! owner; witnesses are named in the log by the owner that chose them.
+//! Both selections follow the ranking that all nodes share (see [`crate::ownership`]) as far as the
+//! zones allow. The first candidate never depends on zones, so that nodes of different versions
+//! agree on it; witnesses are recorded in the log by the owner that chose them.
 
 use elderworks_types::NodeId;
 
-/// Fewest witnesses of which the loss of one leaves a majority.
-const FEWEST_SAFE: usize = 3;
+/// Minimum number of witnesses of which a majority remains after the loss of one.
+const MIN_SAFE: usize = 3;
 
 /// A node with its zone.
 pub type Placed<'a> = (&'a NodeId, &'a str);
 
-/// Up to `most` witnesses for an owner in `own_zone`, of the others in their `ranked` order.
+/// Selects up to `max` witnesses for an owner in `own_zone` from the other nodes in `ranked` order.
 ///
-/// The loss of any one zone leaves a majority of them, if the others are in three zones or more: of
-/// an odd number, no zone has more than a minority. With fewer zones, the loss of the owner's zone
-/// leaves a majority, if the others have enough nodes: that loss takes the owner too, and its
-/// overdraft has to be fenced.
-pub fn spread_witnesses<'a>(ranked: &[Placed<'a>], own_zone: &str, most: usize) -> Vec<&'a NodeId> {
-    let odd_counts = (FEWEST_SAFE..=most).rev().filter(|count| count % 2 == 1);
+/// If the other nodes are in at least three zones, an odd number of witnesses is selected of which
+/// no zone has more than a minority, so that a majority survives the loss of any zone. With fewer
+/// zones, a majority survives the loss of the owner's zone if the other zones have enough nodes: in
+/// that case the owner is lost too, and the witnesses are needed to fence its overdraft.
+pub fn spread_witnesses<'a>(ranked: &[Placed<'a>], own_zone: &str, max: usize) -> Vec<&'a NodeId> {
+    let odd_counts = (MIN_SAFE..=max).rev().filter(|count| count % 2 == 1);
     for count in odd_counts {
         let minority = (count - 1) / 2;
-        let chosen = capped(ranked, count, |_| minority);
+        let chosen = first_within_caps(ranked, count, |_| minority);
         if chosen.len() == count {
             return names(&chosen);
         }
     }
-    witnesses_of_few_zones(ranked, own_zone, most)
+    witnesses_from_few_zones(ranked, own_zone, max)
 }
 
-fn witnesses_of_few_zones<'a>(
+fn witnesses_from_few_zones<'a>(
     ranked: &[Placed<'a>],
     own_zone: &str,
-    most: usize,
+    max: usize,
 ) -> Vec<&'a NodeId> {
-    let majority = most / 2 + 1;
-    let mut chosen = capped(ranked, most, |zone| match zone == own_zone {
-        true => most - majority,
+    let majority = max / 2 + 1;
+    let mut chosen = first_within_caps(ranked, max, |zone| match zone == own_zone {
+        true => max - majority,
         false => majority,
     });
     for placed in ranked {
-        if chosen.len() == most {
+        if chosen.len() == max {
             break;
         }
         if !chosen.contains(placed) {
@@ -52,11 +52,15 @@
     names(&chosen)
 }
 
-/// The first `most` of the order, of each zone no more than its cap.
-fn capped<'a>(ranked: &[Placed<'a>], most: usize, cap: impl Fn(&str) -> usize) -> Vec<Placed<'a>> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(most);
+/// Returns the first `max` nodes of the ranking with no more than `cap` nodes from each zone.
+fn first_within_caps<'a>(
+    ranked: &[Placed<'a>],
+    max: usize,
+    cap: impl Fn(&str) -> usize,
+) -> Vec<Placed<'a>> {
+    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(max);
     for placed in ranked {
-        if chosen.len() == most {
+        if chosen.len() == max {
             break;
         }
         let of_zone = chosen.iter().filter(|(_, zone)| *zone == placed.1).count();
@@ -71,41 +75,42 @@
     placed.iter().map(|(node, _)| *node).collect()
 }
 
-/// The first `most` of the `ranked` nodes, of which the first `asked` are not all of one zone if there
-/// is another one: the last of these places goes to the next node of another zone.
+/// Returns the first `max` of the `ranked` nodes such that the first `contacted` ones aren't all in
+/// the same zone, if there is another zone: the last of these is replaced by the next node of
+/// another zone.
 ///
-/// The places before it stay: the foremost is the owner in the eyes of all nodes, and the next one
-/// becomes the owner when it is lost alone.
+/// The ones before it stay: all nodes consider the first one the owner, and the next one becomes
+/// the owner if only the first is lost.
 pub fn spread_candidates<'a>(
     ranked: impl Iterator<Item = Placed<'a>>,
-    asked: usize,
-    most: usize,
+    contacted: usize,
+    max: usize,
 ) -> Vec<&'a NodeId> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(most);
+    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(max);
     let mut next_elsewhere = None;
     for placed in ranked {
         let is_elsewhere = chosen.first().is_some_and(|first| first.1 != placed.1);
-        if chosen.len() < most {
+        if chosen.len() < max {
             chosen.push(placed);
         }
         if is_elsewhere {
             next_elsewhere.get_or_insert(placed);
         }
-        if next_elsewhere.is_some() && chosen.len() == most {
+        if next_elsewhere.is_some() && chosen.len() == max {
             break;
         }
     }
-    let Some(elsewhere) = next_elsewhere.filter(|_| asked > 1) else {
+    let Some(elsewhere) = next_elsewhere.filter(|_| contacted > 1) else {
         return names(&chosen);
     };
     let is_spread = chosen
         .iter()
-        .take(asked)
+        .take(contacted)
         .any(|placed| placed.1 != chosen[0].1);
     if !is_spread {
         chosen.retain(|placed| *placed != elsewhere);
-        chosen.insert(asked - 1, elsewhere);
-        chosen.truncate(most);
+        chosen.insert(contacted - 1, elsewhere);
+        chosen.truncate(max);
     }
     names(&chosen)
 }
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -9,7 +9,7 @@
 use elderworks_gateway_core::engine_memory::beliefs::{
     BELIEF_LIFETIME, Belief, EngineMemories, Holding,
 };
-use elderworks_gateway_core::engine_memory::fetching::{Fetch, FetchBook};
+use elderworks_gateway_core::engine_memory::fetching::{Fetch, FetchLimiter};
 use elderworks_gateway_core::engine_memory::log::{EngineLog, LogChange};
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{EngineReader, ReadOutcome, Step};
@@ -369,11 +369,11 @@
         let mut calls = calls;
         calls.sort_unstable();
         let engine = WorkerKey::of("engine");
-        let mut book = FetchBook::default();
+        let mut limiter = FetchLimiter::default();
         let mut begun: Vec<(Timestamp, u64)> = Vec::new();
         for (millis, part) in calls {
             let fetch = Fetch { part: PartKey(part), tokens: PART_TOKENS, crosses_zones: false };
-            if book.begin(engine, &fetch, &moves(), at(millis)) {
+            if limiter.try_start(engine, &fetch, &moves(), at(millis)) {
                 begun.push((at(millis), fetch.bytes(&moves())));
             }
         }
@@ -426,16 +426,16 @@
 #[test]
 fn a_part_is_not_fetched_twice_within_a_moment() {
     let engine = WorkerKey::of("engine");
-    let mut book = FetchBook::default();
+    let mut limiter = FetchLimiter::default();
     let fetch = |part| Fetch {
         part: key(part),
         tokens: PART_TOKENS,
         crosses_zones: false,
     };
-    assert!(book.begin(engine, &fetch("a"), &moves(), START));
-    assert!(!book.begin(engine, &fetch("a"), &moves(), at(1_900)));
-    assert!(book.begin(engine, &fetch("b"), &moves(), at(1_900)));
-    assert!(book.begin(engine, &fetch("a"), &moves(), at(2_000)));
+    assert!(limiter.try_start(engine, &fetch("a"), &moves(), START));
+    assert!(!limiter.try_start(engine, &fetch("a"), &moves(), at(1_900)));
+    assert!(limiter.try_start(engine, &fetch("b"), &moves(), at(1_900)));
+    assert!(limiter.try_start(engine, &fetch("a"), &moves(), at(2_000)));
 }
 
 fn turn(part: &str) -> EngineTurn {
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -7,8 +7,10 @@
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose, is_at_home};
 use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartDemand, PartKey};
-use elderworks_gateway_core::placement::homes::{PartLoad, home_count, home_shares, place};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey, PrefixDemand};
+use elderworks_gateway_core::placement::homes::{
+    PrefixLoad, home_count, home_fractions, rendezvous_rank,
+};
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
@@ -77,11 +79,11 @@
 fn homes_fit_in_memory_and_follow_demand() {
     let weights = [100.0, 50.0, 10.0, 10.0, 10.0, 1.0, 0.1];
     for (room_parts, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
-        let parts = weights.map(|weight| PartLoad {
+        let parts = weights.map(|weight| PrefixLoad {
             tokens: PART_TOKENS as f64,
             weight,
         });
-        let shares = home_shares(&parts, room_parts * PART_TOKENS as f64, engines);
+        let shares = home_fractions(&parts, room_parts * PART_TOKENS as f64, engines);
         let sum: f64 = shares.iter().sum();
         let fewest = 2.0 / engines as f64;
         let forced = fewest * weights.len() as f64;
@@ -93,11 +95,11 @@
 
 #[test]
 fn parts_that_all_fit_are_at_home_everywhere() {
-    let part = PartLoad {
+    let part = PrefixLoad {
         tokens: PART_TOKENS as f64,
         weight: 1.0,
     };
-    let shares = home_shares(&[part, part], 3.0 * PART_TOKENS as f64, 10);
+    let shares = home_fractions(&[part, part], 3.0 * PART_TOKENS as f64, 10);
     assert_eq!(shares, [1.0, 1.0]);
 }
 
@@ -108,7 +110,7 @@
         .collect();
     let homes = |part: PartKey, engines: &[String]| -> BTreeSet<String> {
         let mut order: Vec<&String> = engines.iter().collect();
-        order.sort_by_key(|engine| place(part, engine));
+        order.sort_by_key(|engine| rendezvous_rank(part, engine));
         let count = home_count(0.3, engines.len());
         order.into_iter().take(count).cloned().collect()
     };
@@ -125,8 +127,8 @@
 
 #[test]
 fn nodes_that_have_heard_of_the_same_demand_count_the_same_homes() {
-    let mut one = PartDemand::default();
-    let mut other = PartDemand::default();
+    let mut one = PrefixDemand::default();
+    let mut other = PrefixDemand::default();
     for number in 0..400 {
         let met = turn(skewed_part(number));
         match number % 2 {
@@ -136,14 +138,14 @@
     }
     let told = [one.own_demand(), other.own_demand()];
     let [of_one, of_other] = told;
-    one.take_told(START, NodeId::new("other"), of_other);
-    other.take_told(START, NodeId::new("one"), of_one);
+    one.apply_peer_demand(START, NodeId::new("other"), of_other);
+    other.apply_peer_demand(START, NodeId::new("one"), of_one);
     let later = START + Duration::from_secs(1);
     one.note_turn(&turn(0), ENGINES, later);
     other.note_turn(&turn(0), ENGINES, later);
     for part in 0..PARTS {
         let key = turn(part).part;
-        let (one, other) = (one.share(key), other.share(key));
+        let (one, other) = (one.home_fraction(key), other.home_fraction(key));
         assert!(
             (one - other).abs() < 1.0 / ENGINES as f64,
             "part {part}: {one} {other}"
@@ -153,13 +155,13 @@
 
 #[test]
 fn demand_of_a_node_that_fell_silent_lapses_and_cold_parts_are_forgotten() {
-    let mut demand = PartDemand::default();
-    let mut peer = PartDemand::default();
+    let mut demand = PrefixDemand::default();
+    let mut peer = PrefixDemand::default();
     for _ in 0..100 {
         peer.note_turn(&turn(1), ENGINES, START);
         demand.note_turn(&turn(0), ENGINES, START);
     }
-    demand.take_told(START, NodeId::new("peer"), peer.own_demand());
+    demand.apply_peer_demand(START, NodeId::new("peer"), peer.own_demand());
     demand.note_turn(&turn(0), ENGINES, START + Duration::from_secs(1));
     assert_eq!(demand.len(), 2);
     demand.note_turn(&turn(0), ENGINES, START + Duration::from_secs(7));
@@ -170,7 +172,7 @@
 
 #[test]
 fn the_number_of_parts_is_bounded() {
-    let mut demand = PartDemand::default();
+    let mut demand = PrefixDemand::default();
     for number in 0..5_000 {
         let now = START + Duration::from_millis(number);
         demand.note_turn(&turn(number), ENGINES, now);
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::worker_health::{Standing, WorkerHealth};
+use elderworks_gateway_core::worker_health::{HealthStatus, WorkerHealth};
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -22,15 +22,15 @@
 fn an_ejection_is_followed_by_a_probation() {
     let health = ejected();
     let cases = [
-        (0, Standing::Ejected),
-        (299, Standing::Ejected),
-        (300, Standing::OnProbation),
-        (3_299, Standing::OnProbation),
-        (3_300, Standing::Good),
+        (0, HealthStatus::Ejected),
+        (299, HealthStatus::Ejected),
+        (300, HealthStatus::OnProbation),
+        (3_299, HealthStatus::OnProbation),
+        (3_300, HealthStatus::Healthy),
     ];
     for (milliseconds, expected) in cases {
         assert_eq!(
-            health.standing(after(milliseconds)),
+            health.status(after(milliseconds)),
             expected,
             "{milliseconds} ms"
         );
@@ -41,17 +41,17 @@
 fn successes_end_a_probation() {
     let mut health = ejected();
     health.note_success();
-    assert_eq!(health.standing(after(300)), Standing::OnProbation);
+    assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
     health.note_success();
-    assert_eq!(health.standing(after(300)), Standing::Good);
+    assert_eq!(health.status(after(300)), HealthStatus::Healthy);
 }
 
 #[test]
 fn a_failure_on_probation_ejects_for_longer() {
     let mut health = ejected();
     assert!(health.note_failure(after(300)));
-    assert_eq!(health.standing(after(899)), Standing::Ejected);
-    assert_eq!(health.standing(after(900)), Standing::OnProbation);
+    assert_eq!(health.status(after(899)), HealthStatus::Ejected);
+    assert_eq!(health.status(after(900)), HealthStatus::OnProbation);
 }
 
 #[test]
@@ -59,8 +59,8 @@
     let mut health = WorkerHealth::default();
     assert!(!health.note_report(START, NodeId::new("n2")));
     assert_eq!(
-        health.standing(START),
-        Standing::Good,
+        health.status(START),
+        HealthStatus::Healthy,
         "it may be cut off there alone"
     );
     assert!(health.note_failure(START));
@@ -72,7 +72,7 @@
     assert!(!health.note_report(START, NodeId::new("n2")));
     assert!(!health.note_report(after(10), NodeId::new("n2")));
     assert!(health.note_report(after(20), NodeId::new("n3")));
-    assert_eq!(health.standing(after(20)), Standing::Ejected);
+    assert_eq!(health.status(after(20)), HealthStatus::Ejected);
 }
 
 #[test]
@@ -89,5 +89,5 @@
         let node = NodeId::new(format!("n{number}"));
         assert!(!health.note_report(after(milliseconds), node));
     }
-    assert_eq!(health.standing(after(300)), Standing::OnProbation);
+    assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
 }
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::zone_health::{Source, ZoneHealth, ZonePart, ZoneStanding};
+use elderworks_gateway_core::zone_health::{Source, ZoneHealth, ZonePart, ZoneStatus};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -99,10 +99,7 @@
         0,
         &[Fails(worker(1)), Fails(worker(2)), Fails(node(1))],
     ));
-    assert_eq!(
-        health.standing(after(0), "z", Workers),
-        ZoneStanding::Suspected
-    );
+    assert_eq!(health.status(after(0), "z", Workers), ZoneStatus::Suspected);
     let begun = health.changes(after(0));
     assert_eq!(begun.len(), 2, "workers and nodes: {begun:?}");
     assert!(
@@ -117,10 +114,10 @@
     assert!(ended[0].part == Workers && !ended[0].is_suspected);
     assert!(health.is_suspected(after(500), "z", Nodes));
 
-    let standing = |ms| health.standing(after(ms), "z", Workers);
-    assert_eq!(standing(1_000), ZoneStanding::Returning(0.25));
-    assert_eq!(standing(2_000), ZoneStanding::Returning(0.75));
-    assert_eq!(standing(2_500), ZoneStanding::Good);
+    let status = |ms| health.status(after(ms), "z", Workers);
+    assert_eq!(status(1_000), ZoneStatus::Recovering(0.25));
+    assert_eq!(status(2_000), ZoneStatus::Recovering(0.75));
+    assert_eq!(status(2_500), ZoneStatus::Healthy);
 }
 
 #[test]
@@ -141,10 +138,7 @@
     let ended = health.changes(after(2_000));
     assert!(ended.len() == 2 && ended.iter().all(|change| !change.is_suspected));
     assert!(health.changes(after(9_000)).is_empty());
-    assert_eq!(
-        health.standing(after(9_000), "z", Nodes),
-        ZoneStanding::Good
-    );
+    assert_eq!(health.status(after(9_000), "z", Nodes), ZoneStatus::Healthy);
 }
 
 fn seen() -> impl Strategy<Value = Seen> {
