--- a/crates/gateway-core/src/engine_memory/beliefs.rs
+++ b/crates/gateway-core/src/engine_memory/beliefs.rs
@@ -1,4 +1,4 @@
-//! What this node believes of the engines' memory.
+//! The last known contents of the engines' memory.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,64 +8,64 @@
 use crate::peer_loads::WorkerKey;
 use crate::placement::demand::PartKey;
 
-/// A belief counts for this long after the engine was heard; readers repeat theirs more often.
-pub const BELIEF_LIFETIME: Duration = Duration::from_secs(10);
+/// Time after which a snapshot expires; readers report more often.
+pub const SNAPSHOT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// An engine holds a part if it keeps so many of its quarters, and lacks it if it keeps fewer.
+/// Quarters of a prefix that an engine must have cached to count as holding it.
 const HELD_QUARTERS: u64 = 3;
 
-/// What is believed of one engine.
+/// The last known contents of one engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Belief {
-    /// The start of the engine that it is about.
+    /// The start of the engine to which the snapshot belongs.
     pub born: u64,
-    /// When the engine was heard.
+    /// When the contents were read from the engine.
     pub heard: Timestamp,
-    /// Tokens kept of each part that is known, 0 of those that are not kept.
+    /// Cached tokens of each known prefix, 0 for those that aren't cached.
     pub parts: BTreeMap<PartKey, u64>,
 }
 
-/// Whether an engine keeps a part.
+/// Whether an engine has a prefix in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holding {
-    /// Most of it at least.
+    /// The engine has most of the prefix in memory.
     Holds,
-    /// Less than that.
+    /// The engine has less of it in memory.
     Lacks,
-    /// Nothing is known, or it was heard too long ago.
+    /// There is no unexpired information.
     Unknown,
 }
 
-/// The latest belief of each engine.
+/// The latest snapshot of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineMemories {
-    beliefs: BTreeMap<WorkerKey, Belief>,
+    snapshots: BTreeMap<WorkerKey, Belief>,
 }
 
 impl EngineMemories {
-    /// Takes a belief unless a later one is known; tells whether it did.
-    pub fn take(&mut self, engine: WorkerKey, belief: Belief) -> bool {
-        if let Some(known) = self.beliefs.get(&engine)
-            && (known.born, known.heard) > (belief.born, belief.heard)
+    /// Stores a snapshot unless a newer one is stored; returns whether it did.
+    pub fn update(&mut self, engine: WorkerKey, snapshot: Belief) -> bool {
+        if let Some(known) = self.snapshots.get(&engine)
+            && (known.born, known.heard) > (snapshot.born, snapshot.heard)
         {
             return false;
         }
-        self.beliefs.insert(engine, belief);
+        self.snapshots.insert(engine, snapshot);
         true
     }
 
-    /// Forgets an engine.
+    /// Removes the snapshot of an engine.
     pub fn forget(&mut self, engine: WorkerKey) {
-        self.beliefs.remove(&engine);
+        self.snapshots.remove(&engine);
     }
 
-    /// Forgets what is too old.
+    /// Removes expired snapshots.
     pub fn drop_old(&mut self, now: Timestamp) {
-        self.beliefs
-            .retain(|_, belief| now.since(belief.heard) < BELIEF_LIFETIME);
+        self.snapshots
+            .retain(|_, snapshot| now.since(snapshot.heard) < SNAPSHOT_LIFETIME);
     }
 
-    /// Whether an engine, in its start at `born`, keeps a part of so many tokens.
+    /// Returns whether the engine that was started at `born` holds a prefix of `tokens` tokens.
     pub fn holding(
         &self,
         engine: WorkerKey,
@@ -74,11 +74,10 @@
         tokens: u64,
         now: Timestamp,
     ) -> Holding {
-        let belief = self
-            .beliefs
-            .get(&engine)
-            .filter(|belief| belief.born == born && now.since(belief.heard) < BELIEF_LIFETIME);
-        let held = belief.and_then(|belief| belief.parts.get(&part));
+        let snapshot = self.snapshots.get(&engine).filter(|snapshot| {
+            snapshot.born == born && now.since(snapshot.heard) < SNAPSHOT_LIFETIME
+        });
+        let held = snapshot.and_then(|snapshot| snapshot.parts.get(&part));
         match held {
             Some(held) if held * 4 >= tokens * HELD_QUARTERS => Holding::Holds,
             Some(_) => Holding::Lacks,
@@ -86,25 +85,28 @@
         }
     }
 
-    /// How many parts are believed to be kept, at all engines together.
+    /// Returns the number of cached prefixes at all engines together.
     pub fn parts_held(&self) -> usize {
-        let parts = self.beliefs.values().flat_map(|belief| &belief.parts);
+        let parts = self.snapshots.values().flat_map(|snapshot| &snapshot.parts);
         parts.filter(|(_, tokens)| **tokens > 0).count()
     }
 
-    /// Age of the oldest belief.
+    /// Returns the age of the oldest snapshot.
     pub fn oldest(&self, now: Timestamp) -> Option<Duration> {
-        let ages = self.beliefs.values().map(|belief| now.since(belief.heard));
+        let ages = self
+            .snapshots
+            .values()
+            .map(|snapshot| now.since(snapshot.heard));
         ages.max()
     }
 
-    /// Engines of which something is believed.
+    /// Returns the number of engines with a snapshot.
     pub fn len(&self) -> usize {
-        self.beliefs.len()
+        self.snapshots.len()
     }
 
-    /// Whether nothing is believed.
+    /// Returns whether there are no snapshots.
     pub fn is_empty(&self) -> bool {
-        self.beliefs.is_empty()
+        self.snapshots.is_empty()
     }
 }
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -1,4 +1,4 @@
-//! Whether an engine takes a prompt's first part from another one in place of reading it.
+//! Decides whether an engine fetches a prompt's prefix from another engine instead of processing it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,43 +9,43 @@
 use crate::peer_loads::WorkerKey;
 use crate::placement::demand::PartKey;
 
-/// Tokens that an engine is taken to read in a millisecond.
+/// Assumed prefill speed of an engine in tokens per millisecond.
 const READ_TOKENS_PER_MS: u64 = 200;
 
-/// Time that a fetch must save at least.
-const LEAST_GAIN: Duration = Duration::from_millis(20);
+/// Minimum time that a fetch must save.
+const MIN_SAVING: Duration = Duration::from_millis(20);
 
-/// Most bytes that one engine is made to take in [`BYTES_WINDOW`].
-const MOST_BYTES: u64 = 2_000_000_000;
+/// Maximum number of bytes that one engine fetches within [`BYTES_WINDOW`].
+const MAX_BYTES: u64 = 2_000_000_000;
 
-/// Time over which the bytes of an engine's fetches are added up.
+/// Time window of the limit on an engine's fetched bytes.
 const BYTES_WINDOW: Duration = Duration::from_secs(1);
 
-/// A part that an engine was told to fetch is not asked of it again for this long: by then it is
-/// known whether it holds it.
-const FETCH_PAUSE: Duration = Duration::from_secs(2);
+/// Minimum time between two fetches of the same prefix by an engine, within which a new snapshot of
+/// the engine's memory arrives.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Moves between zones take this many times as long.
-const FAR_FACTOR: u32 = 2;
+/// Factor by which transfers between zones take longer.
+const CROSS_ZONE_FACTOR: u32 = 2;
 
-/// A fetch that could be made.
+/// A possible fetch of a prefix from another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// The part.
+    /// The prefix.
     pub part: PartKey,
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// Whether it comes from another zone.
+    /// Whether the source is in another zone.
     pub crosses_zones: bool,
 }
 
 impl Fetch {
-    /// Bytes that it moves.
+    /// Returns the number of bytes to transfer.
     pub fn bytes(&self, moves: &MemoryMoves) -> u64 {
         self.tokens.saturating_mul(moves.token_bytes)
     }
 
-    /// How long the move takes; `None` if engines pass nothing on.
+    /// Returns the expected transfer time, or `None` if engines don't support transfers.
     pub fn transfer_time(&self, moves: &MemoryMoves) -> Option<Duration> {
         if moves.token_bytes == 0 || moves.link_mbps <= 0.0 {
             return None;
@@ -53,31 +53,32 @@
         let megabits = self.bytes(moves) as f64 * 8.0 / 1e6;
         let time = Duration::try_from_secs_f64(megabits / moves.link_mbps).ok()?;
         Some(match self.crosses_zones {
-            true => time * FAR_FACTOR,
+            true => time * CROSS_ZONE_FACTOR,
             false => time,
         })
     }
 
-    /// How long reading takes.
+    /// Returns the expected time to process the prefix instead.
     pub fn reading_time(&self) -> Duration {
         Duration::from_millis(self.tokens / READ_TOKENS_PER_MS)
     }
 
-    /// Whether it saves enough time.
-    pub fn pays(&self, moves: &MemoryMoves) -> bool {
+    /// Returns whether the fetch saves at least [`MIN_SAVING`].
+    pub fn saves_time(&self, moves: &MemoryMoves) -> bool {
         self.transfer_time(moves)
-            .is_some_and(|transfer| transfer + LEAST_GAIN <= self.reading_time())
+            .is_some_and(|transfer| transfer + MIN_SAVING <= self.reading_time())
     }
 }
 
-/// Fetches of late, by the engine that takes the part.
+/// Limits the fetches of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct FetchLimiter {
+    /// Recent fetches by fetching engine: start time, prefix and bytes.
     fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PartKey, u64)>>,
 }
 
 impl FetchLimiter {
-    /// Notes a fetch if the engine may make it now; tells whether it may.
+    /// Records a fetch if the limits of the engine allow it; returns whether they do.
     pub fn try_start(
         &mut self,
         engine: WorkerKey,
@@ -88,12 +89,12 @@
         self.drop_old(now);
         let bytes = fetch.bytes(moves);
         let of_engine = self.fetches.get(&engine).into_iter().flatten();
-        let of_late = of_engine
+        let recent = of_engine
             .clone()
             .filter(|(at, _, _)| now.since(*at) < BYTES_WINDOW);
-        let moved: u64 = of_late.map(|(_, _, bytes)| *bytes).sum();
+        let moved: u64 = recent.map(|(_, _, bytes)| *bytes).sum();
         let is_repeat = of_engine.clone().any(|(_, part, _)| *part == fetch.part);
-        if is_repeat || moved.saturating_add(bytes) > MOST_BYTES {
+        if is_repeat || moved.saturating_add(bytes) > MAX_BYTES {
             return false;
         }
         let noted = self.fetches.entry(engine).or_default();
@@ -103,7 +104,7 @@
 
     fn drop_old(&mut self, now: Timestamp) {
         self.fetches.retain(|_, fetches| {
-            fetches.retain(|(at, _, _)| now.since(*at) < FETCH_PAUSE);
+            fetches.retain(|(at, _, _)| now.since(*at) < REPEAT_INTERVAL);
             !fetches.is_empty()
         });
     }
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -1,46 +1,47 @@
-//! What one engine keeps, as far as its events and lists tell.
+//! Prompt prefixes in one engine's memory, tracked from its events and listings.
 
 use std::collections::BTreeMap;
 
 use crate::engines::{MemoryEvent, MemoryEvents, MemoryListing};
 use crate::placement::demand::PartKey;
 
-/// Most parts of one engine that are told apart; the shortest are forgotten first. An engine keeps
-/// fewer: each conversation of its memory has one part of its own.
-const MOST_PARTS: usize = 1_024;
+/// Maximum number of tracked prefixes of one engine; the shortest are dropped first. Engines cache
+/// fewer, at one prefix per conversation.
+const MAX_PREFIXES: usize = 1_024;
 
-/// What an answer of an engine has changed.
+/// The effect of an engine's response on the tracked state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogChange {
-    /// Nothing beyond what its events say.
+    /// The events or the listing were applied.
     Went,
-    /// The engine has started again: nothing of what was known holds.
+    /// The engine has restarted, and the earlier state was discarded.
     Restarted,
-    /// Events are missing: what is not known to be kept may be.
+    /// Events are missing, so prefixes that aren't tracked may be cached.
     Gap,
 }
 
-/// What a reader knows of one engine's memory.
+/// A reader's view of one engine's memory.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLog {
     epoch: Option<u64>,
     next: u64,
-    parts: BTreeMap<PartKey, u64>,
-    /// Whether a part that is not known is not kept.
-    is_whole: bool,
+    /// Cached tokens by prefix.
+    prefixes: BTreeMap<PartKey, u64>,
+    /// Whether prefixes that aren't tracked are known not to be cached.
+    is_complete: bool,
 }
 
 impl EngineLog {
-    /// Behind which event the next call goes on.
+    /// Returns the number of the event after which the next call continues.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes an answer to a call for the events behind [`Self::next`].
-    pub fn take_events(&mut self, answer: &MemoryEvents) -> LogChange {
+    /// Applies the response to a call for the events after [`Self::next`].
+    pub fn apply_events(&mut self, answer: &MemoryEvents) -> LogChange {
         let has_restarted = self.epoch.is_some_and(|epoch| epoch != answer.epoch);
         if has_restarted {
-            // The answer's numbers may not be those that were asked for.
+            // The response may not start at the requested number, since numbers restart too.
             *self = Self {
                 epoch: Some(answer.epoch),
                 ..Self::default()
@@ -51,64 +52,64 @@
         self.epoch = Some(answer.epoch);
         self.next = answer.next;
         if answer.has_gap {
-            // What was dropped meanwhile is not known.
-            self.parts.clear();
-            self.is_whole = false;
+            // Any of the tracked prefixes may have been evicted in the gap.
+            self.prefixes.clear();
+            self.is_complete = false;
         } else if is_from_start {
-            self.is_whole = true;
+            self.is_complete = true;
         }
-        self.take(&answer.events);
+        self.apply(&answer.events);
         match answer.has_gap {
             true => LogChange::Gap,
             false => LogChange::Went,
         }
     }
 
-    /// Takes the list of everything that is kept.
-    pub fn take_listing(&mut self, listing: &MemoryListing) -> LogChange {
+    /// Applies a complete listing.
+    pub fn apply_listing(&mut self, listing: &MemoryListing) -> LogChange {
         let has_restarted = self.epoch.is_some_and(|epoch| epoch != listing.epoch);
         *self = Self {
             epoch: Some(listing.epoch),
             next: listing.next,
-            parts: BTreeMap::new(),
-            is_whole: true,
+            prefixes: BTreeMap::new(),
+            is_complete: true,
         };
-        self.take(&listing.parts);
+        self.apply(&listing.parts);
         match has_restarted {
             true => LogChange::Restarted,
             false => LogChange::Went,
         }
     }
 
-    fn take(&mut self, events: &[MemoryEvent]) {
+    fn apply(&mut self, events: &[MemoryEvent]) {
         for event in events {
             let part = PartKey::of(&event.part);
             match event.tokens {
-                0 => self.parts.remove(&part),
-                tokens => self.parts.insert(part, tokens),
+                0 => self.prefixes.remove(&part),
+                tokens => self.prefixes.insert(part, tokens),
             };
         }
-        while self.parts.len() > MOST_PARTS {
-            let shortest = self.parts.iter().min_by_key(|(_, tokens)| **tokens);
+        while self.prefixes.len() > MAX_PREFIXES {
+            let shortest = self.prefixes.iter().min_by_key(|(_, tokens)| **tokens);
             let Some((&part, _)) = shortest else { break };
-            self.parts.remove(&part);
-            self.is_whole = false;
+            self.prefixes.remove(&part);
+            self.is_complete = false;
         }
     }
 
-    /// Tokens of a part that the engine keeps; `None` if that is not known.
+    /// Returns the number of cached tokens of a prefix, or `None` if it isn't known.
     pub fn held(&self, part: PartKey) -> Option<u64> {
-        let known = self.parts.get(&part).copied();
-        known.or_else(|| (self.is_whole && self.epoch.is_some()).then_some(0))
+        let known = self.prefixes.get(&part).copied();
+        known.or_else(|| (self.is_complete && self.epoch.is_some()).then_some(0))
     }
 
-    /// Parts that are known to be kept.
+    /// Returns the number of prefixes known to be cached.
     pub fn len(&self) -> usize {
-        self.parts.len()
+        self.prefixes.len()
     }
 
-    /// Whether no part is known to be kept.
+    /// Returns whether no prefix is known to be cached.
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.prefixes.is_empty()
     }
 }
--- a/crates/gateway-core/src/engine_memory/mod.rs
+++ b/crates/gateway-core/src/engine_memory/mod.rs
@@ -1,11 +1,11 @@
-//! What engines keep of prompts: reading it from the engines, telling it to other nodes, and believing
-//! it for a while.
+//! Prompt prefixes in the engines' memory: reading them from the engines, reporting them to other
+//! nodes, and fetching them between engines.
 //!
-//! Few nodes read ([`readers`]): an engine holds few calls for its events. A reader follows an
-//! engine's events ([`log`]) at a pace that spares the engine ([`reading`]) and tells the other nodes
-//! what has changed of the parts that turns ask for ([`telling`]). What a node knows, from its own
-//! reading or from another node's word, is a belief with an age ([`beliefs`]): it never decides whether or
-//! where a request runs, only whether its engine takes a part of the prompt from another one
+//! An engine accepts few concurrent calls for its events, so one node reads each engine
+//! ([`readers`]). The reader follows the engine's events ([`log`]) at a limited rate ([`reading`])
+//! and reports changes of the prefixes in demand to the other nodes ([`telling`]). Each node stores
+//! its own and the reported data as snapshots that expire ([`beliefs`]). They never decide whether or
+//! where a request runs, only whether its engine fetches the prompt's prefix from another one
 //! ([`fetching`]).
 
 pub mod beliefs;
--- a/crates/gateway-core/src/engine_memory/reading.rs
+++ b/crates/gateway-core/src/engine_memory/reading.rs
@@ -1,4 +1,4 @@
-//! When a reader calls an engine, and for what.
+//! Scheduling of a reader's calls to an engine.
 
 use std::time::Duration;
 
@@ -8,56 +8,57 @@
 use super::log::{EngineLog, LogChange};
 use crate::engines::{MemoryEvents, MemoryListing};
 
-/// How long an engine holds a call until there is something to tell: the longest that engines allow,
-/// since short calls count as probes.
+/// Long-polling time of a call for events. This is the maximum that engines allow; they count
+/// shorter calls as probes.
 pub const EVENT_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Pause after an answer, in which further events gather for one call.
+/// Pause after a response, so that the next call returns several events.
 const READ_PAUSE: Duration = Duration::from_millis(300);
 
-/// First pause after a call that was refused or failed; each further one is twice as long.
+/// Pause after the first refused or failed call; doubled for each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest such pause.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(8);
+/// Maximum pause after refused or failed calls.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Shortest time between two lists of one engine: a list holds up its work.
-const LIST_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum time between two listings of one engine, since a listing interrupts its work.
+const MIN_LISTING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A list is read again after this long, since some events never come.
-const RELIST_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which listings are read even without a gap, since engines may lose events.
+const LISTING_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Part of a pause by which it is made longer by chance, so that readers do not call together.
-const JITTER_PARTS: u64 = 4;
+/// A pause is extended by a random jitter of up to its length divided by this number, so that
+/// readers don't call at the same time.
+const JITTER_DIVISOR: u64 = 4;
 
-/// What a reader does next.
+/// The next action of a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Waits.
+    /// Wait for this long.
     Pause(Duration),
-    /// Calls for the events behind the one of that number.
+    /// Request the events after a number.
     Events {
-        /// The number.
+        /// Number of the last event that was read.
         since: u64,
     },
-    /// Calls for the list of everything.
+    /// Request a complete listing.
     Listing,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// With events, or with none in the time of the wait.
+    /// Events, or none within [`EVENT_WAIT`].
     Events(MemoryEvents),
-    /// With a list.
+    /// A complete listing.
     Listing(MemoryListing),
-    /// The engine holds enough calls already, or does not know them.
+    /// The engine has too many concurrent calls, or doesn't support them.
     Refused,
-    /// No answer, or one that cannot be read.
+    /// No response, or an invalid one.
     Failed,
 }
 
-/// The reading of one engine.
+/// State of reading one engine's memory.
 #[derive(Clone, Debug)]
 pub struct EngineReader {
     seed: u64,
@@ -65,15 +66,15 @@
     calls: u64,
     failures: u32,
     next_call: Timestamp,
-    wants_list: bool,
+    needs_listing: bool,
     started: Timestamp,
-    /// When a list was last read or asked for in vain.
-    listed: Option<Timestamp>,
+    /// When a listing was last read or requested without success.
+    last_listing: Option<Timestamp>,
     heard: Option<Timestamp>,
 }
 
 impl EngineReader {
-    /// Has read nothing yet. `seed` spreads the calls of different readers.
+    /// Creates a reader that has read nothing yet. `seed` determines its jitter.
     pub fn new(seed: u64, now: Timestamp) -> Self {
         Self {
             seed,
@@ -81,21 +82,24 @@
             calls: 0,
             failures: 0,
             next_call: now,
-            wants_list: false,
+            needs_listing: false,
             started: now,
-            listed: None,
+            last_listing: None,
             heard: None,
         }
     }
 
-    /// What to do now.
+    /// Returns the next action.
     pub fn next(&self, now: Timestamp) -> Step {
         if now < self.next_call {
             return Step::Pause(self.next_call.since(now));
         }
-        let may_list = self.listed.is_none_or(|at| now.since(at) >= LIST_INTERVAL);
-        let is_old = now.since(self.listed.unwrap_or(self.started)) >= RELIST_INTERVAL;
-        match is_old || self.wants_list && may_list {
+        let may_request_listing = self
+            .last_listing
+            .is_none_or(|at| now.since(at) >= MIN_LISTING_INTERVAL);
+        let is_listing_due =
+            now.since(self.last_listing.unwrap_or(self.started)) >= LISTING_INTERVAL;
+        match is_listing_due || self.needs_listing && may_request_listing {
             true => Step::Listing,
             false => Step::Events {
                 since: self.log.next(),
@@ -103,20 +107,20 @@
         }
     }
 
-    /// Takes the outcome of a call that was sent at `sent`.
+    /// Records the outcome of a call that was sent at `sent`.
     pub fn take(&mut self, sent: Timestamp, now: Timestamp, outcome: &ReadOutcome) -> LogChange {
         self.calls += 1;
         let change = match outcome {
-            ReadOutcome::Events(answer) => self.log.take_events(answer),
+            ReadOutcome::Events(answer) => self.log.apply_events(answer),
             ReadOutcome::Listing(listing) => {
-                self.wants_list = false;
-                self.listed = Some(now);
-                self.log.take_listing(listing)
+                self.needs_listing = false;
+                self.last_listing = Some(now);
+                self.log.apply_listing(listing)
             }
             ReadOutcome::Refused | ReadOutcome::Failed => {
                 if self.next(sent) == Step::Listing {
-                    // Events tell most of it as well.
-                    self.listed = Some(now);
+                    // Continue with events, which cover most changes.
+                    self.last_listing = Some(now);
                 }
                 self.failures += 1;
                 self.next_call = now + self.jittered(self.backoff());
@@ -125,7 +129,7 @@
         };
         self.failures = 0;
         self.heard = Some(sent);
-        self.wants_list |= change == LogChange::Gap;
+        self.needs_listing |= change == LogChange::Gap;
         let pause = match change {
             LogChange::Restarted => Duration::ZERO,
             LogChange::Went | LogChange::Gap => READ_PAUSE,
@@ -134,12 +138,12 @@
         change
     }
 
-    /// What is known of the engine.
+    /// Returns the known state of the engine's memory.
     pub fn log(&self) -> &EngineLog {
         &self.log
     }
 
-    /// When the last call that was answered was sent; `None` if none was.
+    /// Returns when the last successful call was sent, or `None` if there was none.
     pub fn heard(&self) -> Option<Timestamp> {
         self.heard
     }
@@ -148,12 +152,12 @@
         let doublings = self.failures.saturating_sub(1).min(16);
         FIRST_BACKOFF
             .saturating_mul(1 << doublings)
-            .min(LONGEST_BACKOFF)
+            .min(MAX_BACKOFF)
     }
 
     fn jittered(&self, pause: Duration) -> Duration {
-        let most = u64::try_from(pause.as_micros()).unwrap_or(u64::MAX) / JITTER_PARTS;
-        let chance = xxh3_64_with_seed(&self.calls.to_le_bytes(), self.seed);
-        pause + Duration::from_micros(chance % (most + 1))
+        let max = u64::try_from(pause.as_micros()).unwrap_or(u64::MAX) / JITTER_DIVISOR;
+        let hash = xxh3_64_with_seed(&self.calls.to_le_bytes(), self.seed);
+        pause + Duration::from_micros(hash % (max + 1))
     }
 }
--- a/crates/gateway-core/src/engine_memory/telling.rs
+++ b/crates/gateway-core/src/engine_memory/telling.rs
@@ -1,58 +1,59 @@
-//! What a reader tells the other nodes, and when.
+//! Selection of the snapshots that a reader reports to the other nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-use super::beliefs::{BELIEF_LIFETIME, Belief};
+use super::beliefs::{Belief, SNAPSHOT_LIFETIME};
 use crate::peer_loads::WorkerKey;
 
-/// Most parts of one engine that are told, those asked for most.
+/// Maximum number of prefixes in the report on one engine, those with the highest demand.
 pub const MOST_PARTS_TOLD: usize = 32;
 
-/// Most engines that are told of at a time; the rest follow.
-pub const MOST_ENGINES_TOLD: usize = 16;
+/// Maximum number of engines in one report; the rest is reported in the following ones.
+pub const MAX_REPORTED_ENGINES: usize = 16;
 
-/// What has not changed is told again after this long.
-const REPEAT_INTERVAL: Duration = BELIEF_LIFETIME.checked_div(3).expect("three is not zero");
+/// Interval at which unchanged snapshots are reported.
+const REPEAT_INTERVAL: Duration = SNAPSHOT_LIFETIME.checked_div(3).expect("three is not zero");
 
-/// Shortest time between two words on one engine.
+/// Minimum time between two reports on one engine.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was told last of each engine.
+/// The last reported snapshot of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryTeller {
-    told: BTreeMap<WorkerKey, (Timestamp, Belief)>,
+    last_reports: BTreeMap<WorkerKey, (Timestamp, Belief)>,
 }
 
 impl MemoryTeller {
-    /// Those of the present beliefs that others are to be told now, the longest untold first.
+    /// Returns the current snapshots that should be reported now, the least recently reported first.
     pub fn due(
         &mut self,
         now: Timestamp,
-        present: BTreeMap<WorkerKey, Belief>,
+        current: BTreeMap<WorkerKey, Belief>,
     ) -> Vec<(WorkerKey, Belief)> {
-        self.told.retain(|engine, _| present.contains_key(engine));
-        let mut due: Vec<(WorkerKey, Belief)> = present
+        self.last_reports
+            .retain(|engine, _| current.contains_key(engine));
+        let mut due: Vec<(WorkerKey, Belief)> = current
             .into_iter()
-            .filter(|(engine, belief)| self.is_due(now, *engine, belief))
+            .filter(|(engine, snapshot)| self.is_due(now, *engine, snapshot))
             .collect();
-        due.sort_by_key(|(engine, _)| self.told.get(engine).map(|(at, _)| *at));
-        due.truncate(MOST_ENGINES_TOLD);
-        for (engine, belief) in &due {
-            self.told.insert(*engine, (now, belief.clone()));
+        due.sort_by_key(|(engine, _)| self.last_reports.get(engine).map(|(at, _)| *at));
+        due.truncate(MAX_REPORTED_ENGINES);
+        for (engine, snapshot) in &due {
+            self.last_reports.insert(*engine, (now, snapshot.clone()));
         }
         due
     }
 
-    fn is_due(&self, now: Timestamp, engine: WorkerKey, belief: &Belief) -> bool {
-        let Some((at, told)) = self.told.get(&engine) else {
+    fn is_due(&self, now: Timestamp, engine: WorkerKey, snapshot: &Belief) -> bool {
+        let Some((at, last)) = self.last_reports.get(&engine) else {
             return true;
         };
-        let has_changed = told.born != belief.born || told.parts != belief.parts;
+        let has_changed = last.born != snapshot.born || last.parts != snapshot.parts;
         let since = now.since(*at);
-        let is_repeat = since >= REPEAT_INTERVAL && told.heard < belief.heard;
+        let is_repeat = since >= REPEAT_INTERVAL && last.heard < snapshot.heard;
         is_repeat || has_changed && since >= CHANGE_INTERVAL
     }
 }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -19,7 +19,7 @@
     /// did.
     pub fn take_memory(&mut self, engine: WorkerKey, belief: Belief) -> bool {
         let is_known = self.workers.values().any(|worker| worker.key == engine);
-        is_known && self.memories.take(engine, belief)
+        is_known && self.memories.update(engine, belief)
     }
 
     /// Drops expired snapshots.
@@ -76,7 +76,7 @@
         };
         let (address, engine) = (source.record.address, target.key);
         let is_started =
-            fetch.pays(moves) && self.fetch_limiter.try_start(engine, &fetch, moves, now);
+            fetch.saves_time(moves) && self.fetch_limiter.try_start(engine, &fetch, moves, now);
         is_started.then(|| (address, fetch.bytes(moves)))
     }
 
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -7,13 +7,13 @@
 
 use elderworks_gateway_core::config::MemoryMoves;
 use elderworks_gateway_core::engine_memory::beliefs::{
-    BELIEF_LIFETIME, Belief, EngineMemories, Holding,
+    Belief, EngineMemories, Holding, SNAPSHOT_LIFETIME,
 };
 use elderworks_gateway_core::engine_memory::fetching::{Fetch, FetchLimiter};
 use elderworks_gateway_core::engine_memory::log::{EngineLog, LogChange};
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{EngineReader, ReadOutcome, Step};
-use elderworks_gateway_core::engine_memory::telling::{MOST_ENGINES_TOLD, MemoryTeller};
+use elderworks_gateway_core::engine_memory::telling::{MAX_REPORTED_ENGINES, MemoryTeller};
 use elderworks_gateway_core::engines::{MemoryEvent, MemoryEvents, MemoryListing};
 use elderworks_gateway_core::peer_loads::WorkerKey;
 use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
@@ -66,11 +66,11 @@
     let mut log = EngineLog::default();
     assert_eq!(log.held(key("a")), None, "nothing was read yet");
     let first = events(1, 2, &[("a", 100), ("b", 50)]);
-    assert_eq!(log.take_events(&first), LogChange::Went);
+    assert_eq!(log.apply_events(&first), LogChange::Went);
     assert_eq!(log.next(), 2);
     assert_eq!(log.held(key("a")), Some(100));
     assert_eq!(log.held(key("c")), Some(0), "all events were read");
-    log.take_events(&events(1, 4, &[("a", 0), ("b", 80)]));
+    log.apply_events(&events(1, 4, &[("a", 0), ("b", 80)]));
     assert_eq!(log.held(key("a")), Some(0));
     assert_eq!(log.held(key("b")), Some(80));
 }
@@ -78,12 +78,12 @@
 #[test]
 fn an_engine_that_has_started_again_is_read_from_the_beginning() {
     let mut log = EngineLog::default();
-    log.take_events(&events(1, 9, &[("a", 100)]));
+    log.apply_events(&events(1, 9, &[("a", 100)]));
     let answer = events(2, 12, &[("b", 100)]);
-    assert_eq!(log.take_events(&answer), LogChange::Restarted);
+    assert_eq!(log.apply_events(&answer), LogChange::Restarted);
     assert_eq!(log.next(), 0);
     assert_eq!(log.held(key("a")), None, "forgotten");
-    log.take_events(&events(2, 1, &[("b", 100)]));
+    log.apply_events(&events(2, 1, &[("b", 100)]));
     assert_eq!(log.held(key("a")), Some(0));
     assert_eq!(log.held(key("b")), Some(100));
 }
@@ -91,16 +91,16 @@
 #[test]
 fn after_a_gap_only_what_comes_anew_is_known_until_the_list_is_read() {
     let mut log = EngineLog::default();
-    log.take_events(&events(1, 2, &[("a", 100), ("b", 50)]));
+    log.apply_events(&events(1, 2, &[("a", 100), ("b", 50)]));
     let gap = MemoryEvents {
         has_gap: true,
         ..events(1, 40, &[("c", 70)])
     };
-    assert_eq!(log.take_events(&gap), LogChange::Gap);
+    assert_eq!(log.apply_events(&gap), LogChange::Gap);
     assert_eq!(log.held(key("a")), None, "it may have been dropped");
     assert_eq!(log.held(key("c")), Some(70));
     assert_eq!(
-        log.take_listing(&listing(1, 41, &[("b", 50)])),
+        log.apply_listing(&listing(1, 41, &[("b", 50)])),
         LogChange::Went
     );
     assert_eq!(log.held(key("a")), Some(0));
@@ -111,9 +111,9 @@
 #[test]
 fn parts_of_one_engine_are_bounded() {
     let mut log = EngineLog::default();
-    log.take_events(&events(1, 1, &[("long", PART_TOKENS)]));
+    log.apply_events(&events(1, 1, &[("long", PART_TOKENS)]));
     for number in 0..3_000 {
-        log.take_events(&events(1, number + 2, &[(&format!("p{number}"), 10)]));
+        log.apply_events(&events(1, number + 2, &[(&format!("p{number}"), 10)]));
     }
     assert!(log.len() <= 1_024, "{}", log.len());
     assert_eq!(log.held(key("long")), Some(PART_TOKENS));
@@ -266,7 +266,7 @@
     );
 }
 
-fn belief(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> Belief {
+fn snapshot(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> Belief {
     Belief {
         born,
         heard,
@@ -282,7 +282,7 @@
     let engine = WorkerKey::of("engine");
     let mut memories = EngineMemories::default();
     let parts = [("a", PART_TOKENS), ("b", 100)];
-    memories.take(engine, belief(5, START, &parts));
+    memories.update(engine, snapshot(5, START, &parts));
     let holding = |memories: &EngineMemories, born, part, now| {
         memories.holding(engine, born, key(part), PART_TOKENS, now)
     };
@@ -298,7 +298,7 @@
         Holding::Unknown,
         "another start"
     );
-    let old = START + BELIEF_LIFETIME;
+    let old = START + SNAPSHOT_LIFETIME;
     assert_eq!(holding(&memories, 5, "a", old), Holding::Unknown);
     memories.drop_old(old);
     assert!(memories.is_empty());
@@ -308,10 +308,10 @@
 fn an_older_word_does_not_take_the_place_of_a_later_one() {
     let engine = WorkerKey::of("engine");
     let mut memories = EngineMemories::default();
-    assert!(memories.take(engine, belief(5, at(500), &[("a", 10)])));
-    assert!(!memories.take(engine, belief(5, at(400), &[])));
-    assert!(!memories.take(engine, belief(4, at(900), &[])));
-    assert!(memories.take(engine, belief(6, at(100), &[])));
+    assert!(memories.update(engine, snapshot(5, at(500), &[("a", 10)])));
+    assert!(!memories.update(engine, snapshot(5, at(400), &[])));
+    assert!(!memories.update(engine, snapshot(4, at(900), &[])));
+    assert!(memories.update(engine, snapshot(6, at(100), &[])));
     assert_eq!(memories.parts_held(), 0);
 }
 
@@ -320,7 +320,7 @@
     let mut teller = MemoryTeller::default();
     let present = |heard, tokens| {
         let engine = WorkerKey::of("engine");
-        BTreeMap::from([(engine, belief(1, heard, &[("a", tokens)]))])
+        BTreeMap::from([(engine, snapshot(1, heard, &[("a", tokens)]))])
     };
     assert_eq!(teller.due(START, present(START, 0)).len(), 1, "news");
     assert!(teller.due(at(300), present(at(200), 0)).is_empty());
@@ -350,13 +350,13 @@
     fn what_is_told_is_bounded_and_nothing_waits_for_ever(engines in 1_usize..200) {
         let mut teller = MemoryTeller::default();
         let present: BTreeMap<WorkerKey, Belief> = (0..engines)
-            .map(|number| (WorkerKey::of(&number.to_string()), belief(1, START, &[("a", 1)])))
+            .map(|number| (WorkerKey::of(&number.to_string()), snapshot(1, START, &[("a", 1)])))
             .collect();
         let mut told = BTreeSet::new();
-        for round in 0..engines.div_ceil(MOST_ENGINES_TOLD) {
+        for round in 0..engines.div_ceil(MAX_REPORTED_ENGINES) {
             let now = at(250 * u64::try_from(round).expect("few"));
             let due = teller.due(now, present.clone());
-            prop_assert!(due.len() <= MOST_ENGINES_TOLD);
+            prop_assert!(due.len() <= MAX_REPORTED_ENGINES);
             told.extend(due.into_iter().map(|(engine, _)| engine));
         }
         prop_assert_eq!(told.len(), present.len());
@@ -403,7 +403,7 @@
         crosses_zones: false,
     };
     let moves = moves();
-    assert!(long.pays(&moves));
+    assert!(long.saves_time(&moves));
     let near = long.transfer_time(&moves).expect("they pass memory on");
     let far = Fetch {
         crosses_zones: true,
@@ -414,13 +414,13 @@
         tokens: 2_000,
         ..long
     };
-    assert!(!short.pays(&moves), "it is read in 10 ms");
+    assert!(!short.saves_time(&moves), "it is read in 10 ms");
     let slow = MemoryMoves {
         link_mbps: 10_000.0,
         ..moves.clone()
     };
-    assert!(!long.pays(&slow), "the link is slow");
-    assert!(!long.pays(&MemoryMoves::NONE), "nothing is passed on");
+    assert!(!long.saves_time(&slow), "the link is slow");
+    assert!(!long.saves_time(&MemoryMoves::NONE), "nothing is passed on");
 }
 
 #[test]
@@ -472,7 +472,7 @@
     for number in 0..ENGINES {
         let id = record(number).id;
         let tokens = if id == holder { PART_TOKENS } else { 0 };
-        workers.take_memory(WorkerKey::of(&id), belief(0, now, &[(part, tokens)]));
+        workers.take_memory(WorkerKey::of(&id), snapshot(0, now, &[(part, tokens)]));
     }
 }
 
@@ -493,20 +493,20 @@
     assert_eq!(workers.upsert(reborn, START), Taken::Reborn);
     assert_eq!(holding(&workers), Holding::Unknown);
     let key = WorkerKey::of(&id);
-    workers.take_memory(key, belief(0, START, &[("a", PART_TOKENS)]));
+    workers.take_memory(key, snapshot(0, START, &[("a", PART_TOKENS)]));
     assert_eq!(
         holding(&workers),
         Holding::Unknown,
         "a word on the start before"
     );
-    workers.take_memory(key, belief(9, START, &[("a", 0)]));
+    workers.take_memory(key, snapshot(9, START, &[("a", 0)]));
     assert_eq!(holding(&workers), Holding::Lacks);
 }
 
 #[test]
 fn beliefs_on_engines_that_are_not_known_are_not_kept() {
     let mut workers = fleet(Policy::default());
-    let taken = workers.take_memory(WorkerKey::of("stranger"), belief(0, START, &[("a", 1)]));
+    let taken = workers.take_memory(WorkerKey::of("stranger"), snapshot(0, START, &[("a", 1)]));
     assert!(!taken && workers.memories().is_empty());
 }
 
@@ -528,7 +528,7 @@
     );
     for (number, tokens) in [(0, 0), (1, PART_TOKENS), (2, PART_TOKENS), (4, PART_TOKENS)] {
         let engine = WorkerKey::of(&record(number).id);
-        workers.take_memory(engine, belief(0, START, &[("a", tokens)]));
+        workers.take_memory(engine, snapshot(0, START, &[("a", tokens)]));
     }
     assert_eq!(
         source(&mut workers, "engine-2", START),
@@ -541,7 +541,7 @@
         Some(record(4).address)
     );
     assert_eq!(source(&mut workers, "engine-0", at(100)), None, "just told");
-    let old = START + BELIEF_LIFETIME;
+    let old = START + SNAPSHOT_LIFETIME;
     assert_eq!(
         source(&mut workers, "engine-0", old),
         None,
