--- a/crates/gateway-core/examples/placement_time.rs
+++ b/crates/gateway-core/examples/placement_time.rs
@@ -1,4 +1,4 @@
-//! Time of one placement of a turn among 122 engines, in microseconds.
+//! Measures the time to place one turn among 122 engines.
 
 use std::time::{Duration, Instant};
 
@@ -54,5 +54,5 @@
         std::hint::black_box(choose(&workers, &query, now));
     }
     let each = start.elapsed() / DECISIONS;
-    println!("{each:?} a decision");
+    println!("{each:?} per decision");
 }
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -97,8 +97,8 @@
         if is_repeat || moved.saturating_add(bytes) > MAX_BYTES {
             return false;
         }
-        let noted = self.fetches.entry(engine).or_default();
-        noted.push((now, fetch.part, bytes));
+        let recorded = self.fetches.entry(engine).or_default();
+        recorded.push((now, fetch.part, bytes));
         true
     }
 
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -12,7 +12,7 @@
 /// The effect of an engine's response on the tracked state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogChange {
-    /// The events or the listing were applied.
+    /// The response, if any, was applied without a gap.
     Went,
     /// The engine has restarted, and the earlier state was discarded.
     Restarted,
--- a/crates/gateway-core/tests/attempts.rs
+++ b/crates/gateway-core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request after failed attempts, as a table.
+//! Retries after failed attempts, and when the proof is given that a request was not run.
 
 use elderworks_gateway_core::attempt::{AttemptFailure, AttemptHistory, NextStep};
 
@@ -7,14 +7,14 @@
 use AttemptFailure::{NotSent, RefusedByWorker, Unknown};
 use NextStep::{GiveUp, TryAgain, TrySameWorker};
 
-/// Whether the answer may promise that the request was not run.
+/// Whether the history proves that the request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Promise {
-    Holds,
-    Open,
+enum NotRunProof {
+    Given,
+    Withheld,
 }
 
-use Promise::{Holds, Open};
+use NotRunProof::{Given, Withheld};
 
 struct Case {
     name: &'static str,
@@ -22,76 +22,76 @@
     max_attempts: u32,
     failures: &'static [AttemptFailure],
     last_step: NextStep,
-    promise: Promise,
+    proof: NotRunProof,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "an unrepeatable request that was not sent is tried again",
+        name: "an unrepeatable request that was not sent is retried",
         repeatable: false,
         max_attempts: 1,
         failures: &[NotSent],
         last_step: TryAgain,
-        promise: Holds,
+        proof: Given,
     },
     Case {
-        name: "an unrepeatable request that a worker refused is tried again",
+        name: "an unrepeatable request that a worker refused is retried",
         repeatable: false,
         max_attempts: 1,
         failures: &[RefusedByWorker, NotSent, RefusedByWorker],
         last_step: TryAgain,
-        promise: Holds,
+        proof: Given,
     },
     Case {
-        name: "an unrepeatable request that may have run is never tried again",
+        name: "an unrepeatable request that may have run is not retried",
         repeatable: false,
         max_attempts: 3,
         failures: &[Unknown],
         last_step: GiveUp,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "an unrepeatable request that may have run is never said not to have run",
+        name: "an unrepeatable request that may have run has no proof",
         repeatable: false,
         max_attempts: 3,
         failures: &[NotSent, RefusedByWorker, Unknown],
         last_step: GiveUp,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "a repeatable request is tried again while the route allows",
+        name: "a repeatable request is retried while the route allows",
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown],
         last_step: TryAgain,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "a repeatable request goes to no more workers than the route's attempts",
+        name: "a repeatable request runs at no more workers than the route allows",
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown, Unknown],
         last_step: TrySameWorker,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "a repeatable request ends after the second failure at its last worker",
+        name: "a repeatable request fails after the second failure at its last worker",
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown, Unknown, Unknown],
         last_step: GiveUp,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "a repeatable request ends if its last worker does not take it again",
+        name: "a repeatable request fails if its last worker refuses it",
         repeatable: true,
         max_attempts: 1,
         failures: &[Unknown, RefusedByWorker],
         last_step: GiveUp,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "refusals are not tried for ever",
+        name: "refused requests are not retried forever",
         repeatable: false,
         max_attempts: 1,
         failures: &[
@@ -102,18 +102,18 @@
             RefusedByWorker,
         ],
         last_step: GiveUp,
-        promise: Holds,
+        proof: Given,
     },
     Case {
-        name: "a repeatable request that may have run is not said not to have run either",
+        name: "a repeatable request that may have run has no proof",
         repeatable: true,
         max_attempts: 3,
         failures: &[Unknown],
         last_step: TryAgain,
-        promise: Open,
+        proof: Withheld,
     },
     Case {
-        name: "refusals after a possible run promise nothing, however many there are",
+        name: "refusals after a possible run give no proof",
         repeatable: true,
         max_attempts: 3,
         failures: &[
@@ -125,7 +125,7 @@
             RefusedByWorker,
         ],
         last_step: GiveUp,
-        promise: Open,
+        proof: Withheld,
     },
 ];
 
@@ -138,21 +138,21 @@
             step = history.after_failure(*failure, case.repeatable, case.max_attempts);
         }
         assert_eq!(step, case.last_step, "{}", case.name);
-        let promise = if history.not_run().is_some() {
-            Holds
+        let proof = if history.not_run().is_some() {
+            Given
         } else {
-            Open
+            Withheld
         };
-        assert_eq!(promise, case.promise, "{}", case.name);
+        assert_eq!(proof, case.proof, "{}", case.name);
     }
 }
 
-/// What happens to a request on its way.
+/// An event in the attempts of a request.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// An attempt begins; whether a byte may have gone out when the next event comes.
+    /// An attempt starts; `sent` is whether it sends a byte before the next event.
     Attempt { sent: bool },
-    /// The present attempt fails.
+    /// The current attempt fails.
     Fails(AttemptFailure),
 }
 
@@ -169,31 +169,31 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
     #[test]
-    fn no_history_with_a_possible_run_ends_in_a_promise(
+    fn the_proof_is_never_given_after_a_possible_run(
         events in prop::collection::vec(event(), 0..12),
         repeatable: bool,
         max_attempts in 1u32..4,
     ) {
         let mut history = AttemptHistory::default();
-        let mut present_sent = false;
+        let mut current_sent = false;
         let mut may_have_run = false;
         for event in events {
             match event {
                 Event::Attempt { sent } => {
-                    may_have_run |= present_sent;
+                    may_have_run |= current_sent;
                     let mark = history.begin();
                     if sent {
                         mark.note_sending();
                     }
-                    present_sent = sent;
+                    current_sent = sent;
                 }
                 Event::Fails(failure) => {
                     history.after_failure(failure, repeatable, max_attempts);
                     may_have_run |= failure == Unknown;
-                    present_sent = false;
+                    current_sent = false;
                 }
             }
-            let expected = may_have_run || present_sent;
+            let expected = may_have_run || current_sent;
             prop_assert_eq!(history.may_have_run(), expected);
             prop_assert_eq!(history.not_run().is_none(), expected);
         }
--- a/crates/gateway-core/tests/cold.rs
+++ b/crates/gateway-core/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold workers: the bound on what all nodes together send them, whatever reaches the nodes.
+//! The request rate limit of cold workers, which all nodes together must respect.
 
 mod common;
 
@@ -24,18 +24,18 @@
     }
 }
 
-fn names(count: usize) -> Vec<NodeId> {
+fn node_ids(count: usize) -> Vec<NodeId> {
     (0..count)
         .map(|number| NodeId::new(format!("node-{number}").as_str()))
         .collect()
 }
 
-/// A node of a fleet that knows cold workers which bear `rate` requests a second.
+/// Returns the directory of a node that limits cold workers to `rate` requests per second.
 fn node(own: &NodeId, nodes: &[NodeId], rules: ColdRules, rate: f64) -> WorkerDirectory {
-    let mut cold = ColdSenders::new(rules, own);
-    cold.set_nodes(nodes.iter());
-    cold.set_rates(BTreeMap::from([(SERVICE.to_owned(), rate)]));
-    WorkerDirectory::new(Policy::default()).with_cold_senders(cold)
+    let mut senders = ColdSenders::new(rules, own);
+    senders.set_nodes(nodes.iter());
+    senders.set_rates(BTreeMap::from([(SERVICE.to_owned(), rate)]));
+    WorkerDirectory::new(Policy::default()).with_cold_senders(senders)
 }
 
 fn chosen(workers: &WorkerDirectory, now: Timestamp, spread: u64) -> Option<String> {
@@ -52,18 +52,18 @@
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
 }
 
-/// Most requests in one second that one cold worker gets while every node is asked for more than it
-/// may send.
+/// Returns the maximum number of requests that a cold worker gets within one second while every node
+/// has more requests than it may send.
 fn busiest_second(nodes: usize, rules: ColdRules, rate: f64) -> usize {
-    let names = names(nodes);
-    let mut fleet: Vec<WorkerDirectory> = names
+    let node_ids = node_ids(nodes);
+    let mut directories: Vec<WorkerDirectory> = node_ids
         .iter()
-        .map(|own| node(own, &names, rules, rate))
+        .map(|own| node(own, &node_ids, rules, rate))
         .collect();
     let mut sent: Vec<u64> = Vec::new();
     for ms in (0..4_000).step_by(10) {
         let now = START + Duration::from_millis(ms);
-        for (number, workers) in fleet.iter_mut().enumerate() {
+        for (number, workers) in directories.iter_mut().enumerate() {
             if ms == 0 {
                 workers.upsert(record("w", Duration::from_secs(10), 0), now);
             }
@@ -82,19 +82,18 @@
     sent.iter().map(in_second).max().unwrap_or(0)
 }
 
-/// Two of the four deployments' sizes lie above the number of nodes that could send one request
-/// each.
+/// Covers deployments with more nodes than may send one request each.
 #[test]
-fn all_nodes_together_keep_below_what_a_cold_worker_bears() {
+fn all_nodes_together_stay_below_the_rate_of_a_cold_worker() {
     let rules = ColdRules {
         overshoot: 1.5,
         slack: 5.0,
     };
     for (nodes, rate) in [(11, 23.0), (74, 23.0), (295, 23.0), (984, 23.0), (74, 4.0)] {
-        let most = busiest_second(nodes, rules, rate);
+        let max = busiest_second(nodes, rules, rate);
         let bound = rate * rules.overshoot + rules.slack;
-        assert!(most as f64 <= bound, "{nodes} nodes, {rate}: {most}");
-        assert!(most as f64 >= rate / 2.0, "{nodes} nodes, {rate}: {most}");
+        assert!(max as f64 <= bound, "{nodes} nodes, {rate}: {max}");
+        assert!(max as f64 >= rate / 2.0, "{nodes} nodes, {rate}: {max}");
     }
     let strict = ColdRules::default();
     assert!(busiest_second(74, strict, 23.0) <= 23);
@@ -112,16 +111,16 @@
 }
 
 #[test]
-fn a_worker_is_warm_once_it_says_so_and_turns_cold_at_any_moment() {
-    let names = names(200);
-    // A node that may send to the worker only while it is warm.
-    let not_a_sender = |own: &NodeId| {
-        let mut workers = node(own, &names, ColdRules::default(), 5.0);
+fn a_worker_is_cold_as_long_as_its_record_says() {
+    let node_ids = node_ids(200);
+    // Find a node that may not send to the worker while it is cold.
+    let may_not_send = |own: &NodeId| {
+        let mut workers = node(own, &node_ids, ColdRules::default(), 5.0);
         workers.upsert(record("w", Duration::from_secs(3), 0), START);
         chosen(&workers, START, 1).is_none()
     };
-    let own = names.iter().find(|own| not_a_sender(own)).expect("one");
-    let mut workers = node(own, &names, ColdRules::default(), 5.0);
+    let own = node_ids.iter().find(|own| may_not_send(own)).expect("one");
+    let mut workers = node(own, &node_ids, ColdRules::default(), 5.0);
     workers.upsert(record("w", Duration::from_secs(3), 0), START);
     assert_eq!(chosen(&workers, START, 1), None);
     let later = START + Duration::from_millis(3_000);
@@ -133,11 +132,11 @@
 }
 
 #[test]
-fn a_zone_that_takes_work_again_counts_as_cold_until_its_workers_say_otherwise() {
-    let names = names(200);
+fn workers_of_a_reopened_zone_count_as_cold_until_updated() {
+    let node_ids = node_ids(200);
     let mut waiting = 0;
-    for own in &names {
-        let mut workers = node(own, &names, ColdRules::default(), 5.0);
+    for own in &node_ids {
+        let mut workers = node(own, &node_ids, ColdRules::default(), 5.0);
         workers.upsert(record("w", Duration::ZERO, 0), START);
         workers.close_zones(["a"].into_iter(), START);
         workers.close_zones(std::iter::empty(), START);
@@ -145,11 +144,11 @@
         workers.upsert(record("w", Duration::ZERO, 0), START);
         assert!(chosen(&workers, START, 1).is_some());
     }
-    assert_eq!(waiting, names.len() - 1, "one node may send");
+    assert_eq!(waiting, node_ids.len() - 1, "only one node may send");
 }
 
 #[test]
-fn a_worker_that_starts_again_has_nothing_of_its_earlier_life() {
+fn a_restarted_worker_has_no_load_or_failures() {
     let mut workers = WorkerDirectory::default();
     assert_eq!(
         workers.upsert(record("w", Duration::ZERO, 5), START),
@@ -170,7 +169,7 @@
         Taken::Reborn
     );
     let worker = workers.get("w").expect("known");
-    assert_eq!(workers.load(worker), 0, "nothing runs there");
+    assert_eq!(workers.load(worker), 0, "no requests");
     assert!(!worker.is_ejected(START));
     let later = workers.note_start("w", START);
     workers.note_end(&earlier);
@@ -185,7 +184,7 @@
 }
 
 #[test]
-fn an_entry_that_was_overwritten_names_no_worker_not_even_as_a_last_resort() {
+fn a_worker_with_an_unreadable_entry_is_not_even_a_last_resort() {
     let mut workers = WorkerDirectory::default();
     workers.upsert(record("w", Duration::ZERO, 1), START);
     assert!(workers.mark_unreadable("w", START));
--- a/crates/gateway-core/tests/departures.rs
+++ b/crates/gateway-core/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Nodes that are gone for good.
+//! Detection of departed nodes.
 
 use elderworks_gateway_core::departures::{DEPARTED_AFTER, Departures};
 use elderworks_types::{Incarnation, NodeId, Timestamp};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_node_absent_for_long_has_departed() {
+fn a_node_that_is_absent_for_long_has_departed() {
     let mut departures = Departures::default();
     assert!(departures.update(START, absent(1)).is_empty());
     let almost = START + DEPARTED_AFTER / 2;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_node_that_was_back_meanwhile_has_not() {
+fn a_node_that_was_present_in_between_has_not_departed() {
     let mut departures = Departures::default();
     departures.update(START, absent(1));
     departures.update(START + DEPARTED_AFTER / 2, Vec::new());
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_new_entry_begins_a_new_absence() {
+fn a_new_incarnation_restarts_the_absence() {
     let mut departures = Departures::default();
     departures.update(START, absent(1));
     assert!(
--- a/crates/gateway-core/tests/drain.rs
+++ b/crates/gateway-core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Until when a leaving node takes requests, and when it ends.
+//! Steps of a node's graceful shutdown.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn requests_taken_late_have_time_to_end() {
+fn accepted_requests_have_time_to_complete() {
     use DrainStep::{End, Finish, TakeRequests};
     struct Case {
         name: &'static str,
@@ -27,15 +27,21 @@
     };
     let grace = ms(8_000);
     let cases = [
-        case("callers hold its address", grace, ms(0), 0, TakeRequests),
-        case("though nobody calls", grace, ms(4_499), 0, TakeRequests),
-        case("idle after that", grace, ms(4_500), 0, End),
-        case("streams go on", grace, ms(4_500), 3, Finish),
-        case("nothing new near the end", grace, ms(6_000), 3, Finish),
-        case("it ends before it is killed", grace, ms(7_800), 3, End),
-        case("a short grace", ms(1_600), ms(899), 0, TakeRequests),
-        case("half of it is for the rest", ms(1_600), ms(900), 1, Finish),
-        case("and its end", ms(1_600), ms(1_400), 1, End),
+        case("start", grace, ms(0), 0, TakeRequests),
+        case(
+            "idle within the open time",
+            grace,
+            ms(4_499),
+            0,
+            TakeRequests,
+        ),
+        case("idle after the open time", grace, ms(4_500), 0, End),
+        case("requests in flight", grace, ms(4_500), 3, Finish),
+        case("requests still in flight", grace, ms(6_000), 3, Finish),
+        case("exit before the kill", grace, ms(7_800), 3, End),
+        case("short grace, open", ms(1_600), ms(899), 0, TakeRequests),
+        case("short grace, in flight", ms(1_600), ms(900), 1, Finish),
+        case("short grace, exit", ms(1_600), ms(1_400), 1, End),
         case("no grace", ms(0), ms(0), 1, End),
     ];
     for case in cases {
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -1,4 +1,4 @@
-//! What is read of the engines' memory, what is believed of it, and what becomes of turns.
+//! Reading the engines' memory, reporting it, and fetching prefixes between engines.
 
 mod common;
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn events_tell_what_is_kept_and_what_is_not() {
+fn events_update_the_cached_prefixes() {
     let mut log = EngineLog::default();
     assert_eq!(log.held(key("a")), None, "nothing was read yet");
     let first = events(1, 2, &[("a", 100), ("b", 50)]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_engine_that_has_started_again_is_read_from_the_beginning() {
+fn a_restarted_engine_is_read_from_the_beginning() {
     let mut log = EngineLog::default();
     log.apply_events(&events(1, 9, &[("a", 100)]));
     let answer = events(2, 12, &[("b", 100)]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn after_a_gap_only_what_comes_anew_is_known_until_the_list_is_read() {
+fn after_a_gap_only_later_events_are_known_until_the_next_listing() {
     let mut log = EngineLog::default();
     log.apply_events(&events(1, 2, &[("a", 100), ("b", 50)]));
     let gap = MemoryEvents {
@@ -97,7 +97,7 @@
         ..events(1, 40, &[("c", 70)])
     };
     assert_eq!(log.apply_events(&gap), LogChange::Gap);
-    assert_eq!(log.held(key("a")), None, "it may have been dropped");
+    assert_eq!(log.held(key("a")), None, "it may have been evicted");
     assert_eq!(log.held(key("c")), Some(70));
     assert_eq!(
         log.apply_listing(&listing(1, 41, &[("b", 50)])),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn parts_of_one_engine_are_bounded() {
+fn the_prefixes_of_an_engine_are_bounded() {
     let mut log = EngineLog::default();
     log.apply_events(&events(1, 1, &[("long", PART_TOKENS)]));
     for number in 0..3_000 {
@@ -117,7 +117,7 @@
     }
     assert!(log.len() <= 1_024, "{}", log.len());
     assert_eq!(log.held(key("long")), Some(PART_TOKENS));
-    assert_eq!(log.held(key("p0")), None, "what gave way is not known");
+    assert_eq!(log.held(key("p0")), None, "dropped from the log");
 }
 
 fn pause_of(step: Step) -> Duration {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_reader_goes_on_behind_what_it_has_read_after_a_pause() {
+fn a_reader_continues_after_its_last_event_with_a_pause() {
     let mut reader = EngineReader::new(7, START);
     assert_eq!(reader.next(START), Step::Events { since: 0 });
     let answer = ReadOutcome::Events(events(1, 5, &[("a", 100)]));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_refused_call_is_made_again_later_and_later() {
+fn refused_calls_are_retried_with_backoff() {
     let mut reader = EngineReader::new(7, START);
     let mut now = START;
     let mut pauses = Vec::new();
@@ -159,11 +159,11 @@
     let answer = ReadOutcome::Events(events(1, 0, &[]));
     reader.take(now, now, &answer);
     reader.take(now, now, &ReadOutcome::Failed);
-    assert!(pause_of(reader.next(now)) < Duration::from_secs(1), "anew");
+    assert!(pause_of(reader.next(now)) < Duration::from_secs(1), "reset");
 }
 
 #[test]
-fn a_silent_engine_is_heard_no_later_than_the_last_call_that_it_answered() {
+fn observation_times_are_those_of_successful_calls() {
     let mut reader = EngineReader::new(1, START);
     reader.take(
         START,
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_gap_is_followed_by_one_list_and_lists_are_rare() {
+fn a_gap_causes_one_listing_and_listings_are_rate_limited() {
     let mut reader = EngineReader::new(3, START);
     let gap = |next| {
         ReadOutcome::Events(MemoryEvents {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn lists_make_up_for_events_that_never_come() {
+fn listings_are_repeated_without_gaps() {
     let mut reader = EngineReader::new(3, START);
     reader.take(
         START,
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn one_node_of_its_zone_reads_an_engine_and_another_takes_over() {
+fn an_engine_is_read_by_one_node_of_its_zone_and_another_takes_over() {
     let all = nodes(&["a", "a", "a", "a", "b", "b"]);
     for number in 0..50 {
         let engine = format!("engine-{number}");
@@ -245,7 +245,7 @@
         assert_eq!(
             reader(&engine, "a", &others),
             Some(first),
-            "no other change"
+            "the first reader is still preferred"
         );
         assert!(reader(&engine, "c", &all).is_some(), "a zone without nodes");
     }
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn readers_share_the_engines_of_their_zone() {
+fn engines_are_divided_evenly_between_readers() {
     let all = nodes(&["a"; 5]);
     let mut counts: BTreeMap<NodeId, u32> = BTreeMap::new();
     for number in 0..500 {
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn beliefs_have_an_age_and_a_start_that_they_are_about() {
+fn snapshots_expire_and_belong_to_one_start_of_the_engine() {
     let engine = WorkerKey::of("engine");
     let mut memories = EngineMemories::default();
     let parts = [("a", PART_TOKENS), ("b", 100)];
@@ -290,7 +290,7 @@
     assert_eq!(
         holding(&memories, 5, "b", START),
         Holding::Lacks,
-        "a small piece"
+        "too few tokens"
     );
     assert_eq!(holding(&memories, 5, "c", START), Holding::Unknown);
     assert_eq!(
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn an_older_word_does_not_take_the_place_of_a_later_one() {
+fn older_snapshots_do_not_replace_newer_ones() {
     let engine = WorkerKey::of("engine");
     let mut memories = EngineMemories::default();
     assert!(memories.update(engine, snapshot(5, at(500), &[("a", 10)])));
@@ -316,69 +316,69 @@
 }
 
 #[test]
-fn others_are_told_what_has_changed_and_now_and_then_the_rest() {
-    let mut teller = MemoryTeller::default();
+fn changes_are_reported_soon_and_unchanged_snapshots_periodically() {
+    let mut reporter = MemoryTeller::default();
     let present = |heard, tokens| {
         let engine = WorkerKey::of("engine");
         BTreeMap::from([(engine, snapshot(1, heard, &[("a", tokens)]))])
     };
-    assert_eq!(teller.due(START, present(START, 0)).len(), 1, "news");
-    assert!(teller.due(at(300), present(at(200), 0)).is_empty());
+    assert_eq!(reporter.due(START, present(START, 0)).len(), 1, "new");
+    assert!(reporter.due(at(300), present(at(200), 0)).is_empty());
     assert_eq!(
-        teller.due(at(400), present(at(400), 9)).len(),
+        reporter.due(at(400), present(at(400), 9)).len(),
         1,
         "a change"
     );
     assert!(
-        teller.due(at(500), present(at(500), 0)).is_empty(),
+        reporter.due(at(500), present(at(500), 0)).is_empty(),
         "too soon"
     );
-    assert_eq!(teller.due(at(700), present(at(700), 0)).len(), 1);
+    assert_eq!(reporter.due(at(700), present(at(700), 0)).len(), 1);
     assert_eq!(
-        teller.due(at(5_000), present(at(4_900), 0)).len(),
+        reporter.due(at(5_000), present(at(4_900), 0)).len(),
         1,
-        "again"
+        "repeated"
     );
     assert!(
-        teller.due(at(60_000), present(at(4_900), 0)).is_empty(),
-        "not heard"
+        reporter.due(at(60_000), present(at(4_900), 0)).is_empty(),
+        "not observed since"
     );
 }
 
 proptest! {
     #[test]
-    fn what_is_told_is_bounded_and_nothing_waits_for_ever(engines in 1_usize..200) {
-        let mut teller = MemoryTeller::default();
+    fn reports_are_bounded_and_cover_all_engines(engines in 1_usize..200) {
+        let mut reporter = MemoryTeller::default();
         let present: BTreeMap<WorkerKey, Belief> = (0..engines)
             .map(|number| (WorkerKey::of(&number.to_string()), snapshot(1, START, &[("a", 1)])))
             .collect();
-        let mut told = BTreeSet::new();
+        let mut reported = BTreeSet::new();
         for round in 0..engines.div_ceil(MAX_REPORTED_ENGINES) {
             let now = at(250 * u64::try_from(round).expect("few"));
-            let due = teller.due(now, present.clone());
+            let due = reporter.due(now, present.clone());
             prop_assert!(due.len() <= MAX_REPORTED_ENGINES);
-            told.extend(due.into_iter().map(|(engine, _)| engine));
+            reported.extend(due.into_iter().map(|(engine, _)| engine));
         }
-        prop_assert_eq!(told.len(), present.len());
+        prop_assert_eq!(reported.len(), present.len());
     }
 
     #[test]
-    fn an_engine_takes_no_more_bytes_in_a_second_than_its_bound(
+    fn the_bytes_fetched_per_second_are_bounded(
         calls in proptest::collection::vec((0_u64..3_000, 0_u32..40), 1..200)
     ) {
         let mut calls = calls;
         calls.sort_unstable();
         let engine = WorkerKey::of("engine");
         let mut limiter = FetchLimiter::default();
-        let mut begun: Vec<(Timestamp, u64)> = Vec::new();
+        let mut started: Vec<(Timestamp, u64)> = Vec::new();
         for (millis, part) in calls {
             let fetch = Fetch { part: PartKey(part), tokens: PART_TOKENS, crosses_zones: false };
             if limiter.try_start(engine, &fetch, &moves(), at(millis)) {
-                begun.push((at(millis), fetch.bytes(&moves())));
+                started.push((at(millis), fetch.bytes(&moves())));
             }
         }
-        for (start, _) in &begun {
-            let within = begun.iter().filter(|(at, _)| {
+        for (start, _) in &started {
+            let within = started.iter().filter(|(at, _)| {
                 *at >= *start && at.since(*start) < Duration::from_secs(1)
             });
             let bytes: u64 = within.map(|(_, bytes)| *bytes).sum();
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn a_fetch_pays_where_it_is_faster_by_enough_than_reading() {
+fn a_fetch_is_used_only_if_it_saves_enough_time() {
     let long = Fetch {
         part: key("a"),
         tokens: PART_TOKENS,
@@ -404,7 +404,7 @@
     };
     let moves = moves();
     assert!(long.saves_time(&moves));
-    let near = long.transfer_time(&moves).expect("they pass memory on");
+    let near = long.transfer_time(&moves).expect("transfers are supported");
     let far = Fetch {
         crosses_zones: true,
         ..long
@@ -414,17 +414,17 @@
         tokens: 2_000,
         ..long
     };
-    assert!(!short.saves_time(&moves), "it is read in 10 ms");
+    assert!(!short.saves_time(&moves), "read in 10 ms");
     let slow = MemoryMoves {
         link_mbps: 10_000.0,
         ..moves.clone()
     };
-    assert!(!long.saves_time(&slow), "the link is slow");
-    assert!(!long.saves_time(&MemoryMoves::NONE), "nothing is passed on");
+    assert!(!long.saves_time(&slow), "slow link");
+    assert!(!long.saves_time(&MemoryMoves::NONE), "transfers are unsupported");
 }
 
 #[test]
-fn a_part_is_not_fetched_twice_within_a_moment() {
+fn a_prefix_is_not_fetched_again_immediately() {
     let engine = WorkerKey::of("engine");
     let mut limiter = FetchLimiter::default();
     let fetch = |part| Fetch {
@@ -459,7 +459,7 @@
     }
 }
 
-fn fleet(policy: Policy) -> WorkerDirectory {
+fn all_engines(policy: Policy) -> WorkerDirectory {
     let mut workers = WorkerDirectory::new(policy);
     for number in 0..ENGINES {
         workers.upsert(record(number), START);
@@ -467,7 +467,7 @@
     workers
 }
 
-/// Notes that one engine holds a part and all others lack it.
+/// Stores snapshots in which only one engine holds a prefix.
 fn note_only_holder(workers: &mut WorkerDirectory, holder: &str, part: &str, now: Timestamp) {
     for number in 0..ENGINES {
         let id = record(number).id;
@@ -477,8 +477,8 @@
 }
 
 #[test]
-fn an_engine_that_has_started_again_is_known_to_hold_nothing() {
-    let mut workers = fleet(Policy::default());
+fn a_restarted_engine_has_no_snapshot() {
+    let mut workers = all_engines(Policy::default());
     let id = record(0).id;
     note_only_holder(&mut workers, &id, "a", START);
     let holding = |workers: &WorkerDirectory| {
@@ -486,37 +486,38 @@
         workers.holding(worker, &turn("a"), START)
     };
     assert_eq!(holding(&workers), Holding::Holds);
-    let reborn = WorkerRecord {
+    let restarted = WorkerRecord {
         born: 9,
         ..record(0)
     };
-    assert_eq!(workers.upsert(reborn, START), Taken::Reborn);
+    assert_eq!(workers.upsert(restarted, START), Taken::Reborn);
     assert_eq!(holding(&workers), Holding::Unknown);
     let key = WorkerKey::of(&id);
     workers.take_memory(key, snapshot(0, START, &[("a", PART_TOKENS)]));
     assert_eq!(
         holding(&workers),
         Holding::Unknown,
-        "a word on the start before"
+        "a snapshot of the earlier start"
     );
     workers.take_memory(key, snapshot(9, START, &[("a", 0)]));
     assert_eq!(holding(&workers), Holding::Lacks);
 }
 
 #[test]
-fn beliefs_on_engines_that_are_not_known_are_not_kept() {
-    let mut workers = fleet(Policy::default());
-    let taken = workers.take_memory(WorkerKey::of("stranger"), snapshot(0, START, &[("a", 1)]));
-    assert!(!taken && workers.memories().is_empty());
+fn snapshots_of_unknown_engines_are_ignored() {
+    let mut workers = all_engines(Policy::default());
+    let was_stored =
+        workers.take_memory(WorkerKey::of("stranger"), snapshot(0, START, &[("a", 1)]));
+    assert!(!was_stored && workers.memories().is_empty());
 }
 
 #[test]
-fn an_engine_that_lacks_a_part_takes_it_from_the_nearest_calm_holder() {
-    let mut workers = fleet(Policy {
+fn missing_prefixes_are_fetched_from_the_nearest_least_loaded_engine() {
+    let mut workers = all_engines(Policy {
         prompt_fetches: true,
         ..Policy::default()
     });
-    // Engines of even numbers lie in zone a.
+    // Engines with even numbers are in zone `a`.
     let source = |workers: &mut WorkerDirectory, id: &str, now| {
         let found = workers.prompt_source(id, &turn("a"), &moves(), now);
         found.map(|(address, _)| address)
@@ -524,7 +525,7 @@
     assert_eq!(
         source(&mut workers, "engine-0", START),
         None,
-        "nothing is known"
+        "no snapshots"
     );
     for (number, tokens) in [(0, 0), (1, PART_TOKENS), (2, PART_TOKENS), (4, PART_TOKENS)] {
         let engine = WorkerKey::of(&record(number).id);
@@ -533,19 +534,19 @@
     assert_eq!(
         source(&mut workers, "engine-2", START),
         None,
-        "it holds the part"
+        "it holds the prefix"
     );
     workers.note_start("engine-2", START);
     assert_eq!(
         source(&mut workers, "engine-0", START),
         Some(record(4).address)
     );
-    assert_eq!(source(&mut workers, "engine-0", at(100)), None, "just told");
+    assert_eq!(source(&mut workers, "engine-0", at(100)), None, "repeated");
     let old = START + SNAPSHOT_LIFETIME;
     assert_eq!(
         source(&mut workers, "engine-0", old),
         None,
-        "beliefs are old"
+        "expired snapshots"
     );
     for number in [2, 4] {
         workers.upsert(
--- a/crates/gateway-core/tests/evacuations.rs
+++ b/crates/gateway-core/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones that get no work: which wish holds, and what placement makes of it.
+//! Evacuation of zones: precedence of the operator's orders and their effect on placement.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn wish(offset: u64, is_on: bool) -> ZoneWish {
+fn order(offset: u64, is_on: bool) -> ZoneWish {
     ZoneWish {
         offset: Offset(offset),
         is_on,
@@ -20,53 +20,53 @@
 }
 
 #[test]
-fn the_latest_wish_holds_in_whatever_order_wishes_arrive() {
+fn the_latest_order_applies_in_any_order_of_arrival() {
     let wishes = [
-        wish(4, true),
-        wish(7, false),
-        wish(9, true),
-        wish(12, false),
+        order(4, true),
+        order(7, false),
+        order(9, true),
+        order(12, false),
     ];
     for first in 0..wishes.len() {
         let mut evacuations = Evacuations::default();
-        let arriving = wishes[first..].iter().chain(&wishes[..first]);
-        for wish in arriving {
-            evacuations.note("a", *wish);
+        let arrivals = wishes[first..].iter().chain(&wishes[..first]);
+        for order in arrivals {
+            evacuations.note("a", *order);
         }
-        assert!(!evacuations.is_on("a"), "from the {first}th on");
+        assert!(!evacuations.is_on("a"), "starting with order {first}");
     }
     let mut evacuations = Evacuations::default();
-    assert!(!evacuations.note("a", wish(3, false)), "nothing was wanted");
-    assert!(evacuations.note("a", wish(9, true)));
-    assert!(!evacuations.note("a", wish(7, false)), "too late");
-    assert!(!evacuations.note("a", wish(9, true)), "known");
+    assert!(!evacuations.note("a", order(3, false)), "not evacuated");
+    assert!(evacuations.note("a", order(9, true)));
+    assert!(!evacuations.note("a", order(7, false)), "outdated");
+    assert!(!evacuations.note("a", order(9, true)), "known");
     assert!(evacuations.is_on("a") && !evacuations.is_on("b"));
 }
 
 #[test]
-fn a_reading_of_all_records_lifts_what_is_no_longer_listed() {
+fn a_complete_reading_ends_evacuations_that_are_not_listed() {
     let mut evacuations = Evacuations::default();
-    evacuations.note("dropped", wish(3, true));
-    evacuations.note("kept", wish(4, true));
-    evacuations.note("newer", wish(12, true));
+    evacuations.note("dropped", order(3, true));
+    evacuations.note("kept", order(4, true));
+    evacuations.note("newer", order(12, true));
     let lifted = evacuations.lift_all_but(&BTreeSet::from(["kept"]), Offset(10));
     assert_eq!(lifted, ["dropped"]);
     let zones: Vec<&str> = evacuations.zones().collect();
-    assert_eq!(zones, ["kept", "newer"], "a wish behind the reading stands");
-    assert!(!evacuations.note("dropped", wish(3, true)), "it is over");
+    assert_eq!(zones, ["kept", "newer"], "a newer order still applies");
+    assert!(!evacuations.note("dropped", order(3, true)), "outdated");
 }
 
 #[test]
-fn wishes_for_any_number_of_zones_take_bounded_memory() {
+fn the_number_of_zones_is_bounded() {
     let mut evacuations = Evacuations::default();
     for number in 0..10_000 {
-        evacuations.note(&format!("zone-{number}"), wish(number * 2, true));
-        evacuations.note(&format!("zone-{number}"), wish(number * 2 + 1, false));
+        evacuations.note(&format!("zone-{number}"), order(number * 2, true));
+        evacuations.note(&format!("zone-{number}"), order(number * 2 + 1, false));
     }
     assert!(evacuations.wishes().count() <= 256);
     assert!(
-        evacuations.note("a", wish(30_000, true)),
-        "one more is taken"
+        evacuations.note("a", order(30_000, true)),
+        "a further zone is accepted"
     );
 }
 
@@ -83,35 +83,35 @@
     }
 }
 
-/// Zones of the workers that many programs meet.
-fn zones_met(workers: &WorkerDirectory) -> BTreeSet<String> {
+/// Returns the zones of the workers that 200 programs use.
+fn chosen_zones(workers: &WorkerDirectory) -> BTreeSet<String> {
     let programs = (0..200).map(|number| format!("program-{number}"));
-    let met = programs.filter_map(|program| {
+    let chosen = programs.filter_map(|program| {
         let worker = choose(workers, &query(&program, &[]), START)?;
         Some(worker.record.zone.clone())
     });
-    met.collect()
+    chosen.collect()
 }
 
 #[test]
-fn a_zone_that_is_emptied_gets_nothing_also_as_a_last_resort() {
+fn an_evacuated_zone_is_not_used_even_as_a_last_resort() {
     let mut workers = WorkerDirectory::default();
     for id in ["a1", "a2", "b1"] {
         workers.upsert(common::engine(id, &id[..1]), START);
     }
     workers.close_zones(["a"].into_iter(), START);
-    assert_eq!(zones_met(&workers), BTreeSet::from(["b".to_owned()]));
-    // All that is left is in the closed zone, or has just gone from the list there.
+    assert_eq!(chosen_zones(&workers), BTreeSet::from(["b".to_owned()]));
+    // Only workers of the closed zone are left, and one of them is missing.
     workers.mark_missing("b1", START);
     workers.forget_missing(START + Duration::from_secs(2));
     workers.mark_missing("a1", START);
-    assert_eq!(zones_met(&workers), BTreeSet::new());
+    assert_eq!(chosen_zones(&workers), BTreeSet::new());
     workers.close_zones(std::iter::empty(), START);
-    assert_eq!(zones_met(&workers), BTreeSet::from(["a".to_owned()]));
+    assert_eq!(chosen_zones(&workers), BTreeSet::from(["a".to_owned()]));
 }
 
 #[test]
-fn a_request_that_failed_elsewhere_does_not_go_to_a_zone_that_is_emptied() {
+fn retries_do_not_use_an_evacuated_zone() {
     let mut workers = WorkerDirectory::default();
     workers.upsert(common::engine("a1", "a"), START);
     workers.upsert(common::engine("b1", "b"), START);
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of turns at engines: homes of the prompts' first parts, and a replay of their load.
+//! Placement of turns at engines by the homes of their prompts' prefixes.
 
 mod common;
 
@@ -21,7 +21,7 @@
 const MEMORY_TOKENS: u64 = 240_000;
 const SLOTS: u32 = 8;
 const ENGINES: usize = 56;
-const PARTS: u64 = 16;
+const PREFIXES: u64 = 16;
 
 fn turn(part: u64) -> EngineTurn {
     EngineTurn {
@@ -41,7 +41,7 @@
     }
 }
 
-fn fleet(policy: Policy) -> WorkerDirectory {
+fn all_engines(policy: Policy) -> WorkerDirectory {
     let mut workers = WorkerDirectory::new(policy);
     for engine in 0..ENGINES {
         workers.upsert(record(engine), START);
@@ -68,15 +68,15 @@
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
 }
 
-/// Part of the number-th turn: the first parts are asked for most, as in a few large routes.
-fn skewed_part(number: u64) -> u64 {
-    let spread = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
-    let unit = spread as f64 / (1u64 << 24) as f64;
-    (unit * unit * PARTS as f64) as u64
+/// Returns the prefix of the turn with that number; low prefixes are the most frequent.
+fn skewed_prefix(number: u64) -> u64 {
+    let hash = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
+    let unit = hash as f64 / (1u64 << 24) as f64;
+    (unit * unit * PREFIXES as f64) as u64
 }
 
 #[test]
-fn homes_fit_in_memory_and_follow_demand() {
+fn homes_fit_in_memory_and_are_proportional_to_demand() {
     let weights = [100.0, 50.0, 10.0, 10.0, 10.0, 1.0, 0.1];
     for (room_parts, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
         let parts = weights.map(|weight| PrefixLoad {
@@ -85,16 +85,20 @@
         });
         let shares = home_fractions(&parts, room_parts * PART_TOKENS as f64, engines);
         let sum: f64 = shares.iter().sum();
-        let fewest = 2.0 / engines as f64;
-        let forced = fewest * weights.len() as f64;
+        let min_fraction = 2.0 / engines as f64;
+        let forced = min_fraction * weights.len() as f64;
         assert!(sum <= room_parts.max(forced) + 1e-3, "{room_parts}: {sum}");
         assert!(shares.is_sorted_by(|one, next| one >= next));
-        assert!(shares.iter().all(|share| (fewest..=1.0).contains(share)));
+        assert!(
+            shares
+                .iter()
+                .all(|share| (min_fraction..=1.0).contains(share))
+        );
     }
 }
 
 #[test]
-fn parts_that_all_fit_are_at_home_everywhere() {
+fn all_engines_are_home_to_prefixes_that_fit() {
     let part = PrefixLoad {
         tokens: PART_TOKENS as f64,
         weight: 1.0,
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn an_engine_that_goes_moves_only_its_own_parts() {
+fn the_loss_of_an_engine_moves_only_its_own_prefixes() {
     let engines: Vec<String> = (0..ENGINES)
         .map(|engine| format!("engine-{engine}"))
         .collect();
@@ -116,7 +120,7 @@
     };
     let gone = &engines[7];
     let left: Vec<String> = engines.iter().filter(|id| *id != gone).cloned().collect();
-    for number in 0..PARTS {
+    for number in 0..PREFIXES {
         let part = PartKey::of(&format!("part-{number}"));
         let before = homes(part, &engines);
         let after = homes(part, &left);
@@ -126,11 +130,11 @@
 }
 
 #[test]
-fn nodes_that_have_heard_of_the_same_demand_count_the_same_homes() {
+fn nodes_with_the_same_demand_compute_the_same_homes() {
     let mut one = PrefixDemand::default();
     let mut other = PrefixDemand::default();
     for number in 0..400 {
-        let met = turn(skewed_part(number));
+        let met = turn(skewed_prefix(number));
         match number % 2 {
             0 => one.note_turn(&met, ENGINES, START),
             _ => other.note_turn(&met, ENGINES, START),
@@ -143,7 +147,7 @@
     let later = START + Duration::from_secs(1);
     one.note_turn(&turn(0), ENGINES, later);
     other.note_turn(&turn(0), ENGINES, later);
-    for part in 0..PARTS {
+    for part in 0..PREFIXES {
         let key = turn(part).part;
         let (one, other) = (one.home_fraction(key), other.home_fraction(key));
         assert!(
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn demand_of_a_node_that_fell_silent_lapses_and_cold_parts_are_forgotten() {
+fn reported_demand_expires_and_prefixes_without_demand_are_dropped() {
     let mut demand = PrefixDemand::default();
     let mut peer = PrefixDemand::default();
     for _ in 0..100 {
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn the_number_of_parts_is_bounded() {
+fn the_number_of_prefixes_is_bounded() {
     let mut demand = PrefixDemand::default();
     for number in 0..5_000 {
         let now = START + Duration::from_millis(number);
@@ -181,10 +185,10 @@
 }
 
 #[test]
-fn a_home_that_fails_or_drains_hands_over() {
-    let mut workers = fleet(Policy::default());
+fn a_failing_or_draining_home_is_replaced() {
+    let mut workers = all_engines(Policy::default());
     for number in 0..200 {
-        workers.note_turn("engines", &turn(skewed_part(number)), START);
+        workers.note_turn("engines", &turn(skewed_prefix(number)), START);
     }
     let first = chosen(&workers, "program", turn(12), START).expect("an engine");
     for _ in 0..3 {
@@ -196,7 +200,7 @@
     workers.upsert(
         WorkerRecord {
             draining: true,
-            ..record(index.expect("of the fleet"))
+            ..record(index.expect("a known engine"))
         },
         START,
     );
@@ -204,43 +208,43 @@
     assert!(third != first && third != second);
 }
 
-/// The parts that an engine keeps, the latest last.
+/// An LRU cache of prefixes at an engine, the most recently used last.
 #[derive(Default)]
-struct Kept(VecDeque<PartKey>);
+struct Cache(VecDeque<PartKey>);
 
-/// Parts that an engine keeps beside the requests that it runs.
-const KEPT_PARTS: usize = 6;
+/// Number of prefixes that an engine caches beside its running requests.
+const CACHED_PREFIXES: usize = 6;
 
-impl Kept {
-    /// Whether the part had to be read.
+impl Cache {
+    /// Uses a prefix; returns whether it was not cached.
     fn read(&mut self, part: PartKey) -> bool {
-        let kept = self.0.iter().position(|known| *known == part);
-        if let Some(index) = kept {
+        let position = self.0.iter().position(|known| *known == part);
+        if let Some(index) = position {
             self.0.remove(index);
         }
         self.0.push_back(part);
-        if self.0.len() > KEPT_PARTS {
+        if self.0.len() > CACHED_PREFIXES {
             self.0.pop_front();
         }
-        kept.is_none()
+        position.is_none()
     }
 }
 
-/// What a replay shows.
+/// The result of a simulation.
 #[derive(Debug)]
-struct Replay {
+struct Outcome {
     read: u32,
     busiest: u32,
     mean: f64,
 }
 
-/// Bursts of turns on a fleet that is told its whole load; each burst ends before the next.
-fn replay(policy: Policy) -> Replay {
+/// Simulates bursts of turns at one node; each burst completes before the next.
+fn simulate(policy: Policy) -> Outcome {
     const BURSTS: u64 = 60;
     const BURST: u64 = 250;
-    let mut workers = fleet(policy);
-    let mut kept: BTreeMap<String, Kept> = BTreeMap::new();
-    let mut seen = Replay {
+    let mut workers = all_engines(policy);
+    let mut caches: BTreeMap<String, Cache> = BTreeMap::new();
+    let mut outcome = Outcome {
         read: 0,
         busiest: 0,
         mean: BURST as f64 / ENGINES as f64,
@@ -249,46 +253,48 @@
         let now = START + Duration::from_millis(burst * 400);
         let mut running: Vec<WorkerLife> = Vec::new();
         for number in burst * BURST..(burst + 1) * BURST {
-            let turn = turn(skewed_part(number));
+            let turn = turn(skewed_prefix(number));
             workers.note_turn("engines", &turn, now);
             let program = format!("program-{}", number / 4);
             let engine = chosen(&workers, &program, turn, now).expect("an engine");
             running.push(workers.note_start(&engine, now));
-            seen.read += u32::from(kept.entry(engine).or_default().read(turn.part));
+            outcome.read += u32::from(caches.entry(engine).or_default().read(turn.part));
         }
-        let busiest = running.iter().filter_map(|life| workers.get(&life.id));
-        seen.busiest = seen
+        let busiest = running
+            .iter()
+            .filter_map(|instance| workers.get(&instance.id));
+        outcome.busiest = outcome
             .busiest
             .max(busiest.map(|worker| worker.in_flight).max().unwrap_or(0));
-        for life in &running {
-            workers.note_end(life);
+        for instance in &running {
+            workers.note_end(instance);
         }
     }
-    seen
+    outcome
 }
 
 #[test]
-fn bursts_read_fewer_parts_again_and_crowd_no_engine() {
-    let standing = Policy {
+fn homes_reduce_prefix_reads_without_overloading_an_engine() {
+    let without_homes = Policy {
         part_homes: false,
         ..Policy::default()
     };
-    let before = replay(standing);
-    let after = replay(Policy {
+    let before = simulate(without_homes);
+    let after = simulate(Policy {
         part_homes: true,
-        ..standing
+        ..without_homes
     });
     assert!(after.read * 2 < before.read, "{after:?} after {before:?}");
     assert!(f64::from(after.busiest) <= 3.0 * after.mean, "{after:?}");
 }
 
 #[test]
-fn everyone_is_told_in_as_few_turns_as_it_takes() {
+fn round_robin_reaches_all_in_the_minimum_number_of_rounds() {
     for (all, most) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
-        let mut rota = Rota::default();
+        let mut round_robin = Rota::default();
         let turns = usize::div_ceil(all, most);
         for round in 0..5 {
-            let told = (0..turns).flat_map(|_| rota.pick((0..all).collect(), most));
+            let told = (0..turns).flat_map(|_| round_robin.pick((0..all).collect(), most));
             let told: BTreeSet<usize> = told.collect();
             assert_eq!(told.len(), all, "{all} by {most}, round {round}");
         }
@@ -296,10 +302,10 @@
 }
 
 #[test]
-fn plain_requests_have_no_homes() {
-    let mut workers = fleet(Policy::default());
+fn requests_without_a_turn_have_no_homes() {
+    let mut workers = all_engines(Policy::default());
     for number in 0..200 {
-        workers.note_turn("engines", &turn(skewed_part(number)), START);
+        workers.note_turn("engines", &turn(skewed_prefix(number)), START);
     }
     let query = |turn| PlacementQuery {
         service: "engines",
@@ -318,5 +324,5 @@
     );
     let plain = choose(&workers, &query(None), START).expect("a worker");
     assert_eq!(is_at_home(&workers, &query(None), plain), None);
-    assert_eq!(plain.record.zone, "a", "zones go first without homes");
+    assert_eq!(plain.record.zone, "a", "the own zone is preferred");
 }
--- a/crates/gateway-core/tests/response_time.rs
+++ b/crates/gateway-core/tests/response_time.rs
@@ -1,4 +1,4 @@
-//! Time-outs follow the response times.
+//! Adaptation of the time-out to response times.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_steady_log_is_waited_for_briefly() {
+fn a_fast_service_has_the_minimum_timeout() {
     let mut timer = ResponseTimer::default();
     for _ in 0..20 {
         timer.note_answer(ms(6));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_slow_log_is_waited_for_longer() {
+fn a_slow_service_has_a_longer_timeout() {
     let mut timer = ResponseTimer::default();
     for _ in 0..20 {
         timer.note_answer(ms(6));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_log_that_is_slow_once_is_soon_waited_for_briefly_again() {
+fn the_timeout_recovers_after_one_slow_response() {
     let mut timer = ResponseTimer::default();
     timer.note_answer(ms(1_400));
     assert_eq!(timer.timeout(), ms(1_200), "bounded");
@@ -41,6 +41,6 @@
 }
 
 #[test]
-fn before_the_first_answer_the_wait_is_bounded() {
+fn the_initial_timeout_is_bounded() {
     assert_eq!(ResponseTimer::default().timeout(), ms(300));
 }
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_ejection_is_followed_by_a_probation() {
+fn an_ejection_is_followed_by_probation() {
     let health = ejected();
     let cases = [
         (0, HealthStatus::Ejected),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn successes_end_a_probation() {
+fn successes_end_probation() {
     let mut health = ejected();
     health.note_success();
     assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn after_a_report_one_failure_of_our_own_ejects() {
+fn after_a_report_one_local_failure_ejects() {
     let mut health = WorkerHealth::default();
     assert!(!health.note_report(START, NodeId::new("n2")));
     assert_eq!(
         health.status(START),
         HealthStatus::Healthy,
-        "it may be cut off there alone"
+        "the worker may be unreachable from that node only"
     );
     assert!(health.note_failure(START));
 }
 
 #[test]
-fn two_nodes_reports_eject_and_one_nodes_do_not() {
+fn reports_of_two_nodes_eject_but_not_of_one() {
     let mut health = WorkerHealth::default();
     assert!(!health.note_report(START, NodeId::new("n2")));
     assert!(!health.note_report(after(10), NodeId::new("n2")));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_old_report_confirms_nothing() {
+fn expired_reports_do_not_count() {
     let mut health = WorkerHealth::default();
     health.note_report(START, NodeId::new("n2"));
     assert!(!health.note_report(after(2_000), NodeId::new("n3")));
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Placement, and what a node believes of workers.
+//! The worker directory and the choice of workers.
 
 mod common;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn one_program_meets_one_worker_on_every_node() {
+fn a_program_uses_the_same_worker_from_every_node() {
     let one = directory(&["w1", "w2", "w3", "w4"]);
     let other = directory(&["w4", "w2", "w1", "w3"]);
     for program in ["p1", "p2", "p3", "p4", "p5"] {
@@ -60,31 +60,31 @@
 }
 
 #[test]
-fn programs_spread_over_the_workers() {
+fn programs_are_distributed_over_the_workers() {
     let workers = directory(&["w1", "w2", "w3", "w4"]);
-    let met: BTreeSet<String> = (0..64)
+    let chosen_workers: BTreeSet<String> = (0..64)
         .filter_map(|number| chosen(&workers, Some(&format!("program-{number}")), &[]))
         .collect();
-    assert_eq!(met.len(), 4);
+    assert_eq!(chosen_workers.len(), 4);
 }
 
 #[test]
-fn a_crowded_worker_gives_way_and_comes_back() {
+fn a_full_worker_is_skipped_until_its_requests_complete() {
     let mut workers = directory(&["w1", "w2", "w3"]);
     let first = chosen(&workers, Some("p"), &[]).expect("a worker");
-    let lives = [
+    let instances = [
         workers.note_start(&first, START),
         workers.note_start(&first, START),
     ];
     assert_ne!(chosen(&workers, Some("p"), &[]), Some(first.clone()));
-    for life in &lives {
-        workers.note_end(life);
+    for instance in &instances {
+        workers.note_end(instance);
     }
     assert_eq!(chosen(&workers, Some("p"), &[]), Some(first));
 }
 
 #[test]
-fn a_tried_worker_is_taken_only_if_there_is_no_other() {
+fn a_tried_worker_is_used_only_if_there_is_no_other() {
     let workers = directory(&["w1", "w2"]);
     let tried = vec!["w1".to_owned()];
     assert_eq!(chosen(&workers, None, &tried).as_deref(), Some("w2"));
@@ -107,26 +107,26 @@
     }
 }
 
-/// Tells a directory what another node has under way.
-fn tell(workers: &mut WorkerDirectory, now: Timestamp, node: &str, counts: &[(&str, u32)]) {
+/// Applies another node's report of its requests in flight.
+fn report_load(workers: &mut WorkerDirectory, now: Timestamp, node: &str, counts: &[(&str, u32)]) {
     let counts = counts.iter().map(|(id, count)| (WorkerKey::of(id), *count));
     workers.take_peer_load(now, NodeId::new(node), counts.collect());
 }
 
-/// Workers that 64 programs meet.
-fn met_by_programs(workers: &WorkerDirectory) -> BTreeMap<String, u32> {
-    let mut met = BTreeMap::new();
+/// Returns the number of programs, of 64, that each worker is chosen for.
+fn programs_by_worker(workers: &WorkerDirectory) -> BTreeMap<String, u32> {
+    let mut chosen_workers = BTreeMap::new();
     for number in 0..64 {
         let worker = chosen(workers, Some(&format!("program-{number}")), &[]);
-        *met.entry(worker.expect("a worker")).or_default() += 1;
+        *chosen_workers.entry(worker.expect("a worker")).or_default() += 1;
     }
-    met
+    chosen_workers
 }
 
 #[test]
-fn a_request_without_a_key_takes_a_worker_that_needs_no_connection_if_it_is_as_idle() {
+fn requests_without_a_key_prefer_connected_workers_at_equal_load() {
     let mut workers = directory(&["w1", "w2", "w3"]);
-    let met = |workers: &WorkerDirectory| -> BTreeSet<String> {
+    let chosen_workers = |workers: &WorkerDirectory| -> BTreeSet<String> {
         let query = |spread| PlacementQuery {
             spread,
             is_connected: &|worker| worker == "w2",
@@ -137,44 +137,48 @@
             .map(|worker| worker.record.id.clone())
             .collect()
     };
-    assert_eq!(met(&workers), BTreeSet::from(["w2".to_owned()]));
+    assert_eq!(chosen_workers(&workers), BTreeSet::from(["w2".to_owned()]));
     workers.note_start("w2", START);
-    assert_eq!(met(&workers).len(), 2, "the others are idle");
+    assert_eq!(
+        chosen_workers(&workers).len(),
+        2,
+        "the other workers are idle"
+    );
 }
 
 #[test]
-fn programs_keep_to_the_zone_until_it_is_crowded() {
+fn programs_use_their_own_zone_until_it_is_full() {
     let mut workers = directory(&["near-1", "near-2"]);
     workers.upsert(record("far", "b"), START);
-    assert!(!met_by_programs(&workers).contains_key("far"));
+    assert!(!programs_by_worker(&workers).contains_key("far"));
     for id in ["near-1", "near-2"] {
         workers.note_start(id, START);
         workers.note_start(id, START);
     }
-    let met = met_by_programs(&workers);
+    let chosen_workers = programs_by_worker(&workers);
     assert_eq!(
-        met.keys().collect::<Vec<_>>(),
+        chosen_workers.keys().collect::<Vec<_>>(),
         ["far"],
-        "the others' slots are taken"
+        "the slots of the own zone are taken"
     );
 }
 
 #[test]
-fn a_zone_that_other_nodes_have_filled_spreads_over_all_workers() {
+fn a_zone_filled_by_other_nodes_uses_all_workers() {
     let mut workers = directory(&["near-1", "near-2"]);
     for id in ["far-1", "far-2", "far-3", "far-4"] {
         workers.upsert(record(id, "b"), START);
     }
-    assert_eq!(met_by_programs(&workers).len(), 2, "the own zone's");
-    tell(&mut workers, START, "n2", &[("near-1", 2), ("near-2", 1)]);
+    assert_eq!(programs_by_worker(&workers).len(), 2, "only the own zone");
+    report_load(&mut workers, START, "n2", &[("near-1", 2), ("near-2", 1)]);
     assert!(
-        met_by_programs(&workers).len() > 2,
+        programs_by_worker(&workers).len() > 2,
         "three quarters of the zone's slots are taken"
     );
 }
 
 #[test]
-fn a_worker_with_more_than_its_share_gives_way_to_the_next() {
+fn programs_of_an_overloaded_worker_use_the_next_one() {
     let mut workers = WorkerDirectory::default();
     for id in ["w1", "w2", "w3", "w4"] {
         workers.upsert(
@@ -185,44 +189,40 @@
             START,
         );
     }
-    let even = met_by_programs(&workers);
-    assert_eq!(even.len(), 4);
+    let balanced = programs_by_worker(&workers);
+    assert_eq!(balanced.len(), 4);
     let loads = [("w1", 20), ("w2", 8), ("w3", 8), ("w4", 8)];
-    tell(&mut workers, START, "n2", &loads);
-    let met = met_by_programs(&workers);
-    assert!(!met.contains_key("w1"), "{met:?}");
+    report_load(&mut workers, START, "n2", &loads);
+    let chosen_workers = programs_by_worker(&workers);
+    assert!(!chosen_workers.contains_key("w1"), "{chosen_workers:?}");
     for id in ["w2", "w3", "w4"] {
-        assert!(met[id] >= even[id], "programs of {id} stay");
+        assert!(chosen_workers[id] >= balanced[id], "programs of {id} stay");
     }
-    // A load that slows nobody moves no program.
-    let mut calm = workers.clone();
-    tell(&mut calm, START, "n2", &[("w1", 6)]);
-    assert_eq!(met_by_programs(&calm), even);
+    // A low load moves no program, even if it is uneven.
+    let mut lightly_loaded = workers.clone();
+    report_load(&mut lightly_loaded, START, "n2", &[("w1", 6)]);
+    assert_eq!(programs_by_worker(&lightly_loaded), balanced);
 }
 
 #[test]
-fn what_other_nodes_tell_counts_for_a_while() {
+fn reported_loads_expire() {
     let mut workers = directory(&["w1"]);
     let load = |workers: &WorkerDirectory| {
         let worker = workers.get("w1").expect("the worker");
         workers.load(worker)
     };
     workers.note_start("w1", START);
-    tell(&mut workers, START, "n2", &[("w1", 3)]);
-    tell(&mut workers, START, "n3", &[("w1", 1), ("w9", 4)]);
+    report_load(&mut workers, START, "n2", &[("w1", 3)]);
+    report_load(&mut workers, START, "n3", &[("w1", 1), ("w9", 4)]);
     assert_eq!(load(&workers), 5);
-    tell(&mut workers, START, "n2", &[]);
-    assert_eq!(
-        load(&workers),
-        2,
-        "a report takes the place of the earlier one"
-    );
+    report_load(&mut workers, START, "n2", &[]);
+    assert_eq!(load(&workers), 2, "a report replaces the earlier one");
     workers.drop_old_loads(START + REPORT_LIFETIME);
-    assert_eq!(load(&workers), 1, "old reports are dropped");
+    assert_eq!(load(&workers), 1, "expired reports are dropped");
 }
 
 #[test]
-fn a_draining_worker_takes_no_new_work() {
+fn a_draining_worker_gets_no_requests() {
     let mut workers = directory(&["w1"]);
     workers.upsert(
         WorkerRecord {
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_missing_worker_is_a_last_resort_and_then_forgotten() {
+fn a_missing_worker_is_a_last_resort_and_then_removed() {
     let mut workers = directory(&["w1", "w2"]);
     assert!(workers.mark_missing("w1", START));
     assert!(!workers.mark_missing("w1", START), "already missing");
@@ -248,13 +248,13 @@
 }
 
 #[test]
-fn a_record_that_comes_back_ends_the_absence() {
+fn a_worker_whose_record_returns_is_no_longer_missing() {
     let mut workers = directory(&["w1"]);
     workers.mark_missing("w1", START);
     assert_eq!(
         workers.upsert(record("w1", "a"), START),
         Taken::Changed,
-        "believed anew"
+        "present again"
     );
     let later = START + Duration::from_secs(5);
     assert!(workers.forget_missing(later).is_empty());
@@ -262,34 +262,34 @@
 }
 
 #[test]
-fn reading_the_list_anew_finds_who_is_missing() {
+fn a_complete_list_marks_absent_workers_as_missing() {
     let mut workers = directory(&["w1", "w2"]);
     let listed = BTreeSet::from(["w2".to_owned()]);
     assert_eq!(workers.mark_all_missing_but(&listed, START), ["w1"]);
 }
 
 #[test]
-fn failures_in_a_row_eject_for_a_doubling_pause() {
+fn consecutive_failures_eject_for_a_doubling_pause() {
     let mut workers = directory(&["w1"]);
-    assert!(!workers.note_failure("w1", START), "one failure is none");
+    assert!(!workers.note_failure("w1", START), "one failure");
     assert!(workers.note_failure("w1", START));
     let worker = workers.get("w1").expect("known");
     assert!(worker.is_ejected(START + Duration::from_millis(299)));
     assert!(!worker.is_ejected(START + Duration::from_millis(300)));
     assert!(
         workers.note_failure("w1", START),
-        "once more after the pause"
+        "a further failure on probation"
     );
     let worker = workers.get("w1").expect("known");
     assert!(worker.is_ejected(START + Duration::from_millis(599)));
     for _ in 0..4 {
         workers.note_success("w1");
     }
-    assert!(!workers.note_failure("w1", START), "successes restore it");
+    assert!(!workers.note_failure("w1", START), "recovered");
 }
 
 #[test]
-fn a_worker_that_often_fails_is_ejected_and_one_that_seldom_does_is_not() {
+fn only_workers_with_a_high_failure_rate_are_ejected() {
     for (period, expected) in [(2, true), (10, false), (50, false)] {
         let mut workers = directory(&["w1"]);
         let mut ejected = false;
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn an_ejected_worker_serves_if_there_is_no_other() {
+fn an_ejected_worker_is_used_if_there_is_no_other() {
     let mut workers = directory(&["w1"]);
     workers.note_failure("w1", START);
     workers.note_failure("w1", START);
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn nodes_share_the_connections_of_a_worker() {
+fn idle_connections_are_divided_between_nodes() {
     let cases = [
         (160, 1, 16),
         (160, 12, 10),
@@ -332,12 +332,12 @@
 }
 
 #[test]
-fn a_worker_on_probation_is_tried_with_one_request_that_may_be_repeated() {
+fn a_worker_on_probation_gets_one_repeatable_request() {
     let mut workers = directory(&["w1", "w2"]);
     workers.note_failure("w1", START);
     workers.note_failure("w1", START);
     let now = START + Duration::from_millis(400);
-    let met = |workers: &WorkerDirectory, repeatable: bool| -> BTreeSet<String> {
+    let chosen_workers = |workers: &WorkerDirectory, repeatable: bool| -> BTreeSet<String> {
         (0..40)
             .map(|spread| {
                 let query = PlacementQuery {
@@ -350,30 +350,30 @@
             })
             .collect()
     };
-    assert_eq!(met(&workers, false).len(), 1, "not to be repeated");
-    assert_eq!(met(&workers, true).len(), 2);
+    assert_eq!(chosen_workers(&workers, false).len(), 1, "not repeatable");
+    assert_eq!(chosen_workers(&workers, true).len(), 2);
     workers.note_start("w1", START);
     workers.note_start("w2", START);
-    assert_eq!(met(&workers, true).len(), 1, "one at a time");
+    assert_eq!(chosen_workers(&workers, true).len(), 1, "one at a time");
 }
 
 #[test]
-fn records_that_go_right_after_an_outage_are_missed_for_longer() {
-    // Milliseconds from the end of the outage to the record's going, and how long it is missed.
-    for (gone_after, missed_for) in [(0, 3_500), (1_900, 3_500), (2_000, 1_000)] {
+fn workers_missing_after_an_outage_have_a_longer_grace_time() {
+    // Milliseconds from the end of the outage until the record is gone, and the grace time.
+    for (missing_after, grace) in [(0, 3_500), (1_900, 3_500), (2_000, 1_000)] {
         let mut workers = directory(&["w1"]);
         workers.note_outage_over(START);
-        let gone = START + Duration::from_millis(gone_after);
-        workers.mark_missing("w1", gone);
-        let almost = gone + Duration::from_millis(missed_for - 1);
+        let missing_at = START + Duration::from_millis(missing_after);
+        workers.mark_missing("w1", missing_at);
+        let almost = missing_at + Duration::from_millis(grace - 1);
         assert_eq!(workers.last_resort("engines", almost).count(), 1);
         assert!(workers.forget_missing(almost).is_empty());
-        let over = gone + Duration::from_millis(missed_for);
+        let over = missing_at + Duration::from_millis(grace);
         assert_eq!(workers.last_resort("engines", over).count(), 0);
         assert_eq!(
             workers.forget_missing(over),
             ["w1"],
-            "{gone_after} ms after"
+            "{missing_after} ms after"
         );
     }
 }
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -1,4 +1,4 @@
-//! When a whole zone is suspected, and for how long.
+//! Start, end and duration of zone suspicions.
 
 use std::time::Duration;
 
@@ -21,45 +21,46 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Seen {
+enum Observation {
     Fails(Source),
     Answers(ZonePart),
 }
 
-/// A name, what is seen and when, at which time to look, whether workers and nodes are suspected then.
-type Case = (&'static str, Vec<(u64, Seen)>, u64, bool, bool);
+/// Name, observations with their times, time of the check, and whether workers and nodes are then
+/// suspected.
+type Case = (&'static str, Vec<(u64, Observation)>, u64, bool, bool);
 
-use Seen::{Answers, Fails};
+use Observation::{Answers, Fails};
 use ZonePart::{Nodes, Workers};
 
 #[test]
-fn several_sources_that_fail_together_make_the_rest_of_their_zone_suspect() {
+fn several_failing_sources_make_a_zone_suspected() {
     let three = [Fails(worker(1)), Fails(worker(2)), Fails(worker(3))];
     let mixed = [Fails(node(1)), Fails(node(2)), Fails(worker(1))];
     let one = [Fails(worker(1)); 3];
     let cases: [Case; 9] = [
-        ("nothing", vec![], 0, false, false),
+        ("no observations", vec![], 0, false, false),
         ("three workers", at(0, &three), 0, true, true),
         ("nodes and a worker", at(0, &mixed), 0, true, true),
-        ("one worker again and again", at(0, &one), 0, false, false),
+        ("one worker repeatedly", at(0, &one), 0, false, false),
         ("two workers", at(0, &three[..2]), 0, false, false),
-        ("too long ago", at(0, &three), 2_000, false, false),
+        ("expired failures", at(0, &three), 2_000, false, false),
         (
-            "nodes still answer",
+            "nodes still respond",
             [at(0, &three), vec![(100, Answers(Nodes))]].concat(),
             400,
             true,
             false,
         ),
         (
-            "an answer shortly before",
+            "a response shortly before",
             [vec![(0, Answers(Workers))], at(100, &three)].concat(),
             200,
             false,
             true,
         ),
         (
-            "silent since an answer",
+            "silent since a response",
             [
                 at(0, &three[..1]),
                 vec![(10, Answers(Workers))],
@@ -71,21 +72,24 @@
             true,
         ),
     ];
-    for (name, seen, look, workers, nodes) in cases {
-        let health = played(&seen);
-        let found = [Workers, Nodes].map(|part| health.is_suspected(after(look), "z", part));
+    for (name, observation, checked_at, workers, nodes) in cases {
+        let health = health_after(&observation);
+        let found = [Workers, Nodes].map(|part| health.is_suspected(after(checked_at), "z", part));
         assert_eq!(found, [workers, nodes], "{name}");
     }
 }
 
-fn at(ms: u64, seen: &[Seen]) -> Vec<(u64, Seen)> {
-    seen.iter().map(|seen| (ms, *seen)).collect()
+fn at(ms: u64, observation: &[Observation]) -> Vec<(u64, Observation)> {
+    observation
+        .iter()
+        .map(|observation| (ms, *observation))
+        .collect()
 }
 
-fn played(seen: &[(u64, Seen)]) -> ZoneHealth {
+fn health_after(observation: &[(u64, Observation)]) -> ZoneHealth {
     let mut health = ZoneHealth::new("own");
-    for (ms, seen) in seen {
-        match seen {
+    for (ms, observation) in observation {
+        match observation {
             Fails(source) => health.note_failure(after(*ms), "z", *source),
             Answers(part) => health.note_answer(after(*ms), "z", *part),
         }
@@ -94,16 +98,16 @@
 }
 
 #[test]
-fn an_answer_ends_a_suspicion_and_work_moves_back_gradually() {
-    let mut health = played(&at(
+fn a_response_ends_a_suspicion_and_the_load_returns_gradually() {
+    let mut health = health_after(&at(
         0,
         &[Fails(worker(1)), Fails(worker(2)), Fails(node(1))],
     ));
     assert_eq!(health.status(after(0), "z", Workers), ZoneStatus::Suspected);
-    let begun = health.changes(after(0));
-    assert_eq!(begun.len(), 2, "workers and nodes: {begun:?}");
+    let started = health.changes(after(0));
+    assert_eq!(started.len(), 2, "workers and nodes: {started:?}");
     assert!(
-        begun
+        started
             .iter()
             .all(|change| change.is_suspected && change.failing == 3)
     );
@@ -131,8 +135,8 @@
 }
 
 #[test]
-fn what_is_over_is_told_once() {
-    let mut health = played(&at(0, &[Fails(node(1)), Fails(node(2)), Fails(node(3))]));
+fn changes_are_reported_once() {
+    let mut health = health_after(&at(0, &[Fails(node(1)), Fails(node(2)), Fails(node(3))]));
     assert_eq!(health.changes(after(0)).len(), 2);
     assert!(health.changes(after(100)).is_empty());
     let ended = health.changes(after(2_000));
@@ -141,7 +145,7 @@
     assert_eq!(health.status(after(9_000), "z", Nodes), ZoneStatus::Healthy);
 }
 
-fn seen() -> impl Strategy<Value = Seen> {
+fn observation() -> impl Strategy<Value = Observation> {
     prop_oneof![
         (0..6u64).prop_map(|number| Fails(worker(number))),
         (0..6u64).prop_map(|number| Fails(node(number))),
@@ -151,15 +155,15 @@
 }
 
 proptest! {
-    /// However wrong it is, a suspicion ends at once with an answer, and by itself two seconds after
-    /// the last failure.
+    /// A suspicion ends immediately with a response, and otherwise two seconds after the last
+    /// failure.
     #[test]
-    fn a_suspicion_is_bounded(steps in prop::collection::vec((0..400u64, seen()), 0..60)) {
+    fn a_suspicion_is_bounded(steps in prop::collection::vec((0..400u64, observation()), 0..60)) {
         let mut health = ZoneHealth::new("own");
         let mut ms = 0;
-        for (pause, seen) in steps {
+        for (pause, observation) in steps {
             ms += pause;
-            match seen {
+            match observation {
                 Fails(source) => health.note_failure(after(ms), "z", source),
                 Answers(part) => {
                     health.note_answer(after(ms), "z", part);
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -1,4 +1,4 @@
-//! Placement across zones: what keeps a turn near, what sends it away, and a zone that is lost.
+//! Placement across zones: when turns leave the node's own zone, and suspected zones.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const SLOTS: u32 = 8;
 const PART_TOKENS: u64 = 12_600;
 
-/// Six parts fit beside running turns in each engine's memory, sixteen do not.
+/// Capacity of an engine's memory: six prefixes fit beside running turns, sixteen don't.
 const MEMORY_TOKENS: u64 = 300_000;
 const FEW_PARTS: u64 = 6;
 const MANY_PARTS: u64 = 16;
@@ -30,8 +30,8 @@
     }
 }
 
-/// So many engines in each zone, which are named by letters; the node is in zone `a`.
-fn fleet(policy: Policy, sizes: &[usize]) -> WorkerDirectory {
+/// Returns a directory with the given number of engines in zones `a` to `d`, of a node in zone `a`.
+fn workers_in_zones(policy: Policy, sizes: &[usize]) -> WorkerDirectory {
     let mut workers = WorkerDirectory::new(policy).with_own_zone("a");
     for (zone, size) in ["a", "b", "c", "d"].into_iter().zip(sizes) {
         for number in 0..*size {
@@ -61,18 +61,18 @@
     worker.record.id.clone()
 }
 
-/// What a load of turns at one node comes to.
+/// The result of a simulated load.
 #[derive(Debug)]
-struct Replay {
-    /// Turns that went to another zone.
+struct Outcome {
+    /// Number of turns that were placed in another zone.
     crossed: usize,
-    /// Most turns that ran at one engine at once.
+    /// Maximum number of concurrent turns at one engine.
     busiest: u32,
 }
 
-/// So many turns that all run at once, of programs that ask for each part alike.
-fn replay(policy: Policy, sizes: &[usize], parts: u64, turns: u64) -> Replay {
-    let mut workers = fleet(policy, sizes);
+/// Places concurrent turns of different programs, evenly distributed over the prefixes.
+fn simulate(policy: Policy, sizes: &[usize], parts: u64, turns: u64) -> Outcome {
+    let mut workers = workers_in_zones(policy, sizes);
     let mut running: Vec<WorkerLife> = Vec::new();
     for number in 0..turns {
         let part = number % parts;
@@ -80,11 +80,15 @@
         let engine = chosen(&workers, &format!("program-{number}"), part, START);
         running.push(workers.note_start(&engine, START));
     }
-    let load = |life: &WorkerLife| workers.get(&life.id).map_or(0, |worker| worker.in_flight);
-    Replay {
+    let load = |instance: &WorkerLife| {
+        workers
+            .get(&instance.id)
+            .map_or(0, |worker| worker.in_flight)
+    };
+    Outcome {
         crossed: running
             .iter()
-            .filter(|life| !life.id.starts_with('a'))
+            .filter(|instance| !instance.id.starts_with('a'))
             .count(),
         busiest: running.iter().map(load).max().unwrap_or(0),
     }
@@ -98,17 +102,17 @@
 }
 
 #[test]
-fn turns_cross_zones_for_room_and_for_memory_alone() {
-    // Sizes of zones, parts, turns at once; whether many of them cross with and without the mechanism.
+fn turns_cross_zones_only_for_capacity_or_cached_prefixes() {
+    // Zone sizes, prefixes, turns, and whether many turns cross zones with and without `near_homes`.
     for (sizes, parts, turns, crosses_with, crosses_without) in [
         ([11, 11, 11, 12], FEW_PARTS, 20, false, true),
-        // Half of the parts would have to be read again near by.
+        // The own zone's engines don't have memory for all prefixes.
         ([11, 11, 11, 12], MANY_PARTS, 20, true, true),
-        // The own zone is small: most go where there is room.
+        // The own zone has too few engines.
         ([2, 15, 14, 14], FEW_PARTS, 60, true, true),
     ] {
-        let with = replay(near_homes(true), &sizes, parts, turns);
-        let without = replay(near_homes(false), &sizes, parts, turns);
+        let with = simulate(near_homes(true), &sizes, parts, turns);
+        let without = simulate(near_homes(false), &sizes, parts, turns);
         let many = usize::try_from(turns / 4).expect("few turns");
         assert_eq!(
             with.crossed > many,
@@ -124,19 +128,18 @@
 }
 
 #[test]
-fn a_calm_zone_keeps_all_its_turns_and_a_small_one_is_not_crowded() {
-    let calm = replay(near_homes(true), &[11, 11, 11, 12], FEW_PARTS, 20);
-    assert_eq!(calm.crossed, 0, "{calm:?}");
-    let small = replay(near_homes(true), &[2, 15, 14, 14], FEW_PARTS, 60);
-    // Its engines take a quarter of their slots more than the mean, each turn decided on the load
-    // before it, and those of the bound on one engine's load above that.
+fn a_zone_with_capacity_keeps_its_turns_and_a_small_one_is_not_overloaded() {
+    let lightly_loaded = simulate(near_homes(true), &[11, 11, 11, 12], FEW_PARTS, 20);
+    assert_eq!(lightly_loaded.crossed, 0, "{lightly_loaded:?}");
+    let small = simulate(near_homes(true), &[2, 15, 14, 14], FEW_PARTS, 60);
+    // Each placement is based on the load before it, so the bound may be exceeded by one turn.
     let policy = Policy::default();
-    let most = policy.calm_share * f64::from(SLOTS) + 1.0;
-    assert!(f64::from(small.busiest) <= most, "{small:?}");
+    let max = policy.calm_share * f64::from(SLOTS) + 1.0;
+    assert!(f64::from(small.busiest) <= max, "{small:?}");
 }
 
-/// Part of programs whose turns go to zone `b`.
-fn share_of_b(workers: &WorkerDirectory, now: Timestamp) -> f64 {
+/// Returns the fraction of programs whose turns are placed in zone `b`.
+fn fraction_in_b(workers: &WorkerDirectory, now: Timestamp) -> f64 {
     const PROGRAMS: u32 = 400;
     let to_b = (0..PROGRAMS)
         .filter(|number| chosen(workers, &format!("program-{number}"), 0, now).starts_with('b'));
@@ -144,37 +147,40 @@
 }
 
 #[test]
-fn a_zone_whose_engines_fall_silent_together_gets_nothing_and_then_its_share_by_degrees() {
-    // No zone goes before the others, so that all see turns of this node.
+fn a_suspected_zone_gets_no_turns_and_then_gradually_its_fraction() {
+    // Without a preferred zone, all zones get turns of this node.
     let policy = Policy {
         near_workers: false,
         ..Policy::default()
     };
-    let mut workers = fleet(policy, &[10, 10, 10]);
-    let before = share_of_b(&workers, START);
+    let mut workers = workers_in_zones(policy, &[10, 10, 10]);
+    let before = fraction_in_b(&workers, START);
     assert!((0.2..0.5).contains(&before), "{before}");
 
     for number in 0..3 {
         workers.note_failure(&format!("b-{number}"), START);
     }
     assert_eq!(
-        share_of_b(&workers, START),
+        fraction_in_b(&workers, START),
         0.0,
-        "one failure each does not eject"
+        "no worker is ejected, but the zone is suspected"
     );
 
     let back = START + Duration::from_millis(700);
     workers.note_heard("b-9", back);
-    let after = |ms| share_of_b(&workers, back + Duration::from_millis(ms));
-    let shares = [0, 500, 1_000, 1_500, 2_000].map(after);
-    assert!(shares.is_sorted(), "{shares:?}");
-    assert!(shares[0] < 0.02 && shares[2] < before * 0.8, "{shares:?}");
-    assert!((shares[4] - before).abs() < 0.02, "{shares:?}");
+    let after = |ms| fraction_in_b(&workers, back + Duration::from_millis(ms));
+    let fractions = [0, 500, 1_000, 1_500, 2_000].map(after);
+    assert!(fractions.is_sorted(), "{fractions:?}");
+    assert!(
+        fractions[0] < 0.02 && fractions[2] < before * 0.8,
+        "{fractions:?}"
+    );
+    assert!((fractions[4] - before).abs() < 0.02, "{fractions:?}");
 }
 
 #[test]
-fn engines_of_a_suspected_zone_are_used_when_there_is_no_other() {
-    let mut workers = fleet(Policy::default(), &[0, 4]);
+fn engines_of_a_suspected_zone_are_used_if_there_is_no_other() {
+    let mut workers = workers_in_zones(Policy::default(), &[0, 4]);
     for number in 0..3 {
         workers.note_failure(&format!("b-{number}"), START);
     }
