--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -262,7 +262,7 @@
     /// a place carry over to the next call.
     fn allot(&mut self, context: &GateContext<'_>) {
         let last = self.allotted_at.replace(context.now);
-        let passed = last.map_or(ALLOTMENT_INTERVAL, |last| {
+        let elapsed = last.map_or(ALLOTMENT_INTERVAL, |last| {
             context.now.since(last).min(ALLOTMENT_INTERVAL)
         });
         let free = self.free(context.rules, context.room);
@@ -275,7 +275,7 @@
             context.waiting_elsewhere,
             floor_fraction(context.rules),
         );
-        let fraction = passed.as_secs_f64() / ALLOTMENT_INTERVAL.as_secs_f64();
+        let fraction = elapsed.as_secs_f64() / ALLOTMENT_INTERVAL.as_secs_f64();
         self.allotted = self.allotted.clamp(0.0, 1.0) + share * fraction;
     }
 
--- a/crates/gateway-core/src/admission/tenant_shares.rs
+++ b/crates/gateway-core/src/admission/tenant_shares.rs
@@ -37,12 +37,12 @@
 
 impl Counters {
     fn decay(&mut self, now: Timestamp) {
-        let passed = now.since(self.at).as_secs_f64();
+        let elapsed = now.since(self.at).as_secs_f64();
         // Exponential decay doesn't depend on the step length, so short steps can be combined.
-        if passed < HALF_LIFE.as_secs_f64() / 30.0 {
+        if elapsed < HALF_LIFE.as_secs_f64() / 30.0 {
             return;
         }
-        let factor = 0.5_f64.powf(passed / HALF_LIFE.as_secs_f64());
+        let factor = 0.5_f64.powf(elapsed / HALF_LIFE.as_secs_f64());
         self.at = now;
         self.tokens.retain(|_, tokens| {
             *tokens *= factor;
--- a/crates/gateway-core/src/admission/throughput.rs
+++ b/crates/gateway-core/src/admission/throughput.rs
@@ -79,9 +79,9 @@
 
 impl ArrivalRate {
     pub(super) fn record(&mut self, now: Timestamp, level: usize) {
-        let passed = now.since(self.at).as_secs_f64();
-        if passed > 0.0 {
-            let factor = 0.5_f64.powf(passed / HALF_LIFE_S);
+        let elapsed = now.since(self.at).as_secs_f64();
+        if elapsed > 0.0 {
+            let factor = 0.5_f64.powf(elapsed / HALF_LIFE_S);
             self.recent.iter_mut().for_each(|count| *count *= factor);
             self.at = now;
         }
--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -217,7 +217,8 @@
         .min_by_key(|worker| (!homes.contains(worker), rendezvous_order(worker, query)))
 }
 
-/// Sort key of the workers if none is eligible; the lowest is used.
+/// Sort key of the workers if none is eligible; the lowest is used. See [`fallback_rank`] for the
+/// criteria in their order.
 type FallbackRank = (bool, bool, bool, bool, bool, u32, u32, Reverse<u64>);
 
 fn fallback_rank(
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -83,23 +83,23 @@
 
     fn apply(&mut self, events: &[MemoryEvent]) {
         for event in events {
-            let part = PartKey::of(&event.part);
+            let prefix = PartKey::of(&event.part);
             match event.tokens {
-                0 => self.prefixes.remove(&part),
-                tokens => self.prefixes.insert(part, tokens),
+                0 => self.prefixes.remove(&prefix),
+                tokens => self.prefixes.insert(prefix, tokens),
             };
         }
         while self.prefixes.len() > MAX_PREFIXES {
             let shortest = self.prefixes.iter().min_by_key(|(_, tokens)| **tokens);
-            let Some((&part, _)) = shortest else { break };
-            self.prefixes.remove(&part);
+            let Some((&prefix, _)) = shortest else { break };
+            self.prefixes.remove(&prefix);
             self.is_complete = false;
         }
     }
 
     /// Returns the number of cached tokens of a prefix, or `None` if it isn't known.
-    pub fn held(&self, part: PartKey) -> Option<u64> {
-        let known = self.prefixes.get(&part).copied();
+    pub fn held(&self, prefix: PartKey) -> Option<u64> {
+        let known = self.prefixes.get(&prefix).copied();
         known.or_else(|| (self.is_complete && self.epoch.is_some()).then_some(0))
     }
 
--- a/crates/gateway-core/src/peer_loads.rs
+++ b/crates/gateway-core/src/peer_loads.rs
@@ -96,13 +96,13 @@
 }
 
 impl Rota {
-    /// Returns up to `most` elements, starting after those of the previous call.
-    pub fn pick<T>(&mut self, mut all: Vec<T>, most: usize) -> Vec<T> {
-        if all.len() > most {
+    /// Returns up to `max` elements, starting after those of the previous call.
+    pub fn pick<T>(&mut self, mut all: Vec<T>, max: usize) -> Vec<T> {
+        if all.len() > max {
             let start = self.next % all.len();
             all.rotate_left(start);
-            all.truncate(most);
-            self.next = start + most;
+            all.truncate(max);
+            self.next = start + max;
         }
         all
     }
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug)]
 struct PeerReport {
     at: Timestamp,
-    uses: Vec<(PartKey, PartUse)>,
+    usages: Vec<(PartKey, PartUse)>,
 }
 
 /// Demand for the prefixes of one service, and the fraction of engines that are home to each.
@@ -134,29 +134,30 @@
         &mut self,
         now: Timestamp,
         node: NodeId,
-        uses: Vec<(PartKey, PartUse)>,
+        usages: Vec<(PartKey, PartUse)>,
     ) {
-        self.peer_reports.insert(node, PeerReport { at: now, uses });
+        self.peer_reports
+            .insert(node, PeerReport { at: now, usages });
     }
 
     /// Returns this node's own demand, for a report to the other nodes.
     pub fn own_demand(&self) -> Vec<(PartKey, PartUse)> {
-        let mut uses: Vec<(PartKey, PartUse)> =
-            self.own.iter().map(|(key, used)| (*key, *used)).collect();
-        uses.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
-        uses.truncate(MAX_REPORTED);
-        uses
+        let mut usages: Vec<(PartKey, PartUse)> =
+            self.own.iter().map(|(key, usage)| (*key, *usage)).collect();
+        usages.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
+        usages.truncate(MAX_REPORTED);
+        usages
     }
 
-    /// Returns up to `most` prefixes with the highest demand at all nodes.
-    pub fn most_requested(&self, most: usize) -> Vec<PartKey> {
-        if self.home_fractions.len() <= most {
+    /// Returns up to `max` prefixes with the highest demand at all nodes.
+    pub fn most_requested(&self, max: usize) -> Vec<PartKey> {
+        if self.home_fractions.len() <= max {
             return self.home_fractions.keys().copied().collect();
         }
-        let mut wanted: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
-        wanted.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
-        wanted.truncate(most);
-        wanted.into_iter().map(|(part, _)| part).collect()
+        let mut by_demand: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
+        by_demand.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
+        by_demand.truncate(max);
+        by_demand.into_iter().map(|(part, _)| part).collect()
     }
 
     /// Returns the fraction of engines that are home to a prefix, 1 for an unknown one.
@@ -183,11 +184,11 @@
         }
         self.own.retain(|_, part| part.turns >= MIN_TURNS);
         self.peer_reports
-            .retain(|_, peer_reports| now.since(peer_reports.at) < PEER_REPORT_LIFETIME);
+            .retain(|_, report| now.since(report.at) < PEER_REPORT_LIFETIME);
         while self.own.len() > MAX_PREFIXES {
             let parts = self.own.iter();
-            let coldest = parts.min_by(|(_, one), (_, other)| one.turns.total_cmp(&other.turns));
-            let Some((&key, _)) = coldest else { break };
+            let least_used = parts.min_by(|(_, one), (_, other)| one.turns.total_cmp(&other.turns));
+            let Some((&key, _)) = least_used else { break };
             self.own.remove(&key);
         }
     }
@@ -195,16 +196,12 @@
     /// Returns the demand of this node and, from their reports, of the others.
     fn all_demand(&self) -> BTreeMap<PartKey, PartUse> {
         let mut all = self.own.clone();
-        for (key, used) in self
-            .peer_reports
-            .values()
-            .flat_map(|peer_reports| &peer_reports.uses)
-        {
+        for (key, usage) in self.peer_reports.values().flat_map(|report| &report.usages) {
             let sum = all.entry(*key).or_insert(PartUse {
-                tokens: used.tokens,
+                tokens: usage.tokens,
                 turns: 0.0,
             });
-            sum.turns += used.turns;
+            sum.turns += usage.turns;
         }
         all
     }
@@ -216,9 +213,9 @@
         let demand = self.all_demand();
         let mut loads: Vec<PrefixLoad> = demand
             .values()
-            .map(|used| PrefixLoad {
-                tokens: used.tokens as f64,
-                weight: used.turns,
+            .map(|usage| PrefixLoad {
+                tokens: usage.tokens as f64,
+                weight: usage.turns,
             })
             .collect();
         loads.push(PrefixLoad {
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -27,16 +27,19 @@
 ///
 /// Fractions are proportional to demand, to spread the load evenly over the homes, and as large as
 /// `room_tokens` of each engine's memory allow.
-pub fn home_fractions(parts: &[PrefixLoad], room_tokens: f64, engines: usize) -> Vec<f64> {
+pub fn home_fractions(prefixes: &[PrefixLoad], room_tokens: f64, engines: usize) -> Vec<f64> {
     let min_fraction = (MIN_HOMES / engines.max(1) as f64).min(1.0);
-    let fraction = |part: &PrefixLoad, scale: f64| (part.weight * scale).clamp(min_fraction, 1.0);
+    let fraction =
+        |prefix: &PrefixLoad, scale: f64| (prefix.weight * scale).clamp(min_fraction, 1.0);
     let needed = |scale: f64| -> f64 {
-        let tokens = parts.iter().map(|part| part.tokens * fraction(part, scale));
+        let tokens = prefixes
+            .iter()
+            .map(|prefix| prefix.tokens * fraction(prefix, scale));
         tokens.sum()
     };
-    let smallest = parts
+    let smallest = prefixes
         .iter()
-        .map(|part| part.weight)
+        .map(|prefix| prefix.weight)
         .fold(f64::MAX, f64::min);
     let mut low = 0.0;
     let mut high = 1.0 / smallest.max(f64::MIN_POSITIVE);
@@ -51,12 +54,15 @@
         }
         high = low;
     }
-    parts.iter().map(|part| fraction(part, high)).collect()
+    prefixes
+        .iter()
+        .map(|prefix| fraction(prefix, high))
+        .collect()
 }
 
 /// Returns the rank of an engine in a prefix's rendezvous order; the lowest is the first home.
-pub fn rendezvous_rank(part: PartKey, engine: &str) -> u64 {
-    xxh3_64_with_seed(engine.as_bytes(), u64::from(part.0))
+pub fn rendezvous_rank(prefix: PartKey, engine: &str) -> u64 {
+    xxh3_64_with_seed(engine.as_bytes(), u64::from(prefix.0))
 }
 
 /// Returns the number of homes for a fraction of `engines`, at least [`MIN_HOMES`] if there are
--- a/crates/gateway-core/src/workers/demand.rs
+++ b/crates/gateway-core/src/workers/demand.rs
@@ -31,13 +31,13 @@
         now: Timestamp,
         node: NodeId,
         service: &str,
-        uses: Vec<(PartKey, PartUse)>,
+        usages: Vec<(PartKey, PartUse)>,
     ) {
         if self.accepting(service).next().is_none() {
             return;
         }
         let prefix_demand = self.prefix_demand.entry(service.to_owned()).or_default();
-        prefix_demand.apply_peer_demand(now, node, uses);
+        prefix_demand.apply_peer_demand(now, node, usages);
     }
 
     /// Returns the fraction of a service's engines that are home to the prefix of a turn's prompt.
--- a/crates/gateway-core/src/zone_spread.rs
+++ b/crates/gateway-core/src/zone_spread.rs
@@ -87,20 +87,20 @@
     max: usize,
 ) -> Vec<&'a NodeId> {
     let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(max);
-    let mut next_elsewhere = None;
+    let mut next_in_other_zone = None;
     for placed in ranked {
-        let is_elsewhere = chosen.first().is_some_and(|first| first.1 != placed.1);
+        let is_in_other_zone = chosen.first().is_some_and(|first| first.1 != placed.1);
         if chosen.len() < max {
             chosen.push(placed);
         }
-        if is_elsewhere {
-            next_elsewhere.get_or_insert(placed);
+        if is_in_other_zone {
+            next_in_other_zone.get_or_insert(placed);
         }
-        if next_elsewhere.is_some() && chosen.len() == max {
+        if next_in_other_zone.is_some() && chosen.len() == max {
             break;
         }
     }
-    let Some(elsewhere) = next_elsewhere.filter(|_| contacted > 1) else {
+    let Some(in_other_zone) = next_in_other_zone.filter(|_| contacted > 1) else {
         return names(&chosen);
     };
     let is_spread = chosen
@@ -108,8 +108,8 @@
         .take(contacted)
         .any(|placed| placed.1 != chosen[0].1);
     if !is_spread {
-        chosen.retain(|placed| *placed != elsewhere);
-        chosen.insert(contacted - 1, elsewhere);
+        chosen.retain(|placed| *placed != in_other_zone);
+        chosen.insert(contacted - 1, in_other_zone);
         chosen.truncate(max);
     }
     names(&chosen)
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -23,7 +23,7 @@
 use proptest::prelude::*;
 
 const START: Timestamp = Timestamp(1_000_000);
-const PART_TOKENS: u64 = 12_600;
+const PREFIX_TOKENS: u64 = 12_600;
 const SLOTS: u32 = 8;
 
 fn at(milliseconds: u64) -> Timestamp {
@@ -111,12 +111,12 @@
 #[test]
 fn the_prefixes_of_an_engine_are_bounded() {
     let mut log = EngineLog::default();
-    log.apply_events(&events(1, 1, &[("long", PART_TOKENS)]));
+    log.apply_events(&events(1, 1, &[("long", PREFIX_TOKENS)]));
     for number in 0..3_000 {
         log.apply_events(&events(1, number + 2, &[(&format!("p{number}"), 10)]));
     }
     assert!(log.len() <= 1_024, "{}", log.len());
-    assert_eq!(log.held(key("long")), Some(PART_TOKENS));
+    assert_eq!(log.held(key("long")), Some(PREFIX_TOKENS));
     assert_eq!(log.held(key("p0")), None, "dropped from the log");
 }
 
@@ -281,10 +281,10 @@
 fn snapshots_expire_and_belong_to_one_start_of_the_engine() {
     let engine = WorkerKey::of("engine");
     let mut memories = EngineMemories::default();
-    let parts = [("a", PART_TOKENS), ("b", 100)];
+    let parts = [("a", PREFIX_TOKENS), ("b", 100)];
     memories.update(engine, snapshot(5, START, &parts));
     let holding = |memories: &EngineMemories, born, part, now| {
-        memories.holding(engine, born, key(part), PART_TOKENS, now)
+        memories.holding(engine, born, key(part), PREFIX_TOKENS, now)
     };
     assert_eq!(holding(&memories, 5, "a", START), Holding::Holds);
     assert_eq!(
@@ -372,7 +372,7 @@
         let mut limiter = FetchLimiter::default();
         let mut started: Vec<(Timestamp, u64)> = Vec::new();
         for (millis, part) in calls {
-            let fetch = Fetch { part: PartKey(part), tokens: PART_TOKENS, crosses_zones: false };
+            let fetch = Fetch { part: PartKey(part), tokens: PREFIX_TOKENS, crosses_zones: false };
             if limiter.try_start(engine, &fetch, &moves(), at(millis)) {
                 started.push((at(millis), fetch.bytes(&moves())));
             }
@@ -399,7 +399,7 @@
 fn a_fetch_is_used_only_if_it_saves_enough_time() {
     let long = Fetch {
         part: key("a"),
-        tokens: PART_TOKENS,
+        tokens: PREFIX_TOKENS,
         crosses_zones: false,
     };
     let moves = moves();
@@ -420,7 +420,10 @@
         ..moves.clone()
     };
     assert!(!long.saves_time(&slow), "slow link");
-    assert!(!long.saves_time(&MemoryMoves::NONE), "transfers are unsupported");
+    assert!(
+        !long.saves_time(&MemoryMoves::NONE),
+        "transfers are unsupported"
+    );
 }
 
 #[test]
@@ -429,7 +432,7 @@
     let mut limiter = FetchLimiter::default();
     let fetch = |part| Fetch {
         part: key(part),
-        tokens: PART_TOKENS,
+        tokens: PREFIX_TOKENS,
         crosses_zones: false,
     };
     assert!(limiter.try_start(engine, &fetch("a"), &moves(), START));
@@ -441,7 +444,7 @@
 fn turn(part: &str) -> EngineTurn {
     EngineTurn {
         part: key(part),
-        part_tokens: PART_TOKENS,
+        part_tokens: PREFIX_TOKENS,
         private_tokens: 2_000,
         answer_tokens: 200,
         memory_tokens: 300_000,
@@ -471,7 +474,7 @@
 fn note_only_holder(workers: &mut WorkerDirectory, holder: &str, part: &str, now: Timestamp) {
     for number in 0..ENGINES {
         let id = record(number).id;
-        let tokens = if id == holder { PART_TOKENS } else { 0 };
+        let tokens = if id == holder { PREFIX_TOKENS } else { 0 };
         workers.take_memory(WorkerKey::of(&id), snapshot(0, now, &[(part, tokens)]));
     }
 }
@@ -493,7 +496,7 @@
     assert_eq!(workers.upsert(restarted, START), Taken::Reborn);
     assert_eq!(holding(&workers), Holding::Unknown);
     let key = WorkerKey::of(&id);
-    workers.take_memory(key, snapshot(0, START, &[("a", PART_TOKENS)]));
+    workers.take_memory(key, snapshot(0, START, &[("a", PREFIX_TOKENS)]));
     assert_eq!(
         holding(&workers),
         Holding::Unknown,
@@ -527,7 +530,12 @@
         None,
         "no snapshots"
     );
-    for (number, tokens) in [(0, 0), (1, PART_TOKENS), (2, PART_TOKENS), (4, PART_TOKENS)] {
+    for (number, tokens) in [
+        (0, 0),
+        (1, PREFIX_TOKENS),
+        (2, PREFIX_TOKENS),
+        (4, PREFIX_TOKENS),
+    ] {
         let engine = WorkerKey::of(&record(number).id);
         workers.take_memory(engine, snapshot(0, START, &[("a", tokens)]));
     }
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -16,8 +16,8 @@
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
-const PART_TOKENS: u64 = 12_600;
-const PRIVATE_TOKENS: u64 = 2_000;
+const PREFIX_TOKENS: u64 = 12_600;
+const SUFFIX_TOKENS: u64 = 2_000;
 const MEMORY_TOKENS: u64 = 240_000;
 const SLOTS: u32 = 8;
 const ENGINES: usize = 56;
@@ -26,8 +26,8 @@
 fn turn(part: u64) -> EngineTurn {
     EngineTurn {
         part: PartKey::of(&format!("part-{part}")),
-        part_tokens: PART_TOKENS,
-        private_tokens: PRIVATE_TOKENS,
+        part_tokens: PREFIX_TOKENS,
+        private_tokens: SUFFIX_TOKENS,
         answer_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
@@ -78,21 +78,24 @@
 #[test]
 fn homes_fit_in_memory_and_are_proportional_to_demand() {
     let weights = [100.0, 50.0, 10.0, 10.0, 10.0, 1.0, 0.1];
-    for (room_parts, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
-        let parts = weights.map(|weight| PrefixLoad {
-            tokens: PART_TOKENS as f64,
+    for (room_prefixes, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
+        let prefixes = weights.map(|weight| PrefixLoad {
+            tokens: PREFIX_TOKENS as f64,
             weight,
         });
-        let shares = home_fractions(&parts, room_parts * PART_TOKENS as f64, engines);
-        let sum: f64 = shares.iter().sum();
+        let fractions = home_fractions(&prefixes, room_prefixes * PREFIX_TOKENS as f64, engines);
+        let sum: f64 = fractions.iter().sum();
         let min_fraction = 2.0 / engines as f64;
         let forced = min_fraction * weights.len() as f64;
-        assert!(sum <= room_parts.max(forced) + 1e-3, "{room_parts}: {sum}");
-        assert!(shares.is_sorted_by(|one, next| one >= next));
         assert!(
-            shares
+            sum <= room_prefixes.max(forced) + 1e-3,
+            "{room_prefixes}: {sum}"
+        );
+        assert!(fractions.is_sorted_by(|first, next| first >= next));
+        assert!(
+            fractions
                 .iter()
-                .all(|share| (min_fraction..=1.0).contains(share))
+                .all(|fraction| (min_fraction..=1.0).contains(fraction))
         );
     }
 }
@@ -100,11 +103,11 @@
 #[test]
 fn all_engines_are_home_to_prefixes_that_fit() {
     let part = PrefixLoad {
-        tokens: PART_TOKENS as f64,
+        tokens: PREFIX_TOKENS as f64,
         weight: 1.0,
     };
-    let shares = home_fractions(&[part, part], 3.0 * PART_TOKENS as f64, 10);
-    assert_eq!(shares, [1.0, 1.0]);
+    let fractions = home_fractions(&[part, part], 3.0 * PREFIX_TOKENS as f64, 10);
+    assert_eq!(fractions, [1.0, 1.0]);
 }
 
 #[test]
@@ -131,28 +134,28 @@
 
 #[test]
 fn nodes_with_the_same_demand_compute_the_same_homes() {
-    let mut one = PrefixDemand::default();
-    let mut other = PrefixDemand::default();
+    let mut first = PrefixDemand::default();
+    let mut second = PrefixDemand::default();
     for number in 0..400 {
-        let met = turn(skewed_prefix(number));
+        let turn = turn(skewed_prefix(number));
         match number % 2 {
-            0 => one.note_turn(&met, ENGINES, START),
-            _ => other.note_turn(&met, ENGINES, START),
+            0 => first.note_turn(&turn, ENGINES, START),
+            _ => second.note_turn(&turn, ENGINES, START),
         }
     }
-    let told = [one.own_demand(), other.own_demand()];
-    let [of_one, of_other] = told;
-    one.apply_peer_demand(START, NodeId::new("other"), of_other);
-    other.apply_peer_demand(START, NodeId::new("one"), of_one);
+    let reports = [first.own_demand(), second.own_demand()];
+    let [of_first, of_second] = reports;
+    first.apply_peer_demand(START, NodeId::new("other"), of_second);
+    second.apply_peer_demand(START, NodeId::new("one"), of_first);
     let later = START + Duration::from_secs(1);
-    one.note_turn(&turn(0), ENGINES, later);
-    other.note_turn(&turn(0), ENGINES, later);
+    first.note_turn(&turn(0), ENGINES, later);
+    second.note_turn(&turn(0), ENGINES, later);
     for part in 0..PREFIXES {
         let key = turn(part).part;
-        let (one, other) = (one.home_fraction(key), other.home_fraction(key));
+        let (first, second) = (first.home_fraction(key), second.home_fraction(key));
         assert!(
-            (one - other).abs() < 1.0 / ENGINES as f64,
-            "part {part}: {one} {other}"
+            (first - second).abs() < 1.0 / ENGINES as f64,
+            "part {part}: {first} {second}"
         );
     }
 }
@@ -290,13 +293,13 @@
 
 #[test]
 fn round_robin_reaches_all_in_the_minimum_number_of_rounds() {
-    for (all, most) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
+    for (all, max) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
         let mut round_robin = Rota::default();
-        let turns = usize::div_ceil(all, most);
+        let turns = usize::div_ceil(all, max);
         for round in 0..5 {
-            let told = (0..turns).flat_map(|_| round_robin.pick((0..all).collect(), most));
-            let told: BTreeSet<usize> = told.collect();
-            assert_eq!(told.len(), all, "{all} by {most}, round {round}");
+            let picked = (0..turns).flat_map(|_| round_robin.pick((0..all).collect(), max));
+            let picked: BTreeSet<usize> = picked.collect();
+            assert_eq!(picked.len(), all, "{all} by {max}, round {round}");
         }
     }
 }
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -323,9 +323,9 @@
         (u32::MAX, 12, 16),
     ];
     for (max_connections, nodes, expected) in cases {
-        let share = idle_connections_share(max_connections, nodes);
+        let max_idle = idle_connections_share(max_connections, nodes);
         assert_eq!(
-            share, expected,
+            max_idle, expected,
             "{max_connections} connections, {nodes} nodes"
         );
     }
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -12,17 +12,17 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 const SLOTS: u32 = 8;
-const PART_TOKENS: u64 = 12_600;
+const PREFIX_TOKENS: u64 = 12_600;
 
 /// Capacity of an engine's memory: six prefixes fit beside running turns, sixteen don't.
 const MEMORY_TOKENS: u64 = 300_000;
-const FEW_PARTS: u64 = 6;
-const MANY_PARTS: u64 = 16;
+const FEW_PREFIXES: u64 = 6;
+const MANY_PREFIXES: u64 = 16;
 
 fn turn(part: u64) -> EngineTurn {
     EngineTurn {
         part: PartKey::of(&format!("part-{part}")),
-        part_tokens: PART_TOKENS,
+        part_tokens: PREFIX_TOKENS,
         private_tokens: 2_000,
         answer_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
@@ -65,17 +65,17 @@
 #[derive(Debug)]
 struct Outcome {
     /// Number of turns that were placed in another zone.
-    crossed: usize,
+    placed_elsewhere: usize,
     /// Maximum number of concurrent turns at one engine.
     busiest: u32,
 }
 
 /// Places concurrent turns of different programs, evenly distributed over the prefixes.
-fn simulate(policy: Policy, sizes: &[usize], parts: u64, turns: u64) -> Outcome {
+fn simulate(policy: Policy, sizes: &[usize], prefixes: u64, turns: u64) -> Outcome {
     let mut workers = workers_in_zones(policy, sizes);
     let mut running: Vec<WorkerLife> = Vec::new();
     for number in 0..turns {
-        let part = number % parts;
+        let part = number % prefixes;
         workers.note_turn("engines", &turn(part), START);
         let engine = chosen(&workers, &format!("program-{number}"), part, START);
         running.push(workers.note_start(&engine, START));
@@ -86,7 +86,7 @@
             .map_or(0, |worker| worker.in_flight)
     };
     Outcome {
-        crossed: running
+        placed_elsewhere: running
             .iter()
             .filter(|instance| !instance.id.starts_with('a'))
             .count(),
@@ -104,34 +104,34 @@
 #[test]
 fn turns_cross_zones_only_for_capacity_or_cached_prefixes() {
     // Zone sizes, prefixes, turns, and whether many turns cross zones with and without `near_homes`.
-    for (sizes, parts, turns, crosses_with, crosses_without) in [
-        ([11, 11, 11, 12], FEW_PARTS, 20, false, true),
+    for (sizes, prefixes, turns, crosses_with, crosses_without) in [
+        ([11, 11, 11, 12], FEW_PREFIXES, 20, false, true),
         // The own zone's engines don't have memory for all prefixes.
-        ([11, 11, 11, 12], MANY_PARTS, 20, true, true),
+        ([11, 11, 11, 12], MANY_PREFIXES, 20, true, true),
         // The own zone has too few engines.
-        ([2, 15, 14, 14], FEW_PARTS, 60, true, true),
+        ([2, 15, 14, 14], FEW_PREFIXES, 60, true, true),
     ] {
-        let with = simulate(near_homes(true), &sizes, parts, turns);
-        let without = simulate(near_homes(false), &sizes, parts, turns);
+        let with = simulate(near_homes(true), &sizes, prefixes, turns);
+        let without = simulate(near_homes(false), &sizes, prefixes, turns);
         let many = usize::try_from(turns / 4).expect("few turns");
         assert_eq!(
-            with.crossed > many,
+            with.placed_elsewhere > many,
             crosses_with,
-            "{sizes:?} {parts}: {with:?}"
+            "{sizes:?} {prefixes}: {with:?}"
         );
         assert_eq!(
-            without.crossed > many,
+            without.placed_elsewhere > many,
             crosses_without,
-            "{sizes:?} {parts}: {without:?}"
+            "{sizes:?} {prefixes}: {without:?}"
         );
     }
 }
 
 #[test]
 fn a_zone_with_capacity_keeps_its_turns_and_a_small_one_is_not_overloaded() {
-    let lightly_loaded = simulate(near_homes(true), &[11, 11, 11, 12], FEW_PARTS, 20);
-    assert_eq!(lightly_loaded.crossed, 0, "{lightly_loaded:?}");
-    let small = simulate(near_homes(true), &[2, 15, 14, 14], FEW_PARTS, 60);
+    let lightly_loaded = simulate(near_homes(true), &[11, 11, 11, 12], FEW_PREFIXES, 20);
+    assert_eq!(lightly_loaded.placed_elsewhere, 0, "{lightly_loaded:?}");
+    let small = simulate(near_homes(true), &[2, 15, 14, 14], FEW_PREFIXES, 60);
     // Each placement is based on the load before it, so the bound may be exceeded by one turn.
     let policy = Policy::default();
     let max = policy.calm_share * f64::from(SLOTS) + 1.0;
--- a/crates/gateway-core/tests/zone_spread.rs
+++ b/crates/gateway-core/tests/zone_spread.rs
@@ -110,8 +110,8 @@
         own_zone in "[ab]",
     ) {
         let nodes = nodes(&ranking);
-        let elsewhere = nodes.iter().filter(|(_, zone)| *zone != own_zone).count();
-        prop_assume!(elsewhere >= majority(MAX_WITNESSES));
+        let in_other_zones = nodes.iter().filter(|(_, zone)| *zone != own_zone).count();
+        prop_assume!(in_other_zones >= majority(MAX_WITNESSES));
         let chosen = spread_witnesses(&with_zones(&nodes), &own_zone, MAX_WITNESSES);
         let left = chosen.iter().filter(|node| zone_of(node) != own_zone).count();
         prop_assert!(left >= majority(chosen.len()), "{:?}", chosen);
