--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -236,8 +236,11 @@
 /// The result of a simulation.
 #[derive(Debug)]
 struct Outcome {
-    read: u32,
+    /// Number of prefixes that engines had to read.
+    reads: u32,
+    /// Maximum number of concurrent turns at one engine.
     busiest: u32,
+    /// Mean number of concurrent turns per engine.
     mean: f64,
 }
 
@@ -248,7 +251,7 @@
     let mut workers = all_engines(policy);
     let mut caches: BTreeMap<String, Cache> = BTreeMap::new();
     let mut outcome = Outcome {
-        read: 0,
+        reads: 0,
         busiest: 0,
         mean: BURST as f64 / ENGINES as f64,
     };
@@ -261,7 +264,7 @@
             let program = format!("program-{}", number / 4);
             let engine = chosen(&workers, &program, turn, now).expect("an engine");
             running.push(workers.note_start(&engine, now));
-            outcome.read += u32::from(caches.entry(engine).or_default().read(turn.part));
+            outcome.reads += u32::from(caches.entry(engine).or_default().read(turn.part));
         }
         let busiest = running
             .iter()
@@ -287,7 +290,7 @@
         part_homes: true,
         ..without_homes
     });
-    assert!(after.read * 2 < before.read, "{after:?} after {before:?}");
+    assert!(after.reads * 2 < before.reads, "{after:?} after {before:?}");
     assert!(f64::from(after.busiest) <= 3.0 * after.mean, "{after:?}");
 }
 
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -72,23 +72,23 @@
             true,
         ),
     ];
-    for (name, observation, checked_at, workers, nodes) in cases {
-        let health = health_after(&observation);
+    for (name, observations, checked_at, workers, nodes) in cases {
+        let health = health_after(&observations);
         let found = [Workers, Nodes].map(|part| health.is_suspected(after(checked_at), "z", part));
         assert_eq!(found, [workers, nodes], "{name}");
     }
 }
 
-fn at(ms: u64, observation: &[Observation]) -> Vec<(u64, Observation)> {
-    observation
+fn at(ms: u64, observations: &[Observation]) -> Vec<(u64, Observation)> {
+    observations
         .iter()
         .map(|observation| (ms, *observation))
         .collect()
 }
 
-fn health_after(observation: &[(u64, Observation)]) -> ZoneHealth {
+fn health_after(observations: &[(u64, Observation)]) -> ZoneHealth {
     let mut health = ZoneHealth::new("own");
-    for (ms, observation) in observation {
+    for (ms, observation) in observations {
         match observation {
             Fails(source) => health.note_failure(after(*ms), "z", *source),
             Answers(part) => health.note_answer(after(*ms), "z", *part),
