--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -135,7 +135,7 @@
     /// The first engines in the prefix's rendezvous order.
     Some {
         /// The prefix.
-        part: PartKey,
+        prefix: PartKey,
         /// Rank of the last home.
         last: u64,
     },
@@ -158,7 +158,7 @@
         }
         let last = homes.checked_sub(1).and_then(|index| ranks.get(index));
         Self::Some {
-            part: turn.part,
+            prefix: turn.part,
             last: last.copied().unwrap_or(u64::MAX),
         }
     }
@@ -166,7 +166,7 @@
     fn contains(&self, worker: &Worker) -> bool {
         match self {
             Self::NotApplicable | Self::Everywhere => true,
-            Self::Some { part, last } => rendezvous_rank(*part, &worker.record.id) <= *last,
+            Self::Some { prefix, last } => rendezvous_rank(*prefix, &worker.record.id) <= *last,
         }
     }
 }
--- a/crates/gateway-core/src/engine_memory/beliefs.rs
+++ b/crates/gateway-core/src/engine_memory/beliefs.rs
@@ -70,14 +70,14 @@
         &self,
         engine: WorkerKey,
         born: u64,
-        part: PartKey,
+        prefix: PartKey,
         tokens: u64,
         now: Timestamp,
     ) -> Holding {
         let snapshot = self.snapshots.get(&engine).filter(|snapshot| {
             snapshot.born == born && now.since(snapshot.heard) < SNAPSHOT_LIFETIME
         });
-        let held = snapshot.and_then(|snapshot| snapshot.parts.get(&part));
+        let held = snapshot.and_then(|snapshot| snapshot.parts.get(&prefix));
         match held {
             Some(held) if held * 4 >= tokens * HELD_QUARTERS => Holding::Holds,
             Some(_) => Holding::Lacks,
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// The prefix.
-    pub part: PartKey,
+    pub prefix: PartKey,
     /// Length of the prefix in tokens.
     pub tokens: u64,
     /// Whether the source is in another zone.
@@ -93,12 +93,14 @@
             .clone()
             .filter(|(at, _, _)| now.since(*at) < BYTES_WINDOW);
         let moved: u64 = recent.map(|(_, _, bytes)| *bytes).sum();
-        let is_repeat = of_engine.clone().any(|(_, part, _)| *part == fetch.part);
+        let is_repeat = of_engine
+            .clone()
+            .any(|(_, prefix, _)| *prefix == fetch.prefix);
         if is_repeat || moved.saturating_add(bytes) > MAX_BYTES {
             return false;
         }
         let recorded = self.fetches.entry(engine).or_default();
-        recorded.push((now, fetch.part, bytes));
+        recorded.push((now, fetch.prefix, bytes));
         true
     }
 
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -118,12 +118,12 @@
         if is_due {
             self.decay(now);
         }
-        let part = self.own.entry(turn.part).or_insert(PartUse {
+        let usage = self.own.entry(turn.part).or_insert(PartUse {
             tokens: turn.part_tokens,
             turns: 0.0,
         });
-        part.tokens = turn.part_tokens;
-        part.turns += 1.0;
+        usage.tokens = turn.part_tokens;
+        usage.turns += 1.0;
         if is_due {
             self.refresh(turn, engines);
         }
@@ -157,12 +157,12 @@
         let mut by_demand: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
         by_demand.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
         by_demand.truncate(max);
-        by_demand.into_iter().map(|(part, _)| part).collect()
+        by_demand.into_iter().map(|(prefix, _)| prefix).collect()
     }
 
     /// Returns the fraction of engines that are home to a prefix, 1 for an unknown one.
-    pub fn home_fraction(&self, part: PartKey) -> f64 {
-        self.home_fractions.get(&part).copied().unwrap_or(1.0)
+    pub fn home_fraction(&self, prefix: PartKey) -> f64 {
+        self.home_fractions.get(&prefix).copied().unwrap_or(1.0)
     }
 
     /// Returns the number of known prefixes.
@@ -179,15 +179,16 @@
         let since = self.refreshed_at.map_or(Duration::ZERO, |at| now.since(at));
         self.refreshed_at = Some(now);
         let factor = 0.5_f64.powf(since.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        for part in self.own.values_mut() {
-            part.turns *= factor;
+        for usage in self.own.values_mut() {
+            usage.turns *= factor;
         }
-        self.own.retain(|_, part| part.turns >= MIN_TURNS);
+        self.own.retain(|_, usage| usage.turns >= MIN_TURNS);
         self.peer_reports
             .retain(|_, report| now.since(report.at) < PEER_REPORT_LIFETIME);
         while self.own.len() > MAX_PREFIXES {
-            let parts = self.own.iter();
-            let least_used = parts.min_by(|(_, one), (_, other)| one.turns.total_cmp(&other.turns));
+            let prefixes = self.own.iter();
+            let least_used =
+                prefixes.min_by(|(_, one), (_, other)| one.turns.total_cmp(&other.turns));
             let Some((&key, _)) = least_used else { break };
             self.own.remove(&key);
         }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -39,7 +39,7 @@
         let wanted = demand.map(|demand| demand.most_requested(MOST_PARTS_TOLD));
         let wanted = wanted.into_iter().flatten();
         let parts: BTreeMap<PartKey, u64> = wanted
-            .filter_map(|part| Some((part, log.held(part)?)))
+            .filter_map(|prefix| Some((prefix, log.held(prefix)?)))
             .collect();
         Belief {
             born: worker.record.born,
@@ -70,7 +70,7 @@
         }
         let source = self.source_for(target, turn, now)?;
         let fetch = Fetch {
-            part: turn.part,
+            prefix: turn.part,
             tokens: turn.part_tokens,
             crosses_zones: source.record.zone != target.record.zone,
         };
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -30,9 +30,9 @@
     START + Duration::from_millis(milliseconds)
 }
 
-fn event(part: &str, tokens: u64) -> MemoryEvent {
+fn event(prefix: &str, tokens: u64) -> MemoryEvent {
     MemoryEvent {
-        part: part.to_owned(),
+        part: prefix.to_owned(),
         tokens,
     }
 }
@@ -44,7 +44,7 @@
         has_gap: false,
         events: list
             .iter()
-            .map(|(part, tokens)| event(part, *tokens))
+            .map(|(prefix, tokens)| event(prefix, *tokens))
             .collect(),
     }
 }
@@ -57,8 +57,8 @@
     }
 }
 
-fn key(part: &str) -> PartKey {
-    PartKey::of(part)
+fn key(prefix: &str) -> PartKey {
+    PartKey::of(prefix)
 }
 
 #[test]
@@ -272,7 +272,7 @@
         heard,
         parts: parts
             .iter()
-            .map(|(part, tokens)| (key(part), *tokens))
+            .map(|(prefix, tokens)| (key(prefix), *tokens))
             .collect(),
     }
 }
@@ -283,8 +283,8 @@
     let mut memories = EngineMemories::default();
     let parts = [("a", PREFIX_TOKENS), ("b", 100)];
     memories.update(engine, snapshot(5, START, &parts));
-    let holding = |memories: &EngineMemories, born, part, now| {
-        memories.holding(engine, born, key(part), PREFIX_TOKENS, now)
+    let holding = |memories: &EngineMemories, born, prefix, now| {
+        memories.holding(engine, born, key(prefix), PREFIX_TOKENS, now)
     };
     assert_eq!(holding(&memories, 5, "a", START), Holding::Holds);
     assert_eq!(
@@ -371,8 +371,8 @@
         let engine = WorkerKey::of("engine");
         let mut limiter = FetchLimiter::default();
         let mut started: Vec<(Timestamp, u64)> = Vec::new();
-        for (millis, part) in calls {
-            let fetch = Fetch { part: PartKey(part), tokens: PREFIX_TOKENS, crosses_zones: false };
+        for (millis, prefix) in calls {
+            let fetch = Fetch { prefix: PartKey(prefix), tokens: PREFIX_TOKENS, crosses_zones: false };
             if limiter.try_start(engine, &fetch, &moves(), at(millis)) {
                 started.push((at(millis), fetch.bytes(&moves())));
             }
@@ -398,7 +398,7 @@
 #[test]
 fn a_fetch_is_used_only_if_it_saves_enough_time() {
     let long = Fetch {
-        part: key("a"),
+        prefix: key("a"),
         tokens: PREFIX_TOKENS,
         crosses_zones: false,
     };
@@ -430,8 +430,8 @@
 fn a_prefix_is_not_fetched_again_immediately() {
     let engine = WorkerKey::of("engine");
     let mut limiter = FetchLimiter::default();
-    let fetch = |part| Fetch {
-        part: key(part),
+    let fetch = |prefix| Fetch {
+        prefix: key(prefix),
         tokens: PREFIX_TOKENS,
         crosses_zones: false,
     };
@@ -441,9 +441,9 @@
     assert!(limiter.try_start(engine, &fetch("a"), &moves(), at(2_000)));
 }
 
-fn turn(part: &str) -> EngineTurn {
+fn turn(prefix: &str) -> EngineTurn {
     EngineTurn {
-        part: key(part),
+        part: key(prefix),
         part_tokens: PREFIX_TOKENS,
         private_tokens: 2_000,
         answer_tokens: 200,
@@ -471,11 +471,11 @@
 }
 
 /// Stores snapshots in which only one engine holds a prefix.
-fn note_only_holder(workers: &mut WorkerDirectory, holder: &str, part: &str, now: Timestamp) {
+fn note_only_holder(workers: &mut WorkerDirectory, holder: &str, prefix: &str, now: Timestamp) {
     for number in 0..ENGINES {
         let id = record(number).id;
         let tokens = if id == holder { PREFIX_TOKENS } else { 0 };
-        workers.take_memory(WorkerKey::of(&id), snapshot(0, now, &[(part, tokens)]));
+        workers.take_memory(WorkerKey::of(&id), snapshot(0, now, &[(prefix, tokens)]));
     }
 }
 
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -23,9 +23,9 @@
 const ENGINES: usize = 56;
 const PREFIXES: u64 = 16;
 
-fn turn(part: u64) -> EngineTurn {
+fn turn(prefix: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{part}")),
+        part: PartKey::of(&format!("part-{prefix}")),
         part_tokens: PREFIX_TOKENS,
         private_tokens: SUFFIX_TOKENS,
         answer_tokens: 200,
@@ -102,11 +102,11 @@
 
 #[test]
 fn all_engines_are_home_to_prefixes_that_fit() {
-    let part = PrefixLoad {
+    let prefix = PrefixLoad {
         tokens: PREFIX_TOKENS as f64,
         weight: 1.0,
     };
-    let fractions = home_fractions(&[part, part], 3.0 * PREFIX_TOKENS as f64, 10);
+    let fractions = home_fractions(&[prefix, prefix], 3.0 * PREFIX_TOKENS as f64, 10);
     assert_eq!(fractions, [1.0, 1.0]);
 }
 
@@ -115,20 +115,20 @@
     let engines: Vec<String> = (0..ENGINES)
         .map(|engine| format!("engine-{engine}"))
         .collect();
-    let homes = |part: PartKey, engines: &[String]| -> BTreeSet<String> {
+    let homes = |prefix: PartKey, engines: &[String]| -> BTreeSet<String> {
         let mut order: Vec<&String> = engines.iter().collect();
-        order.sort_by_key(|engine| rendezvous_rank(part, engine));
+        order.sort_by_key(|engine| rendezvous_rank(prefix, engine));
         let count = home_count(0.3, engines.len());
         order.into_iter().take(count).cloned().collect()
     };
     let gone = &engines[7];
     let left: Vec<String> = engines.iter().filter(|id| *id != gone).cloned().collect();
     for number in 0..PREFIXES {
-        let part = PartKey::of(&format!("part-{number}"));
-        let before = homes(part, &engines);
-        let after = homes(part, &left);
+        let prefix = PartKey::of(&format!("part-{number}"));
+        let before = homes(prefix, &engines);
+        let after = homes(prefix, &left);
         let moved = after.difference(&before).count();
-        assert_eq!(moved, usize::from(before.contains(gone)), "part {number}");
+        assert_eq!(moved, usize::from(before.contains(gone)), "prefix {number}");
     }
 }
 
@@ -150,12 +150,12 @@
     let later = START + Duration::from_secs(1);
     first.note_turn(&turn(0), ENGINES, later);
     second.note_turn(&turn(0), ENGINES, later);
-    for part in 0..PREFIXES {
-        let key = turn(part).part;
+    for prefix in 0..PREFIXES {
+        let key = turn(prefix).part;
         let (first, second) = (first.home_fraction(key), second.home_fraction(key));
         assert!(
             (first - second).abs() < 1.0 / ENGINES as f64,
-            "part {part}: {first} {second}"
+            "prefix {prefix}: {first} {second}"
         );
     }
 }
@@ -220,12 +220,12 @@
 
 impl Cache {
     /// Uses a prefix; returns whether it was not cached.
-    fn read(&mut self, part: PartKey) -> bool {
-        let position = self.0.iter().position(|known| *known == part);
+    fn read(&mut self, prefix: PartKey) -> bool {
+        let position = self.0.iter().position(|known| *known == prefix);
         if let Some(index) = position {
             self.0.remove(index);
         }
-        self.0.push_back(part);
+        self.0.push_back(prefix);
         if self.0.len() > CACHED_PREFIXES {
             self.0.pop_front();
         }
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -19,9 +19,9 @@
 const FEW_PREFIXES: u64 = 6;
 const MANY_PREFIXES: u64 = 16;
 
-fn turn(part: u64) -> EngineTurn {
+fn turn(prefix: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{part}")),
+        part: PartKey::of(&format!("part-{prefix}")),
         part_tokens: PREFIX_TOKENS,
         private_tokens: 2_000,
         answer_tokens: 200,
@@ -46,14 +46,14 @@
     workers
 }
 
-fn chosen(workers: &WorkerDirectory, program: &str, part: u64, now: Timestamp) -> String {
+fn chosen(workers: &WorkerDirectory, program: &str, prefix: u64, now: Timestamp) -> String {
     let query = PlacementQuery {
         service: "engines",
         key: Some(program),
         zone: "a",
         repeatable: false,
         tried: &[],
-        turn: Some(turn(part)),
+        turn: Some(turn(prefix)),
         spread: 1,
         is_connected: &|_| false,
     };
@@ -75,9 +75,9 @@
     let mut workers = workers_in_zones(policy, sizes);
     let mut running: Vec<WorkerLife> = Vec::new();
     for number in 0..turns {
-        let part = number % prefixes;
-        workers.note_turn("engines", &turn(part), START);
-        let engine = chosen(&workers, &format!("program-{number}"), part, START);
+        let prefix = number % prefixes;
+        workers.note_turn("engines", &turn(prefix), START);
+        let engine = chosen(&workers, &format!("program-{number}"), prefix, START);
         running.push(workers.note_start(&engine, START));
     }
     let load = |instance: &WorkerLife| {
