--- a/crates/gateway-core/src/admission/allotment.rs
+++ b/crates/gateway-core/src/admission/allotment.rs
@@ -1,6 +1,6 @@
 //! Divides a service's free places between the nodes.
 
-use super::demand::{LEVELS, Waiting};
+use super::demand::{URGENCY_LEVELS, Waiting};
 
 /// Turns that wait for a service at the other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 fn by_urgency(free: f64, own: Waiting, elsewhere: PeerWaiting) -> f64 {
     let mut left = free;
     let mut share = 0.0;
-    for level in 0..LEVELS {
+    for level in 0..URGENCY_LEVELS {
         let (here, there) = (own.0[level], elsewhere.0.0[level]);
         let taken = left.min(f64::from(here) + f64::from(there));
         share += taken * own_fraction(here, there);
--- a/crates/gateway-core/src/admission/demand.rs
+++ b/crates/gateway-core/src/admission/demand.rs
@@ -12,7 +12,7 @@
 
 /// Returns the urgency level of a rank.
 pub(super) fn level_of(urgency: u8) -> usize {
-    usize::from(urgency).min(LEVELS - 1)
+    usize::from(urgency).min(URGENCY_LEVELS - 1)
 }
 
 /// A hash that identifies a service in reports.
@@ -28,7 +28,7 @@
 
 /// The number of waiting turns at each urgency level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Waiting(pub [u32; LEVELS]);
+pub struct Waiting(pub [u32; URGENCY_LEVELS]);
 
 impl Waiting {
     /// Returns the number of turns at all levels.
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -26,11 +26,11 @@
 
 use crate::tenants::TenantKey;
 
-pub use demand::{LEVELS, ServiceKey, Waiting};
+pub use demand::{ServiceKey, URGENCY_LEVELS, Waiting};
 pub use gate::{Arrival, Decision, Refused};
 pub use queue::{QueueLimits, Ticket};
 pub use room::Room;
-pub use turn::{Standing, Turn};
+pub use turn::{ProgramState, Turn};
 
 use allotment::PeerWaiting;
 use demand::PeerDemand;
@@ -112,7 +112,7 @@
         let gate = self.gates.entry(service.to_owned()).or_default();
         if gate.try_admit(&context, turn.urgency) {
             self.shares.charge(now, tenant, turn.prompt_tokens);
-            return Decision::from(Arrival::Go);
+            return Decision::from(Arrival::Admit);
         }
         let excess = match self.rules.fair_share {
             true => self.shares.excess(now, tenant),
--- a/crates/gateway-core/src/admission/queue.rs
+++ b/crates/gateway-core/src/admission/queue.rs
@@ -4,7 +4,7 @@
 
 use elderworks_types::Timestamp;
 
-use super::demand::{LEVELS, Waiting, level_of};
+use super::demand::{URGENCY_LEVELS, Waiting, level_of};
 use super::turn::{Order, QueuedTurn};
 
 /// Identifies a turn that requested admission.
--- a/crates/gateway-core/src/admission/turn.rs
+++ b/crates/gateway-core/src/admission/turn.rs
@@ -43,7 +43,7 @@
 pub struct QueuedTurn {
     pub(super) urgency: u8,
     pub(super) excess: u8,
-    pub(super) standing: Standing,
+    pub(super) standing: ProgramState,
     pub(super) finish: Option<Timestamp>,
     pub(super) arrived: Timestamp,
     pub(super) latest_start: Timestamp,
@@ -64,12 +64,12 @@
         Self {
             urgency: turn.urgency,
             excess,
-            standing: turn.standing,
+            standing: turn.program_state,
             finish: turn.finish,
             arrived: now,
             latest_start: turn.latest_start,
             bytes: turn.bytes,
-            spread: turn.spread,
+            spread: turn.seed,
         }
     }
 
--- a/crates/gateway-core/src/attempt.rs
+++ b/crates/gateway-core/src/attempt.rs
@@ -96,7 +96,7 @@
         if self.possibly_run >= max_attempts {
             let is_last_worker = self.possibly_run == max_attempts;
             return match failure {
-                AttemptFailure::Unknown if is_last_worker => NextStep::TrySameWorker,
+                AttemptFailure::Unknown if is_last_worker => NextStep::RetrySameWorker,
                 _ => NextStep::GiveUp,
             };
         }
--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -85,7 +85,7 @@
     let is_in_own_zone = |worker: &&Worker| worker.record.zone == query.zone;
     let is_eligible = |worker: &&'a Worker| {
         !query.tried.contains(&worker.record.id)
-            && !worker.is_unfit(now, query.repeatable)
+            && !worker.should_avoid(now, query.repeatable)
             && !worker.is_full(now)
             && !workers.is_held_back(worker, now)
             && !workers.is_zone_avoided(worker, seed_of(query), now)
@@ -233,7 +233,7 @@
         tried,
         workers.is_zone_avoided(worker, seed_of(query), now),
         worker.is_ejected(now),
-        worker.is_unfit(now, query.repeatable),
+        worker.should_avoid(now, query.repeatable),
         worker.is_full(now),
         rounds,
         load(worker, query),
@@ -261,6 +261,6 @@
 fn seed_of(query: &PlacementQuery<'_>) -> u64 {
     match query.key {
         Some(key) => xxh3_64_with_seed(key.as_bytes(), 0),
-        None => query.spread,
+        None => query.seed,
     }
 }
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -7,7 +7,7 @@
 
 use crate::config::MemoryMoves;
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// Assumed prefill speed of an engine in tokens per millisecond.
 const READ_TOKENS_PER_MS: u64 = 200;
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::engines::{MemoryEvent, MemoryEvents, MemoryListing};
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// Maximum number of tracked prefixes of one engine; the shortest are dropped first. Engines cache
 /// fewer, at one prefix per conversation.
@@ -61,7 +61,7 @@
         self.apply(&answer.events);
         match answer.has_gap {
             true => LogChange::Gap,
-            false => LogChange::Went,
+            false => LogChange::Applied,
         }
     }
 
@@ -77,7 +77,7 @@
         self.apply(&listing.parts);
         match has_restarted {
             true => LogChange::Restarted,
-            false => LogChange::Went,
+            false => LogChange::Applied,
         }
     }
 
--- a/crates/gateway-core/src/engine_memory/reading.rs
+++ b/crates/gateway-core/src/engine_memory/reading.rs
@@ -124,7 +124,7 @@
                 }
                 self.failures += 1;
                 self.next_call = now + self.jittered(self.backoff());
-                return LogChange::Went;
+                return LogChange::Applied;
             }
         };
         self.failures = 0;
@@ -132,7 +132,7 @@
         self.needs_listing |= change == LogChange::Gap;
         let pause = match change {
             LogChange::Restarted => Duration::ZERO,
-            LogChange::Went | LogChange::Gap => READ_PAUSE,
+            LogChange::Applied | LogChange::Gap => READ_PAUSE,
         };
         self.next_call = now + self.jittered(pause);
         change
--- a/crates/gateway-core/src/engine_memory/beliefs.rs
+++ b/crates/gateway-core/src/engine_memory/snapshots.rs
@@ -6,7 +6,7 @@
 use elderworks_types::Timestamp;
 
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::PartKey;
+use crate::placement::demand::PrefixKey;
 
 /// Time after which a snapshot expires; readers report more often.
 pub const SNAPSHOT_LIFETIME: Duration = Duration::from_secs(10);
--- a/crates/gateway-core/src/evacuations.rs
+++ b/crates/gateway-core/src/evacuations.rs
@@ -23,7 +23,7 @@
 /// The latest order for each zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    wishes: BTreeMap<String, ZoneWish>,
+    wishes: BTreeMap<String, EvacuationOrder>,
 }
 
 impl Evacuations {
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -43,7 +43,7 @@
 
 /// A hash that identifies a prompt prefix; prefixes with equal keys have equal text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PartKey(pub u32);
+pub struct PrefixKey(pub u32);
 
 impl PartKey {
     /// Returns the key of the prefix with that name.
@@ -73,7 +73,7 @@
 impl EngineTurn {
     /// Returns the maximum number of tokens that the turn occupies while it runs.
     pub fn held_tokens(&self) -> u64 {
-        self.part_tokens + self.private_tokens + self.answer_tokens
+        self.prefix_tokens + self.suffix_tokens + self.max_output_tokens
     }
 }
 
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::demand::PartKey;
+use super::demand::PrefixKey;
 
 /// Minimum number of homes of a prefix, so that the loss of one engine leaves another.
 const MIN_HOMES: f64 = 2.0;
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -7,17 +7,17 @@
 
 use super::{Worker, WorkerDirectory};
 use crate::config::MemoryMoves;
-use crate::engine_memory::beliefs::{Belief, EngineMemories, Holding};
 use crate::engine_memory::fetching::Fetch;
 use crate::engine_memory::log::EngineLog;
-use crate::engine_memory::telling::MOST_PARTS_TOLD;
+use crate::engine_memory::reporting::MAX_REPORTED_PREFIXES;
+use crate::engine_memory::snapshots::{EngineMemories, Holding, MemorySnapshot};
 use crate::peer_loads::WorkerKey;
-use crate::placement::demand::{EngineTurn, PartKey};
+use crate::placement::demand::{EngineTurn, PrefixKey};
 
 impl WorkerDirectory {
     /// Stores the snapshot of a known engine's memory unless a newer one is stored; returns whether it
     /// did.
-    pub fn take_memory(&mut self, engine: WorkerKey, belief: Belief) -> bool {
+    pub fn apply_memory_snapshot(&mut self, engine: WorkerKey, belief: MemorySnapshot) -> bool {
         let is_known = self.workers.values().any(|worker| worker.key == engine);
         is_known && self.memories.update(engine, belief)
     }
@@ -41,10 +41,10 @@
         let parts: BTreeMap<PartKey, u64> = wanted
             .filter_map(|prefix| Some((prefix, log.held(prefix)?)))
             .collect();
-        Belief {
+        MemorySnapshot {
             born: worker.record.born,
-            heard,
-            parts,
+            observed_at: heard,
+            prefixes: parts,
         }
     }
 
@@ -52,7 +52,7 @@
     pub fn holding(&self, worker: &Worker, turn: &EngineTurn, now: Timestamp) -> Holding {
         let (key, born) = (worker.key, worker.record.born);
         self.memories
-            .holding(key, born, turn.part, turn.part_tokens, now)
+            .holding(key, born, turn.prefix, turn.prefix_tokens, now)
     }
 
     /// Starts a fetch of the prompt's prefix from another engine if that is faster than reading it;
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -165,7 +165,7 @@
         let cold_until = now + record.cold_left;
         if let Some(known) = self.workers.get_mut(&record.id) {
             if record.born < known.record.born {
-                return Taken::Outdated;
+                return UpsertOutcome::Outdated;
             }
             if record.born == known.record.born {
                 let is_unchanged = known.record.is_alike(&record) && known.missing_until.is_none();
@@ -175,7 +175,7 @@
                 return if is_unchanged {
                     Taken::Unchanged
                 } else {
-                    Taken::Changed
+                    UpsertOutcome::Changed
                 };
             }
         }
@@ -194,9 +194,9 @@
             Some(_) => {
                 self.peer_loads.forget_worker(key);
                 self.memories.forget(key);
-                Taken::Reborn
+                UpsertOutcome::Restarted
             }
-            None => Taken::Changed,
+            None => UpsertOutcome::Changed,
         }
     }
 
@@ -409,6 +409,6 @@
     /// Records that another node has ejected a worker; returns whether this ejected it here, too.
     pub fn note_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
         let worker = self.workers.get_mut(id).filter(|_| self.policy.ejection);
-        worker.is_some_and(|worker| worker.health.note_report(now, node))
+        worker.is_some_and(|worker| worker.health.note_ejection_report(now, node))
     }
 }
--- a/crates/gateway-core/src/workers/zones.rs
+++ b/crates/gateway-core/src/workers/zones.rs
@@ -40,7 +40,7 @@
             return;
         }
         if let Some(worker) = self.workers.get(id) {
-            let source = Source::worker(id);
+            let source = FailureSource::worker(id);
             self.zone_health
                 .note_failure(now, &worker.record.zone, source);
         }
--- a/crates/gateway-core/src/zone_health.rs
+++ b/crates/gateway-core/src/zone_health.rs
@@ -57,7 +57,7 @@
 
 /// A worker or node whose failures are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Source(ZonePart, u64);
+pub struct FailureSource(ZonePart, u64);
 
 impl Source {
     /// Creates the source for the worker with that id.
@@ -107,7 +107,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct ZoneState {
-    failures: BTreeMap<Source, Timestamp>,
+    failures: BTreeMap<FailureSource, Timestamp>,
     workers: PartState,
     nodes: PartState,
 }
--- a/crates/gateway-core/src/zone_spread.rs
+++ b/crates/gateway-core/src/zone_spread.rs
@@ -11,7 +11,7 @@
 const MIN_SAFE: usize = 3;
 
 /// A node with its zone.
-pub type Placed<'a> = (&'a NodeId, &'a str);
+pub type NodeInZone<'a> = (&'a NodeId, &'a str);
 
 /// Selects up to `max` witnesses for an owner in `own_zone` from the other nodes in `ranked` order.
 ///
@@ -71,7 +71,7 @@
     chosen
 }
 
-fn names<'a>(placed: &[Placed<'a>]) -> Vec<&'a NodeId> {
+fn names<'a>(placed: &[NodeInZone<'a>]) -> Vec<&'a NodeId> {
     placed.iter().map(|(node, _)| *node).collect()
 }
 
--- a/crates/gateway-core/tests/admission.rs
+++ b/crates/gateway-core/tests/admission.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::admission::{
-    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, QueueLimits, Room, ServiceKey,
-    Standing, Ticket, Turn, Waiting,
+    Admission, AdmissionMode, AdmissionRules, Arrival, Demand, ProgramState, QueueLimits, Room,
+    ServiceKey, Ticket, Turn, Waiting,
 };
 use elderworks_gateway_core::peer_loads::REPORT_LIFETIME;
 use elderworks_gateway_core::tenants::TenantKey;
@@ -45,12 +45,12 @@
     Turn {
         urgency,
         tenant: None,
-        standing: Standing::Begun,
+        program_state: ProgramState::Started,
         finish: None,
         latest_start: START + MAX_WAIT,
         prompt_tokens: 1_000,
         bytes: 10,
-        spread: 1,
+        seed: 1,
     }
 }
 
@@ -59,11 +59,11 @@
     let mut admission = admission();
     for _ in 0..8 {
         admission.arrive(START, SERVICE, ROOM, turn(9));
-        admission.end(SERVICE, Some(Duration::from_millis(250)));
+        admission.complete(SERVICE, Some(Duration::from_millis(250)));
     }
     for _ in 0..ROOM.slots {
         let decision = admission.arrive(START, SERVICE, ROOM, turn(9));
-        assert_eq!(decision.arrival, Arrival::Go);
+        assert_eq!(decision.arrival, Arrival::Admit);
     }
     admission
 }
@@ -79,7 +79,7 @@
 fn release_order(admission: &mut Admission, count: usize) -> Vec<Ticket> {
     let mut order = Vec::new();
     for _ in 0..count {
-        admission.end(SERVICE, None);
+        admission.complete(SERVICE, None);
         order.extend(admission.release(START, SERVICE, ROOM));
     }
     order
@@ -95,7 +95,7 @@
         let mut admission = Admission::new(rules(mode));
         for _ in 0..ROOM.slots {
             let decision = admission.arrive(START, SERVICE, ROOM, turn(5));
-            assert_eq!(decision.arrival, Arrival::Go, "{mode:?}");
+            assert_eq!(decision.arrival, Arrival::Admit, "{mode:?}");
         }
         let decision = admission.arrive(START, SERVICE, ROOM, turn(0));
         let is_admitted = decision.arrival == Arrival::Go;
@@ -120,7 +120,7 @@
     let waiting = waits(&mut admission, turn(0));
     let none = Room::default();
     let decision = admission.arrive(START, SERVICE, none, turn(0));
-    assert_eq!(decision.arrival, Arrival::Go);
+    assert_eq!(decision.arrival, Arrival::Admit);
     assert_eq!(admission.release(START, SERVICE, none), [waiting]);
 }
 
@@ -128,7 +128,7 @@
 fn turns_are_ordered_by_urgency_then_program_state_then_deadline() {
     let finish = |milliseconds| Some(after(milliseconds));
     let with = |urgency, standing, finish| Turn {
-        standing,
+        program_state: standing,
         finish,
         ..turn(urgency)
     };
@@ -288,7 +288,10 @@
     }
     let mut pauses: Vec<Duration> = (0..8)
         .map(|spread| {
-            let turn = Turn { spread, ..turn(1) };
+            let turn = Turn {
+                seed: spread,
+                ..turn(1)
+            };
             match admission.arrive(START, SERVICE, ROOM, turn).arrival {
                 Arrival::Refuse(refused) => refused.retry_after,
                 other => panic!("{other:?}"),
@@ -368,7 +371,7 @@
         let decision = admission.arrive(START, SERVICE, taken, turn(urgency));
         assert!(matches!(decision.arrival, Arrival::Wait { .. }));
     }
-    admission.take_demand(START, NodeId::from("other"), elsewhere);
+    admission.apply_peer_demand(START, NodeId::from("other"), elsewhere);
     admission.drop_old(at);
     admission.release(at, SERVICE, free).len()
 }
--- a/crates/gateway-core/tests/admission_load.rs
+++ b/crates/gateway-core/tests/admission_load.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::admission::{
-    Admission, AdmissionMode, AdmissionRules, Arrival, QueueLimits, Room, Standing, Ticket, Turn,
+    Admission, AdmissionMode, AdmissionRules, Arrival, ProgramState, QueueLimits, Room, Ticket,
+    Turn,
 };
 use elderworks_gateway_core::tenants::TenantKey;
 use elderworks_types::{NodeId, Timestamp};
@@ -176,7 +177,7 @@
             latest_start: at(now + MAX_WAIT_MS),
             prompt_tokens: 1_000,
             bytes: 1_000,
-            spread,
+            seed: spread,
         };
         self.outcomes[index].arrivals += 1;
         let room = self.room(node, now);
@@ -186,7 +187,7 @@
             self.outcomes[waiting.load].refused += 1;
         }
         match decision.arrival {
-            Arrival::Go => {
+            Arrival::Admit => {
                 let waits = self.send(node, now);
                 self.outcomes[index].waits.push(waits);
             }
@@ -239,7 +240,7 @@
                 let is_cut_off = other == 0 && fault.is_unreachable(now);
                 if other != node && !is_cut_off {
                     let name = NodeId::from(format!("n{node}").as_str());
-                    self.nodes[other].take_demand(at(now), name, demand.clone());
+                    self.nodes[other].apply_peer_demand(at(now), name, demand.clone());
                 }
             }
         }
--- a/crates/gateway-core/tests/attempts.rs
+++ b/crates/gateway-core/tests/attempts.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use AttemptFailure::{NotSent, RefusedByWorker, Unknown};
-use NextStep::{GiveUp, TryAgain, TrySameWorker};
+use NextStep::{GiveUp, Retry, RetrySameWorker};
 
 /// Whether the history proves that the request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -133,7 +133,7 @@
 fn next_step_after_failures() {
     for case in CASES {
         let mut history = AttemptHistory::default();
-        let mut step = TryAgain;
+        let mut step = Retry;
         for failure in case.failures {
             step = history.after_failure(*failure, case.repeatable, case.max_attempts);
         }
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -16,9 +16,9 @@
 use elderworks_gateway_core::engine_memory::telling::{MAX_REPORTED_ENGINES, MemoryTeller};
 use elderworks_gateway_core::engines::{MemoryEvent, MemoryEvents, MemoryListing};
 use elderworks_gateway_core::peer_loads::WorkerKey;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{Taken, WorkerDirectory, WorkerRecord};
+use elderworks_gateway_core::workers::{UpsertOutcome, WorkerDirectory, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -133,7 +133,7 @@
     assert_eq!(reader.next(START), Step::Events { since: 0 });
     let answer = ReadOutcome::Events(events(1, 5, &[("a", 100)]));
     reader.take(START, at(40), &answer);
-    assert_eq!(reader.heard(), Some(START));
+    assert_eq!(reader.observed_at(), Some(START));
     let pause = pause_of(reader.next(at(40)));
     let range = Duration::from_millis(300)..=Duration::from_millis(375);
     assert!(range.contains(&pause), "{pause:?}");
@@ -155,7 +155,7 @@
     assert!(pauses[0] >= Duration::from_millis(500));
     assert!(pauses[2] >= Duration::from_secs(2), "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= Duration::from_secs(10)));
-    assert_eq!(reader.heard(), None);
+    assert_eq!(reader.observed_at(), None);
     let answer = ReadOutcome::Events(events(1, 0, &[]));
     reader.take(now, now, &answer);
     reader.take(now, now, &ReadOutcome::Failed);
@@ -171,7 +171,7 @@
         &ReadOutcome::Events(events(1, 1, &[("a", 9)])),
     );
     reader.take(at(1_500), at(3_100), &ReadOutcome::Failed);
-    assert_eq!(reader.heard(), Some(START));
+    assert_eq!(reader.observed_at(), Some(START));
 }
 
 #[test]
@@ -269,8 +269,8 @@
 fn snapshot(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> Belief {
     Belief {
         born,
-        heard,
-        parts: parts
+        observed_at: heard,
+        prefixes: parts
             .iter()
             .map(|(prefix, tokens)| (key(prefix), *tokens))
             .collect(),
--- a/crates/gateway-core/tests/evacuations.rs
+++ b/crates/gateway-core/tests/evacuations.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::evacuations::{Evacuations, ZoneWish};
+use elderworks_gateway_core::evacuations::{EvacuationOrder, Evacuations};
 use elderworks_gateway_core::workers::WorkerDirectory;
 use elderworks_types::{Offset, Timestamp};
 
@@ -63,7 +63,7 @@
         evacuations.note(&format!("zone-{number}"), order(number * 2, true));
         evacuations.note(&format!("zone-{number}"), order(number * 2 + 1, false));
     }
-    assert!(evacuations.wishes().count() <= 256);
+    assert!(evacuations.orders().count() <= 256);
     assert!(
         evacuations.note("a", order(30_000, true)),
         "a further zone is accepted"
@@ -78,7 +78,7 @@
         repeatable: true,
         tried,
         turn: None,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     }
 }
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -12,7 +12,7 @@
     PrefixLoad, home_count, home_fractions, rendezvous_rank,
 };
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
+use elderworks_gateway_core::workers::{WorkerDirectory, WorkerInstance, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -62,7 +62,7 @@
         repeatable: false,
         tried: &[],
         turn: Some(turn),
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
@@ -257,7 +257,7 @@
     };
     for burst in 0..BURSTS {
         let now = START + Duration::from_millis(burst * 400);
-        let mut running: Vec<WorkerLife> = Vec::new();
+        let mut running: Vec<WorkerInstance> = Vec::new();
         for number in burst * BURST..(burst + 1) * BURST {
             let turn = turn(skewed_prefix(number));
             workers.note_turn("engines", &turn, now);
@@ -320,7 +320,7 @@
         repeatable: true,
         tried: &[],
         turn,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     let of_turn = choose(&workers, &query(Some(turn(12))), START).expect("an engine");
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -57,7 +57,7 @@
 #[test]
 fn after_a_report_one_local_failure_ejects() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
     assert_eq!(
         health.status(START),
         HealthStatus::Healthy,
@@ -78,8 +78,8 @@
 #[test]
 fn expired_reports_do_not_count() {
     let mut health = WorkerHealth::default();
-    health.note_report(START, NodeId::new("n2"));
-    assert!(!health.note_report(after(2_000), NodeId::new("n3")));
+    health.note_ejection_report(START, NodeId::new("n2"));
+    assert!(!health.note_ejection_report(after(2_000), NodeId::new("n3")));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let mut health = ejected();
     for (number, milliseconds) in [(2, 250), (3, 260), (4, 270)] {
         let node = NodeId::new(format!("n{number}"));
-        assert!(!health.note_report(after(milliseconds), node));
+        assert!(!health.note_ejection_report(after(milliseconds), node));
     }
     assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
 }
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -8,7 +8,7 @@
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
 use elderworks_gateway_core::peer_loads::{REPORT_LIFETIME, WorkerKey};
 use elderworks_gateway_core::workers::{
-    Taken, WorkerDirectory, WorkerRecord, idle_connections_share,
+    UpsertOutcome, WorkerDirectory, WorkerRecord, max_idle_connections,
 };
 use elderworks_types::{NodeId, Timestamp};
 
@@ -37,7 +37,7 @@
         repeatable: true,
         tried,
         turn: None,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     }
 }
@@ -99,7 +99,7 @@
     workers.upsert(record("near", "a"), START);
     for spread in 0..20 {
         let query = PlacementQuery {
-            spread,
+            seed: spread,
             ..query(None, &[])
         };
         let worker = choose(&workers, &query, START).expect("a worker");
@@ -110,7 +110,7 @@
 /// Applies another node's report of its requests in flight.
 fn report_load(workers: &mut WorkerDirectory, now: Timestamp, node: &str, counts: &[(&str, u32)]) {
     let counts = counts.iter().map(|(id, count)| (WorkerKey::of(id), *count));
-    workers.take_peer_load(now, NodeId::new(node), counts.collect());
+    workers.apply_peer_load(now, NodeId::new(node), counts.collect());
 }
 
 /// Returns the number of programs, of 64, that each worker is chosen for.
@@ -128,7 +128,7 @@
     let mut workers = directory(&["w1", "w2", "w3"]);
     let chosen_workers = |workers: &WorkerDirectory| -> BTreeSet<String> {
         let query = |spread| PlacementQuery {
-            spread,
+            seed: spread,
             is_connected: &|worker| worker == "w2",
             ..query(None, &[])
         };
@@ -342,7 +342,7 @@
             .map(|spread| {
                 let query = PlacementQuery {
                     repeatable,
-                    spread,
+                    seed: spread,
                     ..query(None, &[])
                 };
                 let chosen = choose(workers, &query, now).expect("a worker");
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -12,12 +12,12 @@
     START + Duration::from_millis(ms)
 }
 
-fn worker(number: u64) -> Source {
-    Source::worker(&format!("w{number}"))
+fn worker(number: u64) -> FailureSource {
+    FailureSource::worker(&format!("w{number}"))
 }
 
-fn node(number: u64) -> Source {
-    Source::node(&NodeId::new(format!("n{number}")))
+fn node(number: u64) -> FailureSource {
+    FailureSource::node(&NodeId::new(format!("n{number}")))
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
+use elderworks_gateway_core::workers::{WorkerDirectory, WorkerInstance, WorkerRecord};
 use elderworks_types::Timestamp;
 
 const START: Timestamp = Timestamp(1_000_000);
--- a/crates/gateway-core/tests/zone_spread.rs
+++ b/crates/gateway-core/tests/zone_spread.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderworks_gateway_core::zone_spread::{Placed, spread_candidates, spread_witnesses};
+use elderworks_gateway_core::zone_spread::{NodeInZone, spread_candidates, spread_witnesses};
 use elderworks_types::NodeId;
 use proptest::prelude::*;
 
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::{LONGEST_STALL, StallStep, after_stall, reads_stream};
+use elderworks_gateway_core::pressure::{MAX_STALL, StallStep, after_stall, should_read_stream};
 
 use super::CallError;
 use crate::caller::Caller;
 use crate::gateway::Gateway;
-use crate::memory::{Memory, StreamEntry};
-use crate::metrics::GivenUpLabel;
+use crate::memory::{MemoryTracker, StreamRegistration};
+use crate::metrics::StalledCallerLabel;
 use crate::upstream::Answer;
 
 /// What happens next to a stream.
@@ -27,14 +27,14 @@
     /// Nothing has come for a while.
     Silent,
     /// The worker is let go until the caller has read what is held for it.
-    LetWorkerGo,
+    ReleaseWorker,
 }
 
 /// One stream's flow.
 pub(super) struct Flow<'a> {
     gateway: &'a Gateway,
-    memory: Memory,
-    entry: StreamEntry,
+    memory: MemoryTracker,
+    entry: StreamRegistration,
     request: &'a str,
     is_resumable: bool,
     /// Silence of the worker that is told, if any is.
@@ -54,7 +54,7 @@
     ) -> Self {
         let memory = gateway.memory.clone();
         Self {
-            entry: memory.begin_stream(),
+            entry: memory.register_stream(),
             memory,
             gateway,
             request,
@@ -87,14 +87,14 @@
         let silence_end = self.told_silence.map(|silence| Instant::now() + silence);
         loop {
             let unsent = caller.unsent();
-            let reads = reads_stream(unsent, buffer, self.memory.pressure());
+            let reads = should_read_stream(unsent, buffer, self.memory.pressure());
             if self.note_pause(!reads, unsent) {
                 *waiting_since = reads.then(Instant::now);
             }
-            let stall_end = self.stalled_since + LONGEST_STALL;
+            let stall_end = self.stalled_since + MAX_STALL;
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some(), if unsent > 0 => {
                     sent?;
                     self.note_taken(caller);
@@ -112,9 +112,9 @@
                 () = tokio::time::sleep_until(stall_end.into()), if !reads => {
                     match after_stall(self.stalled_since.elapsed(), self.is_resumable) {
                         StallStep::Wait => {}
-                        StallStep::LetWorkerGo => {
+                        StallStep::ReleaseWorker => {
                             self.log(unsent, "the worker is let go: the caller reads nothing");
-                            return Ok(Step::LetWorkerGo);
+                            return Ok(Step::ReleaseWorker);
                         }
                         StallStep::GiveUp => return Err(self.give_up(unsent, STALLED)),
                     }
@@ -129,7 +129,7 @@
             let unsent = caller.unsent();
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some() => {
                     sent?;
                     self.note_taken(caller);
@@ -156,7 +156,7 @@
     }
 
     fn give_up(&self, unsent: usize, reason: &'static str) -> CallError {
-        let label = GivenUpLabel { reason };
+        let label = StalledCallerLabel { reason };
         self.gateway
             .metrics
             .callers_given_up
--- a/crates/gateway/src/peers/far.rs
+++ b/crates/gateway/src/peers/far.rs
@@ -4,14 +4,14 @@
 use std::net::{IpAddr, SocketAddr};
 
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::zone_health::{Source, ZonePart};
+use elderworks_gateway_core::zone_health::{FailureSource, ZonePart};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::GatewayDatagram;
 use elderworks_types::NodeId;
 use tokio::net::UdpSocket;
 
 use super::Peers;
-use crate::far_bytes::{FarBytes, FarKind};
+use crate::cross_zone_bytes::{FarBytes, TrafficKind};
 use crate::gateway::Gateway;
 
 impl Peers {
@@ -59,12 +59,12 @@
             let now = gateway.now();
             let mut workers = gateway.workers.borrow_mut();
             let zones = workers.zone_health_mut();
-            zones.note_failure(now, &known.record.zone, Source::node(node));
+            zones.note_failure(now, &known.record.zone, FailureSource::node(node));
         }
     }
 
     /// Whether the nodes of this node's zone seem lost together.
-    pub(crate) fn is_zone_suspected(&self, gateway: &Gateway, node: &NodeId) -> bool {
+    pub(crate) fn is_in_suspected_zone(&self, gateway: &Gateway, node: &NodeId) -> bool {
         let nodes = gateway.nodes.borrow();
         let Some(known) = nodes.get(node) else {
             return false;
@@ -94,7 +94,7 @@
     to: impl IntoIterator<Item = SocketAddr>,
 ) {
     let bytes = encode(datagram);
-    let kind = FarKind::of_datagram(datagram);
+    let kind = TrafficKind::of_datagram(datagram);
     for address in to {
         if gateway.peers.far_zones.borrow().contains_key(&address) {
             gateway.metrics.far_bytes.note(kind, bytes.len());
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{ReadTimes, StreamReads};
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule};
 use elderworks_types::{Offset, Timestamp};
 
 use crate::clock::millis;
@@ -77,14 +77,14 @@
 /// reads the streams.
 async fn follow<F: Follower>(gateway: Rc<Gateway>, from: Option<Offset>) {
     let mut next = from;
-    let mut reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+    let mut reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
     let mut known = gateway.now();
     let mut term = None;
     loop {
         let present = gateway.feed.until_reading().await;
         if term.replace(present) != Some(present) {
             next = F::resume_at(&gateway).or(from);
-            reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+            reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
             known = gateway.now();
         }
         let sent = gateway.now();
@@ -175,7 +175,7 @@
 async fn read_newest<F: Follower>(
     gateway: &Rc<Gateway>,
 ) -> Result<Option<(Vec<StreamRecord>, Offset)>, StoreError> {
-    let mut page = gateway.platform.newest(F::STREAM, None).await?;
+    let mut page = gateway.platform.read_newest(F::STREAM, None).await?;
     let end = page.end;
     let mut records = std::mem::take(&mut page.records);
     if page.next_after.is_some() && !F::reads_on(gateway).await {
@@ -194,7 +194,7 @@
 ) -> Result<NewestPage, StoreError> {
     let mut tries = 1;
     loop {
-        let page = gateway.platform.newest(F::STREAM, Some(after)).await;
+        let page = gateway.platform.read_newest(F::STREAM, Some(after)).await;
         gateway
             .metrics
             .note_stream_read(F::STREAM, if page.is_ok() { "page" } else { "failed" });
@@ -206,7 +206,7 @@
     }
 }
 
-fn limits(times: ReadTimes) -> ReadLimits {
+fn limits(times: ReadTimeouts) -> ReadLimits {
     ReadLimits {
         wait: times.wait,
         timeout: times.answer,
