--- a/crates/gateway-core/src/admission/demand.rs
+++ b/crates/gateway-core/src/admission/demand.rs
@@ -8,7 +8,7 @@
 use crate::peer_loads::REPORT_LIFETIME;
 
 /// Number of urgency levels; higher ranks count as the last level.
-pub const LEVELS: usize = 10;
+pub const URGENCY_LEVELS: usize = 10;
 
 /// Returns the urgency level of a rank.
 pub(super) fn level_of(urgency: u8) -> usize {
--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -10,7 +10,7 @@
 use super::queue::{Queue, Ticket, Usage};
 use super::room::Room;
 use super::throughput::{ArrivalRate, TurnTime};
-use super::turn::{QueuedTurn, Standing};
+use super::turn::{ProgramState, QueuedTurn};
 use super::{AdmissionMode, AdmissionRules};
 
 /// Time over which free places are allotted. Nodes report their load at this interval, so releases
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
     /// The turn may run now and counts as in flight.
-    Go,
+    Admit,
     /// The turn waits in the queue.
     Wait {
         /// Identifies the turn.
@@ -352,8 +352,8 @@
 fn max_wait(turn: &QueuedTurn, now: Timestamp) -> Duration {
     let patience = turn.patience(now);
     match turn.standing {
-        Standing::Begun => patience,
-        Standing::New => patience.mul_f64(NEW_PROGRAM_PATIENCE_FRACTION),
+        ProgramState::Started => patience,
+        ProgramState::New => patience.mul_f64(NEW_PROGRAM_PATIENCE_FRACTION),
     }
 }
 
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -154,7 +154,7 @@
     /// Frees the place of an admitted turn that has left its engine or won't be sent to one.
     ///
     /// `took` is its run time if it completed.
-    pub fn end(&mut self, service: &str, took: Option<Duration>) {
+    pub fn complete(&mut self, service: &str, took: Option<Duration>) {
         if let Some(gate) = self.gates.get_mut(service) {
             gate.complete(took);
         }
@@ -204,7 +204,7 @@
     }
 
     /// Replaces another node's report.
-    pub fn take_demand(&mut self, now: Timestamp, node: NodeId, demand: Demand) {
+    pub fn apply_peer_demand(&mut self, now: Timestamp, node: NodeId, demand: Demand) {
         self.shares.apply_report(now, node.clone(), demand.served);
         self.peers.apply_report(now, node, demand.waiting);
     }
--- a/crates/gateway-core/src/admission/queue.rs
+++ b/crates/gateway-core/src/admission/queue.rs
@@ -118,7 +118,7 @@
 
     /// Returns the number of waiting turns at each urgency level.
     pub(super) fn waiting(&self) -> Waiting {
-        let mut waiting = [0; LEVELS];
+        let mut waiting = [0; URGENCY_LEVELS];
         for (_, turn) in &self.entries {
             waiting[level_of(turn.urgency)] += 1;
         }
--- a/crates/gateway-core/src/admission/throughput.rs
+++ b/crates/gateway-core/src/admission/throughput.rs
@@ -4,7 +4,7 @@
 
 use elderworks_types::Timestamp;
 
-use super::demand::LEVELS;
+use super::demand::URGENCY_LEVELS;
 
 /// Weight of the latest turn in the moving average.
 const MEAN_WEIGHT: f64 = 0.03;
@@ -73,7 +73,7 @@
 /// Decaying counts of arrived turns, by urgency level.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ArrivalRate {
-    recent: [f64; LEVELS],
+    recent: [f64; URGENCY_LEVELS],
     at: Timestamp,
 }
 
--- a/crates/gateway-core/src/admission/turn.rs
+++ b/crates/gateway-core/src/admission/turn.rs
@@ -8,10 +8,10 @@
 
 /// Whether work has already been done for a turn's program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ProgramState {
     /// Earlier turns of the program have run, or its caller retries after a refusal; that work or
     /// waiting time would be lost if the turn failed.
-    Begun,
+    Started,
     /// The program's first turn, on its first try.
     New,
 }
@@ -24,7 +24,7 @@
     /// Tenant of the caller; `None` where the configuration has no tenants.
     pub tenant: Option<TenantKey>,
     /// Whether the program has already run turns.
-    pub standing: Standing,
+    pub program_state: ProgramState,
     /// Deadline of the whole program.
     pub finish: Option<Timestamp>,
     /// Time after which the turn must not start any more: its caller gives up, or its deadline
@@ -35,7 +35,7 @@
     /// Memory that the turn holds while it waits, in bytes.
     pub bytes: usize,
     /// A number that differs between turns; seeds the jitter of their retry times.
-    pub spread: u64,
+    pub seed: u64,
 }
 
 /// A turn in the queue.
@@ -55,7 +55,7 @@
 ///
 /// Compares the urgency, then whether the program can still meet its deadline, the tenant's excess
 /// over its share, whether the program has already run turns, the deadline and the arrival time.
-pub(super) type Order = (u8, bool, u8, Standing, Timestamp, Timestamp);
+pub(super) type Order = (u8, bool, u8, ProgramState, Timestamp, Timestamp);
 
 impl QueuedTurn {
     /// Creates the queue entry of a turn; `excess` is the level by which its tenant exceeds its
--- a/crates/gateway-core/src/attempt.rs
+++ b/crates/gateway-core/src/attempt.rs
@@ -59,9 +59,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Retry at another worker.
-    TryAgain,
+    Retry,
     /// Retry once at the same worker on another connection, since the route allows no other worker.
-    TrySameWorker,
+    RetrySameWorker,
     /// Respond with an error; [`AttemptHistory::not_run`] returns whether it may state that the
     /// request was not run.
     GiveUp,
@@ -69,7 +69,7 @@
 
 impl AttemptHistory {
     /// Starts an attempt. The sender must set the returned flag before it sends the first byte.
-    pub fn begin(&mut self) -> SendMark {
+    pub fn start_attempt(&mut self) -> SendMark {
         self.earlier |= self.current.0.get();
         self.current = SendMark::default();
         self.current.clone()
@@ -101,7 +101,7 @@
             };
         }
         match self.not_run <= MAX_NOT_RUN_FAILURES {
-            true => NextStep::TryAgain,
+            true => NextStep::Retry,
             false => NextStep::GiveUp,
         }
     }
--- a/crates/gateway-core/src/balancer.rs
+++ b/crates/gateway-core/src/balancer.rs
@@ -10,7 +10,7 @@
 use elderworks_types::Timestamp;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::placement::demand::{EngineTurn, PartKey};
+use crate::placement::demand::{EngineTurn, PrefixKey};
 use crate::placement::homes::{home_count, rendezvous_rank};
 use crate::workers::{Worker, WorkerDirectory};
 
@@ -30,7 +30,7 @@
     /// Set for turns that run at a model engine.
     pub turn: Option<EngineTurn>,
     /// A number that differs between requests; distributes those without a key.
-    pub spread: u64,
+    pub seed: u64,
     /// Returns whether this node has an idle connection to the worker with that id.
     pub is_connected: &'a dyn Fn(&str) -> bool,
 }
@@ -47,13 +47,13 @@
         .or_else(|| {
             workers
                 .accepting(query.service)
-                .filter(|worker| !workers.is_held_back(worker, now))
+                .filter(|worker| !workers.is_throttled(worker, now))
                 .min_by_key(|worker| fallback_rank(workers, worker, query, now))
         })
         .or_else(|| {
             workers
                 .last_resort(query.service, now)
-                .filter(|worker| !workers.is_held_back(worker, now))
+                .filter(|worker| !workers.is_throttled(worker, now))
                 .min_by_key(|worker| fallback_rank(workers, worker, query, now))
         })
 }
@@ -87,7 +87,7 @@
         !query.tried.contains(&worker.record.id)
             && !worker.should_avoid(now, query.repeatable)
             && !worker.is_full(now)
-            && !workers.is_held_back(worker, now)
+            && !workers.is_throttled(worker, now)
             && !workers.is_zone_avoided(worker, seed_of(query), now)
     };
     let homes = Homes::of(workers, query);
@@ -135,7 +135,7 @@
     /// The first engines in the prefix's rendezvous order.
     Some {
         /// The prefix.
-        prefix: PartKey,
+        prefix: PrefixKey,
         /// Rank of the last home.
         last: u64,
     },
@@ -149,7 +149,7 @@
         };
         let accepting = workers.accepting(query.service);
         let mut ranks: Vec<u64> = accepting
-            .map(|worker| rendezvous_rank(turn.part, &worker.record.id))
+            .map(|worker| rendezvous_rank(turn.prefix, &worker.record.id))
             .collect();
         ranks.sort_unstable();
         let homes = home_count(workers.home_fraction(query.service, &turn), ranks.len());
@@ -158,7 +158,7 @@
         }
         let last = homes.checked_sub(1).and_then(|index| ranks.get(index));
         Self::Some {
-            prefix: turn.part,
+            prefix: turn.prefix,
             last: last.copied().unwrap_or(u64::MAX),
         }
     }
--- a/crates/gateway-core/src/call.rs
+++ b/crates/gateway-core/src/call.rs
@@ -33,7 +33,7 @@
     /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: Option<u64>,
     /// Maximum number of tokens that this turn generates.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Id of the stored turn that this one continues.
     pub previous_turn: Option<String>,
     /// Segments of the prompt in order.
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// The prefix.
-    pub prefix: PartKey,
+    pub prefix: PrefixKey,
     /// Length of the prefix in tokens.
     pub tokens: u64,
     /// Whether the source is in another zone.
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FetchLimiter {
     /// Recent fetches by fetching engine: start time, prefix and bytes.
-    fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PartKey, u64)>>,
+    fetches: BTreeMap<WorkerKey, Vec<(Timestamp, PrefixKey, u64)>>,
 }
 
 impl FetchLimiter {
--- a/crates/gateway-core/src/engine_memory/log.rs
+++ b/crates/gateway-core/src/engine_memory/log.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogChange {
     /// The response, if any, was applied without a gap.
-    Went,
+    Applied,
     /// The engine has restarted, and the earlier state was discarded.
     Restarted,
     /// Events are missing, so prefixes that aren't tracked may be cached.
@@ -26,7 +26,7 @@
     epoch: Option<u64>,
     next: u64,
     /// Cached tokens by prefix.
-    prefixes: BTreeMap<PartKey, u64>,
+    prefixes: BTreeMap<PrefixKey, u64>,
     /// Whether prefixes that aren't tracked are known not to be cached.
     is_complete: bool,
 }
@@ -83,7 +83,7 @@
 
     fn apply(&mut self, events: &[MemoryEvent]) {
         for event in events {
-            let prefix = PartKey::of(&event.part);
+            let prefix = PrefixKey::of(&event.part);
             match event.tokens {
                 0 => self.prefixes.remove(&prefix),
                 tokens => self.prefixes.insert(prefix, tokens),
@@ -98,7 +98,7 @@
     }
 
     /// Returns the number of cached tokens of a prefix, or `None` if it isn't known.
-    pub fn held(&self, prefix: PartKey) -> Option<u64> {
+    pub fn held(&self, prefix: PrefixKey) -> Option<u64> {
         let known = self.prefixes.get(&prefix).copied();
         known.or_else(|| (self.is_complete && self.epoch.is_some()).then_some(0))
     }
--- a/crates/gateway-core/src/engine_memory/reading.rs
+++ b/crates/gateway-core/src/engine_memory/reading.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns when the last successful call was sent, or `None` if there was none.
-    pub fn heard(&self) -> Option<Timestamp> {
+    pub fn observed_at(&self) -> Option<Timestamp> {
         self.heard
     }
 
--- a/crates/gateway-core/src/engine_memory/reporting.rs
+++ b/crates/gateway-core/src/engine_memory/reporting.rs
@@ -5,11 +5,11 @@
 
 use elderworks_types::Timestamp;
 
-use super::beliefs::{Belief, SNAPSHOT_LIFETIME};
+use super::snapshots::{MemorySnapshot, SNAPSHOT_LIFETIME};
 use crate::peer_loads::WorkerKey;
 
 /// Maximum number of prefixes in the report on one engine, those with the highest demand.
-pub const MOST_PARTS_TOLD: usize = 32;
+pub const MAX_REPORTED_PREFIXES: usize = 32;
 
 /// Maximum number of engines in one report; the rest is reported in the following ones.
 pub const MAX_REPORTED_ENGINES: usize = 16;
@@ -22,20 +22,20 @@
 
 /// The last reported snapshot of each engine.
 #[derive(Clone, Debug, Default)]
-pub struct MemoryTeller {
-    last_reports: BTreeMap<WorkerKey, (Timestamp, Belief)>,
+pub struct MemoryReporter {
+    last_reports: BTreeMap<WorkerKey, (Timestamp, MemorySnapshot)>,
 }
 
-impl MemoryTeller {
+impl MemoryReporter {
     /// Returns the current snapshots that should be reported now, the least recently reported first.
     pub fn due(
         &mut self,
         now: Timestamp,
-        current: BTreeMap<WorkerKey, Belief>,
-    ) -> Vec<(WorkerKey, Belief)> {
+        current: BTreeMap<WorkerKey, MemorySnapshot>,
+    ) -> Vec<(WorkerKey, MemorySnapshot)> {
         self.last_reports
             .retain(|engine, _| current.contains_key(engine));
-        let mut due: Vec<(WorkerKey, Belief)> = current
+        let mut due: Vec<(WorkerKey, MemorySnapshot)> = current
             .into_iter()
             .filter(|(engine, snapshot)| self.is_due(now, *engine, snapshot))
             .collect();
@@ -47,13 +47,13 @@
         due
     }
 
-    fn is_due(&self, now: Timestamp, engine: WorkerKey, snapshot: &Belief) -> bool {
+    fn is_due(&self, now: Timestamp, engine: WorkerKey, snapshot: &MemorySnapshot) -> bool {
         let Some((at, last)) = self.last_reports.get(&engine) else {
             return true;
         };
-        let has_changed = last.born != snapshot.born || last.parts != snapshot.parts;
+        let has_changed = last.born != snapshot.born || last.prefixes != snapshot.prefixes;
         let since = now.since(*at);
-        let is_repeat = since >= REPEAT_INTERVAL && last.heard < snapshot.heard;
+        let is_repeat = since >= REPEAT_INTERVAL && last.observed_at < snapshot.observed_at;
         is_repeat || has_changed && since >= CHANGE_INTERVAL
     }
 }
--- a/crates/gateway-core/src/engine_memory/snapshots.rs
+++ b/crates/gateway-core/src/engine_memory/snapshots.rs
@@ -16,13 +16,13 @@
 
 /// The last known contents of one engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct MemorySnapshot {
     /// The start of the engine to which the snapshot belongs.
     pub born: u64,
     /// When the contents were read from the engine.
-    pub heard: Timestamp,
+    pub observed_at: Timestamp,
     /// Cached tokens of each known prefix, 0 for those that aren't cached.
-    pub parts: BTreeMap<PartKey, u64>,
+    pub prefixes: BTreeMap<PrefixKey, u64>,
 }
 
 /// Whether an engine has a prefix in memory.
@@ -39,14 +39,14 @@
 /// The latest snapshot of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineMemories {
-    snapshots: BTreeMap<WorkerKey, Belief>,
+    snapshots: BTreeMap<WorkerKey, MemorySnapshot>,
 }
 
 impl EngineMemories {
     /// Stores a snapshot unless a newer one is stored; returns whether it did.
-    pub fn update(&mut self, engine: WorkerKey, snapshot: Belief) -> bool {
+    pub fn update(&mut self, engine: WorkerKey, snapshot: MemorySnapshot) -> bool {
         if let Some(known) = self.snapshots.get(&engine)
-            && (known.born, known.heard) > (snapshot.born, snapshot.heard)
+            && (known.born, known.observed_at) > (snapshot.born, snapshot.observed_at)
         {
             return false;
         }
@@ -62,7 +62,7 @@
     /// Removes expired snapshots.
     pub fn drop_old(&mut self, now: Timestamp) {
         self.snapshots
-            .retain(|_, snapshot| now.since(snapshot.heard) < SNAPSHOT_LIFETIME);
+            .retain(|_, snapshot| now.since(snapshot.observed_at) < SNAPSHOT_LIFETIME);
     }
 
     /// Returns whether the engine that was started at `born` holds a prefix of `tokens` tokens.
@@ -70,14 +70,14 @@
         &self,
         engine: WorkerKey,
         born: u64,
-        prefix: PartKey,
+        prefix: PrefixKey,
         tokens: u64,
         now: Timestamp,
     ) -> Holding {
         let snapshot = self.snapshots.get(&engine).filter(|snapshot| {
-            snapshot.born == born && now.since(snapshot.heard) < SNAPSHOT_LIFETIME
+            snapshot.born == born && now.since(snapshot.observed_at) < SNAPSHOT_LIFETIME
         });
-        let held = snapshot.and_then(|snapshot| snapshot.parts.get(&prefix));
+        let held = snapshot.and_then(|snapshot| snapshot.prefixes.get(&prefix));
         match held {
             Some(held) if held * 4 >= tokens * HELD_QUARTERS => Holding::Holds,
             Some(_) => Holding::Lacks,
@@ -86,17 +86,20 @@
     }
 
     /// Returns the number of cached prefixes at all engines together.
-    pub fn parts_held(&self) -> usize {
-        let parts = self.snapshots.values().flat_map(|snapshot| &snapshot.parts);
+    pub fn held_prefixes(&self) -> usize {
+        let parts = self
+            .snapshots
+            .values()
+            .flat_map(|snapshot| &snapshot.prefixes);
         parts.filter(|(_, tokens)| **tokens > 0).count()
     }
 
     /// Returns the age of the oldest snapshot.
-    pub fn oldest(&self, now: Timestamp) -> Option<Duration> {
+    pub fn oldest_age(&self, now: Timestamp) -> Option<Duration> {
         let ages = self
             .snapshots
             .values()
-            .map(|snapshot| now.since(snapshot.heard));
+            .map(|snapshot| now.since(snapshot.observed_at));
         ages.max()
     }
 
--- a/crates/gateway-core/src/evacuations.rs
+++ b/crates/gateway-core/src/evacuations.rs
@@ -13,7 +13,7 @@
 
 /// The operator's latest order for one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ZoneWish {
+pub struct EvacuationOrder {
     /// Offset of the order's record on the log.
     pub offset: Offset,
     /// Whether the zone is evacuated.
@@ -28,7 +28,7 @@
 
 impl Evacuations {
     /// Applies an order unless a newer one is known; returns whether it changed the zone's state.
-    pub fn note(&mut self, zone: &str, order: ZoneWish) -> bool {
+    pub fn note(&mut self, zone: &str, order: EvacuationOrder) -> bool {
         let known = self.wishes.get(zone).copied();
         if known.is_some_and(|known| known.offset >= order.offset) {
             return false;
@@ -42,12 +42,12 @@
 
     /// Applies the result of reading all records up to `end`: ends the evacuation of zones that are
     /// not `listed` and whose order is older; returns these zones.
-    pub fn lift_all_but(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
+    pub fn lift_unlisted(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
         let mut lifted = Vec::new();
         for (zone, order) in &mut self.wishes {
             let is_over = order.is_on && order.offset < end && !listed.contains(zone.as_str());
             if is_over {
-                *order = ZoneWish {
+                *order = EvacuationOrder {
                     offset: end,
                     is_on: false,
                 };
@@ -71,7 +71,7 @@
     }
 
     /// Returns all orders, including those that ended an evacuation, for reports to other nodes.
-    pub fn wishes(&self) -> impl Iterator<Item = (&str, ZoneWish)> {
+    pub fn orders(&self) -> impl Iterator<Item = (&str, EvacuationOrder)> {
         let wishes = self.wishes.iter();
         wishes.map(|(zone, order)| (zone.as_str(), *order))
     }
--- a/crates/gateway-core/src/placement/demand.rs
+++ b/crates/gateway-core/src/placement/demand.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PrefixKey(pub u32);
 
-impl PartKey {
+impl PrefixKey {
     /// Returns the key of the prefix with that name.
     pub fn of(name: &str) -> Self {
         let hash = xxh3_64(name.as_bytes());
@@ -57,13 +57,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineTurn {
     /// The prefix of its prompt.
-    pub part: PartKey,
+    pub prefix: PrefixKey,
     /// Length of the prefix in tokens.
-    pub part_tokens: u64,
+    pub prefix_tokens: u64,
     /// Length of the prompt after the prefix in tokens.
-    pub private_tokens: u64,
+    pub suffix_tokens: u64,
     /// Maximum number of tokens that the turn generates.
-    pub answer_tokens: u64,
+    pub max_output_tokens: u64,
     /// Capacity of one engine's memory in tokens.
     pub memory_tokens: u64,
     /// Number of requests that one engine runs concurrently.
@@ -79,7 +79,7 @@
 
 /// Demand for one prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PartUse {
+pub struct PrefixUsage {
     /// Length of the prefix in tokens.
     pub tokens: u64,
     /// Decayed number of turns whose prompt begins with it.
@@ -90,15 +90,15 @@
 #[derive(Clone, Debug)]
 struct PeerReport {
     at: Timestamp,
-    usages: Vec<(PartKey, PartUse)>,
+    usages: Vec<(PrefixKey, PrefixUsage)>,
 }
 
 /// Demand for the prefixes of one service, and the fraction of engines that are home to each.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixDemand {
-    own: BTreeMap<PartKey, PartUse>,
+    own: BTreeMap<PrefixKey, PrefixUsage>,
     peer_reports: BTreeMap<NodeId, PeerReport>,
-    home_fractions: BTreeMap<PartKey, f64>,
+    home_fractions: BTreeMap<PrefixKey, f64>,
     /// Moving average of the tokens that turns occupy.
     mean_held_tokens: f64,
     refreshed_at: Option<Timestamp>,
@@ -114,15 +114,15 @@
         self.mean_held_tokens += (held - self.mean_held_tokens) * MEAN_WEIGHT;
         let is_due = |at: Timestamp| now.since(at) >= REFRESH_INTERVAL;
         let is_due =
-            self.refreshed_at.is_none_or(is_due) || !self.home_fractions.contains_key(&turn.part);
+            self.refreshed_at.is_none_or(is_due) || !self.home_fractions.contains_key(&turn.prefix);
         if is_due {
             self.decay(now);
         }
-        let usage = self.own.entry(turn.part).or_insert(PartUse {
-            tokens: turn.part_tokens,
+        let usage = self.own.entry(turn.prefix).or_insert(PrefixUsage {
+            tokens: turn.prefix_tokens,
             turns: 0.0,
         });
-        usage.tokens = turn.part_tokens;
+        usage.tokens = turn.prefix_tokens;
         usage.turns += 1.0;
         if is_due {
             self.refresh(turn, engines);
@@ -134,15 +134,15 @@
         &mut self,
         now: Timestamp,
         node: NodeId,
-        usages: Vec<(PartKey, PartUse)>,
+        usages: Vec<(PrefixKey, PrefixUsage)>,
     ) {
         self.peer_reports
             .insert(node, PeerReport { at: now, usages });
     }
 
     /// Returns this node's own demand, for a report to the other nodes.
-    pub fn own_demand(&self) -> Vec<(PartKey, PartUse)> {
-        let mut usages: Vec<(PartKey, PartUse)> =
+    pub fn own_demand(&self) -> Vec<(PrefixKey, PrefixUsage)> {
+        let mut usages: Vec<(PrefixKey, PrefixUsage)> =
             self.own.iter().map(|(key, usage)| (*key, *usage)).collect();
         usages.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
         usages.truncate(MAX_REPORTED);
@@ -150,18 +150,18 @@
     }
 
     /// Returns up to `max` prefixes with the highest demand at all nodes.
-    pub fn most_requested(&self, max: usize) -> Vec<PartKey> {
+    pub fn most_requested(&self, max: usize) -> Vec<PrefixKey> {
         if self.home_fractions.len() <= max {
             return self.home_fractions.keys().copied().collect();
         }
-        let mut by_demand: Vec<(PartKey, PartUse)> = self.all_demand().into_iter().collect();
+        let mut by_demand: Vec<(PrefixKey, PrefixUsage)> = self.all_demand().into_iter().collect();
         by_demand.sort_by(|(_, one), (_, other)| other.turns.total_cmp(&one.turns));
         by_demand.truncate(max);
         by_demand.into_iter().map(|(prefix, _)| prefix).collect()
     }
 
     /// Returns the fraction of engines that are home to a prefix, 1 for an unknown one.
-    pub fn home_fraction(&self, prefix: PartKey) -> f64 {
+    pub fn home_fraction(&self, prefix: PrefixKey) -> f64 {
         self.home_fractions.get(&prefix).copied().unwrap_or(1.0)
     }
 
@@ -195,10 +195,10 @@
     }
 
     /// Returns the demand of this node and, from their reports, of the others.
-    fn all_demand(&self) -> BTreeMap<PartKey, PartUse> {
+    fn all_demand(&self) -> BTreeMap<PrefixKey, PrefixUsage> {
         let mut all = self.own.clone();
         for (key, usage) in self.peer_reports.values().flat_map(|report| &report.usages) {
-            let sum = all.entry(*key).or_insert(PartUse {
+            let sum = all.entry(*key).or_insert(PrefixUsage {
                 tokens: usage.tokens,
                 turns: 0.0,
             });
@@ -220,7 +220,7 @@
             })
             .collect();
         loads.push(PrefixLoad {
-            tokens: turn.part_tokens as f64,
+            tokens: turn.prefix_tokens as f64,
             weight: UNKNOWN_PREFIX_TURNS,
         });
         let home_fractions = home_fractions(&loads, room_tokens, engines);
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns the rank of an engine in a prefix's rendezvous order; the lowest is the first home.
-pub fn rendezvous_rank(prefix: PartKey, engine: &str) -> u64 {
+pub fn rendezvous_rank(prefix: PrefixKey, engine: &str) -> u64 {
     xxh3_64_with_seed(engine.as_bytes(), u64::from(prefix.0))
 }
 
--- a/crates/gateway-core/src/worker_health.rs
+++ b/crates/gateway-core/src/worker_health.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records that another node has ejected the worker; returns whether this ejected it here, too.
-    pub fn note_report(&mut self, now: Timestamp, node: NodeId) -> bool {
+    pub fn note_ejection_report(&mut self, now: Timestamp, node: NodeId) -> bool {
         self.reports
             .retain(|_, reported| now.since(*reported) < REPORT_LIFETIME);
         self.reports.insert(node, now);
--- a/crates/gateway-core/src/workers/demand.rs
+++ b/crates/gateway-core/src/workers/demand.rs
@@ -3,7 +3,7 @@
 use elderworks_types::{NodeId, Timestamp};
 
 use super::WorkerDirectory;
-use crate::placement::demand::{EngineTurn, PartKey, PartUse, PrefixDemand};
+use crate::placement::demand::{EngineTurn, PrefixDemand, PrefixKey, PrefixUsage};
 
 impl WorkerDirectory {
     /// Records the demand of a turn for its prompt's prefix.
@@ -19,19 +19,19 @@
     }
 
     /// Returns this node's demand for prefixes by service, for reports to other nodes.
-    pub fn own_demand(&self) -> impl Iterator<Item = (&str, Vec<(PartKey, PartUse)>)> {
+    pub fn own_demand(&self) -> impl Iterator<Item = (&str, Vec<(PrefixKey, PrefixUsage)>)> {
         let prefix_demand = self.prefix_demand.iter();
         prefix_demand.map(|(service, demand)| (service.as_str(), demand.own_demand()))
     }
 
     /// Replaces another node's report of its demand; ignores services without workers, to bound the
     /// memory.
-    pub fn take_demand(
+    pub fn apply_peer_demand(
         &mut self,
         now: Timestamp,
         node: NodeId,
         service: &str,
-        usages: Vec<(PartKey, PartUse)>,
+        usages: Vec<(PrefixKey, PrefixUsage)>,
     ) {
         if self.accepting(service).next().is_none() {
             return;
@@ -43,6 +43,8 @@
     /// Returns the fraction of a service's engines that are home to the prefix of a turn's prompt.
     pub fn home_fraction(&self, service: &str, turn: &EngineTurn) -> f64 {
         let prefix_demand = self.prefix_demand.get(service);
-        prefix_demand.map_or(1.0, |prefix_demand| prefix_demand.home_fraction(turn.part))
+        prefix_demand.map_or(1.0, |prefix_demand| {
+            prefix_demand.home_fraction(turn.prefix)
+        })
     }
 }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -34,11 +34,16 @@
 
     /// Creates a snapshot of an engine's memory from its event log, limited to the prefixes with the
     /// highest demand.
-    pub fn belief_of(&self, worker: &Worker, heard: Timestamp, log: &EngineLog) -> Belief {
+    pub fn snapshot_of(
+        &self,
+        worker: &Worker,
+        heard: Timestamp,
+        log: &EngineLog,
+    ) -> MemorySnapshot {
         let demand = self.prefix_demand.get(&worker.record.service);
-        let wanted = demand.map(|demand| demand.most_requested(MOST_PARTS_TOLD));
+        let wanted = demand.map(|demand| demand.most_requested(MAX_REPORTED_PREFIXES));
         let wanted = wanted.into_iter().flatten();
-        let parts: BTreeMap<PartKey, u64> = wanted
+        let parts: BTreeMap<PrefixKey, u64> = wanted
             .filter_map(|prefix| Some((prefix, log.held(prefix)?)))
             .collect();
         MemorySnapshot {
@@ -70,8 +75,8 @@
         }
         let source = self.source_for(target, turn, now)?;
         let fetch = Fetch {
-            prefix: turn.part,
-            tokens: turn.part_tokens,
+            prefix: turn.prefix,
+            tokens: turn.prefix_tokens,
             crosses_zones: source.record.zone != target.record.zone,
         };
         let (address, engine) = (source.record.address, target.key);
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -12,8 +12,8 @@
 use elderworks_types::{NodeId, Timestamp};
 
 use crate::cold::ColdSenders;
-use crate::engine_memory::beliefs::EngineMemories;
 use crate::engine_memory::fetching::FetchLimiter;
+use crate::engine_memory::snapshots::EngineMemories;
 use crate::peer_loads::{PeerLoads, WorkerKey};
 use crate::placement::demand::PrefixDemand;
 use crate::policy::Policy;
@@ -22,20 +22,20 @@
 
 /// The outcome of [`WorkerDirectory::upsert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum UpsertOutcome {
     /// The record equals the known one.
     Unchanged,
     /// The worker is new, or its record has changed.
     Changed,
     /// The worker has restarted; its health and load were reset.
-    Reborn,
+    Restarted,
     /// The record is of an earlier start than the known one and was ignored.
     Outdated,
 }
 
 /// One start of a worker, to which a request in flight belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerLife {
+pub struct WorkerInstance {
     /// Id of the worker.
     pub id: String,
     born: u64,
@@ -50,7 +50,7 @@
 
 /// Returns how many idle connections a node may keep to a worker that accepts `max_connections`
 /// in total, so that the idle connections of some nodes don't lock out the others.
-pub fn idle_connections_share(max_connections: u32, nodes: u32) -> u32 {
+pub fn max_idle_connections(max_connections: u32, nodes: u32) -> u32 {
     let for_all = max_connections / 4 * IDLE_QUARTERS;
     (for_all / nodes.max(1)).clamp(1, MAX_IDLE_CONNECTIONS)
 }
@@ -94,7 +94,7 @@
 
     /// Returns whether a request should use another worker if possible: this one is ejected, or it
     /// is on probation and the request isn't suitable as a probe.
-    pub fn is_unfit(&self, now: Timestamp, repeatable: bool) -> bool {
+    pub fn should_avoid(&self, now: Timestamp, repeatable: bool) -> bool {
         match self.health.status(now) {
             HealthStatus::Healthy => false,
             HealthStatus::OnProbation => !repeatable || self.in_flight > 0,
@@ -161,7 +161,7 @@
     }
 
     /// Adds a worker or updates its record.
-    pub fn upsert(&mut self, record: WorkerRecord, now: Timestamp) -> Taken {
+    pub fn upsert(&mut self, record: WorkerRecord, now: Timestamp) -> UpsertOutcome {
         let cold_until = now + record.cold_left;
         if let Some(known) = self.workers.get_mut(&record.id) {
             if record.born < known.record.born {
@@ -173,7 +173,7 @@
                 known.missing_until = None;
                 known.cold_until = cold_until;
                 return if is_unchanged {
-                    Taken::Unchanged
+                    UpsertOutcome::Unchanged
                 } else {
                     UpsertOutcome::Changed
                 };
@@ -334,8 +334,8 @@
 
     /// Records that a request is sent to a worker; the returned value has to be passed to
     /// [`Self::note_end`].
-    pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerLife {
-        let mut life = WorkerLife {
+    pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerInstance {
+        let mut life = WorkerInstance {
             id: id.to_owned(),
             born: 0,
         };
@@ -352,7 +352,7 @@
     }
 
     /// Records that a request no longer occupies a worker.
-    pub fn note_end(&mut self, life: &WorkerLife) {
+    pub fn note_completion(&mut self, life: &WorkerInstance) {
         let worker = self.workers.get_mut(&life.id);
         if let Some(worker) = worker.filter(|worker| worker.record.born == life.born) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
@@ -360,7 +360,7 @@
     }
 
     /// Replaces another node's report of its requests in flight.
-    pub fn take_peer_load(
+    pub fn apply_peer_load(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -407,7 +407,7 @@
     }
 
     /// Records that another node has ejected a worker; returns whether this ejected it here, too.
-    pub fn note_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
+    pub fn note_ejection_report(&mut self, id: &str, now: Timestamp, node: NodeId) -> bool {
         let worker = self.workers.get_mut(id).filter(|_| self.policy.ejection);
         worker.is_some_and(|worker| worker.health.note_ejection_report(now, node))
     }
--- a/crates/gateway-core/src/workers/throttling.rs
+++ b/crates/gateway-core/src/workers/throttling.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether a worker is cold and must get no request from this node now.
-    pub fn is_held_back(&self, worker: &Worker, now: Timestamp) -> bool {
+    pub fn is_throttled(&self, worker: &Worker, now: Timestamp) -> bool {
         if !worker.is_cold(now) {
             return false;
         }
--- a/crates/gateway-core/src/workers/zones.rs
+++ b/crates/gateway-core/src/workers/zones.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{Worker, WorkerDirectory};
-use crate::zone_health::{Source, ZoneHealth, ZonePart, ZoneStatus};
+use crate::zone_health::{FailureSource, ZoneHealth, ZonePart, ZoneStatus};
 
 impl WorkerDirectory {
     /// Sets this node's zone, which is never suspected.
@@ -24,7 +24,7 @@
     }
 
     /// Records that a worker has sent data, as a sign of life of its zone.
-    pub fn note_heard(&mut self, id: &str, now: Timestamp) {
+    pub fn note_response(&mut self, id: &str, now: Timestamp) {
         if !self.policy.zone_suspicion {
             return;
         }
--- a/crates/gateway-core/src/zone_health.rs
+++ b/crates/gateway-core/src/zone_health.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FailureSource(ZonePart, u64);
 
-impl Source {
+impl FailureSource {
     /// Creates the source for the worker with that id.
     pub fn worker(id: &str) -> Self {
         Self(ZonePart::Workers, xxh3_64(id.as_bytes()))
@@ -162,7 +162,7 @@
     }
 
     /// Records that a worker or node of a zone didn't respond or is considered dead.
-    pub fn note_failure(&mut self, now: Timestamp, zone: &str, source: Source) {
+    pub fn note_failure(&mut self, now: Timestamp, zone: &str, source: FailureSource) {
         let Some(state) = self.state_of(zone) else {
             return;
         };
--- a/crates/gateway-core/src/zone_spread.rs
+++ b/crates/gateway-core/src/zone_spread.rs
@@ -19,7 +19,11 @@
 /// no zone has more than a minority, so that a majority survives the loss of any zone. With fewer
 /// zones, a majority survives the loss of the owner's zone if the other zones have enough nodes: in
 /// that case the owner is lost too, and the witnesses are needed to fence its overdraft.
-pub fn spread_witnesses<'a>(ranked: &[Placed<'a>], own_zone: &str, max: usize) -> Vec<&'a NodeId> {
+pub fn spread_witnesses<'a>(
+    ranked: &[NodeInZone<'a>],
+    own_zone: &str,
+    max: usize,
+) -> Vec<&'a NodeId> {
     let odd_counts = (MIN_SAFE..=max).rev().filter(|count| count % 2 == 1);
     for count in odd_counts {
         let minority = (count - 1) / 2;
@@ -32,7 +36,7 @@
 }
 
 fn witnesses_from_few_zones<'a>(
-    ranked: &[Placed<'a>],
+    ranked: &[NodeInZone<'a>],
     own_zone: &str,
     max: usize,
 ) -> Vec<&'a NodeId> {
@@ -54,11 +58,11 @@
 
 /// Returns the first `max` nodes of the ranking with no more than `cap` nodes from each zone.
 fn first_within_caps<'a>(
-    ranked: &[Placed<'a>],
+    ranked: &[NodeInZone<'a>],
     max: usize,
     cap: impl Fn(&str) -> usize,
-) -> Vec<Placed<'a>> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(max);
+) -> Vec<NodeInZone<'a>> {
+    let mut chosen: Vec<NodeInZone<'a>> = Vec::with_capacity(max);
     for placed in ranked {
         if chosen.len() == max {
             break;
@@ -82,11 +86,11 @@
 /// The ones before it stay: all nodes consider the first one the owner, and the next one becomes
 /// the owner if only the first is lost.
 pub fn spread_candidates<'a>(
-    ranked: impl Iterator<Item = Placed<'a>>,
+    ranked: impl Iterator<Item = NodeInZone<'a>>,
     contacted: usize,
     max: usize,
 ) -> Vec<&'a NodeId> {
-    let mut chosen: Vec<Placed<'a>> = Vec::with_capacity(max);
+    let mut chosen: Vec<NodeInZone<'a>> = Vec::with_capacity(max);
     let mut next_in_other_zone = None;
     for placed in ranked {
         let is_in_other_zone = chosen.first().is_some_and(|first| first.1 != placed.1);
--- a/crates/gateway-core/tests/admission.rs
+++ b/crates/gateway-core/tests/admission.rs
@@ -98,7 +98,7 @@
             assert_eq!(decision.arrival, Arrival::Admit, "{mode:?}");
         }
         let decision = admission.arrive(START, SERVICE, ROOM, turn(0));
-        let is_admitted = decision.arrival == Arrival::Go;
+        let is_admitted = decision.arrival == Arrival::Admit;
         assert_eq!(is_admitted, mode == AdmissionMode::Off, "{mode:?}");
     }
 }
@@ -136,23 +136,23 @@
         ("urgency", turn(2), turn(0)),
         (
             "program state",
-            with(1, Standing::New, finish(900)),
-            with(1, Standing::Begun, finish(2_000)),
+            with(1, ProgramState::New, finish(900)),
+            with(1, ProgramState::Started, finish(2_000)),
         ),
         (
             "deadline",
-            with(1, Standing::Begun, finish(2_000)),
-            with(1, Standing::Begun, finish(900)),
+            with(1, ProgramState::Started, finish(2_000)),
+            with(1, ProgramState::Started, finish(900)),
         ),
         (
             "a program that will miss its deadline comes later",
-            with(1, Standing::Begun, finish(20)),
-            with(1, Standing::New, finish(2_000)),
+            with(1, ProgramState::Started, finish(20)),
+            with(1, ProgramState::New, finish(2_000)),
         ),
         (
             "but still before less urgent turns",
-            with(2, Standing::Begun, finish(2_000)),
-            with(0, Standing::New, finish(20)),
+            with(2, ProgramState::Started, finish(2_000)),
+            with(0, ProgramState::New, finish(20)),
         ),
     ];
     for (what, later, first) in cases {
@@ -241,7 +241,7 @@
         match admission.arrive(START, SERVICE, ROOM, turn(1)).arrival {
             Arrival::Wait { .. } => waiting += 1,
             Arrival::Refuse(refused) => break refused,
-            Arrival::Go => panic!("admitted without a free place"),
+            Arrival::Admit => panic!("admitted without a free place"),
         }
     };
     assert_eq!(waiting, 12);
@@ -272,7 +272,7 @@
         waits(&mut admission, turn(1));
     }
     let new_program = Turn {
-        standing: Standing::New,
+        program_state: ProgramState::New,
         ..turn(1)
     };
     let decision = admission.arrive(START, SERVICE, ROOM, new_program);
--- a/crates/gateway-core/tests/admission_load.rs
+++ b/crates/gateway-core/tests/admission_load.rs
@@ -172,7 +172,7 @@
         let turn = Turn {
             urgency: load.urgency,
             tenant: Some(TenantKey(load.tenant)),
-            standing: Standing::Begun,
+            program_state: ProgramState::Started,
             finish: None,
             latest_start: at(now + MAX_WAIT_MS),
             prompt_tokens: 1_000,
@@ -207,7 +207,7 @@
         self.running[node].retain(|end| *end > now);
         for _ in 0..ended {
             let took = Duration::from_millis(TURN_MS);
-            self.nodes[node].end(SERVICE, Some(took));
+            self.nodes[node].complete(SERVICE, Some(took));
         }
         self.nodes[node].drop_old(at(now));
         let room = self.room(node, now);
--- a/crates/gateway-core/tests/admission_room.rs
+++ b/crates/gateway-core/tests/admission_room.rs
@@ -151,7 +151,7 @@
         let mut admission = Admission::new(rules());
         let decision = admission.arrive(NOW, SERVICE, full, turn(simulation * 1_000 + node));
         assert!(matches!(decision.arrival, Arrival::Wait { .. }));
-        admission.take_demand(NOW, NodeId::from("others"), waiting_elsewhere(NODES - 1));
+        admission.apply_peer_demand(NOW, NodeId::from("others"), waiting_elsewhere(NODES - 1));
         let free = Room {
             taken_by_others: 0,
             ..full
--- a/crates/gateway-core/tests/attempts.rs
+++ b/crates/gateway-core/tests/attempts.rs
@@ -31,7 +31,7 @@
         repeatable: false,
         max_attempts: 1,
         failures: &[NotSent],
-        last_step: TryAgain,
+        last_step: Retry,
         proof: Given,
     },
     Case {
@@ -39,7 +39,7 @@
         repeatable: false,
         max_attempts: 1,
         failures: &[RefusedByWorker, NotSent, RefusedByWorker],
-        last_step: TryAgain,
+        last_step: Retry,
         proof: Given,
     },
     Case {
@@ -63,7 +63,7 @@
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown],
-        last_step: TryAgain,
+        last_step: Retry,
         proof: Withheld,
     },
     Case {
@@ -71,7 +71,7 @@
         repeatable: true,
         max_attempts: 2,
         failures: &[Unknown, Unknown],
-        last_step: TrySameWorker,
+        last_step: RetrySameWorker,
         proof: Withheld,
     },
     Case {
@@ -109,7 +109,7 @@
         repeatable: true,
         max_attempts: 3,
         failures: &[Unknown],
-        last_step: TryAgain,
+        last_step: Retry,
         proof: Withheld,
     },
     Case {
@@ -181,7 +181,7 @@
             match event {
                 Event::Attempt { sent } => {
                     may_have_run |= current_sent;
-                    let mark = history.begin();
+                    let mark = history.start_attempt();
                     if sent {
                         mark.note_sending();
                     }
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::config::MemoryMoves;
-use elderworks_gateway_core::engine_memory::beliefs::{
-    Belief, EngineMemories, Holding, SNAPSHOT_LIFETIME,
-};
 use elderworks_gateway_core::engine_memory::fetching::{Fetch, FetchLimiter};
 use elderworks_gateway_core::engine_memory::log::{EngineLog, LogChange};
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{EngineReader, ReadOutcome, Step};
-use elderworks_gateway_core::engine_memory::telling::{MAX_REPORTED_ENGINES, MemoryTeller};
+use elderworks_gateway_core::engine_memory::reporting::{MAX_REPORTED_ENGINES, MemoryReporter};
+use elderworks_gateway_core::engine_memory::snapshots::{
+    EngineMemories, Holding, MemorySnapshot, SNAPSHOT_LIFETIME,
+};
 use elderworks_gateway_core::engines::{MemoryEvent, MemoryEvents, MemoryListing};
 use elderworks_gateway_core::peer_loads::WorkerKey;
 use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
@@ -57,8 +57,8 @@
     }
 }
 
-fn key(prefix: &str) -> PartKey {
-    PartKey::of(prefix)
+fn key(prefix: &str) -> PrefixKey {
+    PrefixKey::of(prefix)
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let mut log = EngineLog::default();
     assert_eq!(log.held(key("a")), None, "nothing was read yet");
     let first = events(1, 2, &[("a", 100), ("b", 50)]);
-    assert_eq!(log.apply_events(&first), LogChange::Went);
+    assert_eq!(log.apply_events(&first), LogChange::Applied);
     assert_eq!(log.next(), 2);
     assert_eq!(log.held(key("a")), Some(100));
     assert_eq!(log.held(key("c")), Some(0), "all events were read");
@@ -101,7 +101,7 @@
     assert_eq!(log.held(key("c")), Some(70));
     assert_eq!(
         log.apply_listing(&listing(1, 41, &[("b", 50)])),
-        LogChange::Went
+        LogChange::Applied
     );
     assert_eq!(log.held(key("a")), Some(0));
     assert_eq!(log.held(key("b")), Some(50));
@@ -266,8 +266,8 @@
     );
 }
 
-fn snapshot(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> Belief {
-    Belief {
+fn snapshot(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> MemorySnapshot {
+    MemorySnapshot {
         born,
         observed_at: heard,
         prefixes: parts
@@ -312,12 +312,12 @@
     assert!(!memories.update(engine, snapshot(5, at(400), &[])));
     assert!(!memories.update(engine, snapshot(4, at(900), &[])));
     assert!(memories.update(engine, snapshot(6, at(100), &[])));
-    assert_eq!(memories.parts_held(), 0);
+    assert_eq!(memories.held_prefixes(), 0);
 }
 
 #[test]
 fn changes_are_reported_soon_and_unchanged_snapshots_periodically() {
-    let mut reporter = MemoryTeller::default();
+    let mut reporter = MemoryReporter::default();
     let present = |heard, tokens| {
         let engine = WorkerKey::of("engine");
         BTreeMap::from([(engine, snapshot(1, heard, &[("a", tokens)]))])
@@ -348,8 +348,8 @@
 proptest! {
     #[test]
     fn reports_are_bounded_and_cover_all_engines(engines in 1_usize..200) {
-        let mut reporter = MemoryTeller::default();
-        let present: BTreeMap<WorkerKey, Belief> = (0..engines)
+        let mut reporter = MemoryReporter::default();
+        let present: BTreeMap<WorkerKey, MemorySnapshot> = (0..engines)
             .map(|number| (WorkerKey::of(&number.to_string()), snapshot(1, START, &[("a", 1)])))
             .collect();
         let mut reported = BTreeSet::new();
@@ -372,7 +372,7 @@
         let mut limiter = FetchLimiter::default();
         let mut started: Vec<(Timestamp, u64)> = Vec::new();
         for (millis, prefix) in calls {
-            let fetch = Fetch { prefix: PartKey(prefix), tokens: PREFIX_TOKENS, crosses_zones: false };
+            let fetch = Fetch { prefix: PrefixKey(prefix), tokens: PREFIX_TOKENS, crosses_zones: false };
             if limiter.try_start(engine, &fetch, &moves(), at(millis)) {
                 started.push((at(millis), fetch.bytes(&moves())));
             }
@@ -443,10 +443,10 @@
 
 fn turn(prefix: &str) -> EngineTurn {
     EngineTurn {
-        part: key(prefix),
-        part_tokens: PREFIX_TOKENS,
-        private_tokens: 2_000,
-        answer_tokens: 200,
+        prefix: key(prefix),
+        prefix_tokens: PREFIX_TOKENS,
+        suffix_tokens: 2_000,
+        max_output_tokens: 200,
         memory_tokens: 300_000,
         slots: SLOTS,
     }
@@ -475,7 +475,7 @@
     for number in 0..ENGINES {
         let id = record(number).id;
         let tokens = if id == holder { PREFIX_TOKENS } else { 0 };
-        workers.take_memory(WorkerKey::of(&id), snapshot(0, now, &[(prefix, tokens)]));
+        workers.apply_memory_snapshot(WorkerKey::of(&id), snapshot(0, now, &[(prefix, tokens)]));
     }
 }
 
@@ -493,16 +493,16 @@
         born: 9,
         ..record(0)
     };
-    assert_eq!(workers.upsert(restarted, START), Taken::Reborn);
+    assert_eq!(workers.upsert(restarted, START), UpsertOutcome::Restarted);
     assert_eq!(holding(&workers), Holding::Unknown);
     let key = WorkerKey::of(&id);
-    workers.take_memory(key, snapshot(0, START, &[("a", PREFIX_TOKENS)]));
+    workers.apply_memory_snapshot(key, snapshot(0, START, &[("a", PREFIX_TOKENS)]));
     assert_eq!(
         holding(&workers),
         Holding::Unknown,
         "a snapshot of the earlier start"
     );
-    workers.take_memory(key, snapshot(9, START, &[("a", 0)]));
+    workers.apply_memory_snapshot(key, snapshot(9, START, &[("a", 0)]));
     assert_eq!(holding(&workers), Holding::Lacks);
 }
 
@@ -510,7 +510,7 @@
 fn snapshots_of_unknown_engines_are_ignored() {
     let mut workers = all_engines(Policy::default());
     let was_stored =
-        workers.take_memory(WorkerKey::of("stranger"), snapshot(0, START, &[("a", 1)]));
+        workers.apply_memory_snapshot(WorkerKey::of("stranger"), snapshot(0, START, &[("a", 1)]));
     assert!(!was_stored && workers.memories().is_empty());
 }
 
@@ -537,7 +537,7 @@
         (4, PREFIX_TOKENS),
     ] {
         let engine = WorkerKey::of(&record(number).id);
-        workers.take_memory(engine, snapshot(0, START, &[("a", tokens)]));
+        workers.apply_memory_snapshot(engine, snapshot(0, START, &[("a", tokens)]));
     }
     assert_eq!(
         source(&mut workers, "engine-2", START),
--- a/crates/gateway-core/tests/evacuations.rs
+++ b/crates/gateway-core/tests/evacuations.rs
@@ -12,8 +12,8 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-fn order(offset: u64, is_on: bool) -> ZoneWish {
-    ZoneWish {
+fn order(offset: u64, is_on: bool) -> EvacuationOrder {
+    EvacuationOrder {
         offset: Offset(offset),
         is_on,
     }
@@ -49,7 +49,7 @@
     evacuations.note("dropped", order(3, true));
     evacuations.note("kept", order(4, true));
     evacuations.note("newer", order(12, true));
-    let lifted = evacuations.lift_all_but(&BTreeSet::from(["kept"]), Offset(10));
+    let lifted = evacuations.lift_unlisted(&BTreeSet::from(["kept"]), Offset(10));
     assert_eq!(lifted, ["dropped"]);
     let zones: Vec<&str> = evacuations.zones().collect();
     assert_eq!(zones, ["kept", "newer"], "a newer order still applies");
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -7,7 +7,7 @@
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose, is_at_home};
 use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey, PrefixDemand};
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixDemand, PrefixKey};
 use elderworks_gateway_core::placement::homes::{
     PrefixLoad, home_count, home_fractions, rendezvous_rank,
 };
@@ -25,10 +25,10 @@
 
 fn turn(prefix: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{prefix}")),
-        part_tokens: PREFIX_TOKENS,
-        private_tokens: SUFFIX_TOKENS,
-        answer_tokens: 200,
+        prefix: PrefixKey::of(&format!("part-{prefix}")),
+        prefix_tokens: PREFIX_TOKENS,
+        suffix_tokens: SUFFIX_TOKENS,
+        max_output_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
     }
@@ -115,7 +115,7 @@
     let engines: Vec<String> = (0..ENGINES)
         .map(|engine| format!("engine-{engine}"))
         .collect();
-    let homes = |prefix: PartKey, engines: &[String]| -> BTreeSet<String> {
+    let homes = |prefix: PrefixKey, engines: &[String]| -> BTreeSet<String> {
         let mut order: Vec<&String> = engines.iter().collect();
         order.sort_by_key(|engine| rendezvous_rank(prefix, engine));
         let count = home_count(0.3, engines.len());
@@ -124,7 +124,7 @@
     let gone = &engines[7];
     let left: Vec<String> = engines.iter().filter(|id| *id != gone).cloned().collect();
     for number in 0..PREFIXES {
-        let prefix = PartKey::of(&format!("part-{number}"));
+        let prefix = PrefixKey::of(&format!("part-{number}"));
         let before = homes(prefix, &engines);
         let after = homes(prefix, &left);
         let moved = after.difference(&before).count();
@@ -151,7 +151,7 @@
     first.note_turn(&turn(0), ENGINES, later);
     second.note_turn(&turn(0), ENGINES, later);
     for prefix in 0..PREFIXES {
-        let key = turn(prefix).part;
+        let key = turn(prefix).prefix;
         let (first, second) = (first.home_fraction(key), second.home_fraction(key));
         assert!(
             (first - second).abs() < 1.0 / ENGINES as f64,
@@ -213,14 +213,14 @@
 
 /// An LRU cache of prefixes at an engine, the most recently used last.
 #[derive(Default)]
-struct Cache(VecDeque<PartKey>);
+struct Cache(VecDeque<PrefixKey>);
 
 /// Number of prefixes that an engine caches beside its running requests.
 const CACHED_PREFIXES: usize = 6;
 
 impl Cache {
     /// Uses a prefix; returns whether it was not cached.
-    fn read(&mut self, prefix: PartKey) -> bool {
+    fn read(&mut self, prefix: PrefixKey) -> bool {
         let position = self.0.iter().position(|known| *known == prefix);
         if let Some(index) = position {
             self.0.remove(index);
@@ -264,7 +264,7 @@
             let program = format!("program-{}", number / 4);
             let engine = chosen(&workers, &program, turn, now).expect("an engine");
             running.push(workers.note_start(&engine, now));
-            outcome.reads += u32::from(caches.entry(engine).or_default().read(turn.part));
+            outcome.reads += u32::from(caches.entry(engine).or_default().read(turn.prefix));
         }
         let busiest = running
             .iter()
@@ -273,7 +273,7 @@
             .busiest
             .max(busiest.map(|worker| worker.in_flight).max().unwrap_or(0));
         for instance in &running {
-            workers.note_end(instance);
+            workers.note_completion(instance);
         }
     }
     outcome
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -69,9 +69,9 @@
 #[test]
 fn reports_of_two_nodes_eject_but_not_of_one() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
-    assert!(!health.note_report(after(10), NodeId::new("n2")));
-    assert!(health.note_report(after(20), NodeId::new("n3")));
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(after(10), NodeId::new("n2")));
+    assert!(health.note_ejection_report(after(20), NodeId::new("n3")));
     assert_eq!(health.status(after(20)), HealthStatus::Ejected);
 }
 
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -78,7 +78,7 @@
     ];
     assert_ne!(chosen(&workers, Some("p"), &[]), Some(first.clone()));
     for instance in &instances {
-        workers.note_end(instance);
+        workers.note_completion(instance);
     }
     assert_eq!(chosen(&workers, Some("p"), &[]), Some(first));
 }
@@ -253,7 +253,7 @@
     workers.mark_missing("w1", START);
     assert_eq!(
         workers.upsert(record("w1", "a"), START),
-        Taken::Changed,
+        UpsertOutcome::Changed,
         "present again"
     );
     let later = START + Duration::from_secs(5);
@@ -323,7 +323,7 @@
         (u32::MAX, 12, 16),
     ];
     for (max_connections, nodes, expected) in cases {
-        let max_idle = idle_connections_share(max_connections, nodes);
+        let max_idle = max_idle_connections(max_connections, nodes);
         assert_eq!(
             max_idle, expected,
             "{max_connections} connections, {nodes} nodes"
--- a/crates/gateway-core/tests/zone_health.rs
+++ b/crates/gateway-core/tests/zone_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::zone_health::{Source, ZoneHealth, ZonePart, ZoneStatus};
+use elderworks_gateway_core::zone_health::{FailureSource, ZoneHealth, ZonePart, ZoneStatus};
 use elderworks_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Observation {
-    Fails(Source),
+    Fails(FailureSource),
     Answers(ZonePart),
 }
 
--- a/crates/gateway-core/tests/zone_placement.rs
+++ b/crates/gateway-core/tests/zone_placement.rs
@@ -21,10 +21,10 @@
 
 fn turn(prefix: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{prefix}")),
-        part_tokens: PREFIX_TOKENS,
-        private_tokens: 2_000,
-        answer_tokens: 200,
+        prefix: PrefixKey::of(&format!("part-{prefix}")),
+        prefix_tokens: PREFIX_TOKENS,
+        suffix_tokens: 2_000,
+        max_output_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
     }
@@ -54,7 +54,7 @@
         repeatable: false,
         tried: &[],
         turn: Some(turn(prefix)),
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     let worker = choose(workers, &query, now).expect("an engine");
@@ -73,14 +73,14 @@
 /// Places concurrent turns of different programs, evenly distributed over the prefixes.
 fn simulate(policy: Policy, sizes: &[usize], prefixes: u64, turns: u64) -> Outcome {
     let mut workers = workers_in_zones(policy, sizes);
-    let mut running: Vec<WorkerLife> = Vec::new();
+    let mut running: Vec<WorkerInstance> = Vec::new();
     for number in 0..turns {
         let prefix = number % prefixes;
         workers.note_turn("engines", &turn(prefix), START);
         let engine = chosen(&workers, &format!("program-{number}"), prefix, START);
         running.push(workers.note_start(&engine, START));
     }
-    let load = |instance: &WorkerLife| {
+    let load = |instance: &WorkerInstance| {
         workers
             .get(&instance.id)
             .map_or(0, |worker| worker.in_flight)
@@ -167,7 +167,7 @@
     );
 
     let back = START + Duration::from_millis(700);
-    workers.note_heard("b-9", back);
+    workers.note_response("b-9", back);
     let after = |ms| fraction_in_b(&workers, back + Duration::from_millis(ms));
     let fractions = [0, 500, 1_000, 1_500, 2_000].map(after);
     assert!(fractions.is_sorted(), "{fractions:?}");
--- a/crates/gateway-core/tests/zone_spread.rs
+++ b/crates/gateway-core/tests/zone_spread.rs
@@ -18,7 +18,7 @@
         .collect()
 }
 
-fn with_zones(nodes: &[(NodeId, String)]) -> Vec<Placed<'_>> {
+fn with_zones(nodes: &[(NodeId, String)]) -> Vec<NodeInZone<'_>> {
     nodes
         .iter()
         .map(|(node, zone)| (node, zone.as_str()))
