--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -1,63 +1,64 @@
-//! Which runs are backed up at another engine while they run.
+//! Selects the runs that are backed up to another engine while they run.
 //!
-//! A backup moves a run's whole memory once, whatever becomes of its engine. It pays for runs that
-//! generate much on little memory; the figure is the bytes that it moves for each token that the run
-//! has yet to generate. Backups at a time and bytes a second are bounded for each node.
+//! A backup transfers a run's whole memory once, whether or not it will be needed. It is worth its cost
+//! for runs that still generate many tokens from little memory, so the criterion is the number of bytes
+//! transferred per token yet to be generated. Each node also limits its concurrent backups and their
+//! total bytes per second.
 
 use elderworks_types::Timestamp;
 
-/// What backups may cost; a `most_bytes_per_token` of 0 means none.
+/// Limits on the cost of backups. A `most_bytes_per_token` of 0 disables them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackupRules {
-    /// Bytes moved for each token yet to be generated, at most.
+    /// Maximum number of bytes transferred per token yet to be generated.
     pub most_bytes_per_token: u64,
-    /// Runs of one node that have a backup at the same time.
+    /// Maximum number of concurrent backups of one node.
     pub most_at_once: u32,
-    /// Bytes that backups of one node move, on average over [`BURST_S`] seconds.
+    /// Maximum bytes per second of one node's backups, averaged over [`BURST_S`] seconds.
     pub bytes_per_s: u64,
 }
 
-/// The bound on bytes a second may be used up ahead by this many seconds.
+/// Capacity of the rate limiter, in seconds' worth of bytes.
 pub const BURST_S: u64 = 2;
 
-/// What a run keeps in memory, and has yet to do.
+/// Memory and remaining work of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunSize {
-    /// Tokens of its prompt and of what it has generated.
+    /// Number of tokens of its prompt and of its output so far.
     pub tokens: u64,
-    /// Tokens that it has yet to generate, at most.
+    /// Maximum number of tokens that it may still generate.
     pub left_tokens: u64,
-    /// Bytes of one token in memory.
+    /// Bytes per token in memory.
     pub token_bytes: u64,
 }
 
 impl RunSize {
-    /// Bytes that a backup moves if the run goes to its end.
+    /// Returns the bytes that a backup transfers if the run generates all its remaining tokens.
     pub fn backup_bytes(&self) -> u64 {
         let tokens = self.tokens.saturating_add(self.left_tokens);
         tokens.saturating_mul(self.token_bytes)
     }
 }
 
-/// The backups of one node.
+/// Admission of one node's backups: a concurrency limit and a leaky bucket of bytes.
 #[derive(Debug, Default)]
 pub struct Backups {
     at_once: u32,
-    /// Bytes that are charged and not yet worked off.
+    /// Bytes in the bucket at `charged_at`.
     charged: u64,
     charged_at: Timestamp,
 }
 
 impl Backups {
-    /// Whether a run gets a backup; its bytes are charged then, and [`Backups::end`] is to be called
-    /// once it is over. Returns the bytes.
+    /// Starts a backup of a run if the limits allow it, and returns the bytes charged for it. The caller
+    /// must call [`Backups::end`] once the run has ended.
     pub fn begin(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
         let bytes = run.backup_bytes();
-        let most = rules.most_bytes_per_token.saturating_mul(run.left_tokens);
-        if bytes == 0 || bytes > most || self.at_once >= rules.most_at_once {
+        let max_bytes = rules.most_bytes_per_token.saturating_mul(run.left_tokens);
+        if bytes == 0 || bytes > max_bytes || self.at_once >= rules.most_at_once {
             return None;
         }
-        let charged = self.still_charged(rules, now).saturating_add(bytes);
+        let charged = self.remaining_charge(rules, now).saturating_add(bytes);
         if charged > rules.bytes_per_s.saturating_mul(BURST_S) {
             return None;
         }
@@ -67,20 +68,21 @@
         Some(bytes)
     }
 
-    /// A run that had a backup is over.
+    /// Records that a run with a backup has ended.
     pub fn end(&mut self) {
         self.at_once = self.at_once.saturating_sub(1);
     }
 
-    /// Runs that have a backup.
+    /// Returns the number of runs that have a backup.
     pub fn at_once(&self) -> u32 {
         self.at_once
     }
 
-    fn still_charged(&self, rules: &BackupRules, now: Timestamp) -> u64 {
+    /// Returns the bytes left in the bucket at `now`.
+    fn remaining_charge(&self, rules: &BackupRules, now: Timestamp) -> u64 {
         let passed_us = now.since(self.charged_at).as_micros();
-        let worked_off = u128::from(rules.bytes_per_s) * passed_us / 1_000_000;
-        let worked_off = u64::try_from(worked_off).unwrap_or(u64::MAX);
-        self.charged.saturating_sub(worked_off)
+        let drained = u128::from(rules.bytes_per_s) * passed_us / 1_000_000;
+        let drained = u64::try_from(drained).unwrap_or(u64::MAX);
+        self.charged.saturating_sub(drained)
     }
 }
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -1,16 +1,16 @@
-//! A run that outlives its engine: it goes on elsewhere with a copy of its memory.
+//! Migration of runs: resumes a run on another engine from a copy of its memory.
 //!
-//! Two engines must never work on one run for longer than a stop takes, also on routes whose
-//! requests run at most once. So a copy is used only after one of these, and the stream ends broken
-//! in every other case:
+//! Two engines must never execute the same run for longer than it takes to stop it, even on routes
+//! whose requests run at most once. A copy is therefore used only if one of the following holds;
+//! otherwise the stream ends incomplete:
 //!
-//! - The engine says that it has stopped the run behind the last event that the caller has, and
-//!   names the copy.
-//! - The engine says that it runs no such request, and the stream had broken off.
-//! - No connection to the engine can be made, and the stream had broken off or gone silent.
+//! - The engine confirmed that it stopped the run after the last event that the caller received, and
+//!   returned the copy's handle.
+//! - The stream broke off, and the engine reports that it has no such run.
+//! - The stream broke off or is silent, and no connection to the engine can be established.
 //!
-//! A copy serves one attempt that runs; one that refuses has not run and leaves it to the next. What
-//! is left of copies is handed out for freeing.
+//! Each copy is used for at most one attempt that runs. An attempt that is refused leaves the copy to
+//! the next one. Unused copies are returned to the driver, which frees them.
 
 pub mod backups;
 mod steps;
@@ -20,58 +20,62 @@
 
 use crate::engines::{MoveOutcome, RunCopy};
 
-/// Times that one run goes on at an engine after its first.
-pub const MOST_MOVES: u32 = 2;
+/// Maximum number of migrations of one run.
+pub const MAX_MIGRATIONS: u32 = 2;
 
-/// Times that one run tries to leave an engine whose stream has not broken off.
-pub const MOST_UNFORCED: u32 = 3;
+/// Maximum number of attempts to migrate one run while its stream has not broken off.
+pub const MAX_UNFORCED_ATTEMPTS: u32 = 3;
 
-/// Calls that ask one engine to stop a run, if the first is not answered or met another.
-const MOST_STOP_CALLS: u32 = 2;
+/// Maximum number of stop calls to one engine. A call is repeated if it was not answered or another
+/// one was in progress.
+const MAX_STOP_CALLS: u32 = 2;
 
-/// Where one run is.
+/// State of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    /// Its stream is read.
+    /// The stream is being read.
     Running,
-    /// Its memory is copied, or it is being stopped.
-    Leaving {
+    /// The memory is being copied, or the run is being stopped.
+    Migrating {
         reason: Reason,
         target: Engine,
         stop_calls: u32,
     },
-    /// An attempt with a copy is under way.
-    GoingOn {
+    /// An attempt to resume from a copy is in progress.
+    Resuming {
         at: Engine,
         copy: RunCopy,
-        /// The engine that stopped the run and keeps its memory, if it was not tried yet.
+        /// Engine that stopped the run and still has its memory, if it has not been tried yet.
         stopped_at: Option<Engine>,
     },
-    /// Its answer has ended.
+    /// The response has ended.
     Ended,
 }
 
-/// One run from its first event to the end of its answer.
+/// Migration state of one run, from its first event to the end of its response.
 #[derive(Debug)]
 pub struct RunLife {
     request_id: String,
-    /// Most engines that it may run on; lost ones do not count.
+    /// Maximum number of engines that it may run on, not counting lost ones.
     most_engines: usize,
+    /// Current engine.
     at: Engine,
+    /// Engine to which the memory is backed up while the run continues.
     backup: Option<Engine>,
-    /// Engines that may have run it and are not lost.
+    /// Workers that may have run it and are not lost.
     ran_at: Vec<String>,
+    /// Number of completed migrations.
     moves: u32,
-    /// Tries to leave while the stream had not broken off.
+    /// Number of migration attempts while the stream had not broken off.
     unforced: u32,
     step: Step,
-    /// Copies that no attempt has run with.
+    /// Copies that no attempt has used.
     unused: Vec<RunCopy>,
 }
 
 impl RunLife {
-    /// A run whose stream is read from an engine; `ran_at` are all that may have run it so far.
-    /// With `backup`, its memory is sent there as it grows.
+    /// Creates the state of a run whose stream is read from engine `at`. `ran_at` lists all workers that
+    /// may have run it so far. If `backup` is given, the run's memory is continuously copied there.
     pub fn new(
         request_id: String,
         at: Engine,
@@ -92,32 +96,32 @@
         }
     }
 
-    /// The engine whose stream is read, or was last.
+    /// Returns the engine whose stream is being read or was read last.
     pub fn at(&self) -> &Engine {
         &self.at
     }
 
-    /// How often it has gone on at an engine.
+    /// Returns the number of completed migrations.
     pub fn moves(&self) -> u32 {
         self.moves
     }
 
-    /// Copies that exist and will not be used: to be freed at their source.
+    /// Takes the copies that will not be used, which the driver frees at their source.
     pub fn take_unused(&mut self) -> Vec<RunCopy> {
         std::mem::take(&mut self.unused)
     }
 
-    /// The stream has ended whole, or nobody waits for it.
+    /// Records that the stream is complete or the caller has left.
     pub fn end(&mut self) {
         self.step = Step::Ended;
     }
 
-    /// The run is to leave its engine. `candidate` is another one with room. A stream that breaks
-    /// off while the run leaves for another reason is told here too.
+    /// Starts a migration. `candidate` is another engine with a free slot. Also called when the stream
+    /// breaks off during a migration for another reason.
     pub fn leave(&mut self, reason: Reason, candidate: Option<Engine>) -> Order {
         let is_unforced = reason != Reason::Broken;
-        if self.moves >= MOST_MOVES || (is_unforced && self.unforced >= MOST_UNFORCED) {
-            return self.fall_back(reason, EndReason::MovedOften);
+        if self.moves >= MAX_MIGRATIONS || (is_unforced && self.unforced >= MAX_UNFORCED_ATTEMPTS) {
+            return self.fall_back(reason, EndReason::MigrationLimit);
         }
         self.unforced += u32::from(is_unforced);
         let candidate = candidate.filter(|engine| *engine != self.at);
@@ -125,22 +129,22 @@
             return self.fall_back(reason, EndReason::NoTarget);
         };
         if is_unforced && !self.may_run_at(&target) {
-            return self.fall_back(reason, EndReason::NoAttemptLeft);
+            return self.fall_back(reason, EndReason::EngineLimit);
         }
-        let hop = self.hop(&target);
+        let copy_path = self.copy_path(&target);
         let stop_calls = 0;
-        self.step = Step::Leaving {
+        self.step = Step::Migrating {
             reason,
             target,
             stop_calls,
         };
         match reason {
             Reason::Broken | Reason::Silent => self.stop(),
-            Reason::Draining | Reason::TakenSoon | Reason::Slow => Order::Copy(hop),
+            Reason::Draining | Reason::Preempted | Reason::Slow => Order::Copy(copy_path),
         }
     }
 
-    /// [`Order::Copy`] has ended.
+    /// Handles the outcome of [`Order::Copy`].
     pub fn after_copy(&mut self, end: CallEnd) -> Order {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
@@ -150,73 +154,74 @@
         self.stop()
     }
 
-    /// [`Order::Stop`] has ended.
+    /// Handles the outcome of [`Order::Stop`].
     pub fn after_stop(&mut self, end: CallEnd) -> Order {
-        let Step::Leaving {
+        let Step::Migrating {
             reason,
             target,
             stop_calls,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::InDoubt);
+            return Order::End(EndReason::Unsettled);
         };
         match end {
             CallEnd::Answered(MoveOutcome::Copied { handle, .. }) => {
                 let copy = self.note_copy(handle);
-                self.go_on_with(target, copy)
+                self.resume_at_target(target, copy)
             }
             CallEnd::Answered(MoveOutcome::NoRoom {
                 handle: Some(handle),
             }) => {
                 let copy = self.note_copy(handle);
-                self.go_on(self.at.clone(), copy, None)
+                self.resume(self.at.clone(), copy, None)
             }
             CallEnd::Answered(MoveOutcome::NoSuchRun) if reason == Reason::Broken => {
-                self.go_on_with_backup(reason)
+                self.resume_from_backup(reason)
             }
             CallEnd::NotReached if reason.has_lost_stream() => {
                 let lost = &self.at.worker;
                 self.ran_at.retain(|worker| worker != lost);
-                self.go_on_with_backup(reason)
+                self.resume_from_backup(reason)
             }
             CallEnd::Answered(MoveOutcome::UnderWay) | CallEnd::Unknown
-                if stop_calls < MOST_STOP_CALLS =>
+                if stop_calls < MAX_STOP_CALLS =>
             {
                 self.stop()
             }
             CallEnd::Answered(_) | CallEnd::Refused | CallEnd::NotReached | CallEnd::Unknown => {
-                self.fall_back(reason, EndReason::InDoubt)
+                self.fall_back(reason, EndReason::Unsettled)
             }
         }
     }
 
-    /// The attempt of [`Order::GoOn`] has ended. `candidate` is another engine with room.
+    /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a free
+    /// slot.
     pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> Order {
-        let Step::GoingOn {
+        let Step::Resuming {
             at,
             copy,
             stopped_at,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::InDoubt);
+            return Order::End(EndReason::Unsettled);
         };
         match end {
             AttemptEnd::NotRun => match stopped_at {
-                Some(source) => self.go_on(source, copy, None),
-                None => self.end_for(EndReason::NotTaken),
+                Some(source) => self.resume(source, copy, None),
+                None => self.end_for(EndReason::AllRefused),
             },
             AttemptEnd::Answered => {
-                self.note_runs_at(at, &copy);
+                self.note_running_at(at, &copy);
                 Order::Read
             }
             AttemptEnd::Unknown => {
-                self.note_runs_at(at, &copy);
+                self.note_running_at(at, &copy);
                 self.leave(Reason::Broken, candidate)
             }
         }
     }
 
-    fn hop(&self, target: &Engine) -> Hop {
+    fn copy_path(&self, target: &Engine) -> Hop {
         Hop {
             source: self.at.address,
             target: target.address,
@@ -224,17 +229,18 @@
     }
 
     fn stop(&mut self) -> Order {
-        let Step::Leaving {
+        let Step::Migrating {
             target, stop_calls, ..
         } = &mut self.step
         else {
-            return Order::End(EndReason::InDoubt);
+            return Order::End(EndReason::Unsettled);
         };
         *stop_calls += 1;
         let target = target.clone();
-        Order::Stop(self.hop(&target))
+        Order::Stop(self.copy_path(&target))
     }
 
+    /// Records a copy of the run's memory that was made by the current engine.
     fn note_copy(&mut self, handle: String) -> RunCopy {
         let copy = RunCopy {
             source: self.at.address,
@@ -246,31 +252,33 @@
         copy
     }
 
-    /// The run has stopped and its copy is whole at the target; its engine keeps the memory too.
-    fn go_on_with(&mut self, target: Engine, copy: RunCopy) -> Order {
+    /// Resumes a stopped run from a complete copy at the target. The run's engine still has the memory
+    /// and is used if the target is not allowed or refuses.
+    fn resume_at_target(&mut self, target: Engine, copy: RunCopy) -> Order {
         let source = self.at.clone();
         match self.may_run_at(&target) {
-            true => self.go_on(target, copy, Some(source)),
-            false => self.go_on(source, copy, None),
+            true => self.resume(target, copy, Some(source)),
+            false => self.resume(source, copy, None),
         }
     }
 
-    fn go_on_with_backup(&mut self, reason: Reason) -> Order {
+    /// Resumes the run from its continuous backup, whose handle is the request ID.
+    fn resume_from_backup(&mut self, reason: Reason) -> Order {
         let Some(engine) = self.backup.take() else {
             return self.fall_back(reason, EndReason::NoCopy);
         };
         if !self.may_run_at(&engine) {
-            return self.fall_back(reason, EndReason::NoAttemptLeft);
+            return self.fall_back(reason, EndReason::EngineLimit);
         }
         let copy = RunCopy {
             source: self.at.address,
             handle: self.request_id.clone(),
         };
-        self.go_on(engine, copy, None)
+        self.resume(engine, copy, None)
     }
 
-    fn go_on(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> Order {
-        self.step = Step::GoingOn {
+    fn resume(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> Order {
+        self.step = Step::Resuming {
             at: at.clone(),
             copy: copy.clone(),
             stopped_at,
@@ -278,13 +286,14 @@
         Order::GoOn { at, copy }
     }
 
+    /// Returns whether the limit on engines allows the run to use this one.
     fn may_run_at(&self, engine: &Engine) -> bool {
         self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.most_engines
     }
 
-    /// An attempt with the copy runs, or may: the copy is used up, and a backup is one of a run
-    /// that is over.
-    fn note_runs_at(&mut self, at: Engine, copy: &RunCopy) {
+    /// Records that an attempt with the copy is or may be running. The copy is then used up, and the
+    /// backup belongs to the previous attempt.
+    fn note_running_at(&mut self, at: Engine, copy: &RunCopy) {
         self.unused.retain(|unused| unused != copy);
         if !self.ran_at.contains(&at.worker) {
             self.ran_at.push(at.worker.clone());
@@ -295,7 +304,7 @@
         self.step = Step::Running;
     }
 
-    /// Without a stream the answer ends; else the stream shows what becomes of the run.
+    /// Gives up a migration: ends the response if the stream is broken, otherwise keeps reading it.
     fn fall_back(&mut self, reason: Reason, end: EndReason) -> Order {
         if reason == Reason::Broken {
             return self.end_for(end);
--- a/crates/gateway-core/src/run_moves/steps.rs
+++ b/crates/gateway-core/src/run_moves/steps.rs
@@ -1,120 +1,120 @@
-//! What a run is told, and what it wants done next.
+//! Inputs and outputs of the run migration state machine.
 
 use std::net::SocketAddr;
 
 use crate::engines::{MoveOutcome, RunCopy};
 
-/// An engine.
+/// Identity and address of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// The worker's id.
+    /// ID of the worker.
     pub worker: String,
-    /// Its address.
+    /// Address of the engine's interface.
     pub address: SocketAddr,
 }
 
-/// Why a run leaves its engine.
+/// Why a run is to be migrated from its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its stream broke off.
+    /// The stream broke off.
     Broken,
-    /// Its stream is silent.
+    /// The stream has been silent for too long.
     Silent,
-    /// The engine drains and will end before the run does.
+    /// The engine is draining and will stop before the run ends.
     Draining,
-    /// The engine is taken away at short notice.
-    TakenSoon,
-    /// The engine has grown slow.
+    /// The engine will be preempted at short notice.
+    Preempted,
+    /// The engine has become slow.
     Slow,
 }
 
 impl Reason {
-    /// Whether nothing more is expected from the stream.
+    /// Returns whether no further events are expected from the stream.
     pub(super) fn has_lost_stream(self) -> bool {
         matches!(self, Self::Broken | Self::Silent)
     }
 }
 
-/// Between which engines a copy is made.
+/// Engines between which a run's memory is copied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// Where the run is.
+    /// Engine that has the run.
     pub source: SocketAddr,
-    /// Where the copy goes.
+    /// Engine that receives the copy.
     pub target: SocketAddr,
 }
 
-/// What is to be done next for a run.
+/// Next action of the driver for a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Have the memory copied while the run goes on.
+    /// Copy the run's memory while it continues.
     Copy(Hop),
-    /// Have the run stopped behind the last event that went to the caller, and its memory copied.
+    /// Stop the run after the last event that the caller has received, and copy its memory.
     Stop(Hop),
-    /// Send the request with the copy and the last event's id.
+    /// Resume the run from a copy: send the request with the copy's handle and the last event's ID.
     GoOn {
-        /// To this engine.
+        /// Engine that resumes the run.
         at: Engine,
-        /// With this copy.
+        /// Copy of the run's memory.
         copy: RunCopy,
     },
-    /// Read the stream on.
+    /// Continue reading the stream.
     Read,
-    /// End the answer broken.
+    /// End the response as incomplete.
     End(EndReason),
 }
 
-/// Why a run does not go on.
+/// Why a run cannot be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It has moved as often as it may.
-    MovedOften,
-    /// No other engine has room.
+    /// The run has reached the maximum number of migrations.
+    MigrationLimit,
+    /// No other engine has a free slot.
     NoTarget,
-    /// The engine may still work on it.
-    InDoubt,
-    /// The engine has stopped or is lost, and there is no copy.
+    /// The engine may still be running it.
+    Unsettled,
+    /// The engine has stopped the run or is lost, and no copy exists.
     NoCopy,
-    /// No engine that has a copy takes the request.
-    NotTaken,
-    /// The route allows no further engine.
-    NoAttemptLeft,
+    /// Every engine that has a copy refused the request.
+    AllRefused,
+    /// The route's limit on engines per request is reached.
+    EngineLimit,
 }
 
 impl EndReason {
-    /// For logs and counters.
+    /// Returns the description used in logs and metrics.
     pub fn text(self) -> &'static str {
         match self {
-            Self::MovedOften => "moved often enough",
+            Self::MigrationLimit => "moved often enough",
             Self::NoTarget => "no other engine has room",
-            Self::InDoubt => "the engine may still work on it",
+            Self::Unsettled => "the engine may still work on it",
             Self::NoCopy => "there is no copy",
-            Self::NotTaken => "no engine goes on with the copy",
-            Self::NoAttemptLeft => "the route allows no further engine",
+            Self::AllRefused => "no engine goes on with the copy",
+            Self::EngineLimit => "the route allows no further engine",
         }
     }
 }
 
-/// How a call to an engine's own interface ended.
+/// Outcome of a call to an engine's control interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// The engine answered.
     Answered(MoveOutcome),
-    /// It refused: nothing was done.
+    /// The engine refused the call without any effect.
     Refused,
-    /// No connection could be made.
+    /// No connection could be established.
     NotReached,
-    /// The call was sent and no answer came.
+    /// The call was sent but not answered, so its effect is unknown.
     Unknown,
 }
 
-/// How the attempt ended that was to go on with a run.
+/// Outcome of an attempt to resume a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Its stream has begun.
+    /// The stream has started.
     Answered,
-    /// It was surely not run.
+    /// The request was certainly not run.
     NotRun,
-    /// It may run.
+    /// The request may be running.
     Unknown,
 }
--- a/crates/gateway-core/src/run_moves/targets.rs
+++ b/crates/gateway-core/src/run_moves/targets.rs
@@ -1,32 +1,33 @@
-//! Which engine a run goes on at.
+//! Selects the engine to which a run is copied.
 
 use elderworks_types::Timestamp;
 
 use crate::workers::{Worker, WorkerDirectory};
 
-/// Which zone is preferred.
+/// Preferred zone of the target engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneWish {
-    /// The engine's own: copies between zones take twice as long, and their bytes cost.
+    /// The zone of the run's engine, since copies between zones take twice as long and incur transfer
+    /// costs.
     Same,
-    /// Another one, which does not fail with the engine's.
+    /// Another zone, which does not fail together with that of the run's engine.
     Other,
 }
 
-/// The least loaded engine that has a free slot, is well and is neither the run's own nor among
-/// `tried`.
+/// Returns the least loaded healthy engine of a service with a free slot, excluding the run's `own`
+/// engine and those in `tried`. Engines in the preferred zone come first.
 pub fn choose<'a>(
     workers: &'a WorkerDirectory,
     service: &str,
     own: &str,
     tried: &[String],
-    wish: ZoneWish,
+    preference: ZoneWish,
     now: Timestamp,
 ) -> Option<&'a Worker> {
     let own_zone = workers.get(own).map(|worker| worker.record.zone.as_str());
-    let is_wished = |worker: &Worker| {
+    let is_preferred = |worker: &Worker| {
         let is_same = Some(worker.record.zone.as_str()) == own_zone;
-        is_same == (wish == ZoneWish::Same)
+        is_same == (preference == ZoneWish::Same)
     };
     let has_room = |worker: &Worker| {
         worker.record.id != own
@@ -40,5 +41,11 @@
         .iter()
         .filter(|worker| worker.record.service == service)
         .filter(|worker| workers.is_accepting(worker) && has_room(worker))
-        .min_by_key(|worker| (!is_wished(worker), workers.load(worker), &worker.record.id))
+        .min_by_key(|worker| {
+            (
+                !is_preferred(worker),
+                workers.load(worker),
+                &worker.record.id,
+            )
+        })
 }
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -337,71 +337,71 @@
         per_second,
         burst: per_second,
     };
-    let hot = Scenario {
+    let overloaded = Scenario {
         burst: 8.0,
         ..NORMAL_LOAD
     };
     let mut scenarios = Vec::new();
     for per_second in [4.0, 34.0, 395.0] {
-        let hot = Scenario {
+        let overloaded = Scenario {
             quota: quota(per_second),
-            ..hot.clone()
+            ..overloaded.clone()
         };
-        scenarios.push(("overloaded", hot.clone()));
+        scenarios.push(("overloaded", overloaded.clone()));
         scenarios.push((
             "overloaded, requests at few nodes",
             Scenario {
                 entries: 3,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "reports lost",
             Scenario {
                 lost: 0.3,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "one partitioned",
             Scenario {
                 partitioned: 1,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "two partitioned",
             Scenario {
                 partitioned: 2,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "two crash",
             Scenario {
                 crashed: 2,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "all crash",
             Scenario {
                 crashed: 14,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "nodes join",
             Scenario {
                 added: 10,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
         scenarios.push((
             "two paused",
             Scenario {
                 paused: 2,
-                ..hot.clone()
+                ..overloaded.clone()
             },
         ));
     }
@@ -507,14 +507,14 @@
 
 #[test]
 fn an_overloaded_tenant_gets_its_quota_but_less_with_even_division() {
-    let hot = Scenario {
+    let overloaded = Scenario {
         burst: 8.0,
         entries: 5,
         ..NORMAL_LOAD
     };
     for seed in 0..SEEDS {
         let served = |method| {
-            let outcome = simulate(&hot, method, seed);
+            let outcome = simulate(&overloaded, method, seed);
             outcome.asked - outcome.refused
         };
         let (reports, even) = (served(Method::Reports), served(Method::Even));
@@ -552,7 +552,7 @@
         entries: 74,
         ..NORMAL_LOAD
     };
-    let hot = Scenario {
+    let overloaded = Scenario {
         burst: 8.0,
         ..tight.clone()
     };
@@ -595,10 +595,13 @@
                 ..tight.clone()
             },
         ),
-        ("overloaded", hot.clone()),
+        ("overloaded", overloaded.clone()),
         (
             "overloaded, requests at few nodes",
-            Scenario { entries: 5, ..hot },
+            Scenario {
+                entries: 5,
+                ..overloaded
+            },
         ),
     ]
 }
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -1,4 +1,4 @@
-//! When a run goes on elsewhere, and which runs are backed up.
+//! Tests when a run migrates to another engine, and which runs are backed up.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     engine("w3", 3)
 }
 
-fn life(backup: Option<Engine>, most_engines: u32) -> RunLife {
+fn migration(backup: Option<Engine>, most_engines: u32) -> RunLife {
     let ran_at = vec!["w1".to_owned()];
     RunLife::new("r1".to_owned(), source(), backup, ran_at, most_engines)
 }
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn what_a_broken_stream_leads_to() {
+fn actions_after_a_broken_stream() {
     use CallEnd::{Answered, NotReached, Refused, Unknown};
-    let go_on = |at: Engine, handle: &str| Order::GoOn {
+    let resume = |at: Engine, handle: &str| Order::GoOn {
         at,
         copy: copy(handle),
     };
@@ -71,63 +71,63 @@
         let handle = handle.map(str::to_owned);
         Answered(MoveOutcome::NoRoom { handle })
     };
-    let in_doubt = || Order::End(EndReason::InDoubt);
-    // What the engine said to each call that was to stop the run, with a backup and without.
+    let unsettled = || Order::End(EndReason::Unsettled);
+    // Outcomes of the stop calls; final action with a backup and without.
     let cases = [
         (
             vec![copied("h")],
-            go_on(backup(), "h"),
-            go_on(target(), "h"),
+            resume(backup(), "h"),
+            resume(target(), "h"),
         ),
         (
             vec![no_room(Some("h"))],
-            go_on(source(), "h"),
-            go_on(source(), "h"),
+            resume(source(), "h"),
+            resume(source(), "h"),
         ),
-        (vec![no_room(None)], in_doubt(), in_doubt()),
+        (vec![no_room(None)], unsettled(), unsettled()),
         (
             vec![Answered(MoveOutcome::NoSuchRun)],
-            go_on(backup(), "r1"),
+            resume(backup(), "r1"),
             Order::End(EndReason::NoCopy),
         ),
         (
             vec![NotReached],
-            go_on(backup(), "r1"),
+            resume(backup(), "r1"),
             Order::End(EndReason::NoCopy),
         ),
         (
             vec![Unknown, NotReached],
-            go_on(backup(), "r1"),
+            resume(backup(), "r1"),
             Order::End(EndReason::NoCopy),
         ),
-        (vec![Unknown, Unknown], in_doubt(), in_doubt()),
+        (vec![Unknown, Unknown], unsettled(), unsettled()),
         (
             vec![
                 Answered(MoveOutcome::UnderWay),
                 Answered(MoveOutcome::UnderWay),
             ],
-            in_doubt(),
-            in_doubt(),
+            unsettled(),
+            unsettled(),
         ),
-        (vec![Refused], in_doubt(), in_doubt()),
+        (vec![Refused], unsettled(), unsettled()),
     ];
     for (answers, with_backup, without) in cases {
         for (kept, expected) in [(Some(backup()), with_backup), (None, without)] {
-            let mut life = life(kept, 2);
-            let mut order = life.leave(Reason::Broken, Some(target()));
+            let mut migration = migration(kept, 2);
+            let mut action = migration.leave(Reason::Broken, Some(target()));
             for answer in &answers {
-                assert!(matches!(order, Order::Stop(_)), "{answers:?}: {order:?}");
-                order = life.after_stop(answer.clone());
+                assert!(matches!(action, Order::Stop(_)), "{answers:?}: {action:?}");
+                action = migration.after_stop(answer.clone());
             }
-            assert_eq!(order, expected, "{answers:?}");
+            assert_eq!(action, expected, "{answers:?}");
         }
     }
 }
 
 #[test]
-fn a_run_that_leaves_unforced_is_read_on_if_the_move_fails() {
-    for reason in [Reason::Draining, Reason::TakenSoon, Reason::Slow] {
-        let mut run = life(None, 2);
+fn a_run_continues_if_an_unforced_migration_fails() {
+    for reason in [Reason::Draining, Reason::Preempted, Reason::Slow] {
+        let mut run = migration(None, 2);
         assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
         assert_eq!(run.after_copy(CallEnd::NotReached), Order::Read);
         assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn a_refused_copy_goes_back_to_the_engine_that_stopped_and_is_freed_at_last() {
-    let mut run = life(None, 2);
+fn a_refused_copy_returns_to_the_source_engine_and_is_finally_freed() {
+    let mut run = migration(None, 2);
     assert_eq!(run.leave(Reason::Broken, Some(target())), stop_at_target());
     let at_target = Order::GoOn {
         at: target(),
@@ -153,32 +153,32 @@
     };
     assert_eq!(run.after_attempt(AttemptEnd::NotRun, None), at_source);
     let end = run.after_attempt(AttemptEnd::NotRun, None);
-    assert_eq!(end, Order::End(EndReason::NotTaken));
+    assert_eq!(end, Order::End(EndReason::AllRefused));
     assert_eq!(run.take_unused(), [copy("h")]);
     assert_eq!(run.take_unused(), []);
 }
 
 #[test]
-fn a_target_that_breaks_too_is_asked_to_stop_in_its_turn() {
-    let mut run = life(None, 3);
+fn a_target_whose_stream_breaks_is_stopped_as_well() {
+    let mut run = migration(None, 3);
     run.leave(Reason::Broken, Some(target()));
     run.after_stop(copied("h"));
-    let order = run.after_attempt(AttemptEnd::Unknown, Some(backup()));
+    let action = run.after_attempt(AttemptEnd::Unknown, Some(backup()));
     let expected = Order::Stop(Hop {
         source: target().address,
         target: backup().address,
     });
-    assert_eq!(order, expected);
+    assert_eq!(action, expected);
     assert_eq!(run.take_unused(), [], "the copy may be in use");
     run.after_stop(copied("i"));
     assert_eq!(run.after_attempt(AttemptEnd::Answered, None), Order::Read);
-    let order = run.leave(Reason::Broken, Some(source()));
-    assert_eq!(order, Order::End(EndReason::MovedOften));
+    let action = run.leave(Reason::Broken, Some(source()));
+    assert_eq!(action, Order::End(EndReason::MigrationLimit));
 }
 
 #[test]
-fn a_route_that_allows_one_engine_keeps_the_run_at_it() {
-    let mut run = life(None, 1);
+fn a_run_limited_to_one_engine_resumes_there() {
+    let mut run = migration(None, 1);
     run.leave(Reason::Broken, Some(target()));
     let expected = Order::GoOn {
         at: source(),
@@ -187,13 +187,14 @@
     assert_eq!(run.after_stop(copied("h")), expected);
 }
 
-/// An engine whose run was copied elsewhere may refuse to take it up again.
+/// Guards against unforced migrations that could lose the run: the source engine may refuse to resume
+/// a run that was copied elsewhere.
 #[test]
-fn a_run_that_may_go_nowhere_else_does_not_leave_unforced() {
+fn a_run_at_its_engine_limit_does_not_migrate_unforced() {
     for reason in [Reason::Silent, Reason::Draining, Reason::Slow] {
-        let mut run = life(None, 1);
+        let mut run = migration(None, 1);
         assert_eq!(run.leave(reason, Some(target())), Order::Read);
-        let mut run = life(None, 2);
+        let mut run = migration(None, 2);
         run.leave(Reason::Silent, Some(target()));
         run.after_stop(copied("h"));
         run.after_attempt(AttemptEnd::Answered, None);
@@ -206,30 +207,34 @@
 }
 
 #[test]
-fn a_lost_engine_does_not_count_against_the_route() {
-    let mut run = life(Some(backup()), 1);
+fn a_lost_engine_does_not_count_towards_the_engine_limit() {
+    let mut run = migration(Some(backup()), 1);
     run.leave(Reason::Broken, None);
     let expected = Order::GoOn {
         at: backup(),
         copy: copy("r1"),
     };
     assert_eq!(run.after_stop(CallEnd::NotReached), expected);
-    let mut run = life(Some(backup()), 1);
+    let mut run = migration(Some(backup()), 1);
     run.leave(Reason::Broken, None);
     let stopped = CallEnd::Answered(MoveOutcome::NoSuchRun);
-    let expected = Order::End(EndReason::NoAttemptLeft);
-    assert_eq!(run.after_stop(stopped), expected, "this one is not lost");
+    let expected = Order::End(EndReason::EngineLimit);
+    assert_eq!(run.after_stop(stopped), expected, "this engine is not lost");
 }
 
 #[test]
-fn a_silent_engine_is_left_only_if_it_cannot_be_reached() {
-    let mut run = life(Some(backup()), 2);
+fn a_silent_engine_is_abandoned_only_if_unreachable() {
+    let mut run = migration(Some(backup()), 2);
     run.leave(Reason::Silent, None);
     let gone = CallEnd::Answered(MoveOutcome::NoSuchRun);
-    assert_eq!(run.after_stop(gone), Order::Read, "its end is on the way");
+    assert_eq!(
+        run.after_stop(gone),
+        Order::Read,
+        "the end of the stream may still arrive"
+    );
     run.leave(Reason::Silent, None);
-    let order = run.after_stop(CallEnd::NotReached);
-    assert!(matches!(order, Order::GoOn { .. }), "{order:?}");
+    let action = run.after_stop(CallEnd::NotReached);
+    assert!(matches!(action, Order::GoOn { .. }), "{action:?}");
 }
 
 fn record(id: &str, zone: &str, draining: bool) -> WorkerRecord {
@@ -246,7 +251,7 @@
 }
 
 #[test]
-fn targets_have_room_are_well_and_lie_where_it_is_wished() {
+fn targets_are_healthy_have_a_free_slot_and_match_the_zone_preference() {
     let now = Timestamp(1);
     let mut workers = WorkerDirectory::new(Policy::default());
     let listed = [
@@ -258,9 +263,9 @@
     for (id, zone, draining) in listed {
         workers.upsert(record(id, zone, draining), now);
     }
-    let chosen = |workers: &WorkerDirectory, tried: &[&str], wish| {
-        let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
-        let found = choose(workers, "engines", "w1", &tried, wish, now);
+    let chosen = |workers: &WorkerDirectory, excluded: &[&str], preference| {
+        let excluded: Vec<String> = excluded.iter().map(|id| (*id).to_owned()).collect();
+        let found = choose(workers, "engines", "w1", &excluded, preference, now);
         found.map(|worker| worker.record.id.clone())
     };
     assert_eq!(chosen(&workers, &[], ZoneWish::Same).as_deref(), Some("w2"));
@@ -268,15 +273,15 @@
         chosen(&workers, &[], ZoneWish::Other).as_deref(),
         Some("w3")
     );
-    let tried = chosen(&workers, &["w2"], ZoneWish::Same);
-    assert_eq!(tried.as_deref(), Some("w3"));
+    let excluded = chosen(&workers, &["w2"], ZoneWish::Same);
+    assert_eq!(excluded.as_deref(), Some("w3"));
     workers.note_start("w2", now);
     workers.note_start("w2", now);
-    let crowded = chosen(&workers, &[], ZoneWish::Same);
+    let when_full = chosen(&workers, &[], ZoneWish::Same);
     assert_eq!(
-        crowded.as_deref(),
+        when_full.as_deref(),
         Some("w3"),
-        "no slot is free at the other"
+        "the other engine has no free slot"
     );
     assert_eq!(chosen(&workers, &["w2", "w3"], ZoneWish::Same), None);
 }
@@ -287,14 +292,14 @@
     bytes_per_s: 400_000_000,
 };
 
-/// Generates much for its size.
+/// Has many tokens left to generate for its size.
 const LONG_RUN: RunSize = RunSize {
     tokens: 1_000,
     left_tokens: 4_000,
     token_bytes: 18_432,
 };
 
-/// A long prompt and a short answer.
+/// Has a long prompt and a short output.
 const SHORT_RUN: RunSize = RunSize {
     tokens: 14_000,
     left_tokens: 257,
@@ -302,7 +307,7 @@
 };
 
 #[test]
-fn backups_are_for_runs_that_generate_much_on_little_memory() {
+fn backups_are_limited_to_runs_with_few_bytes_per_remaining_token() {
     let now = Timestamp(1);
     let mut backups = Backups::default();
     assert_eq!(backups.begin(&RULES, &SHORT_RUN, now), None);
@@ -327,23 +332,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// Over any time, backups move no more than the bound on average and what may be used ahead.
+    /// Over any period, backups transfer at most the average rate plus the burst.
     #[test]
-    fn backups_keep_to_their_bytes(
+    fn backups_stay_within_their_byte_rate(
         runs in proptest::collection::vec((1_u64..20_000, 1_u64..5_000, 0_u64..300_000), 1..200),
     ) {
         let rules = BackupRules { most_bytes_per_token: u64::MAX, most_at_once: u32::MAX, ..RULES };
         let mut backups = Backups::default();
         let mut now = Timestamp(1);
-        let mut moved = 0_u64;
-        for (tokens, left_tokens, pause_us) in runs {
-            now = now + Duration::from_micros(pause_us);
+        let mut transferred = 0_u64;
+        for (tokens, left_tokens, delay_us) in runs {
+            now = now + Duration::from_micros(delay_us);
             let run = RunSize { tokens, left_tokens, token_bytes: 18_432 };
             if let Some(bytes) = backups.begin(&rules, &run, now) {
-                moved += bytes;
-                let passed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
-                let most = rules.bytes_per_s as f64 * passed;
-                prop_assert!(moved as f64 <= most + 200.0, "{} of {}", moved, most);
+                transferred += bytes;
+                let elapsed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
+                let max_bytes = rules.bytes_per_s as f64 * elapsed;
+                prop_assert!(transferred as f64 <= max_bytes + 200.0, "{} of {}", transferred, max_bytes);
             }
         }
     }
--- a/crates/gateway-core/tests/run_moves_model.rs
+++ b/crates/gateway-core/tests/run_moves_model.rs
@@ -1,20 +1,21 @@
-//! One run among engines that crash, refuse, stop it, or lose their answers. What reaches the caller
-//! must be in order, no two engines may work on it, and no copy may be used twice or forgotten.
+//! Simulates the migration of one run between engines that crash, refuse calls or lose responses.
+//! Checks that the caller receives every event in order, that no two engines execute the run at the
+//! same time, and that each copy is either used once or freed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use elderworks_gateway_core::engines::{MoveOutcome, RunCopy};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, Engine, Hop, MOST_MOVES, MOST_UNFORCED, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, Engine, Hop, MAX_MIGRATIONS, MAX_UNFORCED_ATTEMPTS, Order, Reason, RunLife,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const ENGINES: u16 = 4;
 const REQUEST: &str = "r1";
-/// Steps after which a run must have ended.
-const MOST_STEPS: u32 = 200;
+/// Number of steps within which a run must end.
+const MAX_STEPS: u32 = 200;
 
 fn address(engine: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9_000 + engine))
@@ -31,26 +32,26 @@
     address.port() - 9_000
 }
 
-/// What becomes of a call or an attempt; drawn anew for each.
+/// Outcome of a call or an attempt, drawn for each one.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Served,
-    ServedAnswerLost,
+enum Outcome {
+    Success,
+    ResponseLost,
     Refused,
-    UnderWay,
+    InProgress,
     NoRoom,
     EngineCrashes,
 }
 
-/// What happens to the stream between two events.
+/// Next occurrence on the stream.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Occurrence {
     Event,
     Crash,
-    /// The connection is gone; whether the engine works on.
+    /// The connection is lost. The flag tells whether the engine continues the run.
     Reset(bool),
-    /// The gateway gives the engine up for another reason.
-    Leave(Reason),
+    /// The gateway migrates the run for another reason.
+    Migrate(Reason),
 }
 
 #[derive(Clone, Debug)]
@@ -62,73 +63,75 @@
 
 #[derive(Debug)]
 struct World {
+    /// Number of events in the complete response.
     events: u32,
-    passed: Vec<u32>,
-    /// Next event of the stream that is read.
+    /// Events that the caller has received.
+    received: Vec<u32>,
+    /// Next event of the current stream.
     next: u32,
-    dead: BTreeSet<u16>,
-    working: BTreeSet<u16>,
+    crashed: BTreeSet<u16>,
+    executing: BTreeSet<u16>,
     stopped: BTreeSet<u16>,
     ran_at: BTreeSet<u16>,
     backup: Option<u16>,
     copies: BTreeMap<String, Copy>,
-    /// Handles that the gateway was told.
-    told: BTreeSet<String>,
+    /// Handles that were returned to the gateway.
+    returned: BTreeSet<String>,
     runs: u32,
 }
 
 impl World {
-    fn stop(&mut self, hop: Hop, fate: Fate) -> CallEnd {
+    fn stop(&mut self, hop: Hop, outcome: Outcome) -> CallEnd {
         let source = number(hop.source);
-        if let Fate::EngineCrashes = fate {
+        if let Outcome::EngineCrashes = outcome {
             self.crash(source);
         }
-        if self.dead.contains(&source) {
+        if self.crashed.contains(&source) {
             return CallEnd::NotReached;
         }
-        match fate {
-            Fate::Refused => return CallEnd::Refused,
-            Fate::UnderWay => return CallEnd::Answered(MoveOutcome::UnderWay),
+        match outcome {
+            Outcome::Refused => return CallEnd::Refused,
+            Outcome::InProgress => return CallEnd::Answered(MoveOutcome::UnderWay),
             _ => {}
         }
-        if !self.working.remove(&source) {
+        if !self.executing.remove(&source) {
             return CallEnd::Answered(MoveOutcome::NoSuchRun);
         }
         self.stopped.insert(source);
-        let target = match fate {
-            Fate::NoRoom => source,
+        let target = match outcome {
+            Outcome::NoRoom => source,
             _ => number(hop.target),
         };
         let handle = self.make_copy(source, target);
-        match fate {
-            Fate::ServedAnswerLost => CallEnd::Unknown,
-            Fate::NoRoom => {
-                self.told.insert(handle.clone());
+        match outcome {
+            Outcome::ResponseLost => CallEnd::Unknown,
+            Outcome::NoRoom => {
+                self.returned.insert(handle.clone());
                 CallEnd::Answered(MoveOutcome::NoRoom {
                     handle: Some(handle),
                 })
             }
             _ => {
-                self.told.insert(handle.clone());
+                self.returned.insert(handle.clone());
                 CallEnd::Answered(MoveOutcome::Copied { handle, events: 0 })
             }
         }
     }
 
-    fn copy(&mut self, hop: Hop, fate: Fate) -> CallEnd {
+    fn copy(&mut self, hop: Hop, outcome: Outcome) -> CallEnd {
         let source = number(hop.source);
-        match fate {
-            _ if self.dead.contains(&source) => CallEnd::NotReached,
-            Fate::Served if self.working.contains(&source) => {
+        match outcome {
+            _ if self.crashed.contains(&source) => CallEnd::NotReached,
+            Outcome::Success if self.executing.contains(&source) => {
                 let handle = self.make_copy(source, number(hop.target));
-                self.told.insert(handle.clone());
+                self.returned.insert(handle.clone());
                 CallEnd::Answered(MoveOutcome::Copied { handle, events: 0 })
             }
-            Fate::ServedAnswerLost | Fate::EngineCrashes => CallEnd::Unknown,
-            Fate::NoRoom => CallEnd::Answered(MoveOutcome::NoRoom { handle: None }),
-            Fate::UnderWay => CallEnd::Answered(MoveOutcome::UnderWay),
-            Fate::Refused => CallEnd::Refused,
-            Fate::Served => CallEnd::Answered(MoveOutcome::NoSuchRun),
+            Outcome::ResponseLost | Outcome::EngineCrashes => CallEnd::Unknown,
+            Outcome::NoRoom => CallEnd::Answered(MoveOutcome::NoRoom { handle: None }),
+            Outcome::InProgress => CallEnd::Answered(MoveOutcome::UnderWay),
+            Outcome::Refused => CallEnd::Refused,
+            Outcome::Success => CallEnd::Answered(MoveOutcome::NoSuchRun),
         }
     }
 
@@ -143,28 +146,34 @@
         handle
     }
 
-    fn attempt(&mut self, at: u16, copy: &RunCopy, fate: Fate) -> AttemptEnd {
-        if let Fate::EngineCrashes = fate {
+    fn attempt(&mut self, at: u16, copy: &RunCopy, outcome: Outcome) -> AttemptEnd {
+        if let Outcome::EngineCrashes = outcome {
             self.crash(at);
         }
-        let is_refused = matches!(fate, Fate::Refused | Fate::UnderWay | Fate::NoRoom);
-        if self.dead.contains(&at) || is_refused || !self.take(at, copy) {
+        let is_refused = matches!(
+            outcome,
+            Outcome::Refused | Outcome::InProgress | Outcome::NoRoom
+        );
+        if self.crashed.contains(&at) || is_refused || !self.use_copy(at, copy) {
             return AttemptEnd::NotRun;
         }
-        assert!(self.working.is_empty(), "two engines at work: {self:?}");
-        self.working.insert(at);
+        assert!(
+            self.executing.is_empty(),
+            "two engines execute the run: {self:?}"
+        );
+        self.executing.insert(at);
         self.stopped.remove(&at);
         self.ran_at.insert(at);
         self.runs += 1;
         self.next = self.last() + 1;
-        match fate {
-            Fate::ServedAnswerLost => AttemptEnd::Unknown,
+        match outcome {
+            Outcome::ResponseLost => AttemptEnd::Unknown,
             _ => AttemptEnd::Answered,
         }
     }
 
-    /// Whether an engine has the copy and may use it.
-    fn take(&mut self, at: u16, copy: &RunCopy) -> bool {
+    /// Returns whether an engine has an unused copy, and marks the copy as used.
+    fn use_copy(&mut self, at: u16, copy: &RunCopy) -> bool {
         let source = number(copy.source);
         if copy.handle == REQUEST {
             return self.backup.take_if(|backup| *backup == at).is_some();
@@ -180,13 +189,13 @@
     }
 
     fn crash(&mut self, engine: u16) {
-        self.dead.insert(engine);
-        self.working.remove(&engine);
+        self.crashed.insert(engine);
+        self.executing.remove(&engine);
         self.stopped.remove(&engine);
     }
 
     fn last(&self) -> u32 {
-        self.passed.last().copied().unwrap_or(0)
+        self.received.last().copied().unwrap_or(0)
     }
 }
 
@@ -195,145 +204,146 @@
     events: u32,
     has_backup: bool,
     most_engines: u32,
-    happenings: Vec<Happening>,
-    fates: Vec<Fate>,
+    occurrences: Vec<Occurrence>,
+    outcomes: Vec<Outcome>,
 }
 
 fn script() -> impl Strategy<Value = Script> {
     let reasons = [
         Reason::Silent,
         Reason::Draining,
-        Reason::TakenSoon,
+        Reason::Preempted,
         Reason::Slow,
     ];
-    let happening = prop_oneof![
-        4 => Just(Happening::Event),
-        1 => Just(Happening::Crash),
-        1 => any::<bool>().prop_map(Happening::Reset),
-        1 => proptest::sample::select(reasons.to_vec()).prop_map(Happening::Leave),
+    let occurrence = prop_oneof![
+        4 => Just(Occurrence::Event),
+        1 => Just(Occurrence::Crash),
+        1 => any::<bool>().prop_map(Occurrence::Reset),
+        1 => proptest::sample::select(reasons.to_vec()).prop_map(Occurrence::Migrate),
     ];
-    let fate = prop_oneof![
-        5 => Just(Fate::Served),
-        1 => Just(Fate::ServedAnswerLost),
-        1 => Just(Fate::Refused),
-        1 => Just(Fate::UnderWay),
-        1 => Just(Fate::NoRoom),
-        1 => Just(Fate::EngineCrashes),
+    let outcome = prop_oneof![
+        5 => Just(Outcome::Success),
+        1 => Just(Outcome::ResponseLost),
+        1 => Just(Outcome::Refused),
+        1 => Just(Outcome::InProgress),
+        1 => Just(Outcome::NoRoom),
+        1 => Just(Outcome::EngineCrashes),
     ];
     (
         1_u32..12,
         any::<bool>(),
         1_u32..4,
-        proptest::collection::vec(happening, 1..40),
-        proptest::collection::vec(fate, 1..20),
+        proptest::collection::vec(occurrence, 1..40),
+        proptest::collection::vec(outcome, 1..20),
     )
         .prop_map(
-            |(events, has_backup, most_engines, mut happenings, fates)| {
-                // However often a run tries to leave, it generates meanwhile.
-                happenings.push(Happening::Event);
+            |(events, has_backup, most_engines, mut occurrences, outcomes)| {
+                // Guarantees progress: a run also generates events between migrations.
+                occurrences.push(Occurrence::Event);
                 Script {
                     events,
                     has_backup,
                     most_engines,
-                    happenings,
-                    fates,
+                    occurrences,
+                    outcomes,
                 }
             },
         )
 }
 
-/// Plays a run to its end; tells whether it is whole.
-fn play(script: &Script) -> (World, bool) {
+/// Simulates a run to its end. Returns the final state and whether the response is complete.
+fn simulate(script: &Script) -> (World, bool) {
     let backup = script.has_backup.then_some(3);
     let mut world = World {
         events: script.events,
-        passed: Vec::new(),
+        received: Vec::new(),
         next: 1,
-        dead: BTreeSet::new(),
-        working: BTreeSet::from([0]),
+        crashed: BTreeSet::new(),
+        executing: BTreeSet::from([0]),
         stopped: BTreeSet::new(),
         ran_at: BTreeSet::from([0]),
         backup,
         copies: BTreeMap::new(),
-        told: BTreeSet::new(),
+        returned: BTreeSet::new(),
         runs: 1,
     };
     let ran_at = vec![engine(0).worker];
-    let mut life = RunLife::new(
+    let mut migration = RunLife::new(
         REQUEST.to_owned(),
         engine(0),
         backup.map(engine),
         ran_at,
         script.most_engines,
     );
-    let mut fates = script.fates.iter().copied().cycle();
-    let mut happenings = script.happenings.iter().copied().cycle();
+    let mut outcomes = script.outcomes.iter().copied().cycle();
+    let mut occurrences = script.occurrences.iter().copied().cycle();
     let mut freed = Vec::new();
-    let mut is_whole = false;
-    let mut order = Order::Read;
+    let mut is_complete = false;
+    let mut action = Order::Read;
     let mut calls = 0;
-    for _ in 0..MOST_STEPS {
-        let candidate = (0..ENGINES).find(|other| engine(*other) != *life.at());
-        let mut fate = || fates.next().expect("a cycle");
-        calls += u32::from(matches!(order, Order::Copy(_) | Order::Stop(_)));
-        order = match order {
-            Order::Copy(hop) => life.after_copy(world.copy(hop, fate())),
-            Order::Stop(hop) => life.after_stop(world.stop(hop, fate())),
+    for _ in 0..MAX_STEPS {
+        let candidate = (0..ENGINES).find(|other| engine(*other) != *migration.at());
+        let mut outcome = || outcomes.next().expect("a cycle");
+        calls += u32::from(matches!(action, Order::Copy(_) | Order::Stop(_)));
+        action = match action {
+            Order::Copy(hop) => migration.after_copy(world.copy(hop, outcome())),
+            Order::Stop(hop) => migration.after_stop(world.stop(hop, outcome())),
             Order::GoOn { at, copy } => {
-                let end = world.attempt(number(at.address), &copy, fate());
-                life.after_attempt(end, candidate.map(engine))
+                let end = world.attempt(number(at.address), &copy, outcome());
+                migration.after_attempt(end, candidate.map(engine))
             }
             Order::Read => {
-                freed.extend(life.take_unused());
-                let at = number(life.at().address);
+                freed.extend(migration.take_unused());
+                let at = number(migration.at().address);
                 if world.last() == world.events {
-                    is_whole = true;
+                    is_complete = true;
                     break;
                 }
-                let is_read = world.working.contains(&at);
-                match happenings.next().expect("a cycle") {
-                    Happening::Event if is_read => {
-                        world.passed.push(world.next);
+                let is_read = world.executing.contains(&at);
+                match occurrences.next().expect("a cycle") {
+                    Occurrence::Event if is_read => {
+                        world.received.push(world.next);
                         world.next += 1;
                         Order::Read
                     }
-                    Happening::Leave(reason) if is_read => {
-                        life.leave(reason, candidate.map(engine))
+                    Occurrence::Migrate(reason) if is_read => {
+                        migration.leave(reason, candidate.map(engine))
                     }
-                    Happening::Reset(works_on) if is_read && works_on => {
-                        life.leave(Reason::Broken, candidate.map(engine))
+                    Occurrence::Reset(continues) if is_read && continues => {
+                        migration.leave(Reason::Broken, candidate.map(engine))
                     }
-                    Happening::Reset(_) if is_read => {
-                        world.working.remove(&at);
-                        life.leave(Reason::Broken, candidate.map(engine))
+                    Occurrence::Reset(_) if is_read => {
+                        world.executing.remove(&at);
+                        migration.leave(Reason::Broken, candidate.map(engine))
                     }
-                    // Crashed, or stopped by a call whose answer was lost: the stream ends broken.
-                    Happening::Crash if is_read => {
+                    // Otherwise the engine has crashed or was stopped by a call whose response was
+                    // lost, and the stream breaks off.
+                    Occurrence::Crash if is_read => {
                         world.crash(at);
-                        life.leave(Reason::Broken, candidate.map(engine))
+                        migration.leave(Reason::Broken, candidate.map(engine))
                     }
-                    _ => life.leave(Reason::Broken, candidate.map(engine)),
+                    _ => migration.leave(Reason::Broken, candidate.map(engine)),
                 }
             }
             Order::End(_) => break,
         };
     }
-    let has_ended = is_whole || matches!(order, Order::End(_));
-    assert!(has_ended, "the run never ends");
-    // A copy and two stops for each try to leave.
-    assert!(calls <= 3 * (MOST_UNFORCED + MOST_MOVES + 1));
-    life.end();
-    freed.extend(life.take_unused());
+    let has_ended = is_complete || matches!(action, Order::End(_));
+    assert!(has_ended, "the run does not end");
+    // One copy call and two stop calls for each migration attempt.
+    assert!(calls <= 3 * (MAX_UNFORCED_ATTEMPTS + MAX_MIGRATIONS + 1));
+    migration.end();
+    freed.extend(migration.take_unused());
     for copy in &freed {
         let known = &world.copies[&copy.handle];
         assert!(!known.is_used, "a used copy is freed");
     }
     let freed: BTreeSet<&String> = freed.iter().map(|copy| &copy.handle).collect();
-    for handle in &world.told {
+    for handle in &world.returned {
         let is_used = world.copies[handle].is_used;
-        assert!(is_used || freed.contains(handle), "{handle} is forgotten");
+        assert!(is_used || freed.contains(handle), "{handle} is leaked");
     }
-    (world, is_whole)
+    (world, is_complete)
 }
 
 proptest! {
@@ -345,34 +355,34 @@
     })]
 
     #[test]
-    fn a_run_goes_on_in_order_at_one_engine_at_a_time(script in script()) {
-        let (world, is_whole) = play(&script);
+    fn events_arrive_in_order_from_one_engine_at_a_time(script in script()) {
+        let (world, is_complete) = simulate(&script);
         let expected: Vec<u32> = (1..=world.last()).collect();
-        prop_assert_eq!(&world.passed, &expected);
-        prop_assert_eq!(is_whole, world.last() == world.events);
-        prop_assert!(world.runs <= 1 + MOST_MOVES);
-        let living = world.ran_at.difference(&world.dead).count();
-        prop_assert!(living <= script.most_engines as usize, "{:?}", world);
+        prop_assert_eq!(&world.received, &expected);
+        prop_assert_eq!(is_complete, world.last() == world.events);
+        prop_assert!(world.runs <= 1 + MAX_MIGRATIONS);
+        let alive = world.ran_at.difference(&world.crashed).count();
+        prop_assert!(alive <= script.most_engines as usize, "{:?}", world);
     }
 }
 
-/// The model reaches what it is for.
+/// Checks that the model covers successful migrations.
 #[test]
-fn a_reset_stream_and_a_crash_with_a_backup_are_survived() {
-    let script = |has_backup, happening| Script {
+fn runs_survive_a_reset_and_a_crash_with_a_backup() {
+    let script = |has_backup, occurrence| Script {
         events: 4,
         has_backup,
         most_engines: 2,
-        happenings: vec![
-            Happening::Event,
-            happening,
-            Happening::Event,
-            Happening::Event,
+        occurrences: vec![
+            Occurrence::Event,
+            occurrence,
+            Occurrence::Event,
+            Occurrence::Event,
         ],
-        fates: vec![Fate::Served],
+        outcomes: vec![Outcome::Success],
     };
-    assert!(play(&script(false, Happening::Reset(true))).1);
-    assert!(play(&script(true, Happening::Crash)).1);
-    assert!(!play(&script(false, Happening::Crash)).1);
-    assert!(play(&script(false, Happening::Leave(Reason::Draining))).1);
+    assert!(simulate(&script(false, Occurrence::Reset(true))).1);
+    assert!(simulate(&script(true, Occurrence::Crash)).1);
+    assert!(!simulate(&script(false, Occurrence::Crash)).1);
+    assert!(simulate(&script(false, Occurrence::Migrate(Reason::Draining))).1);
 }
