--- a/crates/gateway-core/src/feed/mod.rs
+++ b/crates/gateway-core/src/feed/mod.rs
@@ -1,8 +1,9 @@
-//! Few nodes of a large fleet read the log's streams; the others hear of the news from them.
+//! Fan-out of the log's streams in large fleets: a few nodes per zone read them and forward updates.
 //!
-//! A stream that every node reads itself costs the log nodes times workers: that holds for a hundred
-//! nodes and not for a thousand. [`roles`] decides who reads, [`catalog`] which workers of thousands a
-//! zone uses, and [`published`] what a listener that knows an earlier state of those has to hear.
+//! If every node read the workers' stream, the load on the log would grow with nodes times workers,
+//! which is acceptable for about a hundred nodes but not for a thousand. [`roles`] decides which nodes
+//! read, [`catalog`] selects the workers that a zone uses, and [`published`] computes the updates for
+//! listeners that know an earlier state.
 
 pub mod catalog;
 pub mod published;
--- a/crates/gateway-core/src/feed/published.rs
+++ b/crates/gateway-core/src/feed/published.rs
@@ -1,5 +1,5 @@
-//! The workers in use as a reader tells them: a numbered state, and what has changed since earlier
-//! numbers.
+//! The workers in use as published by a reader: a versioned state from which listeners receive
+//! incremental updates.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,27 +9,28 @@
 use crate::feed::catalog::Change;
 use crate::workers::WorkerRecord;
 
-/// Changes that are remembered; a listener that missed more hears the whole state.
-const MOST_CHANGES: usize = 1_024;
+/// Maximum number of changes kept for incremental updates. A listener that has missed more receives the
+/// whole state.
+const MAX_CHANGES: usize = 1_024;
 
-/// The workers in use and their latest changes.
+/// Versioned set of the workers in use, with its latest changes.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedWorkers {
     revision: u64,
     workers: BTreeMap<String, WorkerRecord>,
-    /// Ids in the order of their changes, each with the number that it made.
+    /// IDs of the changed workers in order, each with the revision of its change.
     changes: VecDeque<(u64, String)>,
-    /// Number from which on all changes are remembered.
-    remembered_from: u64,
+    /// Earliest revision from which all later changes are kept.
+    oldest_revision: u64,
 }
 
 impl PublishedWorkers {
-    /// Number of the present state; larger after each change.
+    /// Returns the revision of the current state, which increases with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes changes.
+    /// Applies changes as one new revision.
     pub fn take(&mut self, changes: &[Change]) {
         if changes.is_empty() {
             return;
@@ -48,25 +49,25 @@
             };
             self.changes.push_back((self.revision, id));
         }
-        while self.changes.len() > MOST_CHANGES {
+        while self.changes.len() > MAX_CHANGES {
             if let Some((revision, _)) = self.changes.pop_front() {
-                self.remembered_from = revision;
+                self.oldest_revision = revision;
             }
         }
     }
 
-    /// Nothing is in use any more; what listeners know of earlier states counts no more.
+    /// Removes all workers and invalidates the states that listeners know.
     pub fn clear(&mut self) {
         self.revision += 1;
-        self.remembered_from = self.revision;
+        self.oldest_revision = self.revision;
         self.workers.clear();
         self.changes.clear();
     }
 
-    /// What a listener has to hear that knows the state of a number, `None` if it knows none. `offset` is
-    /// that of the last record that this reader has taken.
+    /// Returns the update for a listener that knows revision `known`, or none. `offset` is that of the
+    /// last record that this reader has applied.
     pub fn since(&self, known: Option<u64>, offset: Offset) -> WorkersUpdate {
-        let known = known.filter(|known| (self.remembered_from..=self.revision).contains(known));
+        let known = known.filter(|known| (self.oldest_revision..=self.revision).contains(known));
         let Some(known) = known else {
             return WorkersUpdate {
                 revision: self.revision,
--- a/crates/gateway-core/src/feed/roles.rs
+++ b/crates/gateway-core/src/feed/roles.rs
@@ -1,23 +1,23 @@
-//! Which nodes read the log's streams themselves.
+//! Selection of the nodes that read the log's streams for their zone.
 //!
-//! In each zone the first few nodes of an order that everybody works out alike are readers: large
-//! machines before small ones, those listed longest before others, so that a node that comes moves
-//! nobody. Readers tell the nodes of their zone at a steady pace what they have read and when; whoever
-//! stands behind them takes over if they fall silent or cannot read.
+//! All nodes of a zone compute the same ranking: large machines before small ones, then the longest
+//! listed first, so that a new node does not displace a reader. The first few nodes are readers and
+//! send heartbeats with the state and age of their reads. If they become silent or cannot read, the
+//! next nodes in the ranking take over.
 //!
-//! Everything that a listener learns is late by the whole chain, so each time is a share of the
-//! shortest time within which news must be acted on:
+//! Failover must complete within the shortest deadline for acting on an update, so all times are
+//! fractions of that deadline:
 //!
-//! | step | share | meanwhile |
+//! | step | fraction | purpose |
 //! |---|---|---|
-//! | all readers of a zone are lost | 0.2 | their last news counts |
-//! | the next in the order waits | 0.2 | another one may come back |
-//! | each further place in the order | 0.02 | not all step in at once |
-//! | its first read | 0.2 | as long as one answer may take |
-//! | its heartbeat reaches the others | 0.05 | |
+//! | detecting the loss of all readers | 0.2 | their last updates still count |
+//! | delay of the next node in the ranking | 0.2 | a reader may recover |
+//! | additional delay for each further rank | 0.02 | avoids simultaneous takeover |
+//! | first read of the new reader | 0.2 | maximum duration of one response |
+//! | heartbeat of the new reader | 0.05 | |
 //!
-//! Three fifths to four fifths in all, if the next two or three in the order live. A reader whose
-//! reads fail says so, and one whose reads hang says how old its news is.
+//! The total is 0.6 to 0.8 of the deadline if one of the next two or three nodes is alive. A reader
+//! reports failing reads, and the age of its last read reveals reads that hang.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,110 +26,111 @@
 
 use crate::nodes::{KnownNode, NodeDirectory};
 
-/// Readers of each zone, so that one's loss leaves another.
-pub const FEWEST_READERS: usize = 2;
+/// Minimum number of readers per zone, so that the loss of one leaves another.
+pub const MIN_READERS: usize = 2;
 
-/// Pairs of node and worker up to which every node reads the streams itself: a worker's entry of some
-/// 250 bytes each 1.2 s makes 12.5 MB a second for all of them, a fortieth of what a log of 4 Gbit/s
-/// sends.
-pub const MOST_PAIRS: usize = 60_000;
+/// Maximum number of nodes times workers for which every node reads the streams itself. With entries
+/// of about 250 bytes every 1.2 s this is 12.5 MB/s, a fortieth of a 4 Gbit/s link of the log.
+pub const MAX_NODE_WORKER_PAIRS: usize = 60_000;
 
-/// What a node knows of the fleet's size.
+/// Size of the fleet as known to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Nodes listed.
+    /// Number of listed nodes.
     pub nodes: usize,
-    /// Their zones.
+    /// Number of zones with listed nodes.
     pub zones: usize,
-    /// How many workers there are; `None` while nobody has said.
+    /// Number of workers, or `None` while it is unknown.
     pub workers: Option<usize>,
     /// Whether the fleet [seemed small](seems_small) when this node started.
     pub seemed_small: bool,
 }
 
 impl FleetSize {
-    /// How many nodes of each zone read the streams, if no more than so many pairs of node and worker
-    /// may be read; [`usize::MAX`] for all.
+    /// Returns the number of readers per zone that keeps reading nodes times workers within `pairs`, or
+    /// [`usize::MAX`] if every node may read.
     pub fn readers_wanted(&self, pairs: usize) -> usize {
         let Some(workers) = self.workers else {
             return match self.seemed_small {
                 true => usize::MAX,
-                false => FEWEST_READERS,
+                false => MIN_READERS,
             };
         };
         if self.nodes.saturating_mul(workers) <= pairs {
             return usize::MAX;
         }
-        (pairs / workers.max(1) / self.zones.max(1)).max(FEWEST_READERS)
+        (pairs / workers.max(1) / self.zones.max(1)).max(MIN_READERS)
     }
 }
 
-/// Nodes listed when a node starts up to which it reads the streams at once, in place of waiting for
-/// a reader's heartbeat: so many may read a first page of each without harm to the log, and the readers
-/// are among them.
-const EARLY_NODES: u64 = 300;
+/// Maximum number of listed nodes for which a starting node reads the streams immediately instead of
+/// waiting for a reader's heartbeat. The log can serve the first page of each stream to this many
+/// nodes, and the eventual readers are among them.
+const MAX_EARLY_READERS: u64 = 300;
 
-/// Whether the fleet seems small to a node that has just written its entry: so many were listed before,
-/// and so many were written since.
+/// Returns whether the fleet seems small to a node that has just written its entry, given the number
+/// of entries listed before and written since.
 pub fn seems_small(listed: u64, written: u64) -> bool {
-    listed.saturating_add(written) <= EARLY_NODES
+    listed.saturating_add(written) <= MAX_EARLY_READERS
 }
 
-/// Times of the chain from a reader to its listeners.
+/// Intervals and timeouts of heartbeats and failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedTimes {
-    /// Pause between two heartbeats of a reader.
+    /// Interval between two heartbeats of a reader.
     pub beat: Duration,
-    /// A reader that has said nothing for this long is taken for lost.
-    pub lifetime: Duration,
-    /// Oldest news of a reader that counts as working.
-    pub oldest: Duration,
-    /// How long too few readers are borne before the next one steps in.
-    pub patience: Duration,
-    /// The same for each further place in the order.
-    pub step: Duration,
+    /// Time without a heartbeat after which a reader counts as lost.
+    pub silence_timeout: Duration,
+    /// Maximum age of the last read of a working reader.
+    pub max_age: Duration,
+    /// Time with too few readers after which the next node in the ranking takes over.
+    pub takeover_delay: Duration,
+    /// Additional time for each further rank.
+    pub delay_per_rank: Duration,
 }
 
 impl FeedTimes {
-    /// Times for news that must be acted on within `deadline`.
+    /// Returns the times for updates that must be acted on within `deadline`.
     pub fn within(deadline: Duration) -> Self {
-        let share = |share, longest_ms| {
-            let longest = Duration::from_millis(longest_ms);
-            deadline.mul_f64(share).min(longest)
+        let fraction = |fraction, max_ms| {
+            let max = Duration::from_millis(max_ms);
+            deadline.mul_f64(fraction).min(max)
         };
         Self {
-            beat: share(0.05, 250),
-            lifetime: share(0.2, 1_000),
-            // A read that waits for news proves what held when it was sent: at rest news is up to two
-            // waits of three tenths old.
-            oldest: deadline.mul_f64(0.8),
-            patience: share(0.2, 1_000),
-            step: share(0.02, 100),
+            beat: fraction(0.05, 250),
+            silence_timeout: fraction(0.2, 1_000),
+            // A long-polling read reflects the state at the time when it was sent. On an idle stream,
+            // the state is therefore up to two waits of 0.3 of the deadline old.
+            max_age: deadline.mul_f64(0.8),
+            takeover_delay: fraction(0.2, 1_000),
+            delay_per_rank: fraction(0.02, 100),
         }
     }
 }
 
-/// Places behind the readers that step in quickly; those behind them take so many steps for each
-/// place, so that a log that serves nobody is not asked by everybody.
-const QUICK_PLACES: u32 = 6;
+/// Number of ranks behind the readers that are delayed by one [`FeedTimes::delay_per_rank`] each. Later
+/// ranks are delayed by [`SLOW_RANK_STEPS`] times as much, so that an outage of the log does not make
+/// every node read.
+const QUICK_RANKS: u32 = 6;
 
-/// Steps of each place behind those.
-const SLOW_STEPS: u32 = 20;
+/// Multiple of [`FeedTimes::delay_per_rank`] for each rank after the first [`QUICK_RANKS`].
+const SLOW_RANK_STEPS: u32 = 20;
 
-/// A node that hears of no reader at all steps in after so many times the usual patience, whatever its
-/// place, and half a step for each place.
-const ALONE_PATIENCE: u32 = 3;
+/// Multiple of the takeover delay after which a node that receives no heartbeats starts to read,
+/// plus half of [`FeedTimes::delay_per_rank`] per rank.
+const ISOLATED_DELAY_FACTOR: u32 = 3;
 
-/// A node that has stepped in for lost readers keeps reading for so many times the patience after
-/// enough others read again: they may be lost once more.
-const STEP_DOWN_PATIENCE: u32 = 2;
+/// Multiple of the takeover delay for which a node that took over continues to read after enough other
+/// readers work again, since these may fail again.
+const STEP_DOWN_DELAY_FACTOR: u32 = 2;
 
-/// A node that only began to read at its start keeps reading for so many steps after enough others are
-/// heard: at the start of a fleet every entry of its workers is news, and hundreds would read it.
+/// Multiple of [`FeedTimes::delay_per_rank`] for which a node that has read only since its start
+/// continues to read once enough other readers work. Short, since hundreds of nodes would otherwise read every worker's entry while
+/// a fleet starts.
 const STEP_DOWN_STEPS: u32 = 2;
 
-/// The nodes of a zone in the order in which they should read: large machines first, those listed
-/// longest first among them. Nodes that are leaving, and those that `is_gone`, are left out.
+/// Returns the nodes of a zone in the order in which they should read: large machines first, then the
+/// longest listed first. Draining nodes and those for which `is_gone` holds are excluded.
 pub fn ranking(
     nodes: &NodeDirectory,
     zone: &str,
@@ -148,114 +149,118 @@
     listed.into_iter().map(|(node, _)| node.clone()).collect()
 }
 
-/// What a node does about the streams.
+/// Role of a node in reading the streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It has not found out yet.
+    /// Not decided yet.
     #[default]
     Undecided,
-    /// It reads them.
+    /// Reads the streams from the log.
     Reader,
-    /// It hears of news from readers.
+    /// Receives updates from readers.
     Listener,
 }
 
+/// Last heartbeat of a reader.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Heartbeat {
     at: Timestamp,
-    /// Age of the reader's news then.
+    /// Age of the reader's last read at that time.
     age: Duration,
-    /// Whether its reads are answered.
+    /// Whether its reads succeed.
     reads: bool,
 }
 
-/// Decides this node's role from the heartbeats of the others.
+/// Decides this node's role from the heartbeats of other nodes.
 #[derive(Clone, Debug)]
 pub struct Roles {
     times: FeedTimes,
     role: Role,
-    /// Whether this node reads since others did not.
-    has_stepped_in: bool,
-    heard: BTreeMap<NodeId, Heard>,
-    /// Since when there have been too few working readers.
+    /// Whether this node has taken over from other readers.
+    has_taken_over: bool,
+    heartbeats: BTreeMap<NodeId, Heartbeat>,
+    /// Start of the current shortage of working readers.
     short_since: Option<Timestamp>,
-    /// Since when there have been enough before this node, which reads.
+    /// Time since which enough readers ranked before this node have worked.
     enough_since: Option<Timestamp>,
-    /// Whether a reader has worked.
-    has_worked: bool,
-    /// Whether none works, after one has.
-    is_dark: bool,
-    /// When anybody was heard last, or else when this node began to listen.
-    heard_any: Option<Timestamp>,
+    /// Whether any reader has worked so far.
+    has_had_reader: bool,
+    /// Whether no reader works although one has before.
+    is_outage: bool,
+    /// Time of the last heartbeat from any node, or the time of the first decision if there was none.
+    last_heartbeat: Option<Timestamp>,
 }
 
 impl Roles {
-    /// Has heard nobody yet.
+    /// Creates the state of a node that has received no heartbeat.
     pub fn new(times: FeedTimes) -> Self {
         Self {
             times,
             role: Role::default(),
-            has_stepped_in: false,
-            heard: BTreeMap::new(),
+            has_taken_over: false,
+            heartbeats: BTreeMap::new(),
             short_since: None,
             enough_since: None,
-            has_worked: false,
-            is_dark: false,
-            heard_any: None,
+            has_had_reader: false,
+            is_outage: false,
+            last_heartbeat: None,
         }
     }
 
-    /// The present role.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// This node reads from now on, until others are shown to do.
+    /// Makes this node a reader until enough others are known to work.
     pub fn read(&mut self) {
         self.role = Role::Reader;
     }
 
-    /// Takes a reader's heartbeat: the age of its news, and whether its reads are answered.
+    /// Records a reader's heartbeat: the age of its last read, and whether its reads succeed.
     pub fn note_heard(&mut self, now: Timestamp, node: &NodeId, age: Duration, reads: bool) {
-        self.heard_any = Some(now);
-        self.heard.insert(
+        self.last_heartbeat = Some(now);
+        self.heartbeats.insert(
             node.clone(),
-            Heard {
+            Heartbeat {
                 at: now,
                 age,
                 reads,
             },
         );
-        let oldest = self.times.oldest;
-        self.heard.retain(|_, heard| now.since(heard.at) < oldest);
+        let max_age = self.times.max_age;
+        self.heartbeats
+            .retain(|_, heartbeat| now.since(heartbeat.at) < max_age);
     }
 
-    /// Whether a reader's news can be relied on.
+    /// Returns whether a reader's updates can be relied on.
     pub fn is_working(&self, now: Timestamp, node: &NodeId) -> bool {
-        self.heard.get(node).is_some_and(|heard| {
-            let silent = now.since(heard.at);
-            heard.reads && silent < self.times.lifetime && heard.age + silent < self.times.oldest
+        self.heartbeats.get(node).is_some_and(|heartbeat| {
+            let silent = now.since(heartbeat.at);
+            heartbeat.reads
+                && silent < self.times.silence_timeout
+                && heartbeat.age + silent < self.times.max_age
         })
     }
 
-    /// The reader to hear of news from: the foremost one that works.
+    /// Returns the reader to receive updates from: the first working one in the ranking.
     pub fn source<'a>(&self, now: Timestamp, ranking: &'a [NodeId]) -> Option<&'a NodeId> {
         let mut working = ranking.iter().filter(|node| self.is_working(now, node));
         working.next()
     }
 
-    /// Takes whether any reader works; tells whether one does again, after a time in which none did: the
-    /// log was away.
+    /// Updates whether any reader works. Returns whether one works again after none did, which means
+    /// that an outage of the log has ended.
     pub fn note_return(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
         let works = self.source(now, ranking).is_some();
-        let is_back = works && self.is_dark;
-        self.has_worked |= works;
-        self.is_dark = !works && self.has_worked;
+        let is_back = works && self.is_outage;
+        self.has_had_reader |= works;
+        self.is_outage = !works && self.has_had_reader;
         is_back
     }
 
-    /// Works out the role anew. `ranking` is the order of the zone, in which this node may be missing,
-    /// and `wanted` the number of readers.
+    /// Updates and returns the role. `ranking` is the zone's ranking, which may not contain this node,
+    /// and `wanted` is the number of readers.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -263,12 +268,12 @@
         own: &NodeId,
         wanted: usize,
     ) -> Role {
-        let place = ranking.iter().position(|node| node == own);
-        let place = place.unwrap_or(ranking.len());
-        if place < wanted {
+        let rank = ranking.iter().position(|node| node == own);
+        let rank = rank.unwrap_or(ranking.len());
+        if rank < wanted {
             self.short_since = None;
             self.enough_since = None;
-            self.has_stepped_in = false;
+            self.has_taken_over = false;
             self.role = Role::Reader;
             return self.role;
         }
@@ -276,17 +281,17 @@
             let working = nodes.iter().filter(|node| self.is_working(now, node));
             working.filter(|node| *node != own).count()
         };
-        let before = working(&ranking[..place.min(ranking.len())]);
+        let working_before = working(&ranking[..rank.min(ranking.len())]);
         let is_short = match self.role {
-            Role::Reader => before < wanted,
+            Role::Reader => working_before < wanted,
             Role::Undecided | Role::Listener => working(ranking) < wanted,
         };
         self.note_shortage(now, is_short);
         self.role = match self.role {
             Role::Reader if self.may_step_down(now) => Role::Listener,
             Role::Reader => Role::Reader,
-            Role::Undecided | Role::Listener if self.must_step_in(now, place - wanted) => {
-                self.has_stepped_in = true;
+            Role::Undecided | Role::Listener if self.must_take_over(now, rank - wanted) => {
+                self.has_taken_over = true;
                 Role::Reader
             }
             Role::Undecided if is_short => Role::Undecided,
@@ -295,8 +300,9 @@
         self.role
     }
 
+    /// Records whether there are too few readers.
     fn note_shortage(&mut self, now: Timestamp, is_short: bool) {
-        self.heard_any.get_or_insert(now);
+        self.last_heartbeat.get_or_insert(now);
         if is_short {
             self.enough_since = None;
             self.short_since.get_or_insert(now);
@@ -306,28 +312,30 @@
         }
     }
 
+    /// Returns whether other readers have worked long enough for this node to stop reading.
     fn may_step_down(&self, now: Timestamp) -> bool {
-        let lasting = match self.has_stepped_in {
-            true => self.times.patience * STEP_DOWN_PATIENCE,
-            false => self.times.step * STEP_DOWN_STEPS,
+        let required = match self.has_taken_over {
+            true => self.times.takeover_delay * STEP_DOWN_DELAY_FACTOR,
+            false => self.times.delay_per_rank * STEP_DOWN_STEPS,
         };
         self.enough_since
-            .is_some_and(|since| now.since(since) >= lasting)
+            .is_some_and(|since| now.since(since) >= required)
     }
 
-    /// Whether the node that stands so many places behind the wanted readers is to read.
-    fn must_step_in(&self, now: Timestamp, places: usize) -> bool {
-        let places = u32::try_from(places).unwrap_or(u32::MAX).min(4_096);
-        let slow = places.saturating_sub(QUICK_PLACES);
-        let steps = places.min(QUICK_PLACES) + slow * SLOW_STEPS;
-        let in_turn = self.times.patience + self.times.step * steps;
-        let is_turn = self
+    /// Returns whether this node, `ranks` ranks behind the wanted readers, must start to read.
+    fn must_take_over(&self, now: Timestamp, ranks: usize) -> bool {
+        let ranks = u32::try_from(ranks).unwrap_or(u32::MAX).min(4_096);
+        let slow_ranks = ranks.saturating_sub(QUICK_RANKS);
+        let steps = ranks.min(QUICK_RANKS) + slow_ranks * SLOW_RANK_STEPS;
+        let own_delay = self.times.takeover_delay + self.times.delay_per_rank * steps;
+        let is_due = self
             .short_since
-            .is_some_and(|since| now.since(since) >= in_turn);
-        let alone = self.times.patience * ALONE_PATIENCE + self.times.step * places / 2;
-        let is_alone = self
-            .heard_any
-            .is_some_and(|since| now.since(since) >= alone);
-        is_turn || is_alone
+            .is_some_and(|since| now.since(since) >= own_delay);
+        let isolated_delay = self.times.takeover_delay * ISOLATED_DELAY_FACTOR
+            + self.times.delay_per_rank * ranks / 2;
+        let is_isolated = self
+            .last_heartbeat
+            .is_some_and(|since| now.since(since) >= isolated_delay);
+        is_due || is_isolated
     }
 }
--- a/crates/gateway-core/src/policy.rs
+++ b/crates/gateway-core/src/policy.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::admission::AdmissionMode;
-use crate::feed::roles::MOST_PAIRS;
+use crate::feed::roles::MAX_NODE_WORKER_PAIRS;
 
 /// Mechanisms and figures; every node of a deployment should have the same.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -190,7 +190,7 @@
             longest_wait_ms: 250,
             floor_interval: 4,
             fair_share: true,
-            reading_pairs: MOST_PAIRS,
+            reading_pairs: MAX_NODE_WORKER_PAIRS,
             run_moves: true,
             leaving_silence_ms: 0,
             backup_bytes_per_token: 0,
--- a/crates/gateway-core/tests/feed_roles.rs
+++ b/crates/gateway-core/tests/feed_roles.rs
@@ -1,10 +1,10 @@
-//! Who reads the log's streams in fleets of 11 to 3,200 nodes, on a clock of its own: how many read,
-//! and how long a zone is without a reader that works.
+//! Simulates the selection of readers in fleets of 11 to 3,200 nodes, in virtual time. Checks the number
+//! of readers and how long a zone is without a working one.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::feed::roles::{
-    FEWEST_READERS, FeedTimes, FleetSize, MOST_PAIRS, Role, Roles, ranking, seems_small,
+    FeedTimes, FleetSize, MAX_NODE_WORKER_PAIRS, MIN_READERS, Role, Roles, ranking, seems_small,
 };
 use elderworks_gateway_core::nodes::{NodeDirectory, NodeRecord};
 use elderworks_gateway_core::policy::Policy;
@@ -12,7 +12,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// Pause between two decisions of a node.
+/// Interval between two decisions of a node, in milliseconds.
 const STEP_MS: u64 = 200;
 
 fn at(ms: u64) -> Timestamp {
@@ -47,41 +47,44 @@
 #[test]
 fn small_fleets_all_read_and_large_ones_have_few_readers() {
     for (nodes, zones, workers) in [(11, 3, 15), (74, 4, 60), (295, 5, 140)] {
-        let wanted = size(nodes, zones, Some(workers)).readers_wanted(MOST_PAIRS);
+        let wanted = size(nodes, zones, Some(workers)).readers_wanted(MAX_NODE_WORKER_PAIRS);
         assert_eq!(wanted, usize::MAX, "{nodes}");
     }
     for (nodes, zones, workers) in [(300, 5, 3_000), (984, 5, 10_000), (3_200, 28, 10_000)] {
-        let wanted = size(nodes, zones, Some(workers)).readers_wanted(MOST_PAIRS);
-        assert!((FEWEST_READERS..=4).contains(&wanted), "{nodes}: {wanted}");
+        let wanted = size(nodes, zones, Some(workers)).readers_wanted(MAX_NODE_WORKER_PAIRS);
+        assert!((MIN_READERS..=4).contains(&wanted), "{nodes}: {wanted}");
     }
 }
 
-/// Before the number of workers is known, a fleet is taken for what it seems from its nodes' entries.
+/// Until the number of workers is known, the fleet size is estimated from the nodes' entries.
 #[test]
-fn a_node_that_has_just_started_goes_by_the_entries() {
+fn a_starting_node_estimates_the_fleet_size_from_entries() {
     assert!(seems_small(0, 12) && seems_small(295, 5));
     assert!(!seems_small(984, 1) && !seems_small(0, 700));
     let mut unknown = size(984, 5, None);
-    assert_eq!(unknown.readers_wanted(MOST_PAIRS), FEWEST_READERS);
+    assert_eq!(unknown.readers_wanted(MAX_NODE_WORKER_PAIRS), MIN_READERS);
     unknown.seemed_small = true;
-    assert_eq!(unknown.readers_wanted(MOST_PAIRS), usize::MAX);
+    assert_eq!(unknown.readers_wanted(MAX_NODE_WORKER_PAIRS), usize::MAX);
     unknown.workers = Some(10_000);
     assert_eq!(
-        unknown.readers_wanted(MOST_PAIRS),
-        FEWEST_READERS,
-        "it is not"
+        unknown.readers_wanted(MAX_NODE_WORKER_PAIRS),
+        MIN_READERS,
+        "the fleet is large after all"
     );
 }
 
 #[test]
-fn the_return_of_a_reader_after_a_time_without_any_is_told_once() {
+fn recovery_after_an_outage_is_reported_once() {
     let ranking: Vec<NodeId> = (0..4).map(id).collect();
     let mut roles = Roles::new(FeedTimes::within(DEADLINE));
-    assert!(!roles.note_return(at(0), &ranking), "nobody was heard yet");
+    assert!(
+        !roles.note_return(at(0), &ranking),
+        "no heartbeat was received yet"
+    );
     roles.note_heard(at(100), &id(0), Duration::ZERO, true);
     assert!(
         !roles.note_return(at(200), &ranking),
-        "the first one is no return"
+        "the first reader is no recovery"
     );
     roles.note_heard(at(300), &id(0), Duration::ZERO, false);
     assert!(!roles.note_return(at(400), &ranking), "it cannot read");
@@ -90,7 +93,7 @@
     roles.note_heard(at(700), &id(0), Duration::ZERO, false);
     assert!(
         !roles.note_return(at(800), &ranking),
-        "another one works still"
+        "another reader still works"
     );
     assert!(!roles.note_return(at(9_000), &ranking), "silent");
     roles.note_heard(at(9_100), &id(1), Duration::ZERO, true);
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn large_machines_read_first_and_those_listed_longest_among_them() {
+fn the_ranking_prefers_large_then_longest_listed_nodes() {
     let mut nodes = NodeDirectory::new(&Policy::default());
     let listed = [
         ("small-old", 120, 1),
@@ -114,21 +117,22 @@
     }
     nodes.upsert(NodeId::new("elsewhere"), Incarnation(0), record("b", 500));
     nodes.upsert(NodeId::new("gone"), Incarnation(2), record("a", 500));
-    let mut leaving = record("a", 500);
-    leaving.draining = true;
-    nodes.upsert(NodeId::new("leaving"), Incarnation(3), leaving);
+    let mut draining = record("a", 500);
+    draining.draining = true;
+    nodes.upsert(NodeId::new("leaving"), Incarnation(3), draining);
     let ranked = ranking(&nodes, "a", |node| node.as_str() == "gone");
     let names: Vec<&str> = ranked.iter().map(NodeId::as_str).collect();
     assert_eq!(names, ["large-old", "large-new", "small-old"]);
 }
 
-/// A zone whose nodes hear each other at once.
+/// A zone whose nodes receive heartbeats without delay.
 struct Zone {
     ranking: Vec<NodeId>,
     nodes: Vec<Roles>,
-    lives: Vec<bool>,
-    /// Whether the log answers a node.
-    is_served: Vec<bool>,
+    /// Whether each node is running.
+    is_alive: Vec<bool>,
+    /// Whether the log answers each node.
+    log_answers: Vec<bool>,
 }
 
 impl Zone {
@@ -137,27 +141,27 @@
         Self {
             ranking: (0..count).map(id).collect(),
             nodes: vec![Roles::new(times); count],
-            lives: vec![true; count],
-            is_served: vec![true; count],
+            is_alive: vec![true; count],
+            log_answers: vec![true; count],
         }
     }
 
-    /// One step: all decide, and those who read say so.
+    /// Simulates one step: all nodes decide, then the readers send heartbeats.
     fn step(&mut self, now: Timestamp) {
-        let mut words = Vec::new();
+        let mut heartbeats = Vec::new();
         for number in 0..self.nodes.len() {
-            if !self.lives[number] {
+            if !self.is_alive[number] {
                 continue;
             }
             let own = self.ranking[number].clone();
-            let role = self.nodes[number].decide(now, &self.ranking, &own, FEWEST_READERS);
+            let role = self.nodes[number].decide(now, &self.ranking, &own, MIN_READERS);
             if role == Role::Reader {
-                words.push((own, self.is_served[number]));
+                heartbeats.push((own, self.log_answers[number]));
             }
         }
-        for (node, reads) in words {
+        for (node, reads) in heartbeats {
             for (number, roles) in self.nodes.iter_mut().enumerate() {
-                if self.lives[number] && self.ranking[number] != node {
+                if self.is_alive[number] && self.ranking[number] != node {
                     roles.note_heard(now, &node, Duration::from_millis(50), reads);
                 }
             }
@@ -165,42 +169,44 @@
     }
 
     fn readers(&self) -> usize {
-        let all = self.nodes.iter().zip(&self.lives);
-        all.filter(|(roles, lives)| **lives && roles.role() == Role::Reader)
+        let all = self.nodes.iter().zip(&self.is_alive);
+        all.filter(|(roles, is_alive)| **is_alive && roles.role() == Role::Reader)
             .count()
     }
 
     fn working(&self) -> usize {
-        let all = self.nodes.iter().zip(&self.lives).zip(&self.is_served);
-        all.filter(|((roles, lives), served)| **lives && **served && roles.role() == Role::Reader)
-            .count()
+        let all = self.nodes.iter().zip(&self.is_alive).zip(&self.log_answers);
+        all.filter(|((roles, is_alive), answered)| {
+            **is_alive && **answered && roles.role() == Role::Reader
+        })
+        .count()
     }
 
-    /// Plays some seconds; the longest time without a reader that works, in ms, and the most readers
-    /// at once.
-    fn play(&mut self, from_ms: u64, for_ms: u64) -> (u64, usize) {
-        let (mut dark, mut longest, mut most) = (0, 0, 0);
+    /// Simulates `for_ms` milliseconds. Returns the longest time without a working reader in
+    /// milliseconds, and the maximum number of simultaneous readers.
+    fn simulate(&mut self, from_ms: u64, for_ms: u64) -> (u64, usize) {
+        let (mut gap_ms, mut max_gap_ms, mut max_readers) = (0, 0, 0);
         for ms in (from_ms..from_ms + for_ms).step_by(STEP_MS as usize) {
             self.step(at(ms));
-            dark = if self.working() == 0 {
-                dark + STEP_MS
+            gap_ms = if self.working() == 0 {
+                gap_ms + STEP_MS
             } else {
                 0
             };
-            longest = longest.max(dark);
-            most = most.max(self.readers());
+            max_gap_ms = max_gap_ms.max(gap_ms);
+            max_readers = max_readers.max(self.readers());
         }
-        (longest, most)
+        (max_gap_ms, max_readers)
     }
 }
 
 #[test]
-fn at_rest_the_first_two_read_whatever_the_size_of_the_zone() {
+fn two_nodes_read_in_zones_of_any_size() {
     for count in [4, 60, 200, 640] {
         let mut zone = Zone::new(count);
-        zone.play(0, 3_000);
-        let (dark, most) = zone.play(3_000, 10_000);
-        assert_eq!((dark, most), (0, FEWEST_READERS), "{count} nodes");
+        zone.simulate(0, 3_000);
+        let (gap_ms, max_readers) = zone.simulate(3_000, 10_000);
+        assert_eq!((gap_ms, max_readers), (0, MIN_READERS), "{count} nodes");
         assert!(
             zone.nodes[2..]
                 .iter()
@@ -209,81 +215,85 @@
     }
 }
 
-/// Both readers are killed, with whatever stands behind them: the zone hears again of news in time for
-/// what must be acted on within the deadline.
+/// Guards against a zone missing its deadline after the loss of both readers and the nodes ranked next.
 #[test]
 fn lost_readers_are_replaced_within_half_of_the_deadline_and_by_few() {
     for count in [60, 200] {
         for lost in [2, 3, 5] {
             let mut zone = Zone::new(count);
-            zone.play(0, 3_000);
-            zone.lives[..lost].fill(false);
-            let (dark, most) = zone.play(3_000, 10_000);
-            assert!(dark <= 2_500, "{count} nodes, {lost} lost: {dark} ms");
-            assert!(most <= 6, "{count} nodes, {lost} lost: {most} readers");
-            // They come back to their places, and those who stepped in step down.
-            zone.lives[..lost].fill(true);
-            zone.play(13_000, 6_000);
-            assert_eq!(zone.readers(), FEWEST_READERS, "{count} nodes, {lost} lost");
+            zone.simulate(0, 3_000);
+            zone.is_alive[..lost].fill(false);
+            let (gap_ms, max_readers) = zone.simulate(3_000, 10_000);
+            assert!(gap_ms <= 2_500, "{count} nodes, {lost} lost: {gap_ms} ms");
+            assert!(
+                max_readers <= 6,
+                "{count} nodes, {lost} lost: {max_readers} readers"
+            );
+            // The lost nodes return to their ranks, and the nodes that took over step down.
+            zone.is_alive[..lost].fill(true);
+            zone.simulate(13_000, 6_000);
+            assert_eq!(zone.readers(), MIN_READERS, "{count} nodes, {lost} lost");
         }
     }
 }
 
 #[test]
-fn readers_that_the_log_turns_away_are_passed_over() {
+fn readers_whose_reads_fail_are_replaced() {
     for refused in [2, 4] {
         let mut zone = Zone::new(200);
-        zone.play(0, 3_000);
-        zone.is_served[..refused].fill(false);
-        let (dark, most) = zone.play(3_000, 9_000);
-        assert!(dark <= 2_500, "{refused} refused: {dark} ms");
+        zone.simulate(0, 3_000);
+        zone.log_answers[..refused].fill(false);
+        let (gap_ms, max_readers) = zone.simulate(3_000, 9_000);
+        assert!(gap_ms <= 2_500, "{refused} refused: {gap_ms} ms");
         assert!(
-            most <= 2 * refused + FEWEST_READERS,
-            "{refused} refused: {most} readers"
+            max_readers <= 2 * refused + MIN_READERS,
+            "{refused} refused: {max_readers} readers"
         );
     }
 }
 
-/// The log is away for everybody: nobody learns anything by reading it more.
+/// Guards against every node reading the log while it is unavailable, which would add load without
+/// any benefit.
 #[test]
-fn an_outage_of_the_log_makes_no_storm_of_readers() {
+fn an_outage_of_the_log_causes_few_additional_readers() {
     for count in [60, 200] {
         let mut zone = Zone::new(count);
-        zone.play(0, 3_000);
-        zone.is_served.fill(false);
-        let (_, most) = zone.play(3_000, 9_000);
-        assert!(most <= 16, "{count} nodes: {most} readers");
-        zone.is_served.fill(true);
-        zone.play(12_000, 6_000);
-        assert_eq!(zone.readers(), FEWEST_READERS, "{count} nodes");
+        zone.simulate(0, 3_000);
+        zone.log_answers.fill(false);
+        let (_, max_readers) = zone.simulate(3_000, 9_000);
+        assert!(max_readers <= 16, "{count} nodes: {max_readers} readers");
+        zone.log_answers.fill(true);
+        zone.simulate(12_000, 6_000);
+        assert_eq!(zone.readers(), MIN_READERS, "{count} nodes");
     }
 }
 
-/// More than half of a zone is killed at once, the readers among them, before anybody else has
-/// noticed.
+/// Guards against slow failover when about half of a zone crashes at once, including both readers, and
+/// the ranking still lists the crashed nodes.
 #[test]
-fn the_loss_of_half_a_zone_leaves_readers_in_time() {
+fn readers_are_replaced_in_time_after_the_loss_of_half_a_zone() {
     for seed in 0..8_u64 {
         let mut zone = Zone::new(200);
-        zone.play(0, 3_000);
+        zone.simulate(0, 3_000);
         for number in 0..200 {
             let draw = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (seed << 40);
-            zone.lives[number] = number > 1 && draw.wrapping_mul(0xD6E8_FEB8_6659_FD93) >> 63 == 0;
+            zone.is_alive[number] =
+                number > 1 && draw.wrapping_mul(0xD6E8_FEB8_6659_FD93) >> 63 == 0;
         }
-        let (dark, _) = zone.play(3_000, 10_000);
-        assert!(dark <= 4_000, "seed {seed}: {dark} ms");
+        let (gap_ms, _) = zone.simulate(3_000, 10_000);
+        assert!(gap_ms <= 4_000, "seed {seed}: {gap_ms} ms");
     }
 }
 
 #[test]
-fn a_node_that_hears_nobody_reads_by_itself() {
+fn a_node_without_heartbeats_starts_to_read() {
     let times = FeedTimes::within(DEADLINE);
     let ranking: Vec<NodeId> = (0..200).map(id).collect();
     let mut roles = Roles::new(times);
     let own = id(150);
     let mut since = None;
     for ms in (0..20_000).step_by(STEP_MS as usize) {
-        if roles.decide(at(ms), &ranking, &own, FEWEST_READERS) == Role::Reader {
+        if roles.decide(at(ms), &ranking, &own, MIN_READERS) == Role::Reader {
             since.get_or_insert(ms);
         }
     }
@@ -294,7 +304,7 @@
 }
 
 #[test]
-fn an_old_word_and_old_news_count_no_more() {
+fn old_heartbeats_and_old_reads_do_not_count() {
     let times = FeedTimes::within(DEADLINE);
     let mut roles = Roles::new(times);
     let node = id(0);
@@ -303,7 +313,10 @@
     assert!(!roles.is_working(at(1_000), &node), "silent");
     roles.note_heard(at(1_000), &node, Duration::from_millis(3_900), true);
     assert!(roles.is_working(at(1_000), &node));
-    assert!(!roles.is_working(at(1_200), &node), "its news is old");
+    assert!(
+        !roles.is_working(at(1_200), &node),
+        "its last read is too old"
+    );
     roles.note_heard(at(1_300), &node, Duration::ZERO, false);
     assert!(!roles.is_working(at(1_300), &node), "its reads fail");
 }
--- a/crates/gateway-core/tests/feed_workers.rs
+++ b/crates/gateway-core/tests/feed_workers.rs
@@ -1,4 +1,4 @@
-//! Which of thousands of workers a zone uses, and what listeners hear of them.
+//! Tests which of thousands of workers a zone uses, and the updates that listeners receive.
 
 mod common;
 
@@ -41,29 +41,31 @@
 }
 
 #[test]
-fn small_services_are_used_whole() {
+fn small_services_are_used_completely() {
     for engines in [1, 15, 122, 256] {
         assert_eq!(in_use(&mut catalog("a", engines)).len(), engines);
     }
 }
 
-/// An idle fleet uses some of its own zone and few elsewhere; two readers of a zone the same ones.
+/// Checks that the subset of an idle fleet is small, mostly in the own zone, and the same for all
+/// readers of the zone.
 #[test]
-fn a_zone_of_an_idle_fleet_uses_few_workers_and_all_readers_the_same() {
+fn readers_of_an_idle_fleet_select_the_same_small_subset() {
     let used = in_use(&mut catalog("a", ENGINES));
     assert_eq!(count_in(&used, "a"), 32);
     for zone in &ZONES[1..] {
         assert_eq!(count_in(&used, zone), 4, "{zone}");
     }
     assert_eq!(in_use(&mut catalog("a", ENGINES)), used);
-    // At twice the size no more are used.
+    // A fleet of twice the size does not use more workers.
     let twice = in_use(&mut catalog("a", 2 * ENGINES));
     assert_eq!(twice.len(), used.len());
 }
 
-/// A load that begins at once, as told every 200 ms: the zone never uses less than twice what runs.
+/// Guards against queueing while the load rises quickly: with reports every 200 ms, the subset always has
+/// at least three slots per running request.
 #[test]
-fn the_workers_in_use_grow_with_the_load_before_it_queues() {
+fn the_subset_grows_with_the_load_before_requests_queue() {
     let mut catalog = catalog("a", ENGINES);
     catalog.changes(START, |_| false);
     for step in 0..40_u32 {
@@ -79,14 +81,14 @@
         );
     }
     let busy = catalog.in_use().count();
-    // It shrinks slowly: a lull of some seconds makes no engine forget what it has read.
+    // The subset shrinks slowly, so that engines keep their cached prompts over a lull.
     let lull = START + Duration::from_secs(18);
     catalog.note_load(lull, "engines", 0, 6);
     catalog.changes(lull, |_| false);
     assert!(catalog.in_use().count() * 10 > busy * 8);
-    let night = START + Duration::from_secs(3_600);
-    catalog.note_load(night, "engines", 0, 6);
-    catalog.changes(night, |_| false);
+    let later = START + Duration::from_secs(3_600);
+    catalog.note_load(later, "engines", 0, 6);
+    catalog.changes(later, |_| false);
     assert_eq!(
         catalog.in_use().filter(|record| record.zone == "a").count(),
         32
@@ -94,22 +96,22 @@
 }
 
 #[test]
-fn a_worker_that_leaves_or_goes_is_replaced_and_no_other_one_moves() {
+fn replacing_a_worker_does_not_affect_others() {
     let mut catalog = catalog("a", ENGINES);
     let before = in_use(&mut catalog);
-    let leaving = before
+    let drained = before
         .iter()
         .find(|(_, zone)| *zone == "a")
         .expect("one")
         .0
         .clone();
-    let number: usize = leaving["engine-".len()..].parse().expect("a number");
+    let number: usize = drained["engine-".len()..].parse().expect("a number");
     catalog.upsert(WorkerRecord {
         draining: true,
         ..record(number)
     });
     let changes = catalog.changes(START, |_| false);
-    let told: Vec<&WorkerRecord> = changes
+    let uses: Vec<&WorkerRecord> = changes
         .iter()
         .filter_map(|change| match change {
             Change::Use(record) => Some(record),
@@ -117,18 +119,18 @@
         })
         .collect();
     assert_eq!(
-        (changes.len(), told.len()),
+        (changes.len(), uses.len()),
         (2, 2),
-        "its leaving and its replacement"
+        "the drain and the replacement"
     );
     assert!(
-        told.iter()
-            .any(|record| record.id == leaving && record.draining)
+        uses.iter()
+            .any(|record| record.id == drained && record.draining)
     );
-    catalog.remove(&leaving);
+    catalog.remove(&drained);
     assert_eq!(
         catalog.changes(START, |_| false),
-        [Change::Drop(leaving.clone())]
+        [Change::Drop(drained.clone())]
     );
     let after: BTreeSet<String> = in_use(&mut catalog).into_keys().collect();
     let kept = before.keys().filter(|id| after.contains(*id)).count();
@@ -136,7 +138,7 @@
 }
 
 #[test]
-fn heartbeats_that_say_nothing_new_are_no_news() {
+fn unchanged_entries_cause_no_changes() {
     let mut catalog = catalog("a", ENGINES);
     catalog.changes(START, |_| false);
     for number in 0..ENGINES {
@@ -146,7 +148,7 @@
 }
 
 #[test]
-fn a_zone_that_gets_no_work_or_has_too_few_workers_uses_those_of_others() {
+fn a_closed_zone_is_replaced_by_workers_of_others() {
     let mut catalog = catalog("a", ENGINES);
     catalog.changes(START, |_| false);
     catalog.note_zones();
@@ -163,7 +165,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_start_changes_nothing() {
+fn entries_of_earlier_starts_are_ignored() {
     let mut catalog = catalog("a", 10);
     catalog.changes(START, |_| false);
     catalog.upsert(WorkerRecord {
@@ -182,9 +184,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(32))]
 
-    /// Whatever changes and whenever it asks, a listener knows what the reader uses.
+    /// A listener's state equals the reader's after any sequence of changes and updates.
     #[test]
-    fn listeners_know_what_the_reader_uses(
+    fn listeners_know_the_workers_in_use(
         steps in prop::collection::vec((0usize..300, 0u8..4, any::<bool>()), 1..150),
     ) {
         let mut catalog = catalog("a", 300);
@@ -192,19 +194,19 @@
         published.take(&catalog.changes(START, |_| false));
         let mut known: BTreeMap<String, WorkerRecord> = BTreeMap::new();
         let mut revision = None;
-        for (number, what, asks) in steps {
-            match what {
+        for (number, operation, requests_update) in steps {
+            match operation {
                 0 => catalog.upsert(record(number)),
                 1 => catalog.upsert(WorkerRecord { draining: true, ..record(number) }),
                 2 => catalog.remove(&record(number).id),
                 _ => published.clear(),
             }
-            if what == 3 {
+            if operation == 3 {
                 catalog.clear();
                 catalog.replace_all((0..300).map(record).collect());
             }
             published.take(&catalog.changes(START, |_| false));
-            if !asks {
+            if !requests_update {
                 continue;
             }
             let update = published.since(revision, Offset(0));
