--- a/crates/gateway-core/src/access.rs
+++ b/crates/gateway-core/src/access.rs
@@ -1,5 +1,4 @@
-//! Whether a request may be sent on for the tenant whose key it bears, and what may be refused for
-//! good.
+//! Authorization of requests by API key, subject to the freshness of the configuration.
 
 use std::time::Duration;
 
@@ -9,38 +8,38 @@
 use crate::config_proof::ConfigProof;
 use crate::tenants::{Credential, KeyCheck, Tenant};
 
-/// How old the proof of the configuration may be.
+/// Maximum ages of the configuration's proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyLeases {
-    /// For acting on a known key; `None` if keys need not be refused in time by nodes that cannot
-    /// read the log.
+    /// Maximum age for accepting a known key. `None` if nodes that cannot read the log may keep accepting
+    /// revoked keys.
     pub acting: Option<Duration>,
-    /// For refusing an unknown key or route for good.
+    /// Maximum age for permanently refusing an unknown key or route.
     pub denying: Duration,
 }
 
 impl KeyLeases {
-    /// Whether what the configuration in force does not know may be refused for good: it may have
-    /// been added since that was last known to be the newest.
+    /// Returns whether a key or route that is missing in the active configuration may be permanently
+    /// refused. With an old proof, it may have been added since.
     pub fn may_deny(&self, proof: &ConfigProof, now: Timestamp) -> bool {
         proof.holds(now, self.denying)
     }
 }
 
-/// The decision on one request. It holds for one send: each further one is decided anew.
+/// Decision on one send of a request. Every further send needs a new decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Access<'a> {
-    /// It may go on, for this tenant or for none.
+    /// The request is allowed, for this tenant or for none.
     Allowed(Option<&'a Tenant>),
-    /// It bears no key that any configuration in force knows.
+    /// The request has no valid key.
     Denied,
-    /// Its key is unknown here, but may have been added lately.
+    /// The key is unknown here but may have been added recently.
     KeyUnsure,
-    /// Its key is known here, but may have been taken away lately.
+    /// The key is known here but may have been revoked recently.
     LeaseOver,
 }
 
-/// Decides on a request with `credential` on a route.
+/// Decides on a request with `credential` on a route, which is `public` if it needs no key.
 pub fn decide<'a>(
     config: &'a ServingConfig,
     proof: &ConfigProof,
@@ -52,13 +51,13 @@
     match config.tenants.check(credential, public) {
         KeyCheck::Anonymous => Access::Allowed(None),
         KeyCheck::Tenant(id) => {
-            let is_over = |lease| !proof.holds(now, lease);
-            if leases.acting.is_some_and(is_over) {
+            let has_expired = |lease| !proof.holds(now, lease);
+            if leases.acting.is_some_and(has_expired) {
                 return Access::LeaseOver;
             }
             Access::Allowed(config.tenants.get(id))
         }
-        // No later configuration can make a key of it.
+        // No later configuration can make this a valid key.
         KeyCheck::Denied if !matches!(credential, Credential::Key(_)) => Access::Denied,
         KeyCheck::Denied if leases.may_deny(proof, now) => Access::Denied,
         KeyCheck::Denied => Access::KeyUnsure,
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -1,65 +1,65 @@
-//! The serving configuration: routes, services and limits, as published by the operator.
+//! The serving configuration published by the operator: routes, services, tenants and limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::tenants::TenantTable;
 
-/// How often the requests of a route may run, and what their answers look like.
+/// Repeatability of a route's requests and form of their responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// Requests may run any number of times.
     Idempotent,
-    /// Runs at most once for each attempt of the client.
+    /// Requests run at most once per attempt of the client.
     Mutating,
-    /// Answers with a stream of events; runs at most once unless the route is resumable.
+    /// Responses are event streams. Requests run at most once unless the route is resumable.
     Streaming,
 }
 
-/// One service that takes a share of a route's requests.
+/// A service that handles a weighted share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other weights of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// One route: which requests it takes, and how they are to be run.
+/// A route: which requests match it and how they are run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name given by the operator.
     pub name: String,
     /// Value of the `Host` header, without a port, in lower case.
     pub host: String,
-    /// Beginning of the path; starts and ends with a slash.
+    /// Prefix of the path, which starts and ends with a slash.
     pub path_prefix: String,
-    /// Repeatability and form of the answers.
+    /// Repeatability of requests and form of responses.
     pub kind: RouteKind,
-    /// Whether another worker may go on with a broken stream.
+    /// Whether another worker may resume a stream that broke off.
     pub resumable: bool,
-    /// Whether the system keeps the turns of a conversation.
+    /// Whether the turns of a conversation are stored.
     pub keeps_turns: bool,
-    /// How long a kept turn can be named as the previous one.
+    /// Time for which a stored turn can be referenced as the previous one.
     pub keep_for: Duration,
-    /// Longest time that a request may be held.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time within which an answer has its full value.
+    /// Time within which a response has its full value to the caller.
     pub target: Duration,
-    /// Most workers that one request may run on.
+    /// Maximum number of workers that one request may run on.
     pub attempts: u32,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes, where 0 is the most urgent.
     pub priority: u8,
-    /// Whether workers answer faster for an object or prompt that they have seen.
+    /// Whether workers respond faster for an object or prompt that they have processed before.
     pub sticky: bool,
-    /// Whether requests need no key where the configuration has tenants.
+    /// Whether requests need no API key even if the configuration has tenants.
     pub public: bool,
     /// The services that run its requests.
     pub services: Vec<WeightedService>,
 }
 
 impl Route {
-    /// Whether one request may run more than once.
+    /// Returns whether one request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -68,46 +68,46 @@
         }
     }
 
-    /// Whether its answers are streams that end without a record of what was said.
+    /// Returns whether responses are streams whose content is not stored.
     pub fn is_unkept_stream(&self) -> bool {
         self.kind == RouteKind::Streaming && !self.keeps_turns
     }
 }
 
-/// Model engines behind a service.
+/// Properties of the model engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineService {
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens of prompts and answers that an engine's memory holds.
+    /// Capacity of an engine's memory, in tokens of prompts and outputs.
     pub memory_tokens: u64,
-    /// Tokens that each event of an answer stands for.
+    /// Number of tokens per event of a response.
     pub tokens_per_event: u32,
-    /// Longest time that an engine pins a finished request's memory.
+    /// Maximum time for which an engine pins the memory of a finished request.
     pub longest_pin: Duration,
-    /// What engines can do with the memory of each other.
+    /// Supported transfers of memory between engines.
     pub memory_moves: MemoryMoves,
 }
 
-/// How engines of one service pass memory to each other.
+/// Transfer of memory between the engines of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemoryMoves {
-    /// Bytes of one token in memory; 0 if engines pass nothing on.
+    /// Bytes per token in memory, or 0 if engines do not support transfers.
     pub token_bytes: u64,
-    /// Speed of an engine's link in megabits a second.
+    /// Bandwidth of an engine's link in megabits per second.
     pub link_mbps: f64,
-    /// Whether a run can be moved to another engine.
+    /// Whether a run can be migrated to another engine.
     pub moves_runs: bool,
-    /// Whether a run's memory can be copied to another engine while it runs.
+    /// Whether a run's memory can be backed up to another engine while it runs.
     pub backs_up_runs: bool,
-    /// How long an engine keeps a copy that nobody uses.
+    /// Time for which an engine keeps an unused copy.
     pub copies_last: Duration,
-    /// Calls for memory events that one engine holds at a time.
+    /// Maximum number of concurrent calls for memory events per engine.
     pub most_event_calls: u32,
 }
 
 impl MemoryMoves {
-    /// Engines that pass nothing on and tell nothing.
+    /// Engines that support neither transfers nor memory events.
     pub const NONE: Self = Self {
         token_bytes: 0,
         link_mbps: 0.0,
@@ -118,30 +118,30 @@
     };
 }
 
-/// One service: workers that run the same requests.
+/// A service: a group of workers that run the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name given by the operator.
     pub name: String,
-    /// Most connections that one worker takes from all callers together.
+    /// Maximum number of connections that one worker accepts in total.
     pub max_connections: u32,
-    /// Requests a second, of all nodes together, that one worker bears while it is cold; `None` if
-    /// it bears as many as a warm one.
+    /// Maximum requests per second, from all nodes together, that one worker handles while it is cold.
+    /// `None` if a cold worker handles as many as a warm one.
     pub cold_rate: Option<f64>,
-    /// Set for services of model engines.
+    /// Engine properties, set for services of model engines.
     pub engine: Option<EngineService>,
 }
 
-/// Limits on what callers send.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time from a request's first byte to the end of its head.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub head_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
@@ -156,23 +156,24 @@
     }
 }
 
-/// One published configuration, whole.
+/// A complete published configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingConfig {
-    /// Rises with each publication.
+    /// Version, which increases with each publication.
     pub version: u64,
-    /// Every route.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Every service by name.
+    /// All services by name.
     pub services: BTreeMap<String, Service>,
-    /// Limits on what callers send.
+    /// Limits on callers' requests.
     pub limits: RequestLimits,
-    /// Who may send requests; empty if anybody may.
+    /// Tenants that may send requests, or an empty table if requests need no key.
     pub tenants: TenantTable,
 }
 
 impl ServingConfig {
-    /// The route of a request: of the host's routes the one with the longest prefix of the path.
+    /// Returns the route of a request: the one with the longest matching path prefix among the host's
+    /// routes.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -180,21 +181,21 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 }
 
-/// The configuration in force on one node. It never goes back to an older version.
+/// The active configuration of one node. Its version never decreases.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
     current: Option<std::rc::Rc<ServingConfig>>,
 }
 
 impl ActiveConfig {
-    /// Takes a configuration into force unless one of the same or a later version is; tells
-    /// whether it did.
+    /// Activates a configuration unless one of the same or a later version is active. Returns whether
+    /// it was activated.
     pub fn offer(&mut self, config: ServingConfig) -> bool {
         let current = self.current.as_ref().map(|current| current.version);
         if current.is_some_and(|version| version >= config.version) {
@@ -204,7 +205,7 @@
         true
     }
 
-    /// The configuration in force; `None` until the first one was read.
+    /// Returns the active configuration, or `None` before the first one was read.
     pub fn current(&self) -> Option<&std::rc::Rc<ServingConfig>> {
         self.current.as_ref()
     }
--- a/crates/gateway-core/src/config_proof.rs
+++ b/crates/gateway-core/src/config_proof.rs
@@ -1,170 +1,178 @@
-//! How long a node may act on the keys of its configuration.
+//! Freshness of a node's configuration, which limits how long the node may accept its API keys.
 //!
-//! A key that the operator takes away must be refused everywhere within a bound, also by nodes
-//! that cannot read the log. So a node acts on a key only while it can show that its configuration
-//! was the newest one a short time ago: a lease without a holder. The bound runs from the moment
-//! when the read that showed it was *sent*, so neither slow answers nor a frozen process lengthen
-//! it.
+//! A revoked key must be refused by all nodes within a bound, including nodes that cannot read the
+//! log. A node therefore accepts a key only while it has a recent proof that its configuration was the
+//! newest one, similar to a lease. The age of a proof counts from the time when the underlying read was
+//! *sent*, so that neither slow responses nor a paused process extend it.
 
 use std::cmp::Ordering;
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// Share of the operator's bound that is left for clocks that run apart and for the way to the
-/// worker.
-const MARGIN_SHARE: f64 = 0.1;
+/// Fraction of the operator's bound that is reserved for clock drift and for the time to reach a worker.
+const MARGIN_FRACTION: f64 = 0.1;
 
-/// How long a proof counts, given the operator's bound on the use of a key that was taken away.
+/// Returns how long a proof is valid for accepting keys, given the operator's bound on the use of a
+/// revoked key.
 pub fn lease_of(revoke_within: Duration) -> Duration {
-    revoke_within.mul_f64(1.0 - MARGIN_SHARE)
+    revoke_within.mul_f64(1.0 - MARGIN_FRACTION)
 }
 
-/// Share of the time within which a configuration must be in force for which an unknown key may be
-/// refused for good on a proof: a key may have been added since. The rest is for clocks that run
-/// apart.
-const DENIAL_SHARE: f64 = 5.0 / 6.0;
+/// Fraction of the time for applying a configuration during which a proof is valid for permanently
+/// refusing an unknown key, which may have been added since. The rest allows for clock drift.
+const DENIAL_FRACTION: f64 = 5.0 / 6.0;
 
-/// How long a proof counts for refusing an unknown key for good, given the time within which
-/// a configuration must be in force.
+/// Returns how long a proof is valid for permanently refusing an unknown key, given the time within
+/// which a configuration must be active.
 pub fn denial_lease_of(apply_within: Duration) -> Duration {
-    apply_within.mul_f64(DENIAL_SHARE)
+    apply_within.mul_f64(DENIAL_FRACTION)
 }
 
-/// Share of a lease after which a node asks others for a younger proof.
-const ASKING_SHARE: f64 = 2.0 / 9.0;
+/// Fraction of the lease on keys after which a node requests a newer proof from other nodes.
+const REQUEST_FRACTION_WITH_KEYS: f64 = 2.0 / 9.0;
 
-/// Share of the time within which a configuration must be in force after which a node asks others
-/// for a younger proof where no keys hang on it: twice the longest wait of one read for news, which
-/// is the age that a proof comes to at rest, and a little more. A node that the log turns away so
-/// hears in time what the others have read.
-const ASKING_SHARE_AT_REST: f64 = 0.7;
+/// Fraction of the time for applying a configuration after which a reader without keys requests a newer
+/// proof. Slightly more than two long-polling waits, the age that a proof reaches on an idle stream, so
+/// that only nodes whose own reads fail request proofs.
+const REQUEST_FRACTION_OF_READERS: f64 = 0.7;
 
-/// The same for a node that does not read the log but hears of it. A reader's proof is under a second old
-/// when it is told, so that a listener's always counts for refusing an unknown route for good.
-const ASKING_SHARE_OF_LISTENERS: f64 = 0.4;
+/// The same for a node that does not read the log itself. Readers' proofs are less than a second old, so
+/// a listener's proof is always valid for permanently refusing an unknown route.
+const REQUEST_FRACTION_OF_LISTENERS: f64 = 0.4;
 
-/// Age of its proof at which a node asks others for a younger one, given the lease on keys if there
-/// are any, the time within which a configuration must be in force, and whether the node reads the
+/// Returns the age of a proof at which a node requests a newer one, given the lease on keys if there are
+/// any, the time within which a configuration must be active, and whether the node reads the
 /// configuration itself.
 pub fn asking_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
-    let share = match reads {
-        true => ASKING_SHARE_AT_REST,
-        false => ASKING_SHARE_OF_LISTENERS,
+    let fraction = match reads {
+        true => REQUEST_FRACTION_OF_READERS,
+        false => REQUEST_FRACTION_OF_LISTENERS,
     };
-    let at_rest = apply_within.mul_f64(share);
-    lease.map_or(at_rest, |lease| at_rest.min(lease.mul_f64(ASKING_SHARE)))
+    let max_age = apply_within.mul_f64(fraction);
+    lease.map_or(max_age, |lease| {
+        max_age.min(lease.mul_f64(REQUEST_FRACTION_WITH_KEYS))
+    })
 }
 
-/// Pause between two rounds of questions to other nodes.
-const ASKING_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum interval between two rounds of proof requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between two proofs anywhere in the fleet: one node has a proof of about this age.
-const PROVING_PACE: Duration = Duration::from_millis(150);
+/// Mean interval between two proofs in the whole fleet, and thus the age of the newest one.
+const FLEET_PROOF_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Shortest and longest pause between two proofs by one node.
-const PROVING_PAUSES: (Duration, Duration) = (Duration::from_millis(800), Duration::from_secs(20));
+/// Minimum and maximum interval between two proofs by one node.
+const NODE_PROOF_INTERVALS: (Duration, Duration) =
+    (Duration::from_millis(800), Duration::from_secs(20));
 
-/// Mean pause between two proofs by one of `nodes` nodes that ask each other for theirs.
+/// Returns the mean interval between two proofs by one of `nodes` nodes that share their proofs.
 pub fn proving_pause(nodes: u32) -> Duration {
-    let (shortest, longest) = PROVING_PAUSES;
-    PROVING_PACE.saturating_mul(nodes).clamp(shortest, longest)
+    let (min, max) = NODE_PROOF_INTERVALS;
+    FLEET_PROOF_INTERVAL.saturating_mul(nodes).clamp(min, max)
 }
 
-/// Decides when a node that cannot prove its configuration by reads of its own asks other nodes.
+/// Decides when a node that cannot prove its configuration by its own reads requests proofs from others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProofAsking {
-    asked: Option<Timestamp>,
+    /// Time of the last round of requests.
+    last_request: Option<Timestamp>,
 }
 
 impl ProofAsking {
-    /// Whether to ask now, since the proof is of the given age or older; notes that it is done.
+    /// Returns whether to send a round of requests, because the proof has reached `age`. If so, records
+    /// the round as sent.
     pub fn is_due(&mut self, proof: &ConfigProof, now: Timestamp, age: Duration) -> bool {
         let needs_proof = !proof.holds(now, age);
-        let is_paused = |asked: Timestamp| now.since(asked) < ASKING_PAUSE;
-        if !needs_proof || self.asked.is_some_and(is_paused) {
+        let was_recent = |asked: Timestamp| now.since(asked) < REQUEST_INTERVAL;
+        if !needs_proof || self.last_request.is_some_and(was_recent) {
             return false;
         }
-        self.asked = Some(now);
+        self.last_request = Some(now);
         true
     }
 }
 
-/// What another node's proof comes to here.
+/// Result of comparing another node's proof with the local configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// It is of the configuration in force here, and counts.
+    /// The proof is for the local configuration and was recorded.
     Counts,
-    /// The other node has a newer configuration: this one is to be replaced.
+    /// The other node has a newer configuration, which must be fetched.
     Newer,
-    /// The other node has an older one.
+    /// The other node has an older configuration.
     Older,
 }
 
 /// Another node's proof of a newer configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct News {
+struct NewerProof {
     version: u64,
-    /// When that was the newest, in microseconds on this node's clock.
+    /// Time at which that version was the newest, in microseconds on this node's clock.
     newest_at: i64,
 }
 
-/// When the configuration in force was last known to be the newest one.
+/// Time at which the active configuration was last known to be the newest one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigProof {
+    /// Version of the active configuration, or 0 if there is none.
     version: u64,
-    /// Microseconds on the node's clock; negative if that was before its start.
+    /// Microseconds on the node's clock, negative for times before the clock's zero.
     newest_at: Option<i64>,
-    /// What other nodes have proved of a newer version that is not in force here yet.
-    news: Option<News>,
-    /// When a read of this node's own last showed anything, on the node's clock.
+    /// Latest proof by another node of a newer version that is not active here yet.
+    newer_proof: Option<NewerProof>,
+    /// Time at which the last successful read by this node or its reader was sent, on the node's clock.
     read_at: Option<Timestamp>,
-    /// Set while a newer configuration is known that cannot be read.
-    is_obscured: bool,
+    /// Whether a newer configuration exists that cannot be read.
+    has_unreadable_successor: bool,
 }
 
 impl ConfigProof {
-    /// A configuration is in force from now on; of its age is known what other nodes have told with
-    /// the news of it.
+    /// Records that a configuration has become active. Its proof is the one that other nodes have sent
+    /// for this version, if any.
     pub fn replace(&mut self, version: u64) {
         if version == self.version {
             return;
         }
-        let is_news_of = |other: &News| other.version == version;
+        let is_for_version = |other: &NewerProof| other.version == version;
         *self = Self {
             version,
-            newest_at: self.news.filter(is_news_of).map(|news| news.newest_at),
-            news: self.news.filter(|news| news.version > version),
+            newest_at: self
+                .newer_proof
+                .filter(is_for_version)
+                .map(|proof| proof.newest_at),
+            newer_proof: self.newer_proof.filter(|proof| proof.version > version),
             read_at: self.read_at,
-            is_obscured: false,
+            has_unreadable_successor: false,
         };
     }
 
-    /// There is a newer configuration, and it cannot be read: reads prove nothing until another
-    /// one is in force.
+    /// Records that a newer configuration exists that cannot be read. Reads then prove nothing until
+    /// another configuration is active.
     pub fn obscure(&mut self) {
-        self.is_obscured = true;
+        self.has_unreadable_successor = true;
     }
 
-    /// A read that was sent `at` showed that the configuration in force was the newest one then.
+    /// Records that a read that was sent at `at` returned the active configuration as the newest one.
     pub fn note_read(&mut self, at: Timestamp) {
         self.read_at = self.read_at.max(Some(at));
-        if !self.is_obscured {
+        if !self.has_unreadable_successor {
             self.note_at(signed_micros(at));
         }
     }
 
-    /// Another node, asked at `asked`, has told of a configuration and of the `age` of its proof
-    /// when it answered. It answered after it was asked, so an age that is counted from the
-    /// question never makes the proof younger than it is, however long the answer took.
+    /// Records another node's response to a request sent at `asked`: a version and the `age` of its
+    /// proof. The age is counted back from the time of the request, so that a slow response never makes
+    /// the proof appear newer than it is.
     pub fn note_told(&mut self, version: u64, asked: Timestamp, age: Duration) -> Told {
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         let newest_at = signed_micros(asked).saturating_sub(age);
         match version.cmp(&self.version) {
             Ordering::Less => Told::Older,
             Ordering::Greater => {
-                // Later versions come first, then later proofs of the same.
-                self.news = self.news.max(Some(News { version, newest_at }));
+                // Prefers later versions, then later proofs of the same version.
+                self.newer_proof = self
+                    .newer_proof
+                    .max(Some(NewerProof { version, newest_at }));
                 Told::Newer
             }
             Ordering::Equal => {
@@ -174,9 +182,8 @@
         }
     }
 
-    /// A node that reads for others has said that its last reads, so long ago, showed this
-    /// configuration. How long its heartbeat took is not known, so that it proves nothing for keys; it
-    /// shows that this node is not cut off.
+    /// Records a reader's heartbeat with the age of its last reads. The heartbeat's transmission time is
+    /// unknown, so it is no proof for accepting keys, but it shows that this node is not isolated.
     pub fn note_heard(&mut self, now: Timestamp, age: Duration) {
         let at = Timestamp(
             now.0
@@ -185,27 +192,29 @@
         self.read_at = self.read_at.max(Some(at));
     }
 
+    /// Records a time at which the active configuration was the newest one.
     fn note_at(&mut self, at: i64) {
         self.newest_at = self.newest_at.max(Some(at));
     }
 
-    /// Version of the configuration in force; 0 if none is.
+    /// Returns the version of the active configuration, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Time since the configuration in force was known to be the newest; `None` if it never was.
+    /// Returns the time since the active configuration was last known to be the newest one, or `None` if
+    /// it never was.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let age = signed_micros(now).saturating_sub(self.newest_at?);
         Some(Duration::from_micros(u64::try_from(age).unwrap_or(0)))
     }
 
-    /// Time since this node itself has last read the configuration's stream to its end.
+    /// Returns the time since this node or its reader last read the configuration's stream to its end.
     pub fn own_age(&self, now: Timestamp) -> Option<Duration> {
         self.read_at.map(|at| now.since(at))
     }
 
-    /// Whether the configuration in force may be acted on.
+    /// Returns whether the proof of the active configuration is newer than `lease`.
     pub fn holds(&self, now: Timestamp, lease: Duration) -> bool {
         self.age(now).is_some_and(|age| age < lease)
     }
--- a/crates/gateway-core/src/directory.rs
+++ b/crates/gateway-core/src/directory.rs
@@ -1,17 +1,17 @@
-//! Streams of records on the platform that this system reads and writes.
+//! The streams of records in the platform's log that the gateway reads and writes.
 
 use elderworks_types::PartitionId;
 use serde::{Deserialize, Serialize};
 
-/// One stream of records, in the product's terms.
+/// A stream of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stream {
-    /// What the operator publishes; newest per key.
+    /// Configuration published by the operator, compacted to the newest record per key.
     Configuration,
-    /// Entries of the workers; newest per key.
+    /// Entries of workers, compacted to the newest record per key.
     Workers,
-    /// Entries of the nodes; newest per key.
+    /// Entries of nodes, compacted to the newest record per key.
     Nodes,
-    /// Budgets and kept turns of the programs of one partition.
+    /// Budgets and stored turns of the programs of one partition.
     Ledger(PartitionId),
 }
--- a/crates/gateway-core/src/events.rs
+++ b/crates/gateway-core/src/events.rs
@@ -1,32 +1,33 @@
-//! Splits an event stream into whole events, so that no part of an event is passed on.
+//! Splits a stream of server-sent events into complete events, so that partial events are never forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// One event of a stream.
+/// An event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The event as received, its closing empty line included.
+    /// Bytes of the event as received, including the terminating empty line.
     pub raw: Bytes,
-    /// Its id, if it has one.
+    /// Value of the `id` field, if present.
     pub id: Option<String>,
-    /// Its data; several data lines are joined by line feeds.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: Bytes,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
+    /// Number of bytes already searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event; `None` while it is incomplete.
+    /// Returns the next event, or `None` while it is incomplete.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let raw = self.buffer.split_to(end).freeze();
@@ -34,14 +35,14 @@
         Some(parse_event(raw))
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Returns the number of buffered bytes of an incomplete event.
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The end of the first event: behind its empty line.
+    /// Returns the end of the first event, after its empty line.
     fn find_end(&mut self) -> Option<usize> {
-        // The last three bytes may be the beginning of the closing empty line.
+        // The last three bytes may be the start of the terminating empty line.
         let from = self.searched.saturating_sub(3);
         for index in from..self.buffer.len() {
             let rest = &self.buffer[index..];
@@ -79,7 +80,7 @@
     }
 }
 
-/// The value of a field line, without the one space that may follow the colon.
+/// Returns the value of a field line without the optional space after the colon.
 fn field_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the callers' gateway.
+//! Decision logic of the callers' gateway.
 //!
-//! Pure state machines and functions without I/O or clock: which route a request takes, which
-//! worker runs it, what becomes of an attempt that failed, whether a program's budget allows a
-//! turn, and which turns a conversation consists of. The driver is `elderworks-gateway`.
+//! Contains pure state machines and functions without I/O or a clock: routing of requests, selection
+//! of workers, handling of failed attempts, budgets of programs, and storage of conversations. The
+//! driver is `elderworks-gateway`.
 
 pub mod access;
 pub mod acting;
--- a/crates/gateway-core/src/nodes.rs
+++ b/crates/gateway-core/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes' own entries in the shared directory, and the answer to callers who ask for them.
+//! Directory of nodes, and selection of the node addresses given to callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,53 +8,53 @@
 
 use crate::policy::Policy;
 
-/// A node's own entry, written at its start and when it begins to leave.
+/// A node's entry in the directory, written at its start and when it begins to drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Where other nodes connect (TCP) and gossip (UDP).
+    /// Address for other nodes: TCP connections and UDP gossip.
     pub peer_address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
-    /// Its processor capacity in thousandths of a core.
+    /// CPU capacity in thousandths of a core.
     pub millicores: u32,
-    /// Whether it is leaving in order.
+    /// Whether the node is draining before a planned stop.
     pub draining: bool,
-    /// Names this start of the node, by chance: what it remembered before is gone.
+    /// Random ID of the node's process. A change means that its in-memory state was lost.
     pub boot: u64,
 }
 
-/// A record together with its position in the directory, which orders the starts of a node.
+/// A record and its position in the directory's stream, which orders the starts of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownNode {
-    /// The latest record.
+    /// Latest record.
     pub record: NodeRecord,
-    /// Position of that record; later records have larger ones.
+    /// Position of the record, which is larger for later records.
     pub incarnation: Incarnation,
 }
 
-/// Most addresses in one answer.
+/// Maximum number of addresses in one response.
 pub const MAX_ADDRESSES: usize = 64;
 
-/// Fewest nodes of the caller's own zone that are offered alone; with fewer, all zones are.
-const FEWEST_IN_ZONE: usize = 2;
+/// Minimum number of serving nodes in the caller's zone for offering only these.
+const MIN_IN_ZONE: usize = 2;
 
-/// Fewest large nodes that are offered without the small ones beside them.
-const FEWEST_LARGE: usize = 3;
+/// Minimum number of large nodes for offering only these.
+const MIN_LARGE: usize = 3;
 
-/// Dropped entries that are remembered for nodes that hear of them from this one.
-const MOST_DROPPED: usize = 1_024;
+/// Maximum number of removed entries that are kept for nodes that receive updates from this one.
+const MAX_REMOVED: usize = 1_024;
 
-/// Every node that has written an entry.
+/// Directory of all nodes that have an entry.
 #[derive(Debug)]
 pub struct NodeDirectory {
     nodes: BTreeMap<NodeId, KnownNode>,
-    /// Where the entries of nodes that are gone for good were dropped, the latest ones.
-    dropped: BTreeMap<NodeId, Offset>,
-    /// Whether large nodes are offered alone if there are enough.
+    /// Offsets at which entries were removed, limited to the latest ones.
+    removed: BTreeMap<NodeId, Offset>,
+    /// Whether only large nodes are offered if there are enough of them.
     prefers_large: bool,
 }
 
@@ -65,23 +65,23 @@
 }
 
 impl NodeDirectory {
-    /// Knows no node yet.
+    /// Creates an empty directory.
     pub fn new(policy: &Policy) -> Self {
         Self {
             nodes: BTreeMap::new(),
-            dropped: BTreeMap::new(),
+            removed: BTreeMap::new(),
             prefers_large: policy.large_nodes,
         }
     }
 
-    /// Takes an entry unless a later one is known; tells whether it did.
+    /// Inserts an entry unless a later one is known. Returns whether it was inserted.
     pub fn upsert(&mut self, node: NodeId, incarnation: Incarnation, record: NodeRecord) -> bool {
         if let Some(known) = self.nodes.get(&node)
             && known.incarnation >= incarnation
         {
             return false;
         }
-        self.dropped.remove(&node);
+        self.removed.remove(&node);
         self.nodes.insert(
             node,
             KnownNode {
@@ -92,45 +92,46 @@
         true
     }
 
-    /// Forgets a node whose entry was dropped by the record at `offset`; tells whether it was known.
+    /// Removes a node whose entry was removed by the record at `offset`, unless a later entry is known.
+    /// Returns whether a node was removed.
     pub fn remove(&mut self, node: &NodeId, offset: Offset) -> bool {
         let known = self.nodes.get(node).map(|known| known.incarnation.0);
         if known.is_some_and(|known| known > offset.0) {
             return false;
         }
-        self.dropped.insert(node.clone(), offset);
-        while self.dropped.len() > MOST_DROPPED {
-            let oldest = self.dropped.iter().min_by_key(|(_, offset)| **offset);
+        self.removed.insert(node.clone(), offset);
+        while self.removed.len() > MAX_REMOVED {
+            let oldest = self.removed.iter().min_by_key(|(_, offset)| **offset);
             let Some(oldest) = oldest.map(|(node, _)| node.clone()) else {
                 break;
             };
-            self.dropped.remove(&oldest);
+            self.removed.remove(&oldest);
         }
         self.nodes.remove(node).is_some()
     }
 
-    /// Nodes whose entries were dropped from an offset on, with where.
+    /// Returns the nodes whose entries were removed at or after an offset, with the offsets.
     pub fn dropped_since(&self, since: Offset) -> impl Iterator<Item = (&NodeId, Offset)> {
-        let dropped = self.dropped.iter().map(|(node, offset)| (node, *offset));
+        let dropped = self.removed.iter().map(|(node, offset)| (node, *offset));
         dropped.filter(move |(_, offset)| *offset >= since)
     }
 
-    /// The entry of a node.
+    /// Returns the entry of a node.
     pub fn get(&self, node: &NodeId) -> Option<&KnownNode> {
         self.nodes.get(node)
     }
 
-    /// How many nodes have an entry.
+    /// Returns the number of nodes.
     pub fn count(&self) -> u32 {
         u32::try_from(self.nodes.len()).unwrap_or(u32::MAX)
     }
 
-    /// Every node with its entry, by name.
+    /// Returns all nodes with their entries, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&NodeId, &KnownNode)> {
         self.nodes.iter()
     }
 
-    /// Addresses for a caller in `zone`: those of [`Self::offered`].
+    /// Returns the addresses for a caller in `zone`, which are those of [`Self::offered`].
     pub fn addresses_for(
         &self,
         zone: Option<&str>,
@@ -143,10 +144,10 @@
             .collect()
     }
 
-    /// The nodes that callers in `zone` are sent to: those of that zone if there are enough, else
-    /// of all zones; of these the large ones if there are enough, since fewer nodes need fewer
-    /// connections to workers, and a large one is the last to be slowed by a burst. Only nodes
-    /// that are `is_serving`, and never one that is leaving.
+    /// Returns the nodes offered to callers in `zone`: those of the zone if there are enough, otherwise
+    /// those of all zones. Of these, only the large ones are offered if there are enough, since fewer
+    /// nodes need fewer connections to workers and large nodes handle bursts better. Excludes draining
+    /// nodes and those for which `is_serving` does not hold.
     pub fn offered(
         &self,
         zone: Option<&str>,
@@ -163,15 +164,15 @@
             .copied()
             .filter(|(_, record)| Some(record.zone.as_str()) == zone)
             .collect();
-        if nearby.len() >= FEWEST_IN_ZONE {
+        if nearby.len() >= MIN_IN_ZONE {
             self.preferred(nearby)
         } else {
             self.preferred(serving)
         }
     }
 
-    /// The nodes that callers of any zone are sent to: those of [`Self::offered`] for all zones that
-    /// have nodes, in one pass over the nodes.
+    /// Returns the union of [`Self::offered`] over all zones that have nodes, computed in one pass over the
+    /// nodes.
     pub fn offered_anywhere(&self, is_serving: impl Fn(&NodeId) -> bool) -> BTreeSet<&NodeId> {
         let mut zones: BTreeMap<&str, Vec<(&NodeId, &NodeRecord)>> = BTreeMap::new();
         let mut serving = Vec::new();
@@ -182,10 +183,10 @@
                 serving.push((node, &known.record));
             }
         }
-        let has_few = zones.values().any(|nearby| nearby.len() < FEWEST_IN_ZONE);
+        let has_few = zones.values().any(|nearby| nearby.len() < MIN_IN_ZONE);
         let mut offered: BTreeSet<&NodeId> = zones
             .into_values()
-            .filter(|nearby| nearby.len() >= FEWEST_IN_ZONE)
+            .filter(|nearby| nearby.len() >= MIN_IN_ZONE)
             .flat_map(|nearby| self.preferred(nearby))
             .map(|(node, _)| node)
             .collect();
@@ -196,6 +197,7 @@
         offered
     }
 
+    /// Applies the preference for large nodes.
     fn preferred<'a>(
         &self,
         nodes: Vec<(&'a NodeId, &'a NodeRecord)>,
@@ -207,7 +209,7 @@
     }
 }
 
-/// Those with at least half of the largest one's capacity, unless they are too few.
+/// Returns the nodes with at least half of the largest capacity, or all nodes if these are too few.
 fn large_if_enough<'a>(
     nodes: Vec<(&'a NodeId, &'a NodeRecord)>,
 ) -> Vec<(&'a NodeId, &'a NodeRecord)> {
@@ -218,7 +220,7 @@
         .copied()
         .filter(|(_, record)| is_large(record))
         .collect();
-    if large.len() >= FEWEST_LARGE {
+    if large.len() >= MIN_LARGE {
         large
     } else {
         nodes
--- a/crates/gateway-core/src/policy.rs
+++ b/crates/gateway-core/src/policy.rs
@@ -1,143 +1,140 @@
-//! Which mechanisms of the gateway are in use, and their figures.
+//! Switches and parameters of the gateway's optional mechanisms.
 //!
-//! The defaults are what measurement has kept (docs/DECIDING.md). Switching one off shows what it
-//! is worth; none of them may be needed for a promise to hold.
+//! Each mechanism can be disabled to measure its effect. Correctness guarantees must hold with any
+//! combination of settings. The defaults are explained in docs/DECIDING.md.
 
 use serde::{Deserialize, Serialize};
 
 use crate::admission::AdmissionMode;
 use crate::feed::roles::MAX_NODE_WORKER_PAIRS;
 
-/// Mechanisms and figures; every node of a deployment should have the same.
+/// Switches and parameters. All nodes of a deployment should have the same ones.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Owners set tokens aside for several turns of a program at once.
+    /// Owners reserve tokens for several turns of a program at once.
     pub advances: bool,
-    /// Turns may run before their tokens are set aside while the log is in trouble.
+    /// Turns may run before their tokens are reserved while the log is slow or unavailable.
     pub overdrafts: bool,
-    /// A turn may begin on an overdraft if, with it, its program draws no more than one part in so
-    /// many of its budget. At least 1.
+    /// A turn may start on an overdraft if the program's overdrafts including this one are at most its
+    /// budget divided by this number. At least 1.
     pub overdraft_share: u64,
-    /// Overdrafts are opened also where every turn is kept, so that none can end while the log is away.
+    /// Overdrafts are also opened on routes that store every turn, where no turn can complete while the
+    /// log is unavailable.
     pub kept_overdrafts: bool,
-    /// Owners read their partitions and open overdrafts before anybody asks.
+    /// Owners read their partitions and open overdrafts before the first request.
     pub preparation: bool,
-    /// Nodes watch whether the log answers, and turns that could not end are not begun while it is
-    /// silent.
+    /// Nodes monitor whether the log responds. While it does not, they do not start turns that could not
+    /// complete.
     pub silence_watch: bool,
-    /// Share of its time for which such a turn waits before it is refused. From 0 to 1.
+    /// Fraction of its time limit for which such a turn waits before it is refused. From 0 to 1.
     pub outage_wait_share: f64,
-    /// Requests without leave wait for an outage of the log to end.
+    /// Requests without a permit to run wait for the end of an outage of the log.
     pub patience: bool,
-    /// Requests of one program keep to one worker, where their prompt is in memory.
+    /// Requests of one program prefer the worker that has their prompt in memory.
     pub affinity: bool,
-    /// Workers of the own zone come first while they have room.
+    /// Workers of the own zone are preferred while they have free slots.
     pub near_workers: bool,
-    /// Nodes tell each other their load on workers.
+    /// Nodes report the load that they place on workers to each other.
     pub shared_load: bool,
-    /// A worker takes the programs that prefer it up to this many times the mean load. At least 1.
+    /// A worker accepts programs that prefer it up to this multiple of the mean load. At least 1.
     pub load_bound: f64,
-    /// Share of their slots up to which workers take what comes, whatever the others' load, and
-    /// up to which zones keep to their workers. From 0 to 1.
+    /// Fraction of slots in use up to which workers accept requests regardless of the mean load, and up
+    /// to which zones use only their own workers. From 0 to 1.
     pub calm_share: f64,
-    /// Turns for engines go first to those that are home to the first part of their prompt, in
-    /// whichever zone: a zone of its own has too few homes of a part to spread its load.
+    /// Turns prefer the home engines of the first part of their prompt in any zone, since a single zone
+    /// has too few homes of a part to distribute its load.
     pub part_homes: bool,
-    /// What engines keep of prompts is read from them, where they tell it.
+    /// The prompts that engines hold in memory are read from engines that report them.
     pub engine_reading: bool,
-    /// Engines that are known to lack the first part of a prompt take it from one that holds it; needs
+    /// Engines that lack the first part of a prompt fetch it from an engine that holds it. Requires
     /// [`Self::engine_reading`].
     pub prompt_fetches: bool,
-    /// Turns keep to the engines of their own zone where each engine has memory for every part that
-    /// is asked for.
+    /// Turns use only engines of their own zone if each engine has memory for all requested parts.
     pub near_homes: bool,
-    /// Part of their slots by which engines of the own zone may be busier than all engines together
-    /// before turns go to other zones as well. From 0 to 1.
+    /// Difference in utilization between the own zone's engines and all engines above which turns also
+    /// use other zones. From 0 to 1.
     pub zone_slack: f64,
-    /// Witnesses and candidates of partitions are spread over zones.
+    /// Witnesses and candidates of partitions are distributed over zones.
     pub zone_spread: bool,
-    /// A zone of which several machines fall silent together is suspected as a whole.
+    /// A whole zone is suspected if several of its machines become silent at the same time.
     pub zone_suspicion: bool,
-    /// Workers that fail are left alone for a while.
+    /// Failing workers are temporarily ejected.
     pub ejection: bool,
-    /// Nodes tell each other of workers that they leave alone.
+    /// Nodes report the workers that they have ejected to each other.
     pub ejection_reports: bool,
-    /// Silence speaks against a worker.
+    /// A worker's silence counts as a sign of failure.
     pub silence: bool,
-    /// Requests that may be repeated are sent again when their worker stays silent.
+    /// Repeatable requests are sent to a second worker if the first one is silent.
     pub second_send: bool,
-    /// Requests without a key prefer workers to which a connection is at rest.
+    /// Requests without an affinity key prefer workers with an idle connection.
     pub resting_connections: bool,
-    /// Streams that break off are gone on with, where their route allows it.
+    /// Streams that break off are resumed if their route allows it.
     pub resumption: bool,
-    /// Callers are sent to the larger machines if there are enough.
+    /// Callers are directed to the larger machines if there are enough of them.
     pub large_nodes: bool,
-    /// How long callers may use the addresses that they are told, in milliseconds, unless the
-    /// platform allows less. More than 0.
+    /// Time to live of the node addresses given to callers, in milliseconds, unless the platform's limit
+    /// is lower. More than 0.
     pub addresses_ttl_ms: u64,
-    /// Nodes that have just started presume listed nodes alive.
+    /// Nodes that have just started assume that listed nodes are alive.
     pub presumption: bool,
-    /// Engines are told the rank of a request's tenant or route.
+    /// Requests to engines include the priority of their tenant or route.
     pub engine_rank: bool,
-    /// Nodes that cannot read the log prove their configuration through others.
+    /// Nodes that cannot read the log obtain proofs of their configuration from other nodes.
     pub peer_proofs: bool,
-    /// Quotas are divided between nodes by what they tell each other; evenly if not.
+    /// Quotas are divided between nodes by reported demand, otherwise evenly.
     pub shared_quotas: bool,
-    /// One node a tenant grants what its quota still holds, while all nodes grant; if not, or while
-    /// that node does not answer, quotas are divided as `shared_quotas` says.
+    /// One node per tenant, the lessor, grants its remaining quota. Without lessors, or while a lessor
+    /// does not respond, quotas are divided according to `shared_quotas`.
     pub quota_lessors: bool,
-    /// While a quota is short, requests that begin programs leave some of it to programs that have
-    /// begun.
+    /// While a quota is short, requests of new programs leave part of it to programs that have started.
     pub quota_order: bool,
-    /// Bytes that are read of a stream ahead of its caller, so that a slow caller does not hold its
-    /// worker; with 0, the worker waits for the caller.
+    /// Maximum bytes that are read ahead of a stream's caller, so that a slow caller does not block its
+    /// worker. With 0, the worker waits for the caller.
     pub stream_buffer_bytes: usize,
-    /// Nodes that come, go or change within a short time are acted on together.
+    /// Changes of nodes within a short time are processed as one batch.
     pub batched_changes: bool,
-    /// Shortest time between two calls to the log for one partition while a turn waits for leave, in
-    /// milliseconds: what comes meanwhile goes in one call. Little beside the time to the first
-    /// event; 0 for none.
+    /// Minimum interval between two calls to the log for one partition while a turn waits for its
+    /// permit, in milliseconds. Records in between are batched. Should be short compared to the time to
+    /// the first event. 0 disables batching.
     pub leave_pace_ms: u64,
-    /// The same while only ends of turns wait, whose callers have all but the last word. Little
-    /// beside the time of a turn.
+    /// The same while only completions of turns wait, whose callers have received almost the whole
+    /// response. Should be short compared to the duration of a turn.
     pub end_pace_ms: u64,
-    /// Requests wait a moment for the rest of their node's start.
+    /// Requests wait briefly for their node to finish starting.
     pub starting_patience: bool,
-    /// Nodes that have just started leave the foremost candidate of a partition time to read it.
+    /// Nodes that have just started give the first candidate of a partition time to read it.
     pub starting_restraint: bool,
-    /// Workers whose records are gone stay a last resort for a moment.
+    /// Workers whose records were deleted briefly remain available as a last resort.
     pub missing_grace: bool,
-    /// How turns are admitted to engines.
+    /// Admission of turns to engines.
     pub admission: AdmissionMode,
-    /// Share of their slots up to which engines are given turns while others wait. Above 0, at
-    /// most 1.
+    /// Fraction of slots up to which engines receive turns while other turns wait. Above 0, at most 1.
     pub full_share: f64,
-    /// Longest wait of a turn for a place at an engine, in milliseconds from when it has leave.
-    /// Above 0.
-    /// The same on all routes: an urgent one with a short target would else be refused where others
-    /// still wait.
+    /// Maximum time that a turn waits for a slot at an engine, in milliseconds since it received its
+    /// permit. Above 0. The same for all routes, since a limit derived from a route's target would refuse
+    /// urgent turns with short targets while others still wait.
     pub longest_wait_ms: u64,
-    /// One turn in so many that go to an engine is the one that has waited longest, however urgent
-    /// the others are. At least 2.
+    /// One of this many turns sent to an engine is the one that has waited longest, regardless of
+    /// priority. At least 2.
     pub floor_interval: u32,
-    /// Tenants that were served less go first while turns wait.
+    /// While turns wait, tenants that have received less service have precedence.
     pub fair_share: bool,
-    /// Pairs of node and worker up to which every node reads the log's streams itself; beyond, a few
-    /// of each zone read for the others. 0: always a few.
+    /// Maximum number of nodes times workers for which every node reads the log's streams itself. Above
+    /// it, a few nodes of each zone read for the others. 0 means that only a few nodes ever read.
     pub reading_pairs: usize,
-    /// Runs that may run at most once go on with a copy of their memory if their stream breaks off,
-    /// where engines hand runs over.
+    /// Runs that may execute at most once are resumed from a copy of their memory if their stream breaks
+    /// off and their engines support migration.
     pub run_moves: bool,
-    /// Such a run leaves an engine that has been silent for so long behind an event, in
-    /// milliseconds; 0 if silence is waited out.
+    /// Time without an event after which such a run is migrated, in milliseconds. 0 disables migration
+    /// because of silence.
     pub leaving_silence_ms: u64,
-    /// Bytes that a backup of a run may move for each token that the run has yet to generate, where
-    /// engines back runs up. With 0, no run has a backup.
+    /// Maximum bytes that a backup of a run may transfer per token yet to be generated, if engines support
+    /// backups. 0 disables backups.
     pub backup_bytes_per_token: u64,
-    /// Most runs of one node that have a backup at the same time.
+    /// Maximum number of concurrent backups of one node.
     pub most_backups: u32,
-    /// Bytes a second that the backups of one node may move.
+    /// Maximum bytes per second transferred by the backups of one node.
     pub backup_bytes_per_s: u64,
 }
 
@@ -200,21 +197,25 @@
     }
 }
 
-/// Longest paces of calls in milliseconds: callers notice more.
-const LONGEST_PACE_MS: u64 = 200;
+/// Maximum value of the pace settings in milliseconds. Longer delays are noticeable to callers.
+const MAX_PACE_MS: u64 = 200;
 
-/// A figure that makes no sense.
+/// A parameter is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{key}` {problem}")]
 pub struct PolicyError {
-    /// The field.
+    /// Name of the parameter.
     pub key: &'static str,
-    /// What is wrong with it.
+    /// Description of the allowed range.
     pub problem: &'static str,
 }
 
 impl Policy {
-    /// Checks the figures.
+    /// Validates the parameters.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first parameter that is out of range.
     pub fn check(&self) -> Result<(), PolicyError> {
         let error = |key, problem| Err(PolicyError { key, problem });
         if self.overdraft_share == 0 {
@@ -223,10 +224,10 @@
         if !(self.load_bound >= 1.0 && self.load_bound.is_finite()) {
             return error("load_bound", "must be 1 or more");
         }
-        if self.leave_pace_ms > LONGEST_PACE_MS {
+        if self.leave_pace_ms > MAX_PACE_MS {
             return error("leave_pace_ms", "must be 200 or less");
         }
-        if self.end_pace_ms > LONGEST_PACE_MS {
+        if self.end_pace_ms > MAX_PACE_MS {
             return error("end_pace_ms", "must be 200 or less");
         }
         if self.addresses_ttl_ms == 0 {
--- a/crates/gateway-core/src/pressure.rs
+++ b/crates/gateway-core/src/pressure.rs
@@ -1,30 +1,31 @@
-//! What a node does when the memory that it holds for callers, workers and peers runs out.
+//! Load shedding when the memory buffered for callers, workers and peers runs out.
 //!
-//! The load that it answers: callers that stop reading, workers that send fast, large bodies all at
-//! once. What has begun goes first: bodies are refused before streams, new streams before running
-//! ones end, and of these only one whose caller reads nothing.
+//! Memory may be exhausted by callers that stop reading, workers that send faster than callers read, or
+//! many large request bodies. Running work has precedence: request bodies are refused before new
+//! streams, and new streams before running ones are aborted. A running stream is aborted only if its
+//! caller has stopped reading.
 
 use std::time::Duration;
 
-/// What memory is held for.
+/// Purpose of buffered memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HeldFor {
-    /// Bodies of requests, as they came.
+    /// Request bodies as received.
     Bodies,
-    /// Answers that callers have not taken yet.
+    /// Response data that callers have not read yet.
     Callers,
-    /// Answers of workers that are being collected.
+    /// Worker responses that are being collected.
     Answers,
-    /// Output of turns that are to be kept.
+    /// Output of turns that will be stored.
     KeptTurns,
-    /// Bodies that begin with a conversation.
+    /// Request bodies with the preceding conversation prepended.
     Conversations,
-    /// Messages that other nodes have not taken yet.
+    /// Messages that other nodes have not received yet.
     Peers,
 }
 
 impl HeldFor {
-    /// All of them.
+    /// All purposes.
     pub const ALL: [Self; 6] = [
         Self::Bodies,
         Self::Callers,
@@ -34,7 +35,7 @@
         Self::Peers,
     ];
 
-    /// Its name in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Bodies => "bodies",
@@ -47,61 +48,63 @@
     }
 }
 
-/// How short of memory a node is.
+/// Memory pressure of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Pressure {
-    /// There is room.
-    Calm,
-    /// Requests with further bodies are refused.
+    /// No restrictions apply.
+    Normal,
+    /// New request bodies are refused.
     NoNewBodies,
-    /// New streams are refused too.
+    /// New streams are refused as well.
     NoNewStreams,
-    /// Reading from workers pauses, and a stream that nobody reads is ended.
+    /// Reading from workers is paused, and a stream whose caller does not read is aborted.
     Full,
 }
 
-/// Most bytes of all bodies at once, on whatever machine.
-const MOST_BODIES: usize = 64 * 1024 * 1024;
+/// Maximum bytes of all request bodies on any machine.
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Percent of the process's memory for bodies: each is held once more on its way to a worker.
+/// Maximum percentage of the process's memory for request bodies. Each body is copied once more when it
+/// is sent to a worker.
 const BODIES_PERCENT: usize = 20;
 
-/// Percent from which bodies are refused. Running streams may still fill what is left up to the
-/// last mark; the process itself and its tables need the rest.
+/// Percentage of the process's memory from which request bodies are refused. The memory up to
+/// [`FULL_PERCENT`] remains for streams, the rest for the process itself and its tables.
 const NO_NEW_BODIES_PERCENT: usize = 25;
 
-/// Percent from which streams are refused: those that run need room for their events.
+/// Percentage of the process's memory from which new streams are refused, so that running ones can buffer
+/// their events.
 const NO_NEW_STREAMS_PERCENT: usize = 32;
 
-/// Percent at which what is held must shrink.
+/// Percentage of the process's memory from which buffered data must be reduced.
 const FULL_PERCENT: usize = 40;
 
-/// Bytes at which each step is taken.
+/// Thresholds of buffered memory, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Marks {
-    /// Most bytes of bodies.
+    /// Maximum for request bodies.
     pub bodies: usize,
-    /// All that is held, from which bodies are refused.
+    /// Total from which request bodies are refused.
     pub no_new_bodies: usize,
-    /// The same for streams.
+    /// Total from which new streams are refused.
     pub no_new_streams: usize,
-    /// The same for the end of what nobody reads.
+    /// Total from which streams whose callers do not read are aborted.
     pub full: usize,
 }
 
 impl Marks {
-    /// For a process that is killed at so many bytes.
+    /// Returns the thresholds for a process with a memory limit of `process_bytes`.
     pub fn of(process_bytes: usize) -> Self {
-        let percent = |share: usize| process_bytes / 100 * share;
+        let percent = |percentage: usize| process_bytes / 100 * percentage;
         Self {
-            bodies: percent(BODIES_PERCENT).min(MOST_BODIES),
+            bodies: percent(BODIES_PERCENT).min(MAX_BODY_BYTES),
             no_new_bodies: percent(NO_NEW_BODIES_PERCENT),
             no_new_streams: percent(NO_NEW_STREAMS_PERCENT),
             full: percent(FULL_PERCENT),
         }
     }
 
-    /// How short memory is with so many bytes held.
+    /// Returns the pressure with `held` buffered bytes.
     pub fn pressure(&self, held: usize) -> Pressure {
         if held >= self.full {
             Pressure::Full
@@ -110,52 +113,53 @@
         } else if held >= self.no_new_bodies {
             Pressure::NoNewBodies
         } else {
-            Pressure::Calm
+            Pressure::Normal
         }
     }
 
-    /// Whether a body may take `more` bytes, with `bodies` of all `held` bytes taken by bodies.
+    /// Returns whether request bodies may use `more` bytes in addition to `bodies` of the total `held`
+    /// bytes.
     pub fn takes_body(&self, bodies: usize, held: usize, more: usize) -> bool {
-        bodies + more <= self.bodies && self.pressure(held + more) == Pressure::Calm
+        bodies + more <= self.bodies && self.pressure(held + more) == Pressure::Normal
     }
 
-    /// Whether another stream may begin.
+    /// Returns whether another stream may start.
     pub fn takes_stream(&self, held: usize) -> bool {
         self.pressure(held) < Pressure::NoNewStreams
     }
 }
 
-/// Bytes that a collected answer holds before shortage pauses it, so that small ones always end.
-const SMALL_ANSWER: usize = 64 * 1024;
+/// Bytes of a collected response that are read regardless of pressure, so that small responses always
+/// complete.
+const SMALL_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Whether more of an answer that is passed on whole is read from its worker.
+/// Returns whether to read more of a response that is collected before it is forwarded.
 pub fn reads_answer(collected: usize, pressure: Pressure) -> bool {
-    collected < SMALL_ANSWER || pressure < Pressure::Full
+    collected < SMALL_RESPONSE_BYTES || pressure < Pressure::Full
 }
 
-/// Whether more of a stream is read from its worker, with `unsent` bytes left for its caller.
-/// `buffer` is the room of one stream; without any, a worker waits for the caller.
+/// Returns whether to read more of a stream from its worker while `unsent` bytes are buffered for its
+/// caller. `buffer` is the maximum per stream. With 0, the worker waits for the caller.
 pub fn reads_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
     unsent == 0 || (unsent < buffer && pressure < Pressure::Full)
 }
 
-/// A caller that takes nothing for so long while its worker waits for it has left its stream: the
-/// pauses that callers bear are far shorter, and workers cut answers off that stay unread for some
-/// seconds.
+/// Maximum time for which a caller may read nothing while its worker waits. Callers that are still there
+/// pause for much less, and workers abort responses that are not read for some seconds.
 pub const LONGEST_STALL: Duration = Duration::from_secs(2);
 
-/// What becomes of a stream whose worker waits for its caller.
+/// Action for a stream whose worker waits for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StallStep {
-    /// Both wait on.
+    /// Keep waiting.
     Wait,
-    /// The worker is let go; another attempt goes on once the caller has read what is held.
+    /// Release the worker. Another attempt resumes the stream once the caller has read the buffered data.
     LetWorkerGo,
-    /// The stream ends.
+    /// End the stream.
     GiveUp,
 }
 
-/// Decides on a stream whose caller has taken nothing for `stalled`.
+/// Returns the action for a stream whose caller has read nothing for `stalled`.
 pub fn after_stall(stalled: Duration, is_resumable: bool) -> StallStep {
     if stalled < LONGEST_STALL {
         return StallStep::Wait;
@@ -166,27 +170,27 @@
     }
 }
 
-/// A caller that has taken nothing for so long counts as one that reads nothing when memory is
-/// full; longer than a lost packet is repeated.
-const READS_NOTHING: Duration = Duration::from_millis(500);
+/// Time without a read after which a caller counts as not reading when memory is full. Longer than a
+/// packet retransmission takes.
+const NOT_READING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What one running stream holds.
+/// Buffered data of one running stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamLoad {
-    /// Names the stream.
+    /// ID of the stream.
     pub id: u64,
-    /// Bytes for its caller.
+    /// Bytes buffered for the caller.
     pub unsent: usize,
-    /// Time since the caller took any, or since there was something to take.
+    /// Time since the caller last read, or since data became available if that was later.
     pub stalled: Duration,
 }
 
-/// The stream that is ended when memory is full: the one that holds most for a caller that reads
-/// nothing.
+/// Returns the stream to abort when memory is full: among those whose callers do not read, the one with
+/// the most buffered bytes.
 pub fn stream_to_end(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
     streams
         .into_iter()
-        .filter(|stream| stream.unsent > 0 && stream.stalled >= READS_NOTHING)
+        .filter(|stream| stream.unsent > 0 && stream.stalled >= NOT_READING_TIMEOUT)
         .max_by_key(|stream| (stream.unsent, stream.id))
         .map(|stream| stream.id)
 }
--- a/crates/gateway-core/src/split.rs
+++ b/crates/gateway-core/src/split.rs
@@ -1,17 +1,19 @@
-//! Divides a route's requests among its services by weight.
+//! Distributes a route's requests over its services by weight.
 
 use std::collections::HashMap;
 
 use crate::config::Route;
 
-/// Smooth weighted round robin for each route: after any number of requests, each service has had
-/// its share to within one request.
+/// Smooth weighted round robin for each route. After any number of requests, each service has received
+/// its weighted share to within one request.
 #[derive(Debug, Default)]
 pub struct SplitState {
     seed: u64,
+    /// Credits of the services by route name.
     credits: HashMap<String, Vec<Credit>>,
 }
 
+/// Round-robin state of one service.
 #[derive(Debug)]
 struct Credit {
     service: String,
@@ -20,7 +22,8 @@
 }
 
 impl SplitState {
-    /// Starts at a point of the cycle that `seed` decides, so that nodes do not run in step.
+    /// Creates the state at a point of the cycle that depends on `seed`, so that nodes are not
+    /// synchronized.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -28,7 +31,7 @@
         }
     }
 
-    /// The service of the next request of a route; `None` if the route has none.
+    /// Returns the service for the next request of a route, or `None` if the route has none.
     pub fn next_service(&mut self, route: &Route) -> Option<String> {
         if let [only] = route.services.as_slice() {
             return Some(only.service.clone());
@@ -41,7 +44,7 @@
         let seed = self.seed;
         let credits = self.credits.entry(route.name.clone()).or_default();
         if !matches_route(credits, route) {
-            *credits = fresh_credits(route, total, seed);
+            *credits = initial_credits(route, total, seed);
         }
         for credit in credits.iter_mut() {
             credit.value += i64::from(credit.weight);
@@ -55,6 +58,7 @@
     }
 }
 
+/// Returns whether the credits are for the route's current services and weights.
 fn matches_route(credits: &[Credit], route: &Route) -> bool {
     credits.len() == route.services.len()
         && credits
@@ -63,9 +67,10 @@
             .all(|(credit, part)| credit.service == part.service && credit.weight == part.weight)
 }
 
-fn fresh_credits(route: &Route, total: i64, seed: u64) -> Vec<Credit> {
-    let span = u64::try_from(total.max(1)).unwrap_or(1);
-    let shift = i64::try_from(seed % span).unwrap_or(0);
+/// Returns initial credits shifted by `seed`.
+fn initial_credits(route: &Route, total: i64, seed: u64) -> Vec<Credit> {
+    let cycle = u64::try_from(total.max(1)).unwrap_or(1);
+    let shift = i64::try_from(seed % cycle).unwrap_or(0);
     let mut sign = 1;
     route
         .services
--- a/crates/gateway-core/src/tenants.rs
+++ b/crates/gateway-core/src/tenants.rs
@@ -1,66 +1,66 @@
-//! Tenants: which keys are theirs, how urgent their requests are, and how many they may send.
+//! Tenants: their API keys, priorities and request quotas.
 
 use std::collections::HashMap;
 use std::fmt;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// SHA-256 of an API key. Keys themselves stay in the adapter that reads them.
+/// SHA-256 digest of an API key. The keys themselves are known only to the adapter that reads them.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest(pub [u8; 32]);
 
 impl fmt::Debug for KeyDigest {
-    /// Shows nothing of the digest: short keys could be guessed from it.
+    /// Hides the digest, from which short keys could be guessed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
 }
 
-/// The key that a request bears.
+/// API key of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// The request names no key.
+    /// The request contains no key.
     #[default]
     Absent,
-    /// What the request names cannot be a key: several, an empty one, another scheme.
+    /// The request's credentials are not a valid key: several keys, an empty one or another scheme.
     Malformed,
-    /// The digest of the key.
+    /// The request contains a key with this digest.
     Key(KeyDigest),
 }
 
-/// Most requests of a tenant, over all nodes together.
+/// Limit on the requests of a tenant, over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests per second.
+    /// Sustained rate in requests per second.
     pub per_second: f64,
-    /// Requests beyond that at once.
+    /// Additional requests allowed in a burst.
     pub burst: f64,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as workers are told it.
+    /// Name, which is also sent to workers.
     pub name: String,
-    /// Rank of its requests in place of their route's; 0 is the most urgent.
+    /// Priority of its requests, which overrides that of the route. 0 is the most urgent.
     pub priority: Option<u8>,
-    /// `None` if it may send any number of requests.
+    /// Quota, or `None` for no limit.
     pub quota: Option<Quota>,
 }
 
 impl Tenant {
-    /// What stands for the tenant where nodes tell each other of it.
+    /// Returns the key that identifies the tenant in messages between nodes.
     pub fn key(&self) -> TenantKey {
         TenantKey::of(&self.name)
     }
 }
 
-/// Stands for a tenant's name in reports between nodes and in the accounts of its quota.
+/// Hash of a tenant's name. Identifies the tenant in reports between nodes and in quota accounting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u64);
 
 impl TenantKey {
-    /// The key of a name.
+    /// Returns the key of a tenant's name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
@@ -70,14 +70,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(u32);
 
-/// What a request's credential comes to on a route.
+/// Result of checking a request's credential on a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyCheck {
-    /// The request needs no tenant and has none.
+    /// The request has no tenant and needs none.
     Anonymous,
-    /// The key is this tenant's.
+    /// The key belongs to this tenant.
     Tenant(TenantId),
-    /// The request needs a key and bears none that is known.
+    /// The request needs a key and has no known one.
     Denied,
 }
 
@@ -85,13 +85,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTable {
     tenants: Vec<Tenant>,
-    /// Hashed with a seed of the process, so how long a look-up takes tells nothing of the keys.
+    /// Uses a random hash seed per process, so that the time of a lookup reveals nothing about the keys.
     by_key: HashMap<KeyDigest, TenantId>,
     by_name: HashMap<TenantKey, TenantId>,
 }
 
 impl TenantTable {
-    /// Adds a tenant with its keys. A key that an earlier tenant has stays with that one.
+    /// Adds a tenant with its keys. Keys that belong to an earlier tenant remain with that one.
     pub fn add(&mut self, tenant: Tenant, keys: impl IntoIterator<Item = KeyDigest>) {
         let Ok(position) = u32::try_from(self.tenants.len()) else {
             return;
@@ -104,32 +104,32 @@
         self.tenants.push(tenant);
     }
 
-    /// The tenant that a key in a report stands for.
+    /// Returns the tenant with a key from a report.
     pub fn find(&self, key: TenantKey) -> Option<&Tenant> {
         self.get(*self.by_name.get(&key)?)
     }
 
-    /// Whether there is no tenant at all: requests then need no key.
+    /// Returns whether there are no tenants, in which case requests need no key.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// How many tenants there are.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// The tenant of an id that this table gave.
+    /// Returns the tenant with an ID issued by this table.
     pub fn get(&self, id: TenantId) -> Option<&Tenant> {
         self.tenants.get(usize::try_from(id.0).ok()?)
     }
 
-    /// Every tenant.
+    /// Returns all tenants.
     pub fn iter(&self) -> impl Iterator<Item = &Tenant> {
         self.tenants.iter()
     }
 
-    /// Decides on a request's credential. A `public` route takes requests without a known key.
+    /// Checks a request's credential. A `public` route accepts requests without a known key.
     pub fn check(&self, credential: Credential, public: bool) -> KeyCheck {
         if self.is_empty() {
             return KeyCheck::Anonymous;
@@ -146,11 +146,11 @@
     }
 }
 
-/// Separates a tenant's name from an identifier of its caller's. No header can hold it.
+/// Separator between a tenant's name and a caller's identifier. Cannot occur in a header.
 const SCOPE_SEPARATOR: char = '\n';
 
-/// The name under which a caller's identifier (a program, a turn) is kept, so that equal ones of
-/// two tenants are never mixed up. Unchanged where the configuration has no tenants.
+/// Returns a caller's identifier (of a program or a turn) scoped to its tenant, so that equal
+/// identifiers of different tenants do not collide. Returns it unchanged if there is no tenant.
 pub fn scoped(tenant: Option<&str>, id: &str) -> String {
     match tenant {
         Some(tenant) => format!("{tenant}{SCOPE_SEPARATOR}{id}"),
--- a/crates/gateway-core/tests/common/mod.rs
+++ b/crates/gateway-core/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What several tests of decisions begin with.
+//! Fixtures shared by the tests.
 
 use std::time::Duration;
 
 use elderworks_gateway_core::workers::WorkerRecord;
 
-/// A ready engine with four slots.
+/// Returns a ready engine with four slots.
 pub fn engine(id: &str, zone: &str) -> WorkerRecord {
     WorkerRecord {
         id: id.to_owned(),
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -1,4 +1,4 @@
-//! How long a node may act on its configuration: tables.
+//! Table tests of the freshness of a node's configuration.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_new_configuration_needs_a_proof_of_its_own() {
+fn a_new_configuration_needs_its_own_proof() {
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(8_000));
@@ -59,30 +59,30 @@
 }
 
 #[test]
-fn a_proof_that_came_with_the_news_counts_once_the_news_are_in_force() {
+fn a_proof_of_a_newer_version_counts_once_it_is_active() {
     struct Case {
         name: &'static str,
-        told: &'static [(u64, u64)],
-        in_force: u64,
+        proofs: &'static [(u64, u64)],
+        active: u64,
         age: Option<u64>,
     }
-    let case = |name, told, in_force, age| Case {
+    let case = |name, proofs, active, age| Case {
         name,
-        told,
-        in_force,
+        proofs,
+        active,
         age,
     };
     let cases = [
         case(
-            "it was told of just this version",
+            "the proof is for the active version",
             &[(4, 500)],
             4,
             Some(700),
         ),
-        case("a later one is in force", &[(4, 500)], 5, None),
-        case("an earlier one is in force", &[(5, 500)], 4, None),
+        case("a later version is active", &[(4, 500)], 5, None),
+        case("an earlier version is active", &[(5, 500)], 4, None),
         case(
-            "the youngest counts",
+            "the newest proof counts",
             &[(4, 500), (4, 100), (4, 300)],
             4,
             Some(300),
@@ -98,11 +98,11 @@
         let mut proof = ConfigProof::default();
         proof.replace(3);
         proof.note_read(at(1_000));
-        for (version, age) in case.told {
+        for (version, age) in case.proofs {
             assert_eq!(proof.note_told(*version, at(9_000), ms(*age)), Told::Newer);
         }
         assert_eq!(proof.age(at(9_200)), Some(ms(8_200)), "{}", case.name);
-        proof.replace(case.in_force);
+        proof.replace(case.active);
         assert_eq!(proof.age(at(9_200)), case.age.map(ms), "{}", case.name);
     }
 }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn nothing_is_proved_while_a_newer_configuration_cannot_be_read() {
+fn reads_prove_nothing_while_a_newer_configuration_is_unreadable() {
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(1_000));
@@ -128,41 +128,44 @@
     assert_eq!(proof.age(at(9_000)), Some(ms(0)));
 }
 
-/// A reader proves its configuration each 0.8 s on average; whoever asks it is told within a fifth of a
-/// second, two lost questions included twice that.
+/// Guards against listeners whose proofs are too old to refuse unknown routes. A request is answered
+/// within 0.2 s, or 0.4 s if two requests are lost.
 #[test]
-fn the_proofs_of_listeners_count_for_refusing_unknown_routes() {
+fn proofs_of_listeners_are_valid_for_refusing_unknown_routes() {
     for apply in [3_000, 5_000, 14_000] {
         let asked_at = asking_age(None, ms(apply), false);
         let answered = asked_at + ms(400);
         assert!(answered < denial_lease_of(ms(apply)), "{apply}");
-        assert!(asked_at > proving_pause(1), "a question gains something");
+        assert!(
+            asked_at > proving_pause(1),
+            "a request yields a newer proof"
+        );
         assert!(asked_at <= asking_age(None, ms(apply), true));
     }
 }
 
 #[test]
-fn other_nodes_are_asked_once_the_own_proof_grows_old() {
+fn proofs_are_requested_once_the_own_proof_is_old() {
     let lease = asking_age(Some(ms(4_500)), ms(3_000), true);
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(10_000));
-    let mut asking = ProofAsking::default();
-    assert!(!asking.is_due(&proof, at(10_900), lease));
-    assert!(asking.is_due(&proof, at(11_000), lease));
+    let mut request_timer = ProofAsking::default();
+    assert!(!request_timer.is_due(&proof, at(10_900), lease));
+    assert!(request_timer.is_due(&proof, at(11_000), lease));
     assert!(
-        !asking.is_due(&proof, at(11_100), lease),
-        "one round at a time"
+        !request_timer.is_due(&proof, at(11_100), lease),
+        "at most one round per interval"
     );
-    assert!(asking.is_due(&proof, at(11_200), lease));
+    assert!(request_timer.is_due(&proof, at(11_200), lease));
     proof.note_told(3, at(11_200), ms(0));
-    assert!(!asking.is_due(&proof, at(12_000), lease));
+    assert!(!request_timer.is_due(&proof, at(12_000), lease));
 }
 
-/// A node that the log turns away hears of changes from others in time, and one that reads asks
-/// nobody: at rest its proof is up to two waits for news old.
+/// Guards against both late and unnecessary requests: a node whose reads fail requests proofs in time,
+/// and a node with an idle stream, whose proof is up to two long-polling waits old, requests none.
 #[test]
-fn without_keys_nodes_ask_only_when_their_own_reads_are_late() {
+fn without_keys_proofs_are_requested_only_when_reads_fail() {
     for apply in [2_000, 3_000, 5_000] {
         let age = asking_age(None, ms(apply), true);
         let reads = StreamReads::new(
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn many_nodes_prove_the_configuration_in_turns() {
+fn the_proof_interval_grows_with_the_number_of_nodes() {
     assert_eq!(proving_pause(1), ms(800));
     assert_eq!(proving_pause(60), ms(9_000));
     assert_eq!(proving_pause(3_200), ms(20_000));
--- a/crates/gateway-core/tests/config_proof_model.rs
+++ b/crates/gateway-core/tests/config_proof_model.rs
@@ -1,4 +1,5 @@
-//! How long a node may act on its configuration: a model of nodes in virtual time.
+//! Simulates two nodes with drifting clocks in virtual time, and checks that no node accepts a revoked
+//! key for too long.
 
 use std::time::Duration;
 
@@ -10,18 +11,18 @@
     Duration::from_millis(ms)
 }
 
-/// One thing that happens to one of two nodes, in virtual time.
+/// One step of the simulation. All times are in milliseconds.
 #[derive(Clone, Debug)]
 enum Step {
     /// Time passes.
     Wait(u64),
-    /// The operator takes the next key away.
+    /// The operator revokes the next key.
     Publish,
-    /// A node sends a read of the log, which is carried out `until` and answered `back` ms later.
+    /// A node sends a read, which the log processes after `until` and whose response takes `back`.
     Read { node: usize, until: u64, back: u64 },
-    /// A node asks the other one, which answers `until` ms later; heard `back` ms after that.
+    /// A node requests a proof, which the other node sends after `until` and whose delivery takes `back`.
     Ask { node: usize, until: u64, back: u64 },
-    /// A node decides whether to act on the oldest key that it still knows.
+    /// A node decides whether to accept the oldest key that it knows.
     Use { node: usize },
 }
 
@@ -37,70 +38,74 @@
     proptest::collection::vec(step, 1..120)
 }
 
-/// A mistake to be found by the model.
+/// Deliberate error that the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mistake {
     None,
-    /// Counts a read from its answer.
-    FromAnswer,
-    /// Counts another node's proof from the moment at which it is heard.
-    FromHearing,
-    /// Takes another node's proof for its own configuration, whatever version it is of.
+    /// Counts the age of a read from its response instead of its start.
+    FromResponse,
+    /// Counts the age of another node's proof from its receipt.
+    FromReceipt,
+    /// Accepts another node's proof for any version.
     AnyVersion,
-    /// Renews the proof without a read.
+    /// Ignores the expiry of proofs.
     NoExpiry,
 }
 
 struct Node {
     proof: ConfigProof,
-    /// How much faster than true time its clock runs, in thousandths.
+    /// Clock drift relative to true time, in thousandths.
     drift: i64,
-    /// True time of its clock's zero.
+    /// True time of the clock's zero, in milliseconds.
     started: u64,
 }
 
 impl Node {
     fn clock(&self, now: u64) -> Timestamp {
         let passed = i64::try_from((now - self.started) * 1_000).expect("small");
-        let shown = passed + passed * self.drift / 1_000;
-        Timestamp(u64::try_from(shown).expect("not negative"))
+        let reading = passed + passed * self.drift / 1_000;
+        Timestamp(u64::try_from(reading).expect("not negative"))
     }
 }
 
-enum Arrival {
-    /// A read was carried out and showed this version.
-    Shown {
+enum Delivery {
+    /// The response to a read, with the latest version.
+    ReadReceived {
         node: usize,
         sent: Timestamp,
         version: u64,
     },
-    /// Another node is asked.
-    Asked {
+    /// The other node receives a proof request.
+    ProofRequested {
         node: usize,
         sent: Timestamp,
         back: u64,
     },
-    /// It has answered.
-    Told {
+    /// The response to a proof request.
+    ProofReceived {
         node: usize,
         sent: Timestamp,
         version: u64,
         age: Duration,
     },
-    /// A read is carried out.
-    Carried {
+    /// The log processes a read.
+    ReadProcessed {
         node: usize,
         sent: Timestamp,
         back: u64,
     },
 }
 
-const REVOKE_WITHIN: u64 = 5_000;
+const REVOKE_WITHIN_MS: u64 = 5_000;
 
-/// Plays the steps; an error if a node acts on a configuration that has been replaced for too long.
-fn play(steps: &[Step], mistake: Mistake) -> Result<(), String> {
+/// Simulates the steps.
+///
+/// # Errors
+///
+/// Returns a description if a node accepts a key that was revoked too long ago.
+fn simulate(steps: &[Step], mistake: Mistake) -> Result<(), String> {
     let mut now = 0u64;
-    // When each version was replaced by the next one.
+    // Time at which each version was replaced by the next one, in milliseconds.
     let mut replaced: Vec<u64> = Vec::new();
     let mut nodes: Vec<Node> = [(4, 0), (-4, 0)]
         .map(|(drift, started)| Node {
@@ -109,7 +114,7 @@
             started,
         })
         .into();
-    let mut arrivals: Vec<(u64, Arrival)> = Vec::new();
+    let mut deliveries: Vec<(u64, Delivery)> = Vec::new();
     let end = Step::Wait(20_000);
     for step in steps.iter().chain([&end]) {
         let until = match step {
@@ -117,29 +122,29 @@
             _ => now,
         };
         loop {
-            let due = (0..arrivals.len()).min_by_key(|&index| arrivals[index].0);
-            let Some(index) = due.filter(|&index| arrivals[index].0 <= until) else {
+            let due = (0..deliveries.len()).min_by_key(|&index| deliveries[index].0);
+            let Some(index) = due.filter(|&index| deliveries[index].0 <= until) else {
                 break;
             };
-            let (time, arrival) = arrivals.remove(index);
+            let (time, delivery) = deliveries.remove(index);
             now = now.max(time);
             let latest = replaced.len() as u64 + 1;
-            match arrival {
-                Arrival::Carried { node, sent, back } => {
-                    let shown = Arrival::Shown {
+            match delivery {
+                Delivery::ReadProcessed { node, sent, back } => {
+                    let received = Delivery::ReadReceived {
                         node,
                         sent,
                         version: latest,
                     };
-                    arrivals.push((now + back, shown));
+                    deliveries.push((now + back, received));
                 }
-                Arrival::Shown {
+                Delivery::ReadReceived {
                     node,
                     sent,
                     version,
                 } => {
                     let seen = match mistake {
-                        Mistake::FromAnswer => nodes[node].clock(now),
+                        Mistake::FromResponse => nodes[node].clock(now),
                         _ => sent,
                     };
                     let proof = &mut nodes[node].proof;
@@ -148,37 +153,37 @@
                         proof.note_read(seen);
                     }
                 }
-                Arrival::Asked { node, sent, back } => {
+                Delivery::ProofRequested { node, sent, back } => {
                     let other = &nodes[1 - node];
                     if let Some(age) = other.proof.age(other.clock(now)) {
                         let version = other.proof.version();
-                        let told = Arrival::Told {
+                        let response = Delivery::ProofReceived {
                             node,
                             sent,
                             version,
                             age,
                         };
-                        arrivals.push((now + back, told));
+                        deliveries.push((now + back, response));
                     }
                 }
-                Arrival::Told {
+                Delivery::ProofReceived {
                     node,
                     sent,
                     version,
                     age,
                 } => {
-                    let heard = nodes[node].clock(now);
+                    let received_at = nodes[node].clock(now);
                     let proof = &mut nodes[node].proof;
                     let version = match mistake {
                         Mistake::AnyVersion => proof.version(),
                         _ => version,
                     };
                     let asked = match mistake {
-                        Mistake::FromHearing => heard,
+                        Mistake::FromReceipt => received_at,
                         _ => sent,
                     };
                     if proof.note_told(version, asked, age) == Told::Newer {
-                        // The other node tells its configuration too.
+                        // The other node also sends its configuration.
                         proof.replace(version);
                     }
                 }
@@ -190,34 +195,34 @@
             Step::Publish => replaced.push(now),
             Step::Read { node, until, back } => {
                 let sent = nodes[*node].clock(now);
-                let carried = Arrival::Carried {
+                let processed = Delivery::ReadProcessed {
                     node: *node,
                     sent,
                     back: *back,
                 };
-                arrivals.push((now + until, carried));
+                deliveries.push((now + until, processed));
             }
             Step::Ask { node, until, back } => {
                 let sent = nodes[*node].clock(now);
-                let asked = Arrival::Asked {
+                let asked = Delivery::ProofRequested {
                     node: *node,
                     sent,
                     back: *back,
                 };
-                arrivals.push((now + until, asked));
+                deliveries.push((now + until, asked));
             }
             Step::Use { node } => {
                 let node = &nodes[*node];
                 let lease = match mistake {
                     Mistake::NoExpiry => ms(1_000_000),
-                    _ => lease_of(ms(REVOKE_WITHIN)),
+                    _ => lease_of(ms(REVOKE_WITHIN_MS)),
                 };
                 if !node.proof.holds(node.clock(now), lease) {
                     continue;
                 }
                 let version = usize::try_from(node.proof.version()).expect("small");
                 let replaced_at = replaced.get(version - 1);
-                if replaced_at.is_some_and(|at| now > at + REVOKE_WITHIN) {
+                if replaced_at.is_some_and(|at| now > at + REVOKE_WITHIN_MS) {
                     return Err(format!(
                         "version {version} used at {now}, replaced at {replaced_at:?}"
                     ));
@@ -237,17 +242,17 @@
     })]
 
     #[test]
-    fn no_node_acts_on_a_key_that_was_taken_away_for_too_long(steps in steps()) {
-        let played = play(&steps, Mistake::None);
-        prop_assert!(played.is_ok(), "{played:?}");
+    fn no_node_accepts_a_revoked_key_for_too_long(steps in steps()) {
+        let result = simulate(&steps, Mistake::None);
+        prop_assert!(result.is_ok(), "{result:?}");
     }
 }
 
 #[test]
-fn the_model_finds_each_mistake() {
+fn the_model_detects_each_mistake() {
     let scenarios: [(Mistake, Vec<Step>); 4] = [
         (
-            Mistake::FromAnswer,
+            Mistake::FromResponse,
             vec![
                 Step::Read {
                     node: 0,
@@ -261,7 +266,7 @@
             ],
         ),
         (
-            Mistake::FromHearing,
+            Mistake::FromReceipt,
             vec![
                 Step::Read {
                     node: 1,
@@ -327,7 +332,10 @@
         ),
     ];
     for (mistake, steps) in scenarios {
-        assert!(play(&steps, mistake).is_err(), "{mistake:?} is not found");
-        assert_eq!(play(&steps, Mistake::None), Ok(()), "{mistake:?}");
+        assert!(
+            simulate(&steps, mistake).is_err(),
+            "{mistake:?} is not detected"
+        );
+        assert_eq!(simulate(&steps, Mistake::None), Ok(()), "{mistake:?}");
     }
 }
--- a/crates/gateway-core/tests/nodes.rs
+++ b/crates/gateway-core/tests/nodes.rs
@@ -1,11 +1,11 @@
-//! Which nodes callers are sent to, as a table.
+//! Table tests of the nodes offered to callers.
 
 use std::net::SocketAddr;
 
 use elderworks_gateway_core::nodes::{NodeDirectory, NodeRecord};
 use elderworks_types::{Incarnation, NodeId};
 
-/// A node by name, zone and capacity.
+/// Name, zone and capacity (in thousandths of a core) of a node.
 type Node = (&'static str, &'static str, u32);
 
 const LARGE: u32 = 500;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_nodes_that_callers_are_sent_to() {
+fn nodes_offered_to_callers() {
     struct Case {
         name: &'static str,
         nodes: &'static [Node],
@@ -81,7 +81,7 @@
             expected: &["a1", "a2", "a3"],
         },
         Case {
-            name: "all of the zone if none says its capacity",
+            name: "all of the zone if no capacity is known",
             nodes: &[("a1", "a", 0), ("a2", "a", 0), ("a3", "a", 0)],
             expected: &["a1", "a2", "a3"],
         },
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn small_nodes_are_offered_once_large_ones_are_lost() {
+fn small_nodes_are_offered_once_too_few_large_ones_remain() {
     let nodes = [
         ("a1", "a", LARGE),
         ("a2", "a", LARGE),
--- a/crates/gateway-core/tests/policy.rs
+++ b/crates/gateway-core/tests/policy.rs
@@ -1,14 +1,14 @@
-//! Figures of the policy that make no sense are refused.
+//! Tests that parameters out of range are rejected.
 
 use elderworks_gateway_core::policy::Policy;
 
 #[test]
-fn the_defaults_make_sense() {
+fn the_defaults_are_valid() {
     assert_eq!(Policy::default().check(), Ok(()));
 }
 
 #[test]
-fn figures_out_of_range_are_refused_by_name() {
+fn parameters_out_of_range_are_rejected_by_name() {
     struct Case {
         policy: Policy,
         key: &'static str,
--- a/crates/gateway-core/tests/pressure.rs
+++ b/crates/gateway-core/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! What is refused, paused and ended as memory runs out.
+//! Tests of load shedding under memory pressure.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 const MIB: usize = 1024 * 1024;
 
-/// The smallest machines have 48 MB.
+/// Returns the thresholds of the smallest machines, which have 48 MiB.
 fn small() -> Marks {
     Marks::of(48 * MIB)
 }
 
 #[test]
-fn bodies_are_refused_first_then_streams_and_nothing_that_runs_before_the_last_mark() {
+fn bodies_are_refused_before_streams_and_running_streams_are_paused_last() {
     struct Row {
         held_mib: usize,
         pressure: Pressure,
@@ -33,8 +33,8 @@
         reads_answer: reads,
     };
     let rows = [
-        row(0, Pressure::Calm, true, true, true),
-        row(11, Pressure::Calm, true, true, true),
+        row(0, Pressure::Normal, true, true, true),
+        row(11, Pressure::Normal, true, true, true),
         row(12, Pressure::NoNewBodies, false, true, true),
         row(15, Pressure::NoNewBodies, false, true, true),
         row(16, Pressure::NoNewStreams, false, false, true),
@@ -42,46 +42,53 @@
         row(20, Pressure::Full, false, false, false),
         row(40, Pressure::Full, false, false, false),
     ];
-    let marks = small();
+    let thresholds = small();
     for row in rows {
         let held = row.held_mib * MIB;
         let at = row.held_mib;
-        let pressure = marks.pressure(held);
+        let pressure = thresholds.pressure(held);
         assert_eq!(pressure, row.pressure, "{at} MiB");
-        assert_eq!(marks.takes_body(0, held, 1), row.takes_body, "{at} MiB");
-        assert_eq!(marks.takes_stream(held), row.takes_stream, "{at} MiB");
+        assert_eq!(
+            thresholds.takes_body(0, held, 1),
+            row.takes_body,
+            "{at} MiB"
+        );
+        assert_eq!(thresholds.takes_stream(held), row.takes_stream, "{at} MiB");
         let reads = reads_stream(1, 64 * 1024, pressure);
         assert_eq!(reads, row.reads_stream, "{at} MiB");
         assert_eq!(reads_answer(MIB, pressure), row.reads_answer, "{at} MiB");
         assert!(
             reads_stream(0, 0, pressure),
-            "a caller that reads is served"
+            "a caller that reads is always served"
         );
-        assert!(reads_answer(1_000, pressure), "small answers end");
+        assert!(reads_answer(1_000, pressure), "small responses complete");
     }
 }
 
 #[test]
-fn marks_follow_the_machine_and_lie_in_order() {
+fn thresholds_scale_with_memory_and_are_ordered() {
     for mib in [1, 48, 88, 256, 512, 64 * 1024] {
-        let marks = Marks::of(mib * MIB);
-        assert!(marks.bodies < marks.no_new_bodies, "{mib} MiB");
-        assert!(marks.no_new_bodies < marks.no_new_streams, "{mib} MiB");
-        assert!(marks.no_new_streams < marks.full, "{mib} MiB");
-        assert!(2 * marks.full < mib * MIB, "{mib} MiB");
+        let thresholds = Marks::of(mib * MIB);
+        assert!(thresholds.bodies < thresholds.no_new_bodies, "{mib} MiB");
+        assert!(
+            thresholds.no_new_bodies < thresholds.no_new_streams,
+            "{mib} MiB"
+        );
+        assert!(thresholds.no_new_streams < thresholds.full, "{mib} MiB");
+        assert!(2 * thresholds.full < mib * MIB, "{mib} MiB");
     }
     assert_eq!(Marks::of(64 * 1024 * MIB).bodies, 64 * MIB);
 }
 
 #[test]
-fn bodies_keep_to_their_own_share_also_while_nothing_else_is_held() {
-    let marks = small();
-    assert!(marks.takes_body(marks.bodies - 10, marks.bodies - 10, 10));
-    assert!(!marks.takes_body(marks.bodies - 10, marks.bodies - 10, 11));
+fn bodies_stay_within_their_own_limit() {
+    let thresholds = small();
+    assert!(thresholds.takes_body(thresholds.bodies - 10, thresholds.bodies - 10, 10));
+    assert!(!thresholds.takes_body(thresholds.bodies - 10, thresholds.bodies - 10, 11));
 }
 
 #[test]
-fn a_stream_is_read_ahead_as_far_as_its_buffer_goes() {
+fn streams_are_read_ahead_up_to_the_buffer_size() {
     let rows = [
         (0, 0, true),
         (1, 0, false),
@@ -90,17 +97,17 @@
         (100, 100, false),
     ];
     for (unsent, buffer, reads) in rows {
-        let found = reads_stream(unsent, buffer, Pressure::Calm);
-        assert_eq!(found, reads, "{unsent} of {buffer}");
+        let actual = reads_stream(unsent, buffer, Pressure::Normal);
+        assert_eq!(actual, reads, "{unsent} of {buffer}");
     }
 }
 
 #[test]
-fn a_stall_ends_the_wait_of_the_worker() {
-    let soon = LONGEST_STALL - Duration::from_millis(1);
+fn a_stall_releases_the_worker() {
+    let below_limit = LONGEST_STALL - Duration::from_millis(1);
     let rows = [
-        (soon, true, StallStep::Wait),
-        (soon, false, StallStep::Wait),
+        (below_limit, true, StallStep::Wait),
+        (below_limit, false, StallStep::Wait),
         (LONGEST_STALL, true, StallStep::LetWorkerGo),
         (LONGEST_STALL, false, StallStep::GiveUp),
     ];
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn the_stream_that_holds_most_for_a_caller_that_reads_nothing_is_ended() {
+fn the_largest_stream_of_a_stalled_caller_is_aborted() {
     let load = |id, unsent, stalled| StreamLoad {
         id,
         unsent,
@@ -122,6 +129,10 @@
     let empty = load(4, 0, 9_000);
     assert_eq!(stream_to_end([reading, small, large, empty]), Some(3));
     assert_eq!(stream_to_end([reading, small]), Some(2));
-    assert_eq!(stream_to_end([reading, empty]), None, "nobody is to blame");
+    assert_eq!(
+        stream_to_end([reading, empty]),
+        None,
+        "no stream has a stalled caller"
+    );
     assert_eq!(stream_to_end([]), None);
 }
--- a/crates/gateway-core/tests/routes.rs
+++ b/crates/gateway-core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, the configuration in force, and shares of split routes.
+//! Tests of route matching, activation of configurations and weighted services.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let config = config(
         1,
         vec![
@@ -75,10 +75,10 @@
 fn an_older_version_never_replaces_a_newer_one() {
     let mut active = ActiveConfig::default();
     let offers = [(3, true), (2, false), (3, false), (9, true), (8, false)];
-    for (version, taken) in offers {
+    for (version, is_activated) in offers {
         assert_eq!(
             active.offer(config(version, Vec::new())),
-            taken,
+            is_activated,
             "{version}"
         );
     }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn shares_follow_the_weights_to_within_a_request() {
+fn requests_are_split_by_weight() {
     for seed in [0, 1, 7, 99_991] {
         let split = route("r", "h", "/", &[("big", 90), ("small", 10), ("none", 0)]);
         let mut state = SplitState::new(seed);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn changed_weights_take_effect_at_once() {
+fn changed_weights_take_effect_immediately() {
     let mut state = SplitState::new(5);
     let before = route("r", "h", "/", &[("old", 100), ("new", 0)]);
     let after = route("r", "h", "/", &[("old", 0), ("new", 100)]);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_route_without_services_has_no_next_one() {
+fn a_route_without_services_has_no_next_service() {
     let empty = route("r", "h", "/", &[]);
     assert_eq!(SplitState::new(0).next_service(&empty), None);
 }
--- a/crates/gateway-core/tests/tenants.rs
+++ b/crates/gateway-core/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Keys, tenants and the decision on a request's key.
+//! Tests of API keys, tenants and authorization.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn keys_lead_to_their_tenants() {
+fn keys_identify_their_tenants() {
     let table = table();
     for (byte, name) in [(1, "a"), (2, "a"), (3, "b")] {
         for public in [false, true] {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_no_known_key_passes_on_public_routes_only() {
+fn requests_without_a_known_key_are_allowed_on_public_routes_only() {
     let table = table();
     for credential in [Credential::Absent, Credential::Malformed, key(4)] {
         assert_eq!(table.check(credential, false), KeyCheck::Denied);
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_key_of_two_tenants_stays_with_the_first() {
+fn a_duplicate_key_belongs_to_the_first_tenant() {
     let mut table = table();
     table.add(tenant("c"), [digest(1)]);
     assert_eq!(name_of(&table, table.check(key(1), false)), Some("a"));
 }
 
 #[test]
-fn identifiers_of_tenants_are_never_mixed_up() {
+fn scoped_identifiers_do_not_collide() {
     let names = [
         scoped(Some("a"), "p"),
         scoped(Some("b"), "p"),
@@ -103,7 +103,7 @@
     }
 }
 
-/// The decision when the proof is `age` old, in a word.
+/// Returns the name of the decision for a proof of the given age.
 fn decision(
     credential: Credential,
     age: Option<Duration>,
@@ -129,11 +129,11 @@
 }
 
 #[test]
-fn decisions_by_the_age_of_the_proof() {
+fn decisions_depend_on_the_age_of_the_proof() {
     let ms = |ms| Some(Duration::from_millis(ms));
     let acting = Some(ACTING);
     let cases = [
-        // credential, age of the proof, lease for acting, decision
+        // credential, age of the proof, maximum age for accepting a key, decision
         (key(1), ms(0), acting, "allowed"),
         (key(1), ms(4_499), acting, "allowed"),
         (key(1), ms(4_500), acting, "over"),
@@ -147,7 +147,7 @@
         (Credential::Malformed, None, acting, "denied"),
     ];
     for (credential, age, acting, expected) in cases {
-        let decided = decision(credential, age, acting);
-        assert_eq!(decided, expected, "{credential:?} {age:?} {acting:?}");
+        let actual = decision(credential, age, acting);
+        assert_eq!(actual, expected, "{credential:?} {age:?} {acting:?}");
     }
 }
