--- a/crates/gateway-core/src/access.rs
+++ b/crates/gateway-core/src/access.rs
@@ -11,16 +11,16 @@
 /// Maximum ages of the configuration's proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyLeases {
-    /// Maximum age for accepting a known key. `None` if nodes that cannot read the log may keep accepting
-    /// revoked keys.
+    /// Maximum age for accepting a known key. `None` if nodes that cannot read the log may keep
+    /// accepting revoked keys.
     pub acting: Option<Duration>,
     /// Maximum age for permanently refusing an unknown key or route.
     pub denying: Duration,
 }
 
 impl KeyLeases {
-    /// Returns whether a key or route that is missing in the active configuration may be permanently
-    /// refused. With an old proof, it may have been added since.
+    /// Returns whether a key or route that is missing in the active configuration may be
+    /// permanently refused. With an old proof, it may have been added since.
     pub fn may_deny(&self, proof: &ConfigProof, now: Timestamp) -> bool {
         proof.holds(now, self.denying)
     }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -125,8 +125,8 @@
     pub name: String,
     /// Maximum number of connections that one worker accepts in total.
     pub max_connections: u32,
-    /// Maximum requests per second, from all nodes together, that one worker handles while it is cold.
-    /// `None` if a cold worker handles as many as a warm one.
+    /// Maximum requests per second, from all nodes together, that one worker handles while it is
+    /// cold. `None` if a cold worker handles as many as a warm one.
     pub cold_rate: Option<f64>,
     /// Engine properties, set for services of model engines.
     pub engine: Option<EngineService>,
@@ -172,8 +172,8 @@
 }
 
 impl ServingConfig {
-    /// Returns the route of a request: the one with the longest matching path prefix among the host's
-    /// routes.
+    /// Returns the route of a request: the one with the longest matching path prefix among the
+    /// host's routes.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -194,8 +194,8 @@
 }
 
 impl ActiveConfig {
-    /// Activates a configuration unless one of the same or a later version is active. Returns whether
-    /// it was activated.
+    /// Activates a configuration unless one of the same or a later version is active. Returns
+    /// whether it was activated.
     pub fn offer(&mut self, config: ServingConfig) -> bool {
         let current = self.current.as_ref().map(|current| current.version);
         if current.is_some_and(|version| version >= config.version) {
--- a/crates/gateway-core/src/config_proof.rs
+++ b/crates/gateway-core/src/config_proof.rs
@@ -1,16 +1,17 @@
 //! Freshness of a node's configuration, which limits how long the node may accept its API keys.
 //!
 //! A revoked key must be refused by all nodes within a bound, including nodes that cannot read the
-//! log. A node therefore accepts a key only while it has a recent proof that its configuration was the
-//! newest one, similar to a lease. The age of a proof counts from the time when the underlying read was
-//! *sent*, so that neither slow responses nor a paused process extend it.
+//! log. A node therefore accepts a key only while it has a recent proof that its configuration was
+//! the newest one, similar to a lease. The age of a proof counts from the time when the underlying
+//! read was *sent*, so that neither slow responses nor a paused process extend it.
 
 use std::cmp::Ordering;
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// Fraction of the operator's bound that is reserved for clock drift and for the time to reach a worker.
+/// Fraction of the operator's bound that is reserved for clock drift and for the time to reach a
+/// worker.
 const MARGIN_FRACTION: f64 = 0.1;
 
 /// Returns how long a proof is valid for accepting keys, given the operator's bound on the use of a
@@ -32,18 +33,18 @@
 /// Fraction of the lease on keys after which a node requests a newer proof from other nodes.
 const REQUEST_FRACTION_WITH_KEYS: f64 = 2.0 / 9.0;
 
-/// Fraction of the time for applying a configuration after which a reader without keys requests a newer
-/// proof. Slightly more than two long-polling waits, the age that a proof reaches on an idle stream, so
-/// that only nodes whose own reads fail request proofs.
+/// Fraction of the time for applying a configuration after which a reader without keys requests a
+/// newer proof. Slightly more than two long-polling waits, the age that a proof reaches on an idle
+/// stream, so that only nodes whose own reads fail request proofs.
 const REQUEST_FRACTION_OF_READERS: f64 = 0.7;
 
-/// The same for a node that does not read the log itself. Readers' proofs are less than a second old, so
-/// a listener's proof is always valid for permanently refusing an unknown route.
+/// The same for a node that does not read the log itself. Readers' proofs are less than a second
+/// old, so a listener's proof is always valid for permanently refusing an unknown route.
 const REQUEST_FRACTION_OF_LISTENERS: f64 = 0.4;
 
-/// Returns the age of a proof at which a node requests a newer one, given the lease on keys if there are
-/// any, the time within which a configuration must be active, and whether the node reads the
-/// configuration itself.
+/// Returns the age of a proof at which a node requests a newer one, given the lease on keys if
+/// there are any, the time within which a configuration must be active, and whether the node reads
+/// the configuration itself.
 pub fn asking_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
     let fraction = match reads {
         true => REQUEST_FRACTION_OF_READERS,
@@ -71,7 +72,8 @@
     FLEET_PROOF_INTERVAL.saturating_mul(nodes).clamp(min, max)
 }
 
-/// Decides when a node that cannot prove its configuration by its own reads requests proofs from others.
+/// Decides when a node that cannot prove its configuration by its own reads requests proofs from
+/// others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProofAsking {
     /// Time of the last round of requests.
@@ -79,8 +81,8 @@
 }
 
 impl ProofAsking {
-    /// Returns whether to send a round of requests, because the proof has reached `age`. If so, records
-    /// the round as sent.
+    /// Returns whether to send a round of requests, because the proof has reached `age`. If so,
+    /// records the round as sent.
     pub fn is_due(&mut self, proof: &ConfigProof, now: Timestamp, age: Duration) -> bool {
         let needs_proof = !proof.holds(now, age);
         let was_recent = |asked: Timestamp| now.since(asked) < REQUEST_INTERVAL;
@@ -120,15 +122,16 @@
     newest_at: Option<i64>,
     /// Latest proof by another node of a newer version that is not active here yet.
     newer_proof: Option<NewerProof>,
-    /// Time at which the last successful read by this node or its reader was sent, on the node's clock.
+    /// Time at which the last successful read by this node or its reader was sent, on the node's
+    /// clock.
     read_at: Option<Timestamp>,
     /// Whether a newer configuration exists that cannot be read.
     has_unreadable_successor: bool,
 }
 
 impl ConfigProof {
-    /// Records that a configuration has become active. Its proof is the one that other nodes have sent
-    /// for this version, if any.
+    /// Records that a configuration has become active. Its proof is the one that other nodes have
+    /// sent for this version, if any.
     pub fn replace(&mut self, version: u64) {
         if version == self.version {
             return;
@@ -146,13 +149,14 @@
         };
     }
 
-    /// Records that a newer configuration exists that cannot be read. Reads then prove nothing until
-    /// another configuration is active.
+    /// Records that a newer configuration exists that cannot be read. Reads then prove nothing
+    /// until another configuration is active.
     pub fn obscure(&mut self) {
         self.has_unreadable_successor = true;
     }
 
-    /// Records that a read that was sent at `at` returned the active configuration as the newest one.
+    /// Records that a read that was sent at `at` returned the active configuration as the newest
+    /// one.
     pub fn note_read(&mut self, at: Timestamp) {
         self.read_at = self.read_at.max(Some(at));
         if !self.has_unreadable_successor {
@@ -161,8 +165,8 @@
     }
 
     /// Records another node's response to a request sent at `asked`: a version and the `age` of its
-    /// proof. The age is counted back from the time of the request, so that a slow response never makes
-    /// the proof appear newer than it is.
+    /// proof. The age is counted back from the time of the request, so that a slow response never
+    /// makes the proof appear newer than it is.
     pub fn note_told(&mut self, version: u64, asked: Timestamp, age: Duration) -> Told {
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         let newest_at = signed_micros(asked).saturating_sub(age);
@@ -182,8 +186,9 @@
         }
     }
 
-    /// Records a reader's heartbeat with the age of its last reads. The heartbeat's transmission time is
-    /// unknown, so it is no proof for accepting keys, but it shows that this node is not isolated.
+    /// Records a reader's heartbeat with the age of its last reads. The heartbeat's transmission
+    /// time is unknown, so it is no proof for accepting keys, but it shows that this node is not
+    /// isolated.
     pub fn note_heard(&mut self, now: Timestamp, age: Duration) {
         let at = Timestamp(
             now.0
@@ -202,14 +207,15 @@
         self.version
     }
 
-    /// Returns the time since the active configuration was last known to be the newest one, or `None` if
-    /// it never was.
+    /// Returns the time since the active configuration was last known to be the newest one, or
+    /// `None` if it never was.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let age = signed_micros(now).saturating_sub(self.newest_at?);
         Some(Duration::from_micros(u64::try_from(age).unwrap_or(0)))
     }
 
-    /// Returns the time since this node or its reader last read the configuration's stream to its end.
+    /// Returns the time since this node or its reader last read the configuration's stream to its
+    /// end.
     pub fn own_age(&self, now: Timestamp) -> Option<Duration> {
         self.read_at.map(|at| now.since(at))
     }
--- a/crates/gateway-core/src/events.rs
+++ b/crates/gateway-core/src/events.rs
@@ -1,4 +1,5 @@
-//! Splits a stream of server-sent events into complete events, so that partial events are never forwarded.
+//! Splits a stream of server-sent events into complete events, so that partial events are never
+//! forwarded.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/gateway-core/src/feed/catalog.rs
+++ b/crates/gateway-core/src/feed/catalog.rs
@@ -1,9 +1,10 @@
 //! Catalog of all workers, and selection of the subset that a zone uses (deterministic subsetting).
 //!
 //! Spreading a small load over all workers is wasteful: every engine must process shared prompt
-//! prefixes again, and every pair of node and worker needs a connection. A zone therefore uses three
-//! times the workers that its load requires, with a lower bound. The selection depends only on the
-//! workers' IDs, so all nodes select the same subset and a change of one worker does not affect others.
+//! prefixes again, and every pair of node and worker needs a connection. A zone therefore uses
+//! three times the workers that its load requires, with a lower bound. The selection depends only
+//! on the workers' IDs, so all nodes select the same subset and a change of one worker does not
+//! affect others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,24 +14,24 @@
 
 use crate::workers::WorkerRecord;
 
-/// Maximum number of workers of a service for which all are used. Choosing among this many takes about
-/// ten microseconds, and their entries fit into one page of the log.
+/// Maximum number of workers of a service for which all are used. Choosing among this many takes
+/// about ten microseconds, and their entries fit into one page of the log.
 const MAX_UNFILTERED: usize = 256;
 
-/// Minimum number of workers of the own zone that are used of a larger service. They absorb a sudden
-/// load until the subset has grown, which takes a few hundred milliseconds.
+/// Minimum number of workers of the own zone that are used of a larger service. They absorb a
+/// sudden load until the subset has grown, which takes a few hundred milliseconds.
 const MIN_OWN_ZONE_WORKERS: usize = 32;
 
-/// Minimum number of workers of each other zone in the subset, used when all of the own zone fail or
-/// are full.
+/// Minimum number of workers of each other zone in the subset, used when all of the own zone fail
+/// or are full.
 const MIN_OTHER_ZONE_WORKERS: usize = 4;
 
 /// Slots of the subset per running request. With three, no request queues even if the load doubles
 /// while a third of the workers fail.
 const SLOTS_PER_REQUEST: f64 = 3.0;
 
-/// Half-life of the demand for workers, so that a lull of some seconds does not shrink the subset and
-/// lose cached prompts.
+/// Half-life of the demand for workers, so that a lull of some seconds does not shrink the subset
+/// and lose cached prompts.
 const HALF_LIFE: Duration = Duration::from_secs(60);
 
 /// Fraction by which the demand must fall below the current subset before any worker is removed, so
@@ -141,8 +142,8 @@
         self.is_stale = true;
     }
 
-    /// Records the number of requests running at a service's workers in use, which have `slots` slots
-    /// each.
+    /// Records the number of requests running at a service's workers in use, which have `slots`
+    /// slots each.
     pub fn note_load(&mut self, now: Timestamp, service: &str, running: u32, slots: u32) {
         let asked = f64::from(running) * SLOTS_PER_REQUEST / f64::from(slots.max(1));
         let demand = Demand {
@@ -174,8 +175,8 @@
         wanted.max(MIN_OWN_ZONE_WORKERS)
     }
 
-    /// Returns the changes of the workers in use since the last call. Zones for which `is_closed` holds
-    /// receive no requests.
+    /// Returns the changes of the workers in use since the last call. Zones for which `is_closed`
+    /// holds receive no requests.
     pub fn changes(&mut self, now: Timestamp, is_closed: impl Fn(&str) -> bool) -> Vec<Change> {
         let mut used = std::mem::take(&mut self.changed);
         let mut dropped = Vec::new();
@@ -230,8 +231,8 @@
         in_use
     }
 
-    /// Selects `wanted` workers of the own zone and some of each other zone. If the own zone has too
-    /// few, the other zones make up for them.
+    /// Selects `wanted` workers of the own zone and some of each other zone. If the own zone has
+    /// too few, the other zones make up for them.
     fn choose_workers(&self, open: &[&WorkerRecord], wanted: usize) -> Vec<String> {
         let mut zones: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
         for record in open {
--- a/crates/gateway-core/src/feed/published.rs
+++ b/crates/gateway-core/src/feed/published.rs
@@ -9,8 +9,8 @@
 use crate::feed::catalog::Change;
 use crate::workers::WorkerRecord;
 
-/// Maximum number of changes kept for incremental updates. A listener that has missed more receives the
-/// whole state.
+/// Maximum number of changes kept for incremental updates. A listener that has missed more receives
+/// the whole state.
 const MAX_CHANGES: usize = 1_024;
 
 /// Versioned set of the workers in use, with its latest changes.
@@ -64,8 +64,8 @@
         self.changes.clear();
     }
 
-    /// Returns the update for a listener that knows revision `known`, or none. `offset` is that of the
-    /// last record that this reader has applied.
+    /// Returns the update for a listener that knows revision `known`, or none. `offset` is that of
+    /// the last record that this reader has applied.
     pub fn since(&self, known: Option<u64>, offset: Offset) -> WorkersUpdate {
         let known = known.filter(|known| (self.oldest_revision..=self.revision).contains(known));
         let Some(known) = known else {
--- a/crates/gateway-core/src/feed/roles.rs
+++ b/crates/gateway-core/src/feed/roles.rs
@@ -29,8 +29,9 @@
 /// Minimum number of readers per zone, so that the loss of one leaves another.
 pub const MIN_READERS: usize = 2;
 
-/// Maximum number of nodes times workers for which every node reads the streams itself. With entries
-/// of about 250 bytes every 1.2 s this is 12.5 MB/s, a fortieth of a 4 Gbit/s link of the log.
+/// Maximum number of nodes times workers for which every node reads the streams itself. With
+/// entries of about 250 bytes every 1.2 s this is 12.5 MB/s, a fortieth of a 4 Gbit/s link of the
+/// log.
 pub const MAX_NODE_WORKER_PAIRS: usize = 60_000;
 
 /// Size of the fleet as known to a node.
@@ -47,8 +48,8 @@
 }
 
 impl FleetSize {
-    /// Returns the number of readers per zone that keeps reading nodes times workers within `pairs`, or
-    /// [`usize::MAX`] if every node may read.
+    /// Returns the number of readers per zone that keeps reading nodes times workers within
+    /// `pairs`, or [`usize::MAX`] if every node may read.
     pub fn readers_wanted(&self, pairs: usize) -> usize {
         let Some(workers) = self.workers else {
             return match self.seemed_small {
@@ -63,13 +64,13 @@
     }
 }
 
-/// Maximum number of listed nodes for which a starting node reads the streams immediately instead of
-/// waiting for a reader's heartbeat. The log can serve the first page of each stream to this many
-/// nodes, and the eventual readers are among them.
+/// Maximum number of listed nodes for which a starting node reads the streams immediately instead
+/// of waiting for a reader's heartbeat. The log can serve the first page of each stream to this
+/// many nodes, and the eventual readers are among them.
 const MAX_EARLY_READERS: u64 = 300;
 
-/// Returns whether the fleet seems small to a node that has just written its entry, given the number
-/// of entries listed before and written since.
+/// Returns whether the fleet seems small to a node that has just written its entry, given the
+/// number of entries listed before and written since.
 pub fn seems_small(listed: u64, written: u64) -> bool {
     listed.saturating_add(written) <= MAX_EARLY_READERS
 }
@@ -99,8 +100,8 @@
         Self {
             beat: fraction(0.05, 250),
             silence_timeout: fraction(0.2, 1_000),
-            // A long-polling read reflects the state at the time when it was sent. On an idle stream,
-            // the state is therefore up to two waits of 0.3 of the deadline old.
+            // A long-polling read reflects the state at the time when it was sent. On an idle
+            // stream, the state is therefore up to two waits of 0.3 of the deadline old.
             max_age: deadline.mul_f64(0.8),
             takeover_delay: fraction(0.2, 1_000),
             delay_per_rank: fraction(0.02, 100),
@@ -108,9 +109,9 @@
     }
 }
 
-/// Number of ranks behind the readers that are delayed by one [`FeedTimes::delay_per_rank`] each. Later
-/// ranks are delayed by [`SLOW_RANK_STEPS`] times as much, so that an outage of the log does not make
-/// every node read.
+/// Number of ranks behind the readers that are delayed by one [`FeedTimes::delay_per_rank`] each.
+/// Later ranks are delayed by [`SLOW_RANK_STEPS`] times as much, so that an outage of the log does
+/// not make every node read.
 const QUICK_RANKS: u32 = 6;
 
 /// Multiple of [`FeedTimes::delay_per_rank`] for each rank after the first [`QUICK_RANKS`].
@@ -120,17 +121,17 @@
 /// plus half of [`FeedTimes::delay_per_rank`] per rank.
 const ISOLATED_DELAY_FACTOR: u32 = 3;
 
-/// Multiple of the takeover delay for which a node that took over continues to read after enough other
-/// readers work again, since these may fail again.
+/// Multiple of the takeover delay for which a node that took over continues to read after enough
+/// other readers work again, since these may fail again.
 const STEP_DOWN_DELAY_FACTOR: u32 = 2;
 
 /// Multiple of [`FeedTimes::delay_per_rank`] for which a node that has read only since its start
-/// continues to read once enough other readers work. Short, since hundreds of nodes would otherwise read every worker's entry while
-/// a fleet starts.
+/// continues to read once enough other readers work. Short, since hundreds of nodes would otherwise
+/// read every worker's entry while a fleet starts.
 const STEP_DOWN_STEPS: u32 = 2;
 
-/// Returns the nodes of a zone in the order in which they should read: large machines first, then the
-/// longest listed first. Draining nodes and those for which `is_gone` holds are excluded.
+/// Returns the nodes of a zone in the order in which they should read: large machines first, then
+/// the longest listed first. Draining nodes and those for which `is_gone` holds are excluded.
 pub fn ranking(
     nodes: &NodeDirectory,
     zone: &str,
@@ -187,7 +188,8 @@
     has_had_reader: bool,
     /// Whether no reader works although one has before.
     is_outage: bool,
-    /// Time of the last heartbeat from any node, or the time of the first decision if there was none.
+    /// Time of the last heartbeat from any node, or the time of the first decision if there was
+    /// none.
     last_heartbeat: Option<Timestamp>,
 }
 
@@ -249,8 +251,8 @@
         working.next()
     }
 
-    /// Updates whether any reader works. Returns whether one works again after none did, which means
-    /// that an outage of the log has ended.
+    /// Updates whether any reader works. Returns whether one works again after none did, which
+    /// means that an outage of the log has ended.
     pub fn note_return(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
         let works = self.source(now, ranking).is_some();
         let is_back = works && self.is_outage;
@@ -259,8 +261,8 @@
         is_back
     }
 
-    /// Updates and returns the role. `ranking` is the zone's ranking, which may not contain this node,
-    /// and `wanted` is the number of readers.
+    /// Updates and returns the role. `ranking` is the zone's ranking, which may not contain this
+    /// node, and `wanted` is the number of readers.
     pub fn decide(
         &mut self,
         now: Timestamp,
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decision logic of the callers' gateway.
 //!
-//! Contains pure state machines and functions without I/O or a clock: routing of requests, selection
-//! of workers, handling of failed attempts, budgets of programs, and storage of conversations. The
-//! driver is `elderworks-gateway`.
+//! Contains pure state machines and functions without I/O or a clock: routing of requests,
+//! selection of workers, handling of failed attempts, budgets of programs, and storage of
+//! conversations. The driver is `elderworks-gateway`.
 
 pub mod access;
 pub mod acting;
--- a/crates/gateway-core/src/nodes.rs
+++ b/crates/gateway-core/src/nodes.rs
@@ -92,8 +92,8 @@
         true
     }
 
-    /// Removes a node whose entry was removed by the record at `offset`, unless a later entry is known.
-    /// Returns whether a node was removed.
+    /// Removes a node whose entry was removed by the record at `offset`, unless a later entry is
+    /// known. Returns whether a node was removed.
     pub fn remove(&mut self, node: &NodeId, offset: Offset) -> bool {
         let known = self.nodes.get(node).map(|known| known.incarnation.0);
         if known.is_some_and(|known| known > offset.0) {
@@ -144,10 +144,10 @@
             .collect()
     }
 
-    /// Returns the nodes offered to callers in `zone`: those of the zone if there are enough, otherwise
-    /// those of all zones. Of these, only the large ones are offered if there are enough, since fewer
-    /// nodes need fewer connections to workers and large nodes handle bursts better. Excludes draining
-    /// nodes and those for which `is_serving` does not hold.
+    /// Returns the nodes offered to callers in `zone`: those of the zone if there are enough,
+    /// otherwise those of all zones. Of these, only the large ones are offered if there are enough,
+    /// since fewer nodes need fewer connections to workers and large nodes handle bursts better.
+    /// Excludes draining nodes and those for which `is_serving` does not hold.
     pub fn offered(
         &self,
         zone: Option<&str>,
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Returns the union of [`Self::offered`] over all zones that have nodes, computed in one pass over the
-    /// nodes.
+    /// Returns the union of [`Self::offered`] over all zones that have nodes, computed in one pass
+    /// over the nodes.
     pub fn offered_anywhere(&self, is_serving: impl Fn(&NodeId) -> bool) -> BTreeSet<&NodeId> {
         let mut zones: BTreeMap<&str, Vec<(&NodeId, &NodeRecord)>> = BTreeMap::new();
         let mut serving = Vec::new();
--- a/crates/gateway-core/src/policy.rs
+++ b/crates/gateway-core/src/policy.rs
@@ -16,16 +16,16 @@
     pub advances: bool,
     /// Turns may run before their tokens are reserved while the log is slow or unavailable.
     pub overdrafts: bool,
-    /// A turn may start on an overdraft if the program's overdrafts including this one are at most its
-    /// budget divided by this number. At least 1.
+    /// A turn may start on an overdraft if the program's overdrafts including this one are at most
+    /// its budget divided by this number. At least 1.
     pub overdraft_share: u64,
-    /// Overdrafts are also opened on routes that store every turn, where no turn can complete while the
-    /// log is unavailable.
+    /// Overdrafts are also opened on routes that store every turn, where no turn can complete while
+    /// the log is unavailable.
     pub kept_overdrafts: bool,
     /// Owners read their partitions and open overdrafts before the first request.
     pub preparation: bool,
-    /// Nodes monitor whether the log responds. While it does not, they do not start turns that could not
-    /// complete.
+    /// Nodes monitor whether the log responds. While it does not, they do not start turns that
+    /// could not complete.
     pub silence_watch: bool,
     /// Fraction of its time limit for which such a turn waits before it is refused. From 0 to 1.
     pub outage_wait_share: f64,
@@ -39,11 +39,11 @@
     pub shared_load: bool,
     /// A worker accepts programs that prefer it up to this multiple of the mean load. At least 1.
     pub load_bound: f64,
-    /// Fraction of slots in use up to which workers accept requests regardless of the mean load, and up
-    /// to which zones use only their own workers. From 0 to 1.
+    /// Fraction of slots in use up to which workers accept requests regardless of the mean load,
+    /// and up to which zones use only their own workers. From 0 to 1.
     pub calm_share: f64,
-    /// Turns prefer the home engines of the first part of their prompt in any zone, since a single zone
-    /// has too few homes of a part to distribute its load.
+    /// Turns prefer the home engines of the first part of their prompt in any zone, since a single
+    /// zone has too few homes of a part to distribute its load.
     pub part_homes: bool,
     /// The prompts that engines hold in memory are read from engines that report them.
     pub engine_reading: bool,
@@ -52,8 +52,8 @@
     pub prompt_fetches: bool,
     /// Turns use only engines of their own zone if each engine has memory for all requested parts.
     pub near_homes: bool,
-    /// Difference in utilization between the own zone's engines and all engines above which turns also
-    /// use other zones. From 0 to 1.
+    /// Difference in utilization between the own zone's engines and all engines above which turns
+    /// also use other zones. From 0 to 1.
     pub zone_slack: f64,
     /// Witnesses and candidates of partitions are distributed over zones.
     pub zone_spread: bool,
@@ -73,8 +73,8 @@
     pub resumption: bool,
     /// Callers are directed to the larger machines if there are enough of them.
     pub large_nodes: bool,
-    /// Time to live of the node addresses given to callers, in milliseconds, unless the platform's limit
-    /// is lower. More than 0.
+    /// Time to live of the node addresses given to callers, in milliseconds, unless the platform's
+    /// limit is lower. More than 0.
     pub addresses_ttl_ms: u64,
     /// Nodes that have just started assume that listed nodes are alive.
     pub presumption: bool,
@@ -84,19 +84,20 @@
     pub peer_proofs: bool,
     /// Quotas are divided between nodes by reported demand, otherwise evenly.
     pub shared_quotas: bool,
-    /// One node per tenant, the lessor, grants its remaining quota. Without lessors, or while a lessor
-    /// does not respond, quotas are divided according to `shared_quotas`.
+    /// One node per tenant, the lessor, grants its remaining quota. Without lessors, or while a
+    /// lessor does not respond, quotas are divided according to `shared_quotas`.
     pub quota_lessors: bool,
-    /// While a quota is short, requests of new programs leave part of it to programs that have started.
+    /// While a quota is short, requests of new programs leave part of it to programs that have
+    /// started.
     pub quota_order: bool,
-    /// Maximum bytes that are read ahead of a stream's caller, so that a slow caller does not block its
-    /// worker. With 0, the worker waits for the caller.
+    /// Maximum bytes that are read ahead of a stream's caller, so that a slow caller does not block
+    /// its worker. With 0, the worker waits for the caller.
     pub stream_buffer_bytes: usize,
     /// Changes of nodes within a short time are processed as one batch.
     pub batched_changes: bool,
     /// Minimum interval between two calls to the log for one partition while a turn waits for its
-    /// permit, in milliseconds. Records in between are batched. Should be short compared to the time to
-    /// the first event. 0 disables batching.
+    /// permit, in milliseconds. Records in between are batched. Should be short compared to the
+    /// time to the first event. 0 disables batching.
     pub leave_pace_ms: u64,
     /// The same while only completions of turns wait, whose callers have received almost the whole
     /// response. Should be short compared to the duration of a turn.
@@ -109,28 +110,30 @@
     pub missing_grace: bool,
     /// Admission of turns to engines.
     pub admission: AdmissionMode,
-    /// Fraction of slots up to which engines receive turns while other turns wait. Above 0, at most 1.
+    /// Fraction of slots up to which engines receive turns while other turns wait. Above 0, at most
+    /// 1.
     pub full_share: f64,
-    /// Maximum time that a turn waits for a slot at an engine, in milliseconds since it received its
-    /// permit. Above 0. The same for all routes, since a limit derived from a route's target would refuse
-    /// urgent turns with short targets while others still wait.
+    /// Maximum time that a turn waits for a slot at an engine, in milliseconds since it received
+    /// its permit. Above 0. The same for all routes, since a limit derived from a route's target
+    /// would refuse urgent turns with short targets while others still wait.
     pub longest_wait_ms: u64,
     /// One of this many turns sent to an engine is the one that has waited longest, regardless of
     /// priority. At least 2.
     pub floor_interval: u32,
     /// While turns wait, tenants that have received less service have precedence.
     pub fair_share: bool,
-    /// Maximum number of nodes times workers for which every node reads the log's streams itself. Above
-    /// it, a few nodes of each zone read for the others. 0 means that only a few nodes ever read.
+    /// Maximum number of nodes times workers for which every node reads the log's streams itself.
+    /// Above it, a few nodes of each zone read for the others. 0 means that only a few nodes ever
+    /// read.
     pub reading_pairs: usize,
-    /// Runs that may execute at most once are resumed from a copy of their memory if their stream breaks
-    /// off and their engines support migration.
+    /// Runs that may execute at most once are resumed from a copy of their memory if their stream
+    /// breaks off and their engines support migration.
     pub run_moves: bool,
-    /// Time without an event after which such a run is migrated, in milliseconds. 0 disables migration
-    /// because of silence.
+    /// Time without an event after which such a run is migrated, in milliseconds. 0 disables
+    /// migration because of silence.
     pub leaving_silence_ms: u64,
-    /// Maximum bytes that a backup of a run may transfer per token yet to be generated, if engines support
-    /// backups. 0 disables backups.
+    /// Maximum bytes that a backup of a run may transfer per token yet to be generated, if engines
+    /// support backups. 0 disables backups.
     pub backup_bytes_per_token: u64,
     /// Maximum number of concurrent backups of one node.
     pub most_backups: u32,
--- a/crates/gateway-core/src/pressure.rs
+++ b/crates/gateway-core/src/pressure.rs
@@ -1,9 +1,9 @@
 //! Load shedding when the memory buffered for callers, workers and peers runs out.
 //!
-//! Memory may be exhausted by callers that stop reading, workers that send faster than callers read, or
-//! many large request bodies. Running work has precedence: request bodies are refused before new
-//! streams, and new streams before running ones are aborted. A running stream is aborted only if its
-//! caller has stopped reading.
+//! Memory may be exhausted by callers that stop reading, workers that send faster than callers
+//! read, or many large request bodies. Running work has precedence: request bodies are refused
+//! before new streams, and new streams before running ones are aborted. A running stream is aborted
+//! only if its caller has stopped reading.
 
 use std::time::Duration;
 
@@ -64,16 +64,16 @@
 /// Maximum bytes of all request bodies on any machine.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Maximum percentage of the process's memory for request bodies. Each body is copied once more when it
-/// is sent to a worker.
+/// Maximum percentage of the process's memory for request bodies. Each body is copied once more
+/// when it is sent to a worker.
 const BODIES_PERCENT: usize = 20;
 
 /// Percentage of the process's memory from which request bodies are refused. The memory up to
 /// [`FULL_PERCENT`] remains for streams, the rest for the process itself and its tables.
 const NO_NEW_BODIES_PERCENT: usize = 25;
 
-/// Percentage of the process's memory from which new streams are refused, so that running ones can buffer
-/// their events.
+/// Percentage of the process's memory from which new streams are refused, so that running ones can
+/// buffer their events.
 const NO_NEW_STREAMS_PERCENT: usize = 32;
 
 /// Percentage of the process's memory from which buffered data must be reduced.
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns whether request bodies may use `more` bytes in addition to `bodies` of the total `held`
-    /// bytes.
+    /// Returns whether request bodies may use `more` bytes in addition to `bodies` of the total
+    /// `held` bytes.
     pub fn takes_body(&self, bodies: usize, held: usize, more: usize) -> bool {
         bodies + more <= self.bodies && self.pressure(held + more) == Pressure::Normal
     }
@@ -129,8 +129,8 @@
     }
 }
 
-/// Bytes of a collected response that are read regardless of pressure, so that small responses always
-/// complete.
+/// Bytes of a collected response that are read regardless of pressure, so that small responses
+/// always complete.
 const SMALL_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Returns whether to read more of a response that is collected before it is forwarded.
@@ -138,14 +138,14 @@
     collected < SMALL_RESPONSE_BYTES || pressure < Pressure::Full
 }
 
-/// Returns whether to read more of a stream from its worker while `unsent` bytes are buffered for its
-/// caller. `buffer` is the maximum per stream. With 0, the worker waits for the caller.
+/// Returns whether to read more of a stream from its worker while `unsent` bytes are buffered for
+/// its caller. `buffer` is the maximum per stream. With 0, the worker waits for the caller.
 pub fn reads_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
     unsent == 0 || (unsent < buffer && pressure < Pressure::Full)
 }
 
-/// Maximum time for which a caller may read nothing while its worker waits. Callers that are still there
-/// pause for much less, and workers abort responses that are not read for some seconds.
+/// Maximum time for which a caller may read nothing while its worker waits. Callers that are still
+/// there pause for much less, and workers abort responses that are not read for some seconds.
 pub const LONGEST_STALL: Duration = Duration::from_secs(2);
 
 /// Action for a stream whose worker waits for its caller.
@@ -153,7 +153,8 @@
 pub enum StallStep {
     /// Keep waiting.
     Wait,
-    /// Release the worker. Another attempt resumes the stream once the caller has read the buffered data.
+    /// Release the worker. Another attempt resumes the stream once the caller has read the buffered
+    /// data.
     LetWorkerGo,
     /// End the stream.
     GiveUp,
@@ -170,8 +171,8 @@
     }
 }
 
-/// Time without a read after which a caller counts as not reading when memory is full. Longer than a
-/// packet retransmission takes.
+/// Time without a read after which a caller counts as not reading when memory is full. Longer than
+/// a packet retransmission takes.
 const NOT_READING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Buffered data of one running stream.
@@ -185,8 +186,8 @@
     pub stalled: Duration,
 }
 
-/// Returns the stream to abort when memory is full: among those whose callers do not read, the one with
-/// the most buffered bytes.
+/// Returns the stream to abort when memory is full: among those whose callers do not read, the one
+/// with the most buffered bytes.
 pub fn stream_to_end(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
     streams
         .into_iter()
--- a/crates/gateway-core/src/quota/lessor.rs
+++ b/crates/gateway-core/src/quota/lessor.rs
@@ -1,8 +1,9 @@
-//! Central admission: one node per tenant, the lessor, grants the remaining quota request by request.
+//! Central admission: one node per tenant, the lessor, grants the remaining quota request by
+//! request.
 //!
 //! The lessor knows its own grants immediately and learns from reports what other nodes forwarded
-//! without a grant. Unlike nodes that decide independently, it needs no reserve for requests that are
-//! not yet reported.
+//! without a grant. Unlike nodes that decide independently, it needs no reserve for requests that
+//! are not yet reported.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -24,8 +25,8 @@
 /// reserves this fraction.
 const LOW_USAGE_FRACTION: f64 = 0.5;
 
-/// Fraction of the operator's tolerance that the lessor reserves for requests that are forgotten when
-/// machines fail.
+/// Fraction of the operator's tolerance that the lessor reserves for requests that are forgotten
+/// when machines fail.
 const LOSS_TOLERANCE_FRACTION: f64 = 0.1;
 
 /// Returns the node that grants a tenant's requests, by rendezvous hashing.
@@ -87,7 +88,8 @@
         self.by_tenant.get(&tenant).into_iter().flatten()
     }
 
-    /// Moves a node's grants to those of ended processes, since its new process does not report them.
+    /// Moves a node's grants to those of ended processes, since its new process does not report
+    /// them.
     fn note_restart(&mut self, node: &NodeId) {
         for (tenant, nodes) in &mut self.by_tenant {
             let Some(grants) = nodes.remove(node) else {
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -4,10 +4,10 @@
 //! other nodes several times a second. A tenant's lessor decides on its requests ([`grant`]); while
 //! usage is low, nodes admit requests without asking it.
 //!
-//! Without a lessor, each node may forward a share of the remaining quota that is proportional to its
-//! share of the reported demand. As long as reports arrive in time, the nodes together never exceed
-//! the quota. Errors due to late reports are bounded by the operator's tolerance. See decisions 0093
-//! and 0098.
+//! Without a lessor, each node may forward a share of the remaining quota that is proportional to
+//! its share of the reported demand. As long as reports arrive in time, the nodes together never
+//! exceed the quota. Errors due to late reports are bounded by the operator's tolerance. See
+//! decisions 0093 and 0098.
 //!
 //! [`grant`]: QuotaBook::grant
 
@@ -37,14 +37,15 @@
 /// Interval between two reports of a node.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum number of nodes that receive one report. In larger fleets, reports rotate over the nodes.
+/// Maximum number of nodes that receive one report. In larger fleets, reports rotate over the
+/// nodes.
 pub const MAX_REPORT_TARGETS: u32 = 64;
 
 /// Time over which demand is measured.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// Fraction of an even share of the quota below which a node does not report a tenant. The other nodes
-/// reserve this much for it.
+/// Fraction of an even share of the quota below which a node does not report a tenant. The other
+/// nodes reserve this much for it.
 const UNREPORTED_FRACTION: f64 = 0.1;
 
 /// Fraction of the operator's tolerance that is added to the limit, so that counting errors fall
@@ -116,7 +117,7 @@
     /// This node's share of the quota according to the nodes' reports.
     Reported,
     /// A reduced even share, because this node receives reports from too few others.
-    Alone,
+    Isolated,
     /// This node's even share.
     Even,
 }
@@ -127,7 +128,7 @@
         match self {
             Self::Lessor => "lessor",
             Self::Reported => "told",
-            Self::Alone => "alone",
+            Self::Isolated => "alone",
             Self::Even => "even",
         }
     }
@@ -371,8 +372,8 @@
         self.rules.limit(quota)
     }
 
-    /// Returns the tenants with the highest usage relative to their quotas, at most `max_count` of them,
-    /// each with the used fraction.
+    /// Returns the tenants with the highest usage relative to their quotas, at most `max_count` of
+    /// them, each with the used fraction.
     pub fn most_used(&self, max_count: usize) -> Vec<(TenantKey, f64)> {
         let mut used: Vec<(TenantKey, f64)> = self
             .accounts
--- a/crates/gateway-core/src/quota/standing.rs
+++ b/crates/gateway-core/src/quota/standing.rs
@@ -48,7 +48,7 @@
                 tenant,
                 fleet,
                 limit * ISOLATED_FRACTION,
-                Basis::Alone,
+                Basis::Isolated,
             );
         }
         self.reported_allowance(now, tenant, fleet, limit)
@@ -119,8 +119,8 @@
         f64::from(unconfirmed) + 1.0 <= share + self.rounding(now, tenant, fleet)
     }
 
-    /// Returns the number of requests that this node has forwarded and that other nodes may not know of
-    /// yet.
+    /// Returns the number of requests that this node has forwarded and that other nodes may not
+    /// know of yet.
     pub(super) fn unconfirmed(&self, now: Timestamp, tenant: TenantKey, fleet: Fleet) -> u32 {
         let propagation = propagation_time(fleet).min(self.rules.window);
         self.accounts[&tenant]
@@ -128,8 +128,8 @@
             .since(self.slots.first_within(now, propagation))
     }
 
-    /// Returns whether this node receives reports from too few others to rely on them, because it is
-    /// partitioned or has just started.
+    /// Returns whether this node receives reports from too few others to rely on them, because it
+    /// is partitioned or has just started.
     pub(super) fn is_isolated(&self, now: Timestamp, fleet: Fleet) -> bool {
         let may_be_isolated = fleet.is_cut_off || now.since(self.started) < LEARNING_TIME;
         if !may_be_isolated || fleet.nodes <= 1 {
@@ -156,8 +156,8 @@
             / f64::from(fleet.nodes.max(1))
     }
 
-    /// Returns a pseudo-random number from 0 to 1 that rounds a fractional share up or down. Over all
-    /// nodes and periods the rounded shares add up to the remaining quota.
+    /// Returns a pseudo-random number from 0 to 1 that rounds a fractional share up or down. Over
+    /// all nodes and periods the rounded shares add up to the remaining quota.
     fn rounding(&self, now: Timestamp, tenant: TenantKey, fleet: Fleet) -> f64 {
         let span = propagation_time(fleet).min(self.rules.window);
         let period = now.0 / u64::try_from(span.as_micros()).unwrap_or(u64::MAX).max(1);
--- a/crates/gateway-core/src/quota/widths.rs
+++ b/crates/gateway-core/src/quota/widths.rs
@@ -38,8 +38,8 @@
         fleet
     }
 
-    /// Returns whether the fleet is a strict majority of the largest one within the window, so that no
-    /// partitioned half can admit requests on its own.
+    /// Returns whether the fleet is a strict majority of the largest one within the window, so that
+    /// no partitioned half can admit requests on its own.
     pub(super) fn is_majority(&self, fleet: Fleet) -> bool {
         fleet.nodes.saturating_mul(2) > self.max_nodes()
     }
--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -1,9 +1,9 @@
 //! Selects the runs that are backed up to another engine while they run.
 //!
-//! A backup transfers a run's whole memory once, whether or not it will be needed. It is worth its cost
-//! for runs that still generate many tokens from little memory, so the criterion is the number of bytes
-//! transferred per token yet to be generated. Each node also limits its concurrent backups and their
-//! total bytes per second.
+//! A backup transfers a run's whole memory once, whether or not it will be needed. It is worth its
+//! cost for runs that still generate many tokens from little memory, so the criterion is the number
+//! of bytes transferred per token yet to be generated. Each node also limits its concurrent backups
+//! and their total bytes per second.
 
 use elderworks_types::Timestamp;
 
@@ -50,8 +50,8 @@
 }
 
 impl Backups {
-    /// Starts a backup of a run if the limits allow it, and returns the bytes charged for it. The caller
-    /// must call [`Backups::end`] once the run has ended.
+    /// Starts a backup of a run if the limits allow it, and returns the bytes charged for it. The
+    /// caller must call [`Backups::end`] once the run has ended.
     pub fn begin(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
         let bytes = run.backup_bytes();
         let max_bytes = rules.most_bytes_per_token.saturating_mul(run.left_tokens);
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -4,13 +4,13 @@
 //! whose requests run at most once. A copy is therefore used only if one of the following holds;
 //! otherwise the stream ends incomplete:
 //!
-//! - The engine confirmed that it stopped the run after the last event that the caller received, and
-//!   returned the copy's handle.
+//! - The engine confirmed that it stopped the run after the last event that the caller received,
+//!   and returned the copy's handle.
 //! - The stream broke off, and the engine reports that it has no such run.
 //! - The stream broke off or is silent, and no connection to the engine can be established.
 //!
-//! Each copy is used for at most one attempt that runs. An attempt that is refused leaves the copy to
-//! the next one. Unused copies are returned to the driver, which frees them.
+//! Each copy is used for at most one attempt that runs. An attempt that is refused leaves the copy
+//! to the next one. Unused copies are returned to the driver, which frees them.
 
 pub mod backups;
 mod steps;
@@ -74,8 +74,9 @@
 }
 
 impl RunLife {
-    /// Creates the state of a run whose stream is read from engine `at`. `ran_at` lists all workers that
-    /// may have run it so far. If `backup` is given, the run's memory is continuously copied there.
+    /// Creates the state of a run whose stream is read from engine `at`. `ran_at` lists all workers
+    /// that may have run it so far. If `backup` is given, the run's memory is continuously copied
+    /// there.
     pub fn new(
         request_id: String,
         at: Engine,
@@ -116,8 +117,8 @@
         self.step = Step::Ended;
     }
 
-    /// Starts a migration. `candidate` is another engine with a free slot. Also called when the stream
-    /// breaks off during a migration for another reason.
+    /// Starts a migration. `candidate` is another engine with a free slot. Also called when the
+    /// stream breaks off during a migration for another reason.
     pub fn leave(&mut self, reason: Reason, candidate: Option<Engine>) -> Order {
         let is_unforced = reason != Reason::Broken;
         if self.moves >= MAX_MIGRATIONS || (is_unforced && self.unforced >= MAX_UNFORCED_ATTEMPTS) {
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a free
-    /// slot.
+    /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a
+    /// free slot.
     pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> Order {
         let Step::Resuming {
             at,
@@ -252,8 +253,8 @@
         copy
     }
 
-    /// Resumes a stopped run from a complete copy at the target. The run's engine still has the memory
-    /// and is used if the target is not allowed or refuses.
+    /// Resumes a stopped run from a complete copy at the target. The run's engine still has the
+    /// memory and is used if the target is not allowed or refuses.
     fn resume_at_target(&mut self, target: Engine, copy: RunCopy) -> Order {
         let source = self.at.clone();
         match self.may_run_at(&target) {
@@ -291,8 +292,8 @@
         self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.most_engines
     }
 
-    /// Records that an attempt with the copy is or may be running. The copy is then used up, and the
-    /// backup belongs to the previous attempt.
+    /// Records that an attempt with the copy is or may be running. The copy is then used up, and
+    /// the backup belongs to the previous attempt.
     fn note_running_at(&mut self, at: Engine, copy: &RunCopy) {
         self.unused.retain(|unused| unused != copy);
         if !self.ran_at.contains(&at.worker) {
--- a/crates/gateway-core/src/run_moves/targets.rs
+++ b/crates/gateway-core/src/run_moves/targets.rs
@@ -7,8 +7,8 @@
 /// Preferred zone of the target engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneWish {
-    /// The zone of the run's engine, since copies between zones take twice as long and incur transfer
-    /// costs.
+    /// The zone of the run's engine, since copies between zones take twice as long and incur
+    /// transfer costs.
     Same,
     /// Another zone, which does not fail together with that of the run's engine.
     Other,
--- a/crates/gateway-core/src/split.rs
+++ b/crates/gateway-core/src/split.rs
@@ -4,8 +4,8 @@
 
 use crate::config::Route;
 
-/// Smooth weighted round robin for each route. After any number of requests, each service has received
-/// its weighted share to within one request.
+/// Smooth weighted round robin for each route. After any number of requests, each service has
+/// received its weighted share to within one request.
 #[derive(Debug, Default)]
 pub struct SplitState {
     seed: u64,
--- a/crates/gateway-core/src/tenants.rs
+++ b/crates/gateway-core/src/tenants.rs
@@ -85,7 +85,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTable {
     tenants: Vec<Tenant>,
-    /// Uses a random hash seed per process, so that the time of a lookup reveals nothing about the keys.
+    /// Uses a random hash seed per process, so that the time of a lookup reveals nothing about the
+    /// keys.
     by_key: HashMap<KeyDigest, TenantId>,
     by_name: HashMap<TenantKey, TenantId>,
 }
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -128,8 +128,8 @@
     assert_eq!(proof.age(at(9_000)), Some(ms(0)));
 }
 
-/// Guards against listeners whose proofs are too old to refuse unknown routes. A request is answered
-/// within 0.2 s, or 0.4 s if two requests are lost.
+/// Guards against listeners whose proofs are too old to refuse unknown routes. A request is
+/// answered within 0.2 s, or 0.4 s if two requests are lost.
 #[test]
 fn proofs_of_listeners_are_valid_for_refusing_unknown_routes() {
     for apply in [3_000, 5_000, 14_000] {
@@ -162,8 +162,9 @@
     assert!(!request_timer.is_due(&proof, at(12_000), lease));
 }
 
-/// Guards against both late and unnecessary requests: a node whose reads fail requests proofs in time,
-/// and a node with an idle stream, whose proof is up to two long-polling waits old, requests none.
+/// Guards against both late and unnecessary requests: a node whose reads fail requests proofs in
+/// time, and a node with an idle stream, whose proof is up to two long-polling waits old, requests
+/// none.
 #[test]
 fn without_keys_proofs_are_requested_only_when_reads_fail() {
     for apply in [2_000, 3_000, 5_000] {
--- a/crates/gateway-core/tests/config_proof_model.rs
+++ b/crates/gateway-core/tests/config_proof_model.rs
@@ -1,5 +1,5 @@
-//! Simulates two nodes with drifting clocks in virtual time, and checks that no node accepts a revoked
-//! key for too long.
+//! Simulates two nodes with drifting clocks in virtual time, and checks that no node accepts a
+//! revoked key for too long.
 
 use std::time::Duration;
 
@@ -20,7 +20,8 @@
     Publish,
     /// A node sends a read, which the log processes after `until` and whose response takes `back`.
     Read { node: usize, until: u64, back: u64 },
-    /// A node requests a proof, which the other node sends after `until` and whose delivery takes `back`.
+    /// A node requests a proof, which the other node sends after `until` and whose delivery takes
+    /// `back`.
     Ask { node: usize, until: u64, back: u64 },
     /// A node decides whether to accept the oldest key that it knows.
     Use { node: usize },
--- a/crates/gateway-core/tests/feed_roles.rs
+++ b/crates/gateway-core/tests/feed_roles.rs
@@ -1,5 +1,5 @@
-//! Simulates the selection of readers in fleets of 11 to 3,200 nodes, in virtual time. Checks the number
-//! of readers and how long a zone is without a working one.
+//! Simulates the selection of readers in fleets of 11 to 3,200 nodes, in virtual time. Checks the
+//! number of readers and how long a zone is without a working one.
 
 use std::time::Duration;
 
@@ -215,7 +215,8 @@
     }
 }
 
-/// Guards against a zone missing its deadline after the loss of both readers and the nodes ranked next.
+/// Guards against a zone missing its deadline after the loss of both readers and the nodes ranked
+/// next.
 #[test]
 fn lost_readers_are_replaced_within_half_of_the_deadline_and_by_few() {
     for count in [60, 200] {
@@ -268,8 +269,8 @@
     }
 }
 
-/// Guards against slow failover when about half of a zone crashes at once, including both readers, and
-/// the ranking still lists the crashed nodes.
+/// Guards against slow failover when about half of a zone crashes at once, including both readers,
+/// and the ranking still lists the crashed nodes.
 #[test]
 fn readers_are_replaced_in_time_after_the_loss_of_half_a_zone() {
     for seed in 0..8_u64 {
--- a/crates/gateway-core/tests/feed_workers.rs
+++ b/crates/gateway-core/tests/feed_workers.rs
@@ -62,8 +62,8 @@
     assert_eq!(twice.len(), used.len());
 }
 
-/// Guards against queueing while the load rises quickly: with reports every 200 ms, the subset always has
-/// at least three slots per running request.
+/// Guards against queueing while the load rises quickly: with reports every 200 ms, the subset
+/// always has at least three slots per running request.
 #[test]
 fn the_subset_grows_with_the_load_before_requests_queue() {
     let mut catalog = catalog("a", ENGINES);
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -1,6 +1,6 @@
-//! Simulates a fleet that shares quotas, in virtual time. Checks that the requests that reach workers
-//! in any window stay within the operator's tolerance and that tenants below their quotas are not
-//! refused.
+//! Simulates a fleet that shares quotas, in virtual time. Checks that the requests that reach
+//! workers in any window stay within the operator's tolerance and that tenants below their quotas
+//! are not refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -65,8 +65,8 @@
     entries: usize,
     /// Fraction of messages that are lost, from 0 to 1.
     lost: f64,
-    /// Number of nodes that are partitioned from the others and the log from 10 s on and still accept
-    /// callers.
+    /// Number of nodes that are partitioned from the others and the log from 10 s on and still
+    /// accept callers.
     partitioned: usize,
     /// Duration of the partition in milliseconds.
     partition_ms: u64,
@@ -711,8 +711,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any combination of message loss, partitions, crashes, pauses, joins and earlier versions stays
-    /// within the tolerance, with or without lessors.
+    /// Any combination of message loss, partitions, crashes, pauses, joins and earlier versions
+    /// stays within the tolerance, with or without lessors.
     #[test]
     fn no_schedule_passes_the_bound(
         scenario in any_scenario(),
@@ -726,7 +726,10 @@
 
     /// The same with lessors, without crashes and with nodes of one version.
     #[test]
-    fn no_loss_partition_pause_or_growth_exceeds_the_tolerance(scenario in any_scenario(), seed in 0..1_000_u64) {
+    fn no_loss_partition_pause_or_growth_exceeds_the_tolerance(
+        scenario in any_scenario(),
+        seed in 0..1_000_u64,
+    ) {
         let scenario = Scenario { crashed: 0, without_lessors: 0, ..scenario };
         let outcome = simulate(&scenario, Method::Lessor, seed);
         prop_assert!(f64::from(outcome.max_in_window) <= tolerated(scenario.quota), "{outcome:?}");
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -187,8 +187,8 @@
     assert_eq!(run.after_stop(copied("h")), expected);
 }
 
-/// Guards against unforced migrations that could lose the run: the source engine may refuse to resume
-/// a run that was copied elsewhere.
+/// Guards against unforced migrations that could lose the run: the source engine may refuse to
+/// resume a run that was copied elsewhere.
 #[test]
 fn a_run_at_its_engine_limit_does_not_migrate_unforced() {
     for reason in [Reason::Silent, Reason::Draining, Reason::Slow] {
@@ -348,7 +348,10 @@
                 transferred += bytes;
                 let elapsed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
                 let max_bytes = rules.bytes_per_s as f64 * elapsed;
-                prop_assert!(transferred as f64 <= max_bytes + 200.0, "{} of {}", transferred, max_bytes);
+                prop_assert!(
+                    transferred as f64 <= max_bytes + 200.0,
+                    "{} of {}", transferred, max_bytes
+                );
             }
         }
     }
