--- a/crates/gateway-core/src/policy.rs
+++ b/crates/gateway-core/src/policy.rs
@@ -27,7 +27,8 @@
     /// Nodes monitor whether the log responds. While it does not, they do not start turns that
     /// could not complete.
     pub silence_watch: bool,
-    /// Fraction of its time limit for which such a turn waits before it is refused. From 0 to 1.
+    /// Fraction of its remaining time for which a turn waits for an unresponsive log before it is
+    /// refused. From 0 to 1.
     pub outage_wait_share: f64,
     /// Requests without a permit to run wait for the end of an outage of the log.
     pub patience: bool,
@@ -99,8 +100,9 @@
     /// permit, in milliseconds. Records in between are batched. Should be short compared to the
     /// time to the first event. 0 disables batching.
     pub leave_pace_ms: u64,
-    /// The same while only completions of turns wait, whose callers have received almost the whole
-    /// response. Should be short compared to the duration of a turn.
+    /// Minimum interval between two such calls while only completions of turns wait, in milliseconds.
+    /// Their callers have received almost the whole response. Should be short compared to the
+    /// duration of a turn.
     pub end_pace_ms: u64,
     /// Requests wait briefly for their node to finish starting.
     pub starting_patience: bool,
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -176,6 +176,7 @@
 /// The latest report of another node.
 #[derive(Clone, Debug)]
 struct Report {
+    /// Time of receipt.
     at: Timestamp,
     uses: HashMap<TenantKey, TenantUse>,
 }
--- a/crates/gateway-core/src/quota/standing.rs
+++ b/crates/gateway-core/src/quota/standing.rs
@@ -54,6 +54,7 @@
         self.reported_allowance(now, tenant, fleet, limit)
     }
 
+    /// Returns what is left of `limit` if every node forwards as much as this one.
     fn even_allowance(
         &self,
         now: Timestamp,
@@ -143,8 +144,8 @@
         received * 2 < usize::try_from(fleet.nodes - 1).unwrap_or(usize::MAX)
     }
 
-    /// Returns an upper estimate of the requests forwarded on this machine before this process
-    /// started: an even share of the quota, decreasing to zero over one window.
+    /// Returns an estimate of the requests in the window that an earlier process forwarded on this
+    /// machine: an even share of the quota that decreases to zero over one window.
     pub(super) fn unknown_before_start(&self, now: Timestamp, limit: f64, fleet: Fleet) -> f64 {
         if !self.may_have_predecessor {
             return 0.0;
--- a/crates/gateway-core/tests/quota.rs
+++ b/crates/gateway-core/tests/quota.rs
@@ -20,12 +20,12 @@
 
 const TENANT: TenantKey = TenantKey(7);
 
-const ALONE: Fleet = Fleet {
+const SINGLE_NODE: Fleet = Fleet {
     nodes: 1,
     is_cut_off: false,
 };
 
-const FOUR: Fleet = Fleet {
+const FOUR_NODES: Fleet = Fleet {
     nodes: 4,
     is_cut_off: false,
 };
@@ -57,19 +57,19 @@
 #[test]
 fn a_single_node_enforces_the_whole_quota() {
     let mut book = book(Division::Told);
-    let first = admitted(&mut book, at(0), ALONE, 100);
+    let first = admitted(&mut book, at(0), SINGLE_NODE, 100);
     assert!(is_about(first, 60), "{first}");
-    assert_eq!(admitted(&mut book, at(4_800), ALONE, 10), 0);
-    let second = admitted(&mut book, at(5_200), ALONE, 100);
+    assert_eq!(admitted(&mut book, at(4_800), SINGLE_NODE, 10), 0);
+    let second = admitted(&mut book, at(5_200), SINGLE_NODE, 100);
     assert!(is_about(second, 60), "{second}");
 }
 
 #[test]
 fn refusals_contain_a_retry_delay() {
     let mut book = book(Division::Told);
-    admitted(&mut book, at(0), ALONE, 100);
+    admitted(&mut book, at(0), SINGLE_NODE, 100);
     let over = book
-        .admit(at(1), TENANT, QUOTA, ALONE)
+        .admit(at(1), TENANT, QUOTA, SINGLE_NODE)
         .expect_err("used up");
     // One of 60 requests fits every 83 ms, which is below the minimum delay.
     assert_eq!(over.retry_after, Duration::from_millis(200));
@@ -78,7 +78,7 @@
         burst: 0.0,
     };
     let other = TenantKey(8);
-    let over = (0..5).find_map(|_| book.admit(at(1), other, small, ALONE).err());
+    let over = (0..5).find_map(|_| book.admit(at(1), other, small, SINGLE_NODE).err());
     assert_eq!(over.expect("used up").retry_after, Duration::from_secs(2));
 }
 
@@ -98,7 +98,7 @@
             let node = NodeId::new(format!("n{number}"));
             book.take_report(at(0), node, uses(*sent, *asked));
         }
-        let count = admitted(&mut book, at(10), FOUR, 100);
+        let count = admitted(&mut book, at(10), FOUR_NODES, 100);
         assert!(count.abs_diff(expected) <= 3, "{others:?}: {count}");
     }
 }
@@ -106,7 +106,7 @@
 #[test]
 fn a_reserve_is_kept_for_nodes_that_do_not_report() {
     let mut book = book(Division::Told);
-    let count = admitted(&mut book, at(0), FOUR, 100);
+    let count = admitted(&mut book, at(0), FOUR_NODES, 100);
     // A tenth of an even share is reserved for each of the three others.
     assert!(is_about(count, 60 - 4), "{count}");
 }
@@ -115,7 +115,7 @@
 fn even_division_ignores_reports() {
     let mut book = book(Division::Even);
     book.take_report(at(0), NodeId::new("n1"), uses(60, 60));
-    let count = admitted(&mut book, at(0), FOUR, 100);
+    let count = admitted(&mut book, at(0), FOUR_NODES, 100);
     assert!(is_about(count, 15), "{count}");
 }
 
@@ -124,7 +124,7 @@
     let mut book = book(Division::Told);
     let fleet = Fleet {
         is_cut_off: true,
-        ..FOUR
+        ..FOUR_NODES
     };
     let count = admitted(&mut book, at(0), fleet, 100);
     assert!(is_about(count, 6), "{count}");
@@ -143,17 +143,17 @@
     // milliseconds since the start, requests admitted out of 100
     for (after, expected) in [(0, 0), (2_500, 30), (5_000, 60)] {
         let now = started + Duration::from_millis(after);
-        let count = admitted(&mut new_book(), now, ALONE, 100);
+        let count = admitted(&mut new_book(), now, SINGLE_NODE, 100);
         assert!(is_about(count, expected), "{after} ms: {count}");
     }
     let mut book = new_book();
-    let _ = book.admit(at(1), TENANT, QUOTA, FOUR);
-    let reported = book.report(at(1), FOUR);
+    let _ = book.admit(at(1), TENANT, QUOTA, FOUR_NODES);
+    let reported = book.report(at(1), FOUR_NODES);
     assert_eq!(reported.len(), 1);
     assert!(is_about(reported[0].1.sent, 15), "{reported:?}");
     let mut book = new_book();
     book.note_new_machine();
-    let count = admitted(&mut book, at(2_000), ALONE, 100);
+    let count = admitted(&mut book, at(2_000), SINGLE_NODE, 100);
     assert!(
         is_about(count, 60),
         "no earlier process forwarded requests: {count}"
@@ -164,52 +164,52 @@
 fn requests_that_were_not_sent_are_given_back() {
     let mut book = book(Division::Told);
     let tickets: Vec<Ticket> = (0..60)
-        .filter_map(|_| book.admit(at(0), TENANT, QUOTA, ALONE).ok())
+        .filter_map(|_| book.admit(at(0), TENANT, QUOTA, SINGLE_NODE).ok())
         .collect();
-    assert_eq!(admitted(&mut book, at(0), ALONE, 10), 0);
+    assert_eq!(admitted(&mut book, at(0), SINGLE_NODE, 10), 0);
     for ticket in &tickets[..20] {
         book.give_back(*ticket);
     }
-    let count = admitted(&mut book, at(0), ALONE, 100);
+    let count = admitted(&mut book, at(0), SINGLE_NODE, 100);
     assert!(is_about(count, 20), "{count}");
 }
 
 #[test]
 fn every_send_counts_from_its_own_time() {
     let mut book = book(Division::Told);
-    let ticket = book.admit(at(0), TENANT, QUOTA, ALONE).expect("room");
+    let ticket = book.admit(at(0), TENANT, QUOTA, SINGLE_NODE).expect("room");
     book.note_send(at(1_000), ticket);
     book.note_further_send(at(2_000), ticket);
     assert_eq!(book.used_by(TENANT), 2);
-    book.report(at(5_500), ALONE);
+    book.report(at(5_500), SINGLE_NODE);
     assert_eq!(book.used_by(TENANT), 2, "sent 4.5 s ago");
-    book.report(at(6_500), ALONE);
+    book.report(at(6_500), SINGLE_NODE);
     assert_eq!(book.used_by(TENANT), 1);
-    book.report(at(8_000), ALONE);
+    book.report(at(8_000), SINGLE_NODE);
     assert_eq!(book.used_by(TENANT), 0);
 }
 
 #[test]
 fn a_lower_quota_takes_effect_immediately() {
     let mut book = book(Division::Told);
-    admitted(&mut book, at(0), ALONE, 30);
+    admitted(&mut book, at(0), SINGLE_NODE, 30);
     let lower = Quota {
         per_second: 4.0,
         burst: 0.0,
     };
-    assert!(book.admit(at(10), TENANT, lower, ALONE).is_err());
-    assert!(book.admit(at(10), TENANT, QUOTA, ALONE).is_ok());
+    assert!(book.admit(at(10), TENANT, lower, SINGLE_NODE).is_err());
+    assert!(book.admit(at(10), TENANT, QUOTA, SINGLE_NODE).is_ok());
 }
 
 #[test]
 fn low_usage_is_not_reported() {
     let mut book = book(Division::Told);
-    assert!(book.report(at(0), FOUR).is_empty());
-    admitted(&mut book, at(0), FOUR, 1);
+    assert!(book.report(at(0), FOUR_NODES).is_empty());
+    admitted(&mut book, at(0), FOUR_NODES, 1);
     assert!(
-        book.report(at(0), FOUR).is_empty(),
+        book.report(at(0), FOUR_NODES).is_empty(),
         "a fifteenth of its share"
     );
-    admitted(&mut book, at(0), FOUR, 3);
-    assert_eq!(book.report(at(0), FOUR).len(), 1);
+    admitted(&mut book, at(0), FOUR_NODES, 3);
+    assert_eq!(book.report(at(0), FOUR_NODES).len(), 1);
 }
--- a/crates/gateway-core/tests/quota_lessor.rs
+++ b/crates/gateway-core/tests/quota_lessor.rs
@@ -23,14 +23,14 @@
 };
 
 /// Allows 12 requests per window.
-const LOWER: Quota = Quota {
+const LOWER_QUOTA: Quota = Quota {
     per_second: 2.0,
     burst: 2.0,
 };
 
 const TENANT: TenantKey = TenantKey(7);
 
-const FOUR: Fleet = Fleet {
+const FOUR_NODES: Fleet = Fleet {
     nodes: 4,
     is_cut_off: false,
 };
@@ -50,7 +50,7 @@
 
 fn ask(book: &mut QuotaBook, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
     let to = node(1);
-    let decided = book.grant(at(ms), TENANT, quota, FOUR, Some(&to), order);
+    let decided = book.grant(at(ms), TENANT, quota, FOUR_NODES, Some(&to), order);
     decided.expect("a decision")
 }
 
@@ -97,15 +97,15 @@
 fn a_lowered_limit_counts_earlier_requests_and_a_raised_one_applies_immediately() {
     let mut book = lessor();
     assert_eq!(granted(&mut book, 0, QUOTA, 20), 20);
-    assert_eq!(granted(&mut book, 100, LOWER, 100), 0);
+    assert_eq!(granted(&mut book, 100, LOWER_QUOTA, 100), 0);
     book.take_report(at(200), node(1), uses(20));
-    assert_eq!(granted(&mut book, 4_900, LOWER, 100), 0);
+    assert_eq!(granted(&mut book, 4_900, LOWER_QUOTA, 100), 0);
     // Half of the quota is reserved for low usage.
     assert_eq!(granted(&mut book, 4_950, QUOTA, 100), 30);
     book.take_report(at(9_000), node(1), uses(30));
-    assert_eq!(granted(&mut book, 9_900, LOWER, 100), 0);
+    assert_eq!(granted(&mut book, 9_900, LOWER_QUOTA, 100), 0);
     book.take_report(at(10_200), node(1), uses(0));
-    assert_eq!(granted(&mut book, 10_300, LOWER, 100), 6);
+    assert_eq!(granted(&mut book, 10_300, LOWER_QUOTA, 100), 6);
 }
 
 #[test]
@@ -152,23 +152,26 @@
     let order = Order::Later;
     let mut started = QuotaBook::new(RULES, Division::Told, 1, at(0));
     assert_eq!(
-        started.grant(at(4_000), TENANT, QUOTA, FOUR, None, order),
+        started.grant(at(4_000), TENANT, QUOTA, FOUR_NODES, None, order),
         None
     );
     assert_eq!(
-        started.grant(at(5_100), TENANT, QUOTA, FOUR, None, order),
+        started.grant(at(5_100), TENANT, QUOTA, FOUR_NODES, None, order),
         Some(Ok(()))
     );
     let mut new = QuotaBook::new(RULES, Division::Told, 1, at(0));
     new.note_new_machine();
-    assert_eq!(new.grant(at(500), TENANT, QUOTA, FOUR, None, order), None);
     assert_eq!(
-        new.grant(at(1_100), TENANT, QUOTA, FOUR, None, order),
+        new.grant(at(500), TENANT, QUOTA, FOUR_NODES, None, order),
+        None
+    );
+    assert_eq!(
+        new.grant(at(1_100), TENANT, QUOTA, FOUR_NODES, None, order),
         Some(Ok(()))
     );
     let cut_off = Fleet {
         is_cut_off: true,
-        ..FOUR
+        ..FOUR_NODES
     };
     assert_eq!(
         lessor().grant(at(0), TENANT, QUOTA, cut_off, None, order),
@@ -193,7 +196,7 @@
 #[test]
 fn an_isolated_node_keeps_to_its_share_of_the_earlier_fleet() {
     let mut book = lessor();
-    book.report(at(0), FOUR);
+    book.report(at(0), FOUR_NODES);
     let cut_off = Fleet {
         nodes: 1,
         is_cut_off: true,
