--- a/crates/gateway-core/src/quota/widths.rs
+++ b/crates/gateway-core/src/quota/widths.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether the fleet is a strict majority of the largest one within the window, so that
-    /// no partitioned half can admit requests on its own.
+    /// no other partition can be as large.
     pub(super) fn is_majority(&self, fleet: Fleet) -> bool {
         fleet.nodes.saturating_mul(2) > self.max_nodes()
     }
