--- a/crates/gateway-core/src/access.rs
+++ b/crates/gateway-core/src/access.rs
@@ -60,6 +60,6 @@
         // No later configuration can make this a valid key.
         KeyCheck::Denied if !matches!(credential, Credential::Key(_)) => Access::Denied,
         KeyCheck::Denied if leases.may_deny(proof, now) => Access::Denied,
-        KeyCheck::Denied => Access::KeyUnsure,
+        KeyCheck::Denied => Access::KeyUnverified,
     }
 }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -113,8 +113,8 @@
         link_mbps: 0.0,
         moves_runs: false,
         backs_up_runs: false,
-        copies_last: Duration::ZERO,
-        most_event_calls: 0,
+        copy_lifetime: Duration::ZERO,
+        max_event_calls: 0,
     };
 }
 
--- a/crates/gateway-core/src/config_proof.rs
+++ b/crates/gateway-core/src/config_proof.rs
@@ -171,7 +171,7 @@
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         let newest_at = signed_micros(asked).saturating_sub(age);
         match version.cmp(&self.version) {
-            Ordering::Less => Told::Older,
+            Ordering::Less => PeerProof::Older,
             Ordering::Greater => {
                 // Prefers later versions, then later proofs of the same version.
                 self.newer_proof = self
@@ -181,7 +181,7 @@
             }
             Ordering::Equal => {
                 self.note_at(newest_at);
-                Told::Counts
+                PeerProof::Counts
             }
         }
     }
--- a/crates/gateway-core/src/pressure.rs
+++ b/crates/gateway-core/src/pressure.rs
@@ -162,11 +162,11 @@
 
 /// Returns the action for a stream whose caller has read nothing for `stalled`.
 pub fn after_stall(stalled: Duration, is_resumable: bool) -> StallStep {
-    if stalled < LONGEST_STALL {
+    if stalled < MAX_STALL {
         return StallStep::Wait;
     }
     match is_resumable {
-        true => StallStep::LetWorkerGo,
+        true => StallStep::ReleaseWorker,
         false => StallStep::GiveUp,
     }
 }
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -29,7 +29,7 @@
 use sliding::{SlidingCount, Slots};
 use widths::RecentFleetSizes;
 
-pub use begun::BegunPrograms;
+pub use begun::StartedPrograms;
 pub use lessor::lessor_of;
 pub use sliding::Slot;
 pub use turns::ReportTurns;
@@ -183,7 +183,7 @@
 
 /// One node's view of every tenant's quota usage.
 #[derive(Clone, Debug)]
-pub struct QuotaBook {
+pub struct QuotaTracker {
     rules: QuotaRules,
     division: Division,
     slots: Slots,
@@ -251,7 +251,7 @@
         fleet: Fleet,
     ) -> Result<Ticket, OverQuota> {
         self.note_asked(now, tenant, quota);
-        self.admit_told(now, tenant, quota, fleet)
+        self.admit_by_reports(now, tenant, quota, fleet)
     }
 
     /// Decides without a lessor whether a request may be forwarded, and counts it if so. Its demand
--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -35,7 +35,7 @@
 impl RunSize {
     /// Returns the bytes that a backup transfers if the run generates all its remaining tokens.
     pub fn backup_bytes(&self) -> u64 {
-        let tokens = self.tokens.saturating_add(self.left_tokens);
+        let tokens = self.tokens.saturating_add(self.remaining_tokens);
         tokens.saturating_mul(self.token_bytes)
     }
 }
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -16,7 +16,7 @@
 mod steps;
 pub mod targets;
 
-pub use steps::{AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason};
+pub use steps::{AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction};
 
 use crate::engines::{MoveOutcome, RunCopy};
 
@@ -54,7 +54,7 @@
 
 /// Migration state of one run, from its first event to the end of its response.
 #[derive(Debug)]
-pub struct RunLife {
+pub struct RunMigration {
     request_id: String,
     /// Maximum number of engines that it may run on, not counting lost ones.
     most_engines: usize,
@@ -82,11 +82,11 @@
         at: Engine,
         backup: Option<Engine>,
         ran_at: Vec<String>,
-        most_engines: u32,
+        max_engines: u32,
     ) -> Self {
         Self {
             request_id,
-            most_engines: usize::try_from(most_engines).unwrap_or(usize::MAX),
+            max_engines: usize::try_from(max_engines).unwrap_or(usize::MAX),
             at,
             backup,
             ran_at,
@@ -149,7 +149,7 @@
     pub fn after_copy(&mut self, end: CallEnd) -> Order {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
-            return Order::Read;
+            return RunAction::Read;
         };
         self.note_copy(handle);
         self.stop()
@@ -284,12 +284,12 @@
             copy: copy.clone(),
             stopped_at,
         };
-        Order::GoOn { at, copy }
+        RunAction::Resume { at, copy }
     }
 
     /// Returns whether the limit on engines allows the run to use this one.
     fn may_run_at(&self, engine: &Engine) -> bool {
-        self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.most_engines
+        self.ran_at.contains(&engine.worker) || self.ran_at.len() < self.max_engines
     }
 
     /// Records that an attempt with the copy is or may be running. The copy is then used up, and
@@ -311,11 +311,11 @@
             return self.end_for(end);
         }
         self.step = Step::Running;
-        Order::Read
+        RunAction::Read
     }
 
-    fn end_for(&mut self, reason: EndReason) -> Order {
+    fn end_for(&mut self, reason: EndReason) -> RunAction {
         self.step = Step::Ended;
-        Order::End(reason)
+        RunAction::End(reason)
     }
 }
--- a/crates/gateway-core/src/split.rs
+++ b/crates/gateway-core/src/split.rs
@@ -7,7 +7,7 @@
 /// Smooth weighted round robin for each route. After any number of requests, each service has
 /// received its weighted share to within one request.
 #[derive(Debug, Default)]
-pub struct SplitState {
+pub struct WeightedRoundRobin {
     seed: u64,
     /// Credits of the services by route name.
     credits: HashMap<String, Vec<Credit>>,
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -3,10 +3,11 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::config_proof::{
-    ConfigProof, ProofAsking, Told, asking_age, denial_lease_of, lease_of, proving_pause,
+    ConfigProof, PeerProof, ProofRequestTimer, denial_lease_of, lease_of, proof_interval,
+    proof_request_age,
 };
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{NewsDeadlines, StreamReads};
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::stream_reads::{StreamReadSchedule, UpdateDeadlines};
 use elderworks_types::Timestamp;
 
 fn at(ms: u64) -> Timestamp {
@@ -51,10 +52,19 @@
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(1_000));
-    assert_eq!(proof.note_told(2, at(9_000), ms(0)), Told::Older);
-    assert_eq!(proof.note_told(4, at(9_000), ms(0)), Told::Newer);
+    assert_eq!(
+        proof.record_peer_proof(2, at(9_000), ms(0)),
+        PeerProof::Older
+    );
+    assert_eq!(
+        proof.record_peer_proof(4, at(9_000), ms(0)),
+        PeerProof::Newer
+    );
     assert_eq!(proof.age(at(9_000)), Some(ms(8_000)));
-    assert_eq!(proof.note_told(3, at(9_000), ms(500)), Told::Counts);
+    assert_eq!(
+        proof.record_peer_proof(3, at(9_000), ms(500)),
+        PeerProof::Counts
+    );
     assert_eq!(proof.age(at(9_000)), Some(ms(500)));
 }
 
@@ -111,7 +121,7 @@
 fn a_proof_may_be_older_than_the_process() {
     let mut proof = ConfigProof::default();
     proof.replace(3);
-    proof.note_told(3, at(1_000), ms(4_000));
+    proof.record_peer_proof(3, at(1_000), ms(4_000));
     assert_eq!(proof.age(at(1_200)), Some(ms(4_200)));
 }
 
@@ -120,7 +130,7 @@
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(1_000));
-    proof.obscure();
+    proof.note_unreadable();
     proof.note_read(at(9_000));
     assert_eq!(proof.age(at(9_000)), Some(ms(8_000)));
     proof.replace(4);
@@ -133,7 +143,7 @@
 #[test]
 fn proofs_of_listeners_are_valid_for_refusing_unknown_routes() {
     for apply in [3_000, 5_000, 14_000] {
-        let asked_at = asking_age(None, ms(apply), false);
+        let asked_at = proof_request_age(None, ms(apply), false);
         let answered = asked_at + ms(400);
         assert!(answered < denial_lease_of(ms(apply)), "{apply}");
         assert!(
@@ -168,22 +178,22 @@
 #[test]
 fn without_keys_proofs_are_requested_only_when_reads_fail() {
     for apply in [2_000, 3_000, 5_000] {
-        let age = asking_age(None, ms(apply), true);
-        let reads = StreamReads::new(
+        let age = proof_request_age(None, ms(apply), true);
+        let reads = StreamReadSchedule::new(
             Stream::Configuration,
-            &NewsDeadlines {
+            &UpdateDeadlines {
                 apply: ms(apply),
                 drain: ms(apply),
             },
         );
         assert!(age > reads.next_read().wait * 2, "{apply}");
         let mut proof = ConfigProof::default();
-        assert!(ProofAsking::default().is_due(&proof, at(90_000), age));
+        assert!(ProofRequestTimer::default().is_due(&proof, at(90_000), age));
         proof.replace(3);
         proof.note_read(at(10_000));
         let late = 10_000 + apply * 7 / 10;
-        assert!(!ProofAsking::default().is_due(&proof, at(late - 1), age));
-        assert!(ProofAsking::default().is_due(&proof, at(late), age));
+        assert!(!ProofRequestTimer::default().is_due(&proof, at(late - 1), age));
+        assert!(ProofRequestTimer::default().is_due(&proof, at(late), age));
     }
 }
 
--- a/crates/gateway-core/tests/config_proof_model.rs
+++ b/crates/gateway-core/tests/config_proof_model.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::config_proof::{ConfigProof, Told, lease_of};
+use elderworks_gateway_core::config_proof::{ConfigProof, PeerProof, lease_of};
 use elderworks_types::Timestamp;
 use proptest::prelude::*;
 
--- a/crates/gateway-core/tests/feed_roles.rs
+++ b/crates/gateway-core/tests/feed_roles.rs
@@ -86,18 +86,18 @@
         !roles.note_return(at(200), &ranking),
         "the first reader is no recovery"
     );
-    roles.note_heard(at(300), &id(0), Duration::ZERO, false);
-    assert!(!roles.note_return(at(400), &ranking), "it cannot read");
-    roles.note_heard(at(500), &id(1), Duration::ZERO, true);
-    assert!(roles.note_return(at(600), &ranking));
-    roles.note_heard(at(700), &id(0), Duration::ZERO, false);
+    roles.record_heartbeat(at(300), &id(0), Duration::ZERO, false);
+    assert!(!roles.detect_recovery(at(400), &ranking), "it cannot read");
+    roles.record_heartbeat(at(500), &id(1), Duration::ZERO, true);
+    assert!(roles.detect_recovery(at(600), &ranking));
+    roles.record_heartbeat(at(700), &id(0), Duration::ZERO, false);
     assert!(
         !roles.note_return(at(800), &ranking),
         "another reader still works"
     );
-    assert!(!roles.note_return(at(9_000), &ranking), "silent");
-    roles.note_heard(at(9_100), &id(1), Duration::ZERO, true);
-    assert!(roles.note_return(at(9_200), &ranking));
+    assert!(!roles.detect_recovery(at(9_000), &ranking), "silent");
+    roles.record_heartbeat(at(9_100), &id(1), Duration::ZERO, true);
+    assert!(roles.detect_recovery(at(9_200), &ranking));
 }
 
 #[test]
@@ -309,10 +309,10 @@
     let times = FeedTimes::within(DEADLINE);
     let mut roles = Roles::new(times);
     let node = id(0);
-    roles.note_heard(at(0), &node, Duration::ZERO, true);
+    roles.record_heartbeat(at(0), &node, Duration::ZERO, true);
     assert!(roles.is_working(at(900), &node));
     assert!(!roles.is_working(at(1_000), &node), "silent");
-    roles.note_heard(at(1_000), &node, Duration::from_millis(3_900), true);
+    roles.record_heartbeat(at(1_000), &node, Duration::from_millis(3_900), true);
     assert!(roles.is_working(at(1_000), &node));
     assert!(
         !roles.is_working(at(1_200), &node),
--- a/crates/gateway-core/tests/pressure.rs
+++ b/crates/gateway-core/tests/pressure.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::pressure::{
-    LONGEST_STALL, Marks, Pressure, StallStep, StreamLoad, after_stall, reads_answer, reads_stream,
-    stream_to_end,
+    MAX_STALL, MemoryThresholds, Pressure, StallStep, StreamLoad, after_stall, should_read_answer,
+    should_read_stream, stream_to_abort,
 };
 
 const MIB: usize = 1024 * 1024;
@@ -21,16 +21,16 @@
         pressure: Pressure,
         takes_body: bool,
         takes_stream: bool,
-        reads_stream: bool,
-        reads_answer: bool,
+        should_read_stream: bool,
+        should_read_answer: bool,
     }
     let row = |held_mib, pressure, takes_body, takes_stream, reads| Row {
         held_mib,
         pressure,
         takes_body,
         takes_stream,
-        reads_stream: reads,
-        reads_answer: reads,
+        should_read_stream: reads,
+        should_read_answer: reads,
     };
     let rows = [
         row(0, Pressure::Normal, true, true, true),
@@ -77,7 +77,7 @@
         assert!(thresholds.no_new_streams < thresholds.full, "{mib} MiB");
         assert!(2 * thresholds.full < mib * MIB, "{mib} MiB");
     }
-    assert_eq!(Marks::of(64 * 1024 * MIB).bodies, 64 * MIB);
+    assert_eq!(MemoryThresholds::of(64 * 1024 * MIB).bodies, 64 * MIB);
 }
 
 #[test]
--- a/crates/gateway-core/tests/quota.rs
+++ b/crates/gateway-core/tests/quota.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::quota::{Division, Fleet, QuotaBook, QuotaRules, TenantUse, Ticket};
+use elderworks_gateway_core::quota::{
+    Division, Fleet, QuotaRules, QuotaTracker, TenantUse, Ticket,
+};
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
 use elderworks_types::{NodeId, Timestamp};
 
@@ -35,8 +37,8 @@
     Timestamp((60_000 + ms) * 1_000)
 }
 
-fn book(division: Division) -> QuotaBook {
-    QuotaBook::new(RULES, division, 1, Timestamp(1))
+fn book(division: Division) -> QuotaTracker {
+    QuotaTracker::new(RULES, division, 1, Timestamp(1))
 }
 
 fn uses(sent: u32, asked: u32) -> [(TenantKey, TenantUse); 1] {
@@ -179,7 +181,7 @@
     let mut book = book(Division::Told);
     let ticket = book.admit(at(0), TENANT, QUOTA, SINGLE_NODE).expect("room");
     book.note_send(at(1_000), ticket);
-    book.note_further_send(at(2_000), ticket);
+    book.note_resend(at(2_000), ticket);
     assert_eq!(book.used_by(TENANT), 2);
     book.report(at(5_500), SINGLE_NODE);
     assert_eq!(book.used_by(TENANT), 2, "sent 4.5 s ago");
--- a/crates/gateway-core/tests/quota_lessor.rs
+++ b/crates/gateway-core/tests/quota_lessor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::quota::{
-    BegunPrograms, Division, Fleet, Order, OverQuota, QuotaBook, QuotaRules, ReportTurns,
+    Division, Fleet, Order, OverQuota, QuotaRules, QuotaTracker, ReportTurns, StartedPrograms,
     TenantUse, lessor_of,
 };
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
@@ -40,15 +40,15 @@
     Timestamp((60_000 + ms) * 1_000)
 }
 
-fn lessor() -> QuotaBook {
-    QuotaBook::new(RULES, Division::Told, 1, Timestamp(1)).with_order(true)
+fn lessor() -> QuotaTracker {
+    QuotaTracker::new(RULES, Division::Told, 1, Timestamp(1)).with_program_priority(true)
 }
 
 fn node(number: usize) -> NodeId {
     NodeId::new(format!("n{number}"))
 }
 
-fn ask(book: &mut QuotaBook, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
+fn ask(book: &mut QuotaTracker, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
     let to = node(1);
     let decided = book.grant(at(ms), TENANT, quota, FOUR_NODES, Some(&to), order);
     decided.expect("a decision")
@@ -118,7 +118,7 @@
     // 12 requests per second are 60 per window.
     report(&mut book, 0, 50, 13);
     assert_eq!(
-        ask(&mut book, 10, QUOTA, Order::First),
+        ask(&mut book, 10, QUOTA, Order::NewProgram),
         Ok(()),
         "no request was refused yet"
     );
@@ -139,7 +139,7 @@
     book.take_report(at(0), node(2), uses(60));
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        let over = ask(&mut book, 10, QUOTA, Order::Later).expect_err("full");
+        let over = ask(&mut book, 10, QUOTA, Order::Continuation).expect_err("full");
         pauses.push(over.retry_after);
     }
     assert!(pauses.is_sorted(), "{pauses:?}");
@@ -159,7 +159,7 @@
         started.grant(at(5_100), TENANT, QUOTA, FOUR_NODES, None, order),
         Some(Ok(()))
     );
-    let mut new = QuotaBook::new(RULES, Division::Told, 1, at(0));
+    let mut new = QuotaTracker::new(RULES, Division::Told, 1, at(0));
     new.note_new_machine();
     assert_eq!(
         new.grant(at(500), TENANT, QUOTA, FOUR_NODES, None, order),
@@ -187,7 +187,7 @@
         nodes: 1,
         is_cut_off: false,
     };
-    let mut decided = |ms| book.grant(at(ms), TENANT, QUOTA, alone, None, Order::Later);
+    let mut decided = |ms| book.grant(at(ms), TENANT, QUOTA, alone, None, Order::Continuation);
     assert_eq!(decided(1_500), None);
     assert_eq!(decided(5_500), Some(Ok(())));
 }
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::quota::{
-    Division, Fleet, Order, QuotaBook, QuotaRules, REPORT_INTERVAL, ReportTurns, lessor_of,
+    Division, Fleet, Order, QuotaRules, QuotaTracker, REPORT_INTERVAL, ReportTurns, lessor_of,
 };
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
 use elderworks_types::{NodeId, Timestamp};
@@ -115,7 +115,7 @@
 
 struct Node {
     name: NodeId,
-    book: QuotaBook,
+    book: QuotaTracker,
     starts_at: u64,
     next_report: u64,
     turns: ReportTurns,
--- a/crates/gateway-core/tests/routes.rs
+++ b/crates/gateway-core/tests/routes.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::config::{
     ActiveConfig, RequestLimits, Route, RouteKind, ServingConfig, WeightedService,
 };
-use elderworks_gateway_core::split::SplitState;
+use elderworks_gateway_core::split::WeightedRoundRobin;
 use elderworks_gateway_core::tenants::TenantTable;
 
 fn route(name: &str, host: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
@@ -89,7 +89,7 @@
 fn requests_are_split_by_weight() {
     for seed in [0, 1, 7, 99_991] {
         let split = route("r", "h", "/", &[("big", 90), ("small", 10), ("none", 0)]);
-        let mut state = SplitState::new(seed);
+        let mut state = WeightedRoundRobin::new(seed);
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..300 {
             let service = state.next_service(&split).expect("the route has services");
@@ -115,5 +115,5 @@
 #[test]
 fn a_route_without_services_has_no_next_service() {
     let empty = route("r", "h", "/", &[]);
-    assert_eq!(SplitState::new(0).next_service(&empty), None);
+    assert_eq!(WeightedRoundRobin::new(0).next_service(&empty), None);
 }
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -6,9 +6,9 @@
 use elderworks_gateway_core::engines::{MoveOutcome, RunCopy};
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::run_moves::backups::{BURST_S, BackupRules, Backups, RunSize};
-use elderworks_gateway_core::run_moves::targets::{ZoneWish, choose};
+use elderworks_gateway_core::run_moves::targets::{ZonePreference, choose};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction, RunMigration,
 };
 use elderworks_gateway_core::workers::{WorkerDirectory, WorkerRecord};
 use elderworks_types::Timestamp;
@@ -36,7 +36,7 @@
 
 fn migration(backup: Option<Engine>, most_engines: u32) -> RunLife {
     let ran_at = vec!["w1".to_owned()];
-    RunLife::new("r1".to_owned(), source(), backup, ran_at, most_engines)
+    RunMigration::new("r1".to_owned(), source(), backup, ran_at, max_engines)
 }
 
 fn copied(handle: &str) -> CallEnd {
@@ -53,8 +53,8 @@
     }
 }
 
-fn stop_at_target() -> Order {
-    Order::Stop(Hop {
+fn stop_at_target() -> RunAction {
+    RunAction::Stop(CopyPath {
         source: source().address,
         target: target().address,
     })
@@ -132,9 +132,9 @@
         assert_eq!(run.after_copy(CallEnd::NotReached), Order::Read);
         assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
         assert_eq!(run.after_copy(copied("a")), stop_at_target());
-        assert_eq!(run.after_stop(CallEnd::Refused), Order::Read);
-        assert_eq!(run.take_unused(), [copy("a")]);
-        assert_eq!(run.leave(reason, None), Order::Read);
+        assert_eq!(run.after_stop(CallEnd::Refused), RunAction::Read);
+        assert_eq!(run.take_unused_copies(), [copy("a")]);
+        assert_eq!(run.leave(reason, None), RunAction::Read);
     }
 }
 
@@ -147,7 +147,7 @@
         copy: copy("h"),
     };
     assert_eq!(run.after_stop(copied("h")), at_target);
-    let at_source = Order::GoOn {
+    let at_source = RunAction::Resume {
         at: source(),
         copy: copy("h"),
     };
@@ -198,10 +198,10 @@
         run.leave(Reason::Silent, Some(target()));
         run.after_stop(copied("h"));
         run.after_attempt(AttemptEnd::Answered, None);
-        assert_eq!(run.leave(reason, Some(backup())), Order::Read);
+        assert_eq!(run.leave(reason, Some(backup())), RunAction::Read);
         assert!(matches!(
             run.leave(reason, Some(source())),
-            Order::Stop(_) | Order::Copy(_)
+            RunAction::Stop(_) | RunAction::Copy(_)
         ));
     }
 }
@@ -268,9 +268,12 @@
         let found = choose(workers, "engines", "w1", &excluded, preference, now);
         found.map(|worker| worker.record.id.clone())
     };
-    assert_eq!(chosen(&workers, &[], ZoneWish::Same).as_deref(), Some("w2"));
     assert_eq!(
-        chosen(&workers, &[], ZoneWish::Other).as_deref(),
+        chosen(&workers, &[], ZonePreference::Same).as_deref(),
+        Some("w2")
+    );
+    assert_eq!(
+        chosen(&workers, &[], ZonePreference::Other).as_deref(),
         Some("w3")
     );
     let excluded = chosen(&workers, &["w2"], ZoneWish::Same);
@@ -283,26 +286,26 @@
         Some("w3"),
         "the other engine has no free slot"
     );
-    assert_eq!(chosen(&workers, &["w2", "w3"], ZoneWish::Same), None);
+    assert_eq!(chosen(&workers, &["w2", "w3"], ZonePreference::Same), None);
 }
 
 const RULES: BackupRules = BackupRules {
-    most_bytes_per_token: 100_000,
-    most_at_once: 2,
+    max_bytes_per_token: 100_000,
+    max_concurrent: 2,
     bytes_per_s: 400_000_000,
 };
 
 /// Has many tokens left to generate for its size.
 const LONG_RUN: RunSize = RunSize {
     tokens: 1_000,
-    left_tokens: 4_000,
+    remaining_tokens: 4_000,
     token_bytes: 18_432,
 };
 
 /// Has a long prompt and a short output.
 const SHORT_RUN: RunSize = RunSize {
     tokens: 14_000,
-    left_tokens: 257,
+    remaining_tokens: 257,
     token_bytes: 18_432,
 };
 
@@ -314,7 +317,7 @@
     let bytes = backups.begin(&RULES, &LONG_RUN, now);
     assert_eq!(bytes, Some(5_000 * 18_432));
     let off = BackupRules {
-        most_bytes_per_token: 0,
+        max_bytes_per_token: 0,
         ..RULES
     };
     assert_eq!(Backups::default().begin(&off, &LONG_RUN, now), None);
@@ -337,7 +340,7 @@
     fn backups_stay_within_their_byte_rate(
         runs in proptest::collection::vec((1_u64..20_000, 1_u64..5_000, 0_u64..300_000), 1..200),
     ) {
-        let rules = BackupRules { most_bytes_per_token: u64::MAX, most_at_once: u32::MAX, ..RULES };
+        let rules = BackupRules { max_bytes_per_token: u64::MAX, max_concurrent: u32::MAX, ..RULES };
         let mut backups = Backups::default();
         let mut now = Timestamp(1);
         let mut transferred = 0_u64;
--- a/crates/gateway-core/tests/run_moves_model.rs
+++ b/crates/gateway-core/tests/run_moves_model.rs
@@ -273,7 +273,7 @@
         engine(0),
         backup.map(engine),
         ran_at,
-        script.most_engines,
+        script.max_engines,
     );
     let mut outcomes = script.outcomes.iter().copied().cycle();
     let mut occurrences = script.occurrences.iter().copied().cycle();
@@ -304,7 +304,7 @@
                     Occurrence::Event if is_read => {
                         world.received.push(world.next);
                         world.next += 1;
-                        Order::Read
+                        RunAction::Read
                     }
                     Occurrence::Migrate(reason) if is_read => {
                         migration.leave(reason, candidate.map(engine))
@@ -325,7 +325,7 @@
                     _ => migration.leave(Reason::Broken, candidate.map(engine)),
                 }
             }
-            Order::End(_) => break,
+            RunAction::End(_) => break,
         };
     }
     let has_ended = is_complete || matches!(action, Order::End(_));
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::feed::catalog::WorkerCatalog;
 use elderworks_gateway_core::feed::published::PublishedWorkers;
 use elderworks_gateway_core::feed::roles::{FeedTimes, FleetSize, Role, Roles, ranking};
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::workers::WorkerRecord;
 use elderworks_protocol::feed::FeedBeat;
 use elderworks_types::{NodeId, Offset, Timestamp};
@@ -164,7 +164,7 @@
     }
 
     /// Waits until a reader's list of nodes is known here.
-    pub(crate) async fn until_nodes_heard(&self) {
+    pub(crate) async fn until_nodes_received(&self) {
         let mut heard = self.nodes_heard.subscribe();
         let _ = heard.wait_for(|is_heard| *is_heard).await;
     }
@@ -350,7 +350,7 @@
     fn decide(&self, gateway: &Gateway) {
         let now = gateway.now();
         if !self.has_begun.get() {
-            if gateway.age() >= LONGEST_INDECISION && !self.reads() {
+            if gateway.uptime() >= LONGEST_INDECISION && !self.reads() {
                 self.read();
             }
             return;
@@ -361,7 +361,7 @@
         let own = &gateway.settings.node;
         let mut roles = self.roles.borrow_mut();
         let role = roles.decide(now, &zone.ranking, own, wanted);
-        if roles.note_return(now, &zone.ranking) && self.depends_on_others() {
+        if roles.detect_recovery(now, &zone.ranking) && self.depends_on_others() {
             gateway.workers.borrow_mut().note_outage_over(now);
         }
         drop((roles, zone));
--- a/crates/gateway/src/forward/resumption.rs
+++ b/crates/gateway/src/forward/resumption.rs
@@ -67,12 +67,12 @@
         }
         passed.resumptions += 1;
         self.gateway.metrics.streams_resumed.inc();
-        self.gateway.pool.forget(worker);
+        self.gateway.pool.discard_connections(worker);
         let now = self.gateway.now();
         let workers = self.gateway.workers.borrow();
         let same = workers
             .get(worker)
-            .filter(|known| workers.is_open(known) && !workers.is_held_back(known, now))
+            .filter(|known| workers.is_open(known) && !workers.is_throttled(known, now))
             .map(|known| Target::plain(&known.record));
         Ok(same)
     }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use elderworks_gateway_core::pressure::{HeldFor, Marks, Pressure, StreamLoad, stream_to_end};
+use elderworks_gateway_core::pressure::{
+    BufferKind, MemoryThresholds, Pressure, StreamLoad, stream_to_abort,
+};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::Notify;
 
@@ -13,11 +15,11 @@
 
 /// Counts what is held; cheap to clone.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory(Rc<Account>);
+pub(crate) struct MemoryTracker(Rc<Account>);
 
 #[derive(Debug)]
 struct Account {
-    marks: Marks,
+    marks: MemoryThresholds,
     kinds: Vec<Kind>,
     total: Cell<usize>,
     peak: Cell<usize>,
@@ -41,15 +43,15 @@
     end: Rc<Notify>,
 }
 
-impl Memory {
+impl MemoryTracker {
     /// Holds nothing yet. `process_bytes` is the memory at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
-        let kinds = HeldFor::ALL.map(|kind| Kind {
+        let kinds = BufferKind::ALL.map(|kind| Kind {
             bytes: Cell::new(0),
             gauge: metrics.held_bytes(kind),
         });
         Self(Rc::new(Account {
-            marks: Marks::of(process_bytes),
+            marks: MemoryThresholds::of(process_bytes),
             kinds: kinds.into(),
             total: Cell::new(0),
             peak: Cell::new(0),
@@ -61,8 +63,8 @@
     }
 
     /// Room for something that holds nothing yet.
-    pub(crate) fn share(&self, kind: HeldFor) -> Share {
-        Share {
+    pub(crate) fn reservation(&self, kind: BufferKind) -> MemoryReservation {
+        MemoryReservation {
             memory: self.clone(),
             kind,
             bytes: 0,
@@ -80,12 +82,12 @@
     }
 
     /// Whether another stream may begin.
-    pub(crate) fn takes_stream(&self) -> bool {
+    pub(crate) fn accepts_stream(&self) -> bool {
         self.0.marks.takes_stream(self.held())
     }
 
     /// Waits until memory is no longer full.
-    pub(crate) async fn relieved(&self) {
+    pub(crate) async fn wait_for_capacity(&self) {
         loop {
             let relieved = self.0.relieved.notified();
             if self.pressure() < Pressure::Full {
@@ -96,7 +98,7 @@
     }
 
     /// A stream begins.
-    pub(crate) fn begin_stream(&self) -> StreamEntry {
+    pub(crate) fn register_stream(&self) -> StreamRegistration {
         let id = self.0.next_stream.get();
         self.0.next_stream.set(id + 1);
         let end = Rc::new(Notify::new());
@@ -106,19 +108,19 @@
             end: end.clone(),
         };
         self.0.streams.borrow_mut().insert(id, stream);
-        StreamEntry {
+        StreamRegistration {
             memory: self.clone(),
             id,
             end,
         }
     }
 
-    fn kind(&self, kind: HeldFor) -> &Kind {
-        let index = HeldFor::ALL.iter().position(|known| *known == kind);
+    fn kind(&self, kind: BufferKind) -> &Kind {
+        let index = BufferKind::ALL.iter().position(|known| *known == kind);
         &self.0.kinds[index.expect("every kind is listed")]
     }
 
-    fn change(&self, kind: HeldFor, from: usize, to: usize) {
+    fn change(&self, kind: BufferKind, from: usize, to: usize) {
         let counted = self.kind(kind);
         counted.bytes.set(counted.bytes.get() - from + to);
         counted.gauge.set(saturating_i64(counted.bytes.get()));
@@ -145,7 +147,7 @@
             unsent: stream.unsent,
             stalled: now.saturating_duration_since(stream.stalled_since),
         });
-        if let Some(stream) = stream_to_end(loads).and_then(|id| streams.get(&id)) {
+        if let Some(stream) = stream_to_abort(loads).and_then(|id| streams.get(&id)) {
             stream.end.notify_one();
         }
     }
@@ -153,16 +155,16 @@
 
 /// What one holder takes; given back when dropped.
 #[derive(Debug)]
-pub(crate) struct Share {
-    memory: Memory,
-    kind: HeldFor,
+pub(crate) struct MemoryReservation {
+    memory: MemoryTracker,
+    kind: BufferKind,
     bytes: usize,
 }
 
-impl Share {
+impl MemoryReservation {
     /// Takes room for more bytes of a body; `false` if there is none left.
-    pub(crate) fn grow_body(&mut self, more: usize) -> bool {
-        let bodies = self.memory.kind(HeldFor::Bodies).bytes.get();
+    pub(crate) fn try_grow_body(&mut self, more: usize) -> bool {
+        let bodies = self.memory.kind(BufferKind::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
             return false;
@@ -180,12 +182,12 @@
     }
 
     /// The account that it belongs to.
-    pub(crate) fn memory(&self) -> &Memory {
+    pub(crate) fn memory(&self) -> &MemoryTracker {
         &self.memory
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.set(0);
     }
@@ -193,13 +195,13 @@
 
 /// A running stream, as far as memory is concerned.
 #[derive(Debug)]
-pub(crate) struct StreamEntry {
-    memory: Memory,
+pub(crate) struct StreamRegistration {
+    memory: MemoryTracker,
     id: u64,
     end: Rc<Notify>,
 }
 
-impl StreamEntry {
+impl StreamRegistration {
     /// Notes what is held for the caller, and since when it has taken nothing.
     pub(crate) fn note(&self, unsent: usize, stalled_since: Instant) {
         if let Some(stream) = self.memory.0.streams.borrow_mut().get_mut(&self.id) {
@@ -209,12 +211,12 @@
     }
 
     /// Waits until the stream must end since memory is full.
-    pub(crate) async fn must_end(&self) {
+    pub(crate) async fn wait_for_abort(&self) {
         self.end.notified().await;
     }
 }
 
-impl Drop for StreamEntry {
+impl Drop for StreamRegistration {
     fn drop(&mut self) {
         self.memory.0.streams.borrow_mut().remove(&self.id);
     }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::departures::Departures;
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::drain::{DrainPlan, DrainStep};
 use elderworks_gateway_core::feed::roles::seems_small;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::nodes::NodeRecord;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_protocol::encode;
@@ -60,14 +60,17 @@
 }
 
 /// A gateway that takes requests. Its tasks run on when this is dropped.
-pub struct Running {
+pub struct RunningGateway {
     gateway: Rc<Gateway>,
     gossip_socket: Rc<UdpSocket>,
 }
 
 /// Listens on every address of the settings and starts the gateway's tasks. Must be called within
 /// an actix runtime. A port of 0 is replaced by the one that the system gives.
-pub fn start(mut settings: GatewaySettings, platform: Rc<dyn Platform>) -> eyre::Result<Running> {
+pub fn start(
+    mut settings: GatewaySettings,
+    platform: Rc<dyn Platform>,
+) -> eyre::Result<RunningGateway> {
     let listeners = Listeners::bind(&mut settings)?;
     log::info!(
         node = settings.node.as_str(), zone = settings.zone.as_str(),
@@ -93,17 +96,17 @@
     actix_rt::spawn(watch::prove_configuration(gateway.clone()));
     actix_rt::spawn(watch::follow_workers(gateway.clone()));
     actix_rt::spawn(ledger::prepare_partitions(gateway.clone()));
-    actix_rt::spawn(peers::probe_nodes(gateway.clone(), gossip_socket.clone()));
+    actix_rt::spawn(peers::run_gossip(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
     actix_rt::spawn(tell_log_calls(gateway.clone()));
-    Ok(Running {
+    Ok(RunningGateway {
         gateway,
         gossip_socket,
     })
 }
 
-impl Running {
+impl RunningGateway {
     /// The settings with the ports that the system gave.
     pub fn settings(&self) -> &GatewaySettings {
         &self.gateway.settings
@@ -189,7 +192,7 @@
     let peers = &gateway.peers;
     peers.join(&gateway, &gossip_socket, incarnation, seeds);
     log::info!(incarnation = incarnation.0; "joined");
-    gateway.reach(Milestone::Joined);
+    gateway.reach_milestone(Milestone::Joined);
     drop_departed_nodes(gateway).await;
 }
 
@@ -198,7 +201,7 @@
 async fn await_entries(gateway: &Rc<Gateway>, before: Option<Offset>) -> Offset {
     let feed = &gateway.feed;
     tokio::select! {
-        () = feed.until_nodes_heard() => feed.nodes_end().unwrap_or_default(),
+        () = feed.until_nodes_received() => feed.nodes_end().unwrap_or_default(),
         _ = feed.until_reading() => read_entries_since(gateway, before).await,
     }
 }
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use elderworks_gateway_core::attempt::SendMark;
 use elderworks_gateway_core::engines::PromptSource;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::workers::WorkerRecord;
 use prometheus_client::metrics::counter::Counter;
 use tokio_util::codec::{Decoder, Encoder};
@@ -18,7 +18,7 @@
 use super::answer::{Home, ends_with_connection, named_idle_time};
 use super::{Answer, Pool, WorkerConnection};
 use crate::buffered;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::ports::Platform;
 use crate::socket;
 
@@ -77,7 +77,7 @@
     pub(crate) pool: &'a Rc<Pool>,
     pub(crate) http: &'a ServiceConfig,
     /// Counts answers that are collected.
-    pub(crate) memory: &'a Memory,
+    pub(crate) memory: &'a MemoryTracker,
     pub(crate) platform: &'a dyn Platform,
     pub(crate) connections_made: &'a Counter,
     /// Most connections at rest that this node may keep to the worker.
@@ -136,7 +136,7 @@
 /// Whether an answer belongs to the request. Refusals by whoever has taken over the address bear
 /// no id.
 fn is_answer_to(platform: &dyn Platform, request: &OutgoingRequest, head: &ResponseHead) -> bool {
-    match platform.answered_id(&head.headers) {
+    match platform.response_request_id(&head.headers) {
         Some(id) => Some(id) == request.request_id.as_deref(),
         None => platform.was_not_run(head) || request.request_id.is_none(),
     }
@@ -225,7 +225,7 @@
             idle_time: named_idle_time(&head.headers),
             most_idle: context.most_idle,
         };
-        let collected = context.memory.share(HeldFor::Answers);
+        let collected = context.memory.reservation(BufferKind::Answers);
         Answer::new(method, head, self.codec, self.connection, home, collected)
     }
 
