--- a/crates/gateway-core/src/access.rs
+++ b/crates/gateway-core/src/access.rs
@@ -34,9 +34,9 @@
     /// The request has no valid key.
     Denied,
     /// The key is unknown here but may have been added recently.
-    KeyUnsure,
+    KeyUnverified,
     /// The key is known here but may have been revoked recently.
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// Decides on a request with `credential` on a route, which is `public` if it needs no key.
@@ -53,7 +53,7 @@
         KeyCheck::Tenant(id) => {
             let has_expired = |lease| !proof.holds(now, lease);
             if leases.acting.is_some_and(has_expired) {
-                return Access::LeaseOver;
+                return Access::LeaseExpired;
             }
             Access::Allowed(config.tenants.get(id))
         }
--- a/crates/gateway-core/src/config.rs
+++ b/crates/gateway-core/src/config.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether responses are streams whose content is not stored.
-    pub fn is_unkept_stream(&self) -> bool {
+    pub fn is_unrecorded_stream(&self) -> bool {
         self.kind == RouteKind::Streaming && !self.keeps_turns
     }
 }
@@ -84,7 +84,7 @@
     /// Number of tokens per event of a response.
     pub tokens_per_event: u32,
     /// Maximum time for which an engine pins the memory of a finished request.
-    pub longest_pin: Duration,
+    pub max_pin_time: Duration,
     /// Supported transfers of memory between engines.
     pub memory_moves: MemoryMoves,
 }
@@ -101,9 +101,9 @@
     /// Whether a run's memory can be backed up to another engine while it runs.
     pub backs_up_runs: bool,
     /// Time for which an engine keeps an unused copy.
-    pub copies_last: Duration,
+    pub copy_lifetime: Duration,
     /// Maximum number of concurrent calls for memory events per engine.
-    pub most_event_calls: u32,
+    pub max_event_calls: u32,
 }
 
 impl MemoryMoves {
--- a/crates/gateway-core/src/config_proof.rs
+++ b/crates/gateway-core/src/config_proof.rs
@@ -45,7 +45,7 @@
 /// Returns the age of a proof at which a node requests a newer one, given the lease on keys if
 /// there are any, the time within which a configuration must be active, and whether the node reads
 /// the configuration itself.
-pub fn asking_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
+pub fn proof_request_age(lease: Option<Duration>, apply_within: Duration, reads: bool) -> Duration {
     let fraction = match reads {
         true => REQUEST_FRACTION_OF_READERS,
         false => REQUEST_FRACTION_OF_LISTENERS,
@@ -67,7 +67,7 @@
     (Duration::from_millis(800), Duration::from_secs(20));
 
 /// Returns the mean interval between two proofs by one of `nodes` nodes that share their proofs.
-pub fn proving_pause(nodes: u32) -> Duration {
+pub fn proof_interval(nodes: u32) -> Duration {
     let (min, max) = NODE_PROOF_INTERVALS;
     FLEET_PROOF_INTERVAL.saturating_mul(nodes).clamp(min, max)
 }
@@ -75,12 +75,12 @@
 /// Decides when a node that cannot prove its configuration by its own reads requests proofs from
 /// others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ProofAsking {
+pub struct ProofRequestTimer {
     /// Time of the last round of requests.
     last_request: Option<Timestamp>,
 }
 
-impl ProofAsking {
+impl ProofRequestTimer {
     /// Returns whether to send a round of requests, because the proof has reached `age`. If so,
     /// records the round as sent.
     pub fn is_due(&mut self, proof: &ConfigProof, now: Timestamp, age: Duration) -> bool {
@@ -96,7 +96,7 @@
 
 /// Result of comparing another node's proof with the local configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum PeerProof {
     /// The proof is for the local configuration and was recorded.
     Counts,
     /// The other node has a newer configuration, which must be fetched.
@@ -151,7 +151,7 @@
 
     /// Records that a newer configuration exists that cannot be read. Reads then prove nothing
     /// until another configuration is active.
-    pub fn obscure(&mut self) {
+    pub fn note_unreadable(&mut self) {
         self.has_unreadable_successor = true;
     }
 
@@ -167,7 +167,12 @@
     /// Records another node's response to a request sent at `asked`: a version and the `age` of its
     /// proof. The age is counted back from the time of the request, so that a slow response never
     /// makes the proof appear newer than it is.
-    pub fn note_told(&mut self, version: u64, asked: Timestamp, age: Duration) -> Told {
+    pub fn record_peer_proof(
+        &mut self,
+        version: u64,
+        asked: Timestamp,
+        age: Duration,
+    ) -> PeerProof {
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         let newest_at = signed_micros(asked).saturating_sub(age);
         match version.cmp(&self.version) {
@@ -177,7 +182,7 @@
                 self.newer_proof = self
                     .newer_proof
                     .max(Some(NewerProof { version, newest_at }));
-                Told::Newer
+                PeerProof::Newer
             }
             Ordering::Equal => {
                 self.note_at(newest_at);
@@ -189,7 +194,7 @@
     /// Records a reader's heartbeat with the age of its last reads. The heartbeat's transmission
     /// time is unknown, so it is no proof for accepting keys, but it shows that this node is not
     /// isolated.
-    pub fn note_heard(&mut self, now: Timestamp, age: Duration) {
+    pub fn record_heartbeat(&mut self, now: Timestamp, age: Duration) {
         let at = Timestamp(
             now.0
                 .saturating_sub(u64::try_from(age.as_micros()).unwrap_or(u64::MAX)),
@@ -216,7 +221,7 @@
 
     /// Returns the time since this node or its reader last read the configuration's stream to its
     /// end.
-    pub fn own_age(&self, now: Timestamp) -> Option<Duration> {
+    pub fn last_read_age(&self, now: Timestamp) -> Option<Duration> {
         self.read_at.map(|at| now.since(at))
     }
 
--- a/crates/gateway-core/src/feed/roles.rs
+++ b/crates/gateway-core/src/feed/roles.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedTimes {
     /// Interval between two heartbeats of a reader.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time without a heartbeat after which a reader counts as lost.
     pub silence_timeout: Duration,
     /// Maximum age of the last read of a working reader.
@@ -98,7 +98,7 @@
             deadline.mul_f64(fraction).min(max)
         };
         Self {
-            beat: fraction(0.05, 250),
+            heartbeat_interval: fraction(0.05, 250),
             silence_timeout: fraction(0.2, 1_000),
             // A long-polling read reflects the state at the time when it was sent. On an idle
             // stream, the state is therefore up to two waits of 0.3 of the deadline old.
@@ -220,7 +220,7 @@
     }
 
     /// Records a reader's heartbeat: the age of its last read, and whether its reads succeed.
-    pub fn note_heard(&mut self, now: Timestamp, node: &NodeId, age: Duration, reads: bool) {
+    pub fn record_heartbeat(&mut self, now: Timestamp, node: &NodeId, age: Duration, reads: bool) {
         self.last_heartbeat = Some(now);
         self.heartbeats.insert(
             node.clone(),
@@ -253,7 +253,7 @@
 
     /// Updates whether any reader works. Returns whether one works again after none did, which
     /// means that an outage of the log has ended.
-    pub fn note_return(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
+    pub fn detect_recovery(&mut self, now: Timestamp, ranking: &[NodeId]) -> bool {
         let works = self.source(now, ranking).is_some();
         let is_back = works && self.is_outage;
         self.has_had_reader |= works;
--- a/crates/gateway-core/src/nodes.rs
+++ b/crates/gateway-core/src/nodes.rs
@@ -173,7 +173,7 @@
 
     /// Returns the union of [`Self::offered`] over all zones that have nodes, computed in one pass
     /// over the nodes.
-    pub fn offered_anywhere(&self, is_serving: impl Fn(&NodeId) -> bool) -> BTreeSet<&NodeId> {
+    pub fn offered_in_any_zone(&self, is_serving: impl Fn(&NodeId) -> bool) -> BTreeSet<&NodeId> {
         let mut zones: BTreeMap<&str, Vec<(&NodeId, &NodeRecord)>> = BTreeMap::new();
         let mut serving = Vec::new();
         for (node, known) in &self.nodes {
--- a/crates/gateway-core/src/pressure.rs
+++ b/crates/gateway-core/src/pressure.rs
@@ -9,7 +9,7 @@
 
 /// Purpose of buffered memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum HeldFor {
+pub enum BufferKind {
     /// Request bodies as received.
     Bodies,
     /// Response data that callers have not read yet.
@@ -24,7 +24,7 @@
     Peers,
 }
 
-impl HeldFor {
+impl BufferKind {
     /// All purposes.
     pub const ALL: [Self; 6] = [
         Self::Bodies,
@@ -81,7 +81,7 @@
 
 /// Thresholds of buffered memory, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Marks {
+pub struct MemoryThresholds {
     /// Maximum for request bodies.
     pub bodies: usize,
     /// Total from which request bodies are refused.
@@ -92,7 +92,7 @@
     pub full: usize,
 }
 
-impl Marks {
+impl MemoryThresholds {
     /// Returns the thresholds for a process with a memory limit of `process_bytes`.
     pub fn of(process_bytes: usize) -> Self {
         let percent = |percentage: usize| process_bytes / 100 * percentage;
@@ -134,19 +134,19 @@
 const SMALL_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Returns whether to read more of a response that is collected before it is forwarded.
-pub fn reads_answer(collected: usize, pressure: Pressure) -> bool {
+pub fn should_read_answer(collected: usize, pressure: Pressure) -> bool {
     collected < SMALL_RESPONSE_BYTES || pressure < Pressure::Full
 }
 
 /// Returns whether to read more of a stream from its worker while `unsent` bytes are buffered for
 /// its caller. `buffer` is the maximum per stream. With 0, the worker waits for the caller.
-pub fn reads_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
+pub fn should_read_stream(unsent: usize, buffer: usize, pressure: Pressure) -> bool {
     unsent == 0 || (unsent < buffer && pressure < Pressure::Full)
 }
 
 /// Maximum time for which a caller may read nothing while its worker waits. Callers that are still
 /// there pause for much less, and workers abort responses that are not read for some seconds.
-pub const LONGEST_STALL: Duration = Duration::from_secs(2);
+pub const MAX_STALL: Duration = Duration::from_secs(2);
 
 /// Action for a stream whose worker waits for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -155,7 +155,7 @@
     Wait,
     /// Release the worker. Another attempt resumes the stream once the caller has read the buffered
     /// data.
-    LetWorkerGo,
+    ReleaseWorker,
     /// End the stream.
     GiveUp,
 }
@@ -188,7 +188,7 @@
 
 /// Returns the stream to abort when memory is full: among those whose callers do not read, the one
 /// with the most buffered bytes.
-pub fn stream_to_end(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
+pub fn stream_to_abort(streams: impl IntoIterator<Item = StreamLoad>) -> Option<u64> {
     streams
         .into_iter()
         .filter(|stream| stream.unsent > 0 && stream.stalled >= NOT_READING_TIMEOUT)
--- a/crates/gateway-core/src/quota/begun.rs
+++ b/crates/gateway-core/src/quota/begun.rs
@@ -15,14 +15,14 @@
 
 /// Programs that this node has recently seen start, kept as hashes in two generations.
 #[derive(Clone, Debug, Default)]
-pub struct BegunPrograms {
+pub struct StartedPrograms {
     /// Start of the newer generation.
     since: Timestamp,
     newer: HashSet<u64>,
     older: HashSet<u64>,
 }
 
-impl BegunPrograms {
+impl StartedPrograms {
     /// Records that a request of a program is forwarded.
     pub fn note(&mut self, now: Timestamp, program: &str) {
         let has_expired = now.since(self.since) >= MIN_RETENTION;
--- a/crates/gateway-core/src/quota/lessor.rs
+++ b/crates/gateway-core/src/quota/lessor.rs
@@ -14,7 +14,7 @@
 use crate::tenants::{Quota, TenantKey};
 
 use super::{
-    Basis, DEMAND_WINDOW, Fleet, LEARNING_TIME, Order, OverQuota, QuotaBook,
+    Basis, DEMAND_WINDOW, Fleet, LEARNING_TIME, Order, OverQuota, QuotaTracker,
     STARTED_RESERVE_FRACTION, Ticket,
 };
 
@@ -119,10 +119,10 @@
     }
 }
 
-impl QuotaBook {
+impl QuotaTracker {
     /// Admits and counts a request if the tenant's usage is low enough to skip the lessor. Returns
     /// `None` if the lessor must decide.
-    pub fn admit_calm(
+    pub fn admit_low_usage(
         &mut self,
         now: Timestamp,
         tenant: TenantKey,
@@ -183,7 +183,7 @@
     }
 
     /// Counts a request that the lessor granted.
-    pub fn take_granted(&mut self, now: Timestamp, tenant: TenantKey, quota: Quota) -> Ticket {
+    pub fn record_granted(&mut self, now: Timestamp, tenant: TenantKey, quota: Quota) -> Ticket {
         self.account(now, tenant, quota);
         self.count(now, tenant)
     }
@@ -194,7 +194,7 @@
         let Some(account) = self.accounts.get(&tenant) else {
             return 1.0;
         };
-        if order == Order::Later || !self.prioritizes_started {
+        if order == Order::Continuation || !self.prioritizes_started {
             return 1.0;
         }
         let received = self.reports.values();
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -104,9 +104,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// The request starts a program.
-    First,
+    NewProgram,
     /// The request continues a started program or belongs to none. It takes precedence.
-    Later,
+    Continuation,
 }
 
 /// Information that a refusal is based on.
@@ -202,7 +202,7 @@
     fleet_sizes: RecentFleetSizes,
 }
 
-impl QuotaBook {
+impl QuotaTracker {
     /// Creates a tracker without any counted request. `seed` should differ between nodes.
     pub fn new(rules: QuotaRules, division: Division, seed: u64, started: Timestamp) -> Self {
         Self {
@@ -222,7 +222,7 @@
 
     /// Sets whether requests of new programs leave part of a short quota to started programs.
     #[must_use]
-    pub fn with_order(mut self, is_on: bool) -> Self {
+    pub fn with_program_priority(mut self, is_on: bool) -> Self {
         self.prioritizes_started = is_on;
         self
     }
@@ -260,7 +260,7 @@
     /// # Errors
     ///
     /// Returns [`OverQuota`] if the request exceeds this node's share of the quota.
-    pub fn admit_told(
+    pub fn admit_by_reports(
         &mut self,
         now: Timestamp,
         tenant: TenantKey,
@@ -300,7 +300,7 @@
     }
 
     /// Counts a further send of an admitted request, to another worker or to resume a stream.
-    pub fn note_further_send(&mut self, now: Timestamp, ticket: Ticket) {
+    pub fn note_resend(&mut self, now: Timestamp, ticket: Ticket) {
         let slot = self.slots.at(now);
         if let Some(account) = self.accounts.get_mut(&ticket.tenant) {
             account.sent.add(slot);
@@ -351,7 +351,7 @@
     }
 
     /// Returns the nodes whose reports arrived within the last window.
-    pub fn tellers(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn reporting_nodes(&self) -> impl Iterator<Item = &NodeId> {
         self.reports.keys()
     }
 
--- a/crates/gateway-core/src/quota/standing.rs
+++ b/crates/gateway-core/src/quota/standing.rs
@@ -8,7 +8,7 @@
 use crate::tenants::TenantKey;
 
 use super::{
-    Basis, Division, Fleet, ISOLATED_FRACTION, LEARNING_TIME, MAX_REPORT_TARGETS, QuotaBook,
+    Basis, Division, Fleet, ISOLATED_FRACTION, LEARNING_TIME, MAX_REPORT_TARGETS, QuotaTracker,
     REPORT_INTERVAL, UNREPORTED_FRACTION,
 };
 
@@ -30,7 +30,7 @@
 /// Fraction of the operator's tolerance that is assumed unused before a process start.
 const UNUSED_TOLERANCE_FRACTION: f64 = 0.06;
 
-impl QuotaBook {
+impl QuotaTracker {
     /// Returns what is left of `limit` requests per window when deciding without a lessor.
     pub(super) fn allowance(
         &self,
--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -7,13 +7,13 @@
 
 use elderworks_types::Timestamp;
 
-/// Limits on the cost of backups. A `most_bytes_per_token` of 0 disables them.
+/// Limits on the cost of backups. A `max_bytes_per_token` of 0 disables them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackupRules {
     /// Maximum number of bytes transferred per token yet to be generated.
-    pub most_bytes_per_token: u64,
+    pub max_bytes_per_token: u64,
     /// Maximum number of concurrent backups of one node.
-    pub most_at_once: u32,
+    pub max_concurrent: u32,
     /// Maximum bytes per second of one node's backups, averaged over [`BURST_S`] seconds.
     pub bytes_per_s: u64,
 }
@@ -27,7 +27,7 @@
     /// Number of tokens of its prompt and of its output so far.
     pub tokens: u64,
     /// Maximum number of tokens that it may still generate.
-    pub left_tokens: u64,
+    pub remaining_tokens: u64,
     /// Bytes per token in memory.
     pub token_bytes: u64,
 }
@@ -54,8 +54,10 @@
     /// caller must call [`Backups::end`] once the run has ended.
     pub fn begin(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
         let bytes = run.backup_bytes();
-        let max_bytes = rules.most_bytes_per_token.saturating_mul(run.left_tokens);
-        if bytes == 0 || bytes > max_bytes || self.at_once >= rules.most_at_once {
+        let max_bytes = rules
+            .max_bytes_per_token
+            .saturating_mul(run.remaining_tokens);
+        if bytes == 0 || bytes > max_bytes || self.at_once >= rules.max_concurrent {
             return None;
         }
         let charged = self.remaining_charge(rules, now).saturating_add(bytes);
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -37,7 +37,7 @@
     Running,
     /// The memory is being copied, or the run is being stopped.
     Migrating {
-        reason: Reason,
+        reason: MigrationReason,
         target: Engine,
         stop_calls: u32,
     },
@@ -57,7 +57,7 @@
 pub struct RunMigration {
     request_id: String,
     /// Maximum number of engines that it may run on, not counting lost ones.
-    most_engines: usize,
+    max_engines: usize,
     /// Current engine.
     at: Engine,
     /// Engine to which the memory is backed up while the run continues.
@@ -73,7 +73,7 @@
     unused: Vec<RunCopy>,
 }
 
-impl RunLife {
+impl RunMigration {
     /// Creates the state of a run whose stream is read from engine `at`. `ran_at` lists all workers
     /// that may have run it so far. If `backup` is given, the run's memory is continuously copied
     /// there.
@@ -108,7 +108,7 @@
     }
 
     /// Takes the copies that will not be used, which the driver frees at their source.
-    pub fn take_unused(&mut self) -> Vec<RunCopy> {
+    pub fn take_unused_copies(&mut self) -> Vec<RunCopy> {
         std::mem::take(&mut self.unused)
     }
 
@@ -119,8 +119,8 @@
 
     /// Starts a migration. `candidate` is another engine with a free slot. Also called when the
     /// stream breaks off during a migration for another reason.
-    pub fn leave(&mut self, reason: Reason, candidate: Option<Engine>) -> Order {
-        let is_unforced = reason != Reason::Broken;
+    pub fn leave(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
+        let is_unforced = reason != MigrationReason::Broken;
         if self.moves >= MAX_MIGRATIONS || (is_unforced && self.unforced >= MAX_UNFORCED_ATTEMPTS) {
             return self.fall_back(reason, EndReason::MigrationLimit);
         }
@@ -140,13 +140,15 @@
             stop_calls,
         };
         match reason {
-            Reason::Broken | Reason::Silent => self.stop(),
-            Reason::Draining | Reason::Preempted | Reason::Slow => Order::Copy(copy_path),
+            MigrationReason::Broken | MigrationReason::Silent => self.stop(),
+            MigrationReason::Draining | MigrationReason::Preempted | MigrationReason::Slow => {
+                RunAction::Copy(copy_path)
+            }
         }
     }
 
     /// Handles the outcome of [`Order::Copy`].
-    pub fn after_copy(&mut self, end: CallEnd) -> Order {
+    pub fn after_copy(&mut self, end: CallEnd) -> RunAction {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
             return RunAction::Read;
@@ -156,14 +158,14 @@
     }
 
     /// Handles the outcome of [`Order::Stop`].
-    pub fn after_stop(&mut self, end: CallEnd) -> Order {
+    pub fn after_stop(&mut self, end: CallEnd) -> RunAction {
         let Step::Migrating {
             reason,
             target,
             stop_calls,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::Unsettled);
+            return RunAction::End(EndReason::Unsettled);
         };
         match end {
             CallEnd::Answered(MoveOutcome::Copied { handle, .. }) => {
@@ -176,7 +178,7 @@
                 let copy = self.note_copy(handle);
                 self.resume(self.at.clone(), copy, None)
             }
-            CallEnd::Answered(MoveOutcome::NoSuchRun) if reason == Reason::Broken => {
+            CallEnd::Answered(MoveOutcome::NoSuchRun) if reason == MigrationReason::Broken => {
                 self.resume_from_backup(reason)
             }
             CallEnd::NotReached if reason.has_lost_stream() => {
@@ -197,14 +199,14 @@
 
     /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a
     /// free slot.
-    pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> Order {
+    pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> RunAction {
         let Step::Resuming {
             at,
             copy,
             stopped_at,
         } = self.step.clone()
         else {
-            return Order::End(EndReason::Unsettled);
+            return RunAction::End(EndReason::Unsettled);
         };
         match end {
             AttemptEnd::NotRun => match stopped_at {
@@ -213,32 +215,32 @@
             },
             AttemptEnd::Answered => {
                 self.note_running_at(at, &copy);
-                Order::Read
+                RunAction::Read
             }
             AttemptEnd::Unknown => {
                 self.note_running_at(at, &copy);
-                self.leave(Reason::Broken, candidate)
+                self.leave(MigrationReason::Broken, candidate)
             }
         }
     }
 
-    fn copy_path(&self, target: &Engine) -> Hop {
-        Hop {
+    fn copy_path(&self, target: &Engine) -> CopyPath {
+        CopyPath {
             source: self.at.address,
             target: target.address,
         }
     }
 
-    fn stop(&mut self) -> Order {
+    fn stop(&mut self) -> RunAction {
         let Step::Migrating {
             target, stop_calls, ..
         } = &mut self.step
         else {
-            return Order::End(EndReason::Unsettled);
+            return RunAction::End(EndReason::Unsettled);
         };
         *stop_calls += 1;
         let target = target.clone();
-        Order::Stop(self.copy_path(&target))
+        RunAction::Stop(self.copy_path(&target))
     }
 
     /// Records a copy of the run's memory that was made by the current engine.
@@ -255,7 +257,7 @@
 
     /// Resumes a stopped run from a complete copy at the target. The run's engine still has the
     /// memory and is used if the target is not allowed or refuses.
-    fn resume_at_target(&mut self, target: Engine, copy: RunCopy) -> Order {
+    fn resume_at_target(&mut self, target: Engine, copy: RunCopy) -> RunAction {
         let source = self.at.clone();
         match self.may_run_at(&target) {
             true => self.resume(target, copy, Some(source)),
@@ -264,7 +266,7 @@
     }
 
     /// Resumes the run from its continuous backup, whose handle is the request ID.
-    fn resume_from_backup(&mut self, reason: Reason) -> Order {
+    fn resume_from_backup(&mut self, reason: MigrationReason) -> RunAction {
         let Some(engine) = self.backup.take() else {
             return self.fall_back(reason, EndReason::NoCopy);
         };
@@ -278,7 +280,7 @@
         self.resume(engine, copy, None)
     }
 
-    fn resume(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> Order {
+    fn resume(&mut self, at: Engine, copy: RunCopy, stopped_at: Option<Engine>) -> RunAction {
         self.step = Step::Resuming {
             at: at.clone(),
             copy: copy.clone(),
@@ -306,8 +308,8 @@
     }
 
     /// Gives up a migration: ends the response if the stream is broken, otherwise keeps reading it.
-    fn fall_back(&mut self, reason: Reason, end: EndReason) -> Order {
-        if reason == Reason::Broken {
+    fn fall_back(&mut self, reason: MigrationReason, end: EndReason) -> RunAction {
+        if reason == MigrationReason::Broken {
             return self.end_for(end);
         }
         self.step = Step::Running;
--- a/crates/gateway-core/src/run_moves/steps.rs
+++ b/crates/gateway-core/src/run_moves/steps.rs
@@ -15,7 +15,7 @@
 
 /// Why a run is to be migrated from its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum MigrationReason {
     /// The stream broke off.
     Broken,
     /// The stream has been silent for too long.
@@ -28,7 +28,7 @@
     Slow,
 }
 
-impl Reason {
+impl MigrationReason {
     /// Returns whether no further events are expected from the stream.
     pub(super) fn has_lost_stream(self) -> bool {
         matches!(self, Self::Broken | Self::Silent)
@@ -37,7 +37,7 @@
 
 /// Engines between which a run's memory is copied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hop {
+pub struct CopyPath {
     /// Engine that has the run.
     pub source: SocketAddr,
     /// Engine that receives the copy.
@@ -46,13 +46,13 @@
 
 /// Next action of the driver for a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum RunAction {
     /// Copy the run's memory while it continues.
-    Copy(Hop),
+    Copy(CopyPath),
     /// Stop the run after the last event that the caller has received, and copy its memory.
-    Stop(Hop),
+    Stop(CopyPath),
     /// Resume the run from a copy: send the request with the copy's handle and the last event's ID.
-    GoOn {
+    Resume {
         /// Engine that resumes the run.
         at: Engine,
         /// Copy of the run's memory.
--- a/crates/gateway-core/src/run_moves/targets.rs
+++ b/crates/gateway-core/src/run_moves/targets.rs
@@ -6,7 +6,7 @@
 
 /// Preferred zone of the target engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneWish {
+pub enum ZonePreference {
     /// The zone of the run's engine, since copies between zones take twice as long and incur
     /// transfer costs.
     Same,
@@ -21,13 +21,13 @@
     service: &str,
     own: &str,
     tried: &[String],
-    preference: ZoneWish,
+    preference: ZonePreference,
     now: Timestamp,
 ) -> Option<&'a Worker> {
     let own_zone = workers.get(own).map(|worker| worker.record.zone.as_str());
     let is_preferred = |worker: &Worker| {
         let is_same = Some(worker.record.zone.as_str()) == own_zone;
-        is_same == (preference == ZoneWish::Same)
+        is_same == (preference == ZonePreference::Same)
     };
     let has_room = |worker: &Worker| {
         worker.record.id != own
--- a/crates/gateway-core/src/split.rs
+++ b/crates/gateway-core/src/split.rs
@@ -21,7 +21,7 @@
     value: i64,
 }
 
-impl SplitState {
+impl WeightedRoundRobin {
     /// Creates the state at a point of the cycle that depends on `seed`, so that nodes are not
     /// synchronized.
     pub fn new(seed: u64) -> Self {
--- a/crates/gateway-core/tests/config_proof.rs
+++ b/crates/gateway-core/tests/config_proof.rs
@@ -109,7 +109,10 @@
         proof.replace(3);
         proof.note_read(at(1_000));
         for (version, age) in case.proofs {
-            assert_eq!(proof.note_told(*version, at(9_000), ms(*age)), Told::Newer);
+            assert_eq!(
+                proof.record_peer_proof(*version, at(9_000), ms(*age)),
+                PeerProof::Newer
+            );
         }
         assert_eq!(proof.age(at(9_200)), Some(ms(8_200)), "{}", case.name);
         proof.replace(case.active);
@@ -147,20 +150,20 @@
         let answered = asked_at + ms(400);
         assert!(answered < denial_lease_of(ms(apply)), "{apply}");
         assert!(
-            asked_at > proving_pause(1),
+            asked_at > proof_interval(1),
             "a request yields a newer proof"
         );
-        assert!(asked_at <= asking_age(None, ms(apply), true));
+        assert!(asked_at <= proof_request_age(None, ms(apply), true));
     }
 }
 
 #[test]
 fn proofs_are_requested_once_the_own_proof_is_old() {
-    let lease = asking_age(Some(ms(4_500)), ms(3_000), true);
+    let lease = proof_request_age(Some(ms(4_500)), ms(3_000), true);
     let mut proof = ConfigProof::default();
     proof.replace(3);
     proof.note_read(at(10_000));
-    let mut request_timer = ProofAsking::default();
+    let mut request_timer = ProofRequestTimer::default();
     assert!(!request_timer.is_due(&proof, at(10_900), lease));
     assert!(request_timer.is_due(&proof, at(11_000), lease));
     assert!(
@@ -168,7 +171,7 @@
         "at most one round per interval"
     );
     assert!(request_timer.is_due(&proof, at(11_200), lease));
-    proof.note_told(3, at(11_200), ms(0));
+    proof.record_peer_proof(3, at(11_200), ms(0));
     assert!(!request_timer.is_due(&proof, at(12_000), lease));
 }
 
@@ -199,7 +202,7 @@
 
 #[test]
 fn the_proof_interval_grows_with_the_number_of_nodes() {
-    assert_eq!(proving_pause(1), ms(800));
-    assert_eq!(proving_pause(60), ms(9_000));
-    assert_eq!(proving_pause(3_200), ms(20_000));
+    assert_eq!(proof_interval(1), ms(800));
+    assert_eq!(proof_interval(60), ms(9_000));
+    assert_eq!(proof_interval(3_200), ms(20_000));
 }
--- a/crates/gateway-core/tests/config_proof_model.rs
+++ b/crates/gateway-core/tests/config_proof_model.rs
@@ -183,7 +183,7 @@
                         Mistake::FromReceipt => received_at,
                         _ => sent,
                     };
-                    if proof.note_told(version, asked, age) == Told::Newer {
+                    if proof.record_peer_proof(version, asked, age) == PeerProof::Newer {
                         // The other node also sends its configuration.
                         proof.replace(version);
                     }
--- a/crates/gateway-core/tests/feed_roles.rs
+++ b/crates/gateway-core/tests/feed_roles.rs
@@ -78,12 +78,12 @@
     let ranking: Vec<NodeId> = (0..4).map(id).collect();
     let mut roles = Roles::new(FeedTimes::within(DEADLINE));
     assert!(
-        !roles.note_return(at(0), &ranking),
+        !roles.detect_recovery(at(0), &ranking),
         "no heartbeat was received yet"
     );
-    roles.note_heard(at(100), &id(0), Duration::ZERO, true);
+    roles.record_heartbeat(at(100), &id(0), Duration::ZERO, true);
     assert!(
-        !roles.note_return(at(200), &ranking),
+        !roles.detect_recovery(at(200), &ranking),
         "the first reader is no recovery"
     );
     roles.record_heartbeat(at(300), &id(0), Duration::ZERO, false);
@@ -92,7 +92,7 @@
     assert!(roles.detect_recovery(at(600), &ranking));
     roles.record_heartbeat(at(700), &id(0), Duration::ZERO, false);
     assert!(
-        !roles.note_return(at(800), &ranking),
+        !roles.detect_recovery(at(800), &ranking),
         "another reader still works"
     );
     assert!(!roles.detect_recovery(at(9_000), &ranking), "silent");
@@ -162,7 +162,7 @@
         for (node, reads) in heartbeats {
             for (number, roles) in self.nodes.iter_mut().enumerate() {
                 if self.is_alive[number] && self.ranking[number] != node {
-                    roles.note_heard(now, &node, Duration::from_millis(50), reads);
+                    roles.record_heartbeat(now, &node, Duration::from_millis(50), reads);
                 }
             }
         }
@@ -318,6 +318,6 @@
         !roles.is_working(at(1_200), &node),
         "its last read is too old"
     );
-    roles.note_heard(at(1_300), &node, Duration::ZERO, false);
+    roles.record_heartbeat(at(1_300), &node, Duration::ZERO, false);
     assert!(!roles.is_working(at(1_300), &node), "its reads fail");
 }
--- a/crates/gateway-core/tests/pressure.rs
+++ b/crates/gateway-core/tests/pressure.rs
@@ -10,8 +10,8 @@
 const MIB: usize = 1024 * 1024;
 
 /// Returns the thresholds of the smallest machines, which have 48 MiB.
-fn small() -> Marks {
-    Marks::of(48 * MIB)
+fn small() -> MemoryThresholds {
+    MemoryThresholds::of(48 * MIB)
 }
 
 #[test]
@@ -54,21 +54,28 @@
             "{at} MiB"
         );
         assert_eq!(thresholds.takes_stream(held), row.takes_stream, "{at} MiB");
-        let reads = reads_stream(1, 64 * 1024, pressure);
-        assert_eq!(reads, row.reads_stream, "{at} MiB");
-        assert_eq!(reads_answer(MIB, pressure), row.reads_answer, "{at} MiB");
+        let reads = should_read_stream(1, 64 * 1024, pressure);
+        assert_eq!(reads, row.should_read_stream, "{at} MiB");
+        assert_eq!(
+            should_read_answer(MIB, pressure),
+            row.should_read_answer,
+            "{at} MiB"
+        );
         assert!(
-            reads_stream(0, 0, pressure),
+            should_read_stream(0, 0, pressure),
             "a caller that reads is always served"
         );
-        assert!(reads_answer(1_000, pressure), "small responses complete");
+        assert!(
+            should_read_answer(1_000, pressure),
+            "small responses complete"
+        );
     }
 }
 
 #[test]
 fn thresholds_scale_with_memory_and_are_ordered() {
     for mib in [1, 48, 88, 256, 512, 64 * 1024] {
-        let thresholds = Marks::of(mib * MIB);
+        let thresholds = MemoryThresholds::of(mib * MIB);
         assert!(thresholds.bodies < thresholds.no_new_bodies, "{mib} MiB");
         assert!(
             thresholds.no_new_bodies < thresholds.no_new_streams,
@@ -97,19 +104,19 @@
         (100, 100, false),
     ];
     for (unsent, buffer, reads) in rows {
-        let actual = reads_stream(unsent, buffer, Pressure::Normal);
+        let actual = should_read_stream(unsent, buffer, Pressure::Normal);
         assert_eq!(actual, reads, "{unsent} of {buffer}");
     }
 }
 
 #[test]
 fn a_stall_releases_the_worker() {
-    let below_limit = LONGEST_STALL - Duration::from_millis(1);
+    let below_limit = MAX_STALL - Duration::from_millis(1);
     let rows = [
         (below_limit, true, StallStep::Wait),
         (below_limit, false, StallStep::Wait),
-        (LONGEST_STALL, true, StallStep::LetWorkerGo),
-        (LONGEST_STALL, false, StallStep::GiveUp),
+        (MAX_STALL, true, StallStep::ReleaseWorker),
+        (MAX_STALL, false, StallStep::GiveUp),
     ];
     for (stalled, is_resumable, step) in rows {
         assert_eq!(after_stall(stalled, is_resumable), step, "{stalled:?}");
@@ -127,12 +134,12 @@
     let small = load(2, 2_000, 5_000);
     let large = load(3, 3_000, 600);
     let empty = load(4, 0, 9_000);
-    assert_eq!(stream_to_end([reading, small, large, empty]), Some(3));
-    assert_eq!(stream_to_end([reading, small]), Some(2));
+    assert_eq!(stream_to_abort([reading, small, large, empty]), Some(3));
+    assert_eq!(stream_to_abort([reading, small]), Some(2));
     assert_eq!(
-        stream_to_end([reading, empty]),
+        stream_to_abort([reading, empty]),
         None,
         "no stream has a stalled caller"
     );
-    assert_eq!(stream_to_end([]), None);
+    assert_eq!(stream_to_abort([]), None);
 }
--- a/crates/gateway-core/tests/quota.rs
+++ b/crates/gateway-core/tests/quota.rs
@@ -46,7 +46,7 @@
 }
 
 /// Returns how many of `count` simultaneous requests are admitted.
-fn admitted(book: &mut QuotaBook, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
+fn admitted(book: &mut QuotaTracker, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
     let admitted = (0..count).filter(|_| book.admit(now, TENANT, QUOTA, fleet).is_ok());
     u32::try_from(admitted.count()).expect("few")
 }
@@ -141,7 +141,7 @@
 #[test]
 fn a_new_process_assumes_usage_before_its_start() {
     let started = at(0);
-    let new_book = || QuotaBook::new(RULES, Division::Told, 1, started);
+    let new_book = || QuotaTracker::new(RULES, Division::Told, 1, started);
     // milliseconds since the start, requests admitted out of 100
     for (after, expected) in [(0, 0), (2_500, 30), (5_000, 60)] {
         let now = started + Duration::from_millis(after);
--- a/crates/gateway-core/tests/quota_lessor.rs
+++ b/crates/gateway-core/tests/quota_lessor.rs
@@ -55,8 +55,8 @@
 }
 
 /// Returns how many of `count` simultaneous requests are granted.
-fn granted(book: &mut QuotaBook, ms: u64, quota: Quota, count: usize) -> usize {
-    let answers = (0..count).map(|_| ask(book, ms, quota, Order::Later));
+fn granted(book: &mut QuotaTracker, ms: u64, quota: Quota, count: usize) -> usize {
+    let answers = (0..count).map(|_| ask(book, ms, quota, Order::Continuation));
     answers.filter(Result::is_ok).count()
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn grants_count_once_whether_reported_or_not() {
     let mut book = lessor();
-    let report = |book: &mut QuotaBook, ms, sent| {
+    let report = |book: &mut QuotaTracker, ms, sent| {
         book.take_report(at(ms), node(1), uses(sent));
         book.take_report(at(ms), node(2), uses(0));
         book.take_report(at(ms), node(3), uses(0));
@@ -111,7 +111,7 @@
 #[test]
 fn started_programs_have_precedence_under_overload() {
     let mut book = lessor();
-    let report = |book: &mut QuotaBook, ms, sent, asked| {
+    let report = |book: &mut QuotaTracker, ms, sent, asked| {
         let used = TenantUse { sent, asked };
         book.take_report(at(ms), node(2), [(TENANT, used)]);
     };
@@ -123,14 +123,14 @@
         "no request was refused yet"
     );
     report(&mut book, 100, 60, 13);
-    let full = ask(&mut book, 110, QUOTA, Order::Later).expect_err("full");
+    let full = ask(&mut book, 110, QUOTA, Order::Continuation).expect_err("full");
     assert!(!full.is_held_back);
     report(&mut book, 200, 50, 13);
-    let held_back = ask(&mut book, 210, QUOTA, Order::First).expect_err("short");
+    let held_back = ask(&mut book, 210, QUOTA, Order::NewProgram).expect_err("short");
     assert!(held_back.is_held_back);
-    assert_eq!(ask(&mut book, 210, QUOTA, Order::Later), Ok(()));
+    assert_eq!(ask(&mut book, 210, QUOTA, Order::Continuation), Ok(()));
     report(&mut book, 400, 50, 12);
-    assert_eq!(ask(&mut book, 410, QUOTA, Order::First), Ok(()));
+    assert_eq!(ask(&mut book, 410, QUOTA, Order::NewProgram), Ok(()));
 }
 
 #[test]
@@ -149,8 +149,8 @@
 
 #[test]
 fn a_node_without_complete_counts_makes_no_decision() {
-    let order = Order::Later;
-    let mut started = QuotaBook::new(RULES, Division::Told, 1, at(0));
+    let order = Order::Continuation;
+    let mut started = QuotaTracker::new(RULES, Division::Told, 1, at(0));
     assert_eq!(
         started.grant(at(4_000), TENANT, QUOTA, FOUR_NODES, None, order),
         None
@@ -247,7 +247,7 @@
 
 #[test]
 fn programs_are_remembered_for_a_limited_time() {
-    let mut started = BegunPrograms::default();
+    let mut started = StartedPrograms::default();
     started.note(at(0), "p");
     assert!(started.contains("p") && !started.contains("q"));
     started.note(at(31_000), "q");
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -141,8 +141,9 @@
         Method::Reports | Method::Lessor => Division::Told,
     };
     let mut random = Random(seed);
-    let book =
-        |number: usize, started: Timestamp| QuotaBook::new(RULES, division, number as u64, started);
+    let book = |number: usize, started: Timestamp| {
+        QuotaTracker::new(RULES, division, number as u64, started)
+    };
     let mut nodes: Vec<Node> = (0..scenario.nodes + scenario.added)
         .map(|number| {
             let starts_at = if number < scenario.nodes { 0 } else { 9_000 };
@@ -276,29 +277,41 @@
             let book = &mut nodes[number].book;
             book.note_asked(at(now), TENANT, scenario.quota);
             let low_usage =
-                lessor.and_then(|_| book.admit_calm(at(now), TENANT, scenario.quota, own));
+                lessor.and_then(|_| book.admit_low_usage(at(now), TENANT, scenario.quota, own));
             let granted = match lessor {
                 _ if low_usage.is_some() => Some(Ok(())),
-                Some(other) if other == number => {
-                    book.grant(at(now), TENANT, scenario.quota, own, None, Order::Later)
-                }
+                Some(other) if other == number => book.grant(
+                    at(now),
+                    TENANT,
+                    scenario.quota,
+                    own,
+                    None,
+                    Order::Continuation,
+                ),
                 Some(other) if reaches(other, &mut random) => {
                     let to = Some(&names[number]);
                     let theirs = fleet(other);
                     let lessor = &mut nodes[other].book;
-                    lessor.grant(at(now), TENANT, scenario.quota, theirs, to, Order::Later)
+                    lessor.grant(
+                        at(now),
+                        TENANT,
+                        scenario.quota,
+                        theirs,
+                        to,
+                        Order::Continuation,
+                    )
                 }
                 _ => None,
             };
             let book = &mut nodes[number].book;
             let is_admitted = match granted {
                 Some(Ok(())) if low_usage.is_none() => {
-                    book.take_granted(at(now), TENANT, scenario.quota);
+                    book.record_granted(at(now), TENANT, scenario.quota);
                     true
                 }
                 Some(result) => result.is_ok(),
                 None => book
-                    .admit_told(at(now), TENANT, scenario.quota, own)
+                    .admit_by_reports(at(now), TENANT, scenario.quota, own)
                     .is_ok(),
             };
             while window.front().is_some_and(|first| first + 5_000 <= now) {
--- a/crates/gateway-core/tests/routes.rs
+++ b/crates/gateway-core/tests/routes.rs
@@ -103,7 +103,7 @@
 
 #[test]
 fn changed_weights_take_effect_immediately() {
-    let mut state = SplitState::new(5);
+    let mut state = WeightedRoundRobin::new(5);
     let before = route("r", "h", "/", &[("old", 100), ("new", 0)]);
     let after = route("r", "h", "/", &[("old", 0), ("new", 100)]);
     assert_eq!(state.next_service(&before).as_deref(), Some("old"));
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -34,7 +34,7 @@
     engine("w3", 3)
 }
 
-fn migration(backup: Option<Engine>, most_engines: u32) -> RunLife {
+fn migration(backup: Option<Engine>, max_engines: u32) -> RunMigration {
     let ran_at = vec!["w1".to_owned()];
     RunMigration::new("r1".to_owned(), source(), backup, ran_at, max_engines)
 }
@@ -63,7 +63,7 @@
 #[test]
 fn actions_after_a_broken_stream() {
     use CallEnd::{Answered, NotReached, Refused, Unknown};
-    let resume = |at: Engine, handle: &str| Order::GoOn {
+    let resume = |at: Engine, handle: &str| RunAction::Resume {
         at,
         copy: copy(handle),
     };
@@ -71,7 +71,7 @@
         let handle = handle.map(str::to_owned);
         Answered(MoveOutcome::NoRoom { handle })
     };
-    let unsettled = || Order::End(EndReason::Unsettled);
+    let unsettled = || RunAction::End(EndReason::Unsettled);
     // Outcomes of the stop calls; final action with a backup and without.
     let cases = [
         (
@@ -88,17 +88,17 @@
         (
             vec![Answered(MoveOutcome::NoSuchRun)],
             resume(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (
             vec![NotReached],
             resume(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (
             vec![Unknown, NotReached],
             resume(backup(), "r1"),
-            Order::End(EndReason::NoCopy),
+            RunAction::End(EndReason::NoCopy),
         ),
         (vec![Unknown, Unknown], unsettled(), unsettled()),
         (
@@ -114,9 +114,12 @@
     for (answers, with_backup, without) in cases {
         for (kept, expected) in [(Some(backup()), with_backup), (None, without)] {
             let mut migration = migration(kept, 2);
-            let mut action = migration.leave(Reason::Broken, Some(target()));
+            let mut action = migration.leave(MigrationReason::Broken, Some(target()));
             for answer in &answers {
-                assert!(matches!(action, Order::Stop(_)), "{answers:?}: {action:?}");
+                assert!(
+                    matches!(action, RunAction::Stop(_)),
+                    "{answers:?}: {action:?}"
+                );
                 action = migration.after_stop(answer.clone());
             }
             assert_eq!(action, expected, "{answers:?}");
@@ -126,11 +129,21 @@
 
 #[test]
 fn a_run_continues_if_an_unforced_migration_fails() {
-    for reason in [Reason::Draining, Reason::Preempted, Reason::Slow] {
+    for reason in [
+        MigrationReason::Draining,
+        MigrationReason::Preempted,
+        MigrationReason::Slow,
+    ] {
         let mut run = migration(None, 2);
-        assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
-        assert_eq!(run.after_copy(CallEnd::NotReached), Order::Read);
-        assert!(matches!(run.leave(reason, Some(target())), Order::Copy(_)));
+        assert!(matches!(
+            run.leave(reason, Some(target())),
+            RunAction::Copy(_)
+        ));
+        assert_eq!(run.after_copy(CallEnd::NotReached), RunAction::Read);
+        assert!(matches!(
+            run.leave(reason, Some(target())),
+            RunAction::Copy(_)
+        ));
         assert_eq!(run.after_copy(copied("a")), stop_at_target());
         assert_eq!(run.after_stop(CallEnd::Refused), RunAction::Read);
         assert_eq!(run.take_unused_copies(), [copy("a")]);
@@ -141,8 +154,11 @@
 #[test]
 fn a_refused_copy_returns_to_the_source_engine_and_is_finally_freed() {
     let mut run = migration(None, 2);
-    assert_eq!(run.leave(Reason::Broken, Some(target())), stop_at_target());
-    let at_target = Order::GoOn {
+    assert_eq!(
+        run.leave(MigrationReason::Broken, Some(target())),
+        stop_at_target()
+    );
+    let at_target = RunAction::Resume {
         at: target(),
         copy: copy("h"),
     };
@@ -153,34 +169,37 @@
     };
     assert_eq!(run.after_attempt(AttemptEnd::NotRun, None), at_source);
     let end = run.after_attempt(AttemptEnd::NotRun, None);
-    assert_eq!(end, Order::End(EndReason::AllRefused));
-    assert_eq!(run.take_unused(), [copy("h")]);
-    assert_eq!(run.take_unused(), []);
+    assert_eq!(end, RunAction::End(EndReason::AllRefused));
+    assert_eq!(run.take_unused_copies(), [copy("h")]);
+    assert_eq!(run.take_unused_copies(), []);
 }
 
 #[test]
 fn a_target_whose_stream_breaks_is_stopped_as_well() {
     let mut run = migration(None, 3);
-    run.leave(Reason::Broken, Some(target()));
+    run.leave(MigrationReason::Broken, Some(target()));
     run.after_stop(copied("h"));
     let action = run.after_attempt(AttemptEnd::Unknown, Some(backup()));
-    let expected = Order::Stop(Hop {
+    let expected = RunAction::Stop(CopyPath {
         source: target().address,
         target: backup().address,
     });
     assert_eq!(action, expected);
-    assert_eq!(run.take_unused(), [], "the copy may be in use");
+    assert_eq!(run.take_unused_copies(), [], "the copy may be in use");
     run.after_stop(copied("i"));
-    assert_eq!(run.after_attempt(AttemptEnd::Answered, None), Order::Read);
-    let action = run.leave(Reason::Broken, Some(source()));
-    assert_eq!(action, Order::End(EndReason::MigrationLimit));
+    assert_eq!(
+        run.after_attempt(AttemptEnd::Answered, None),
+        RunAction::Read
+    );
+    let action = run.leave(MigrationReason::Broken, Some(source()));
+    assert_eq!(action, RunAction::End(EndReason::MigrationLimit));
 }
 
 #[test]
 fn a_run_limited_to_one_engine_resumes_there() {
     let mut run = migration(None, 1);
-    run.leave(Reason::Broken, Some(target()));
-    let expected = Order::GoOn {
+    run.leave(MigrationReason::Broken, Some(target()));
+    let expected = RunAction::Resume {
         at: source(),
         copy: copy("h"),
     };
@@ -191,11 +210,15 @@
 /// resume a run that was copied elsewhere.
 #[test]
 fn a_run_at_its_engine_limit_does_not_migrate_unforced() {
-    for reason in [Reason::Silent, Reason::Draining, Reason::Slow] {
+    for reason in [
+        MigrationReason::Silent,
+        MigrationReason::Draining,
+        MigrationReason::Slow,
+    ] {
         let mut run = migration(None, 1);
-        assert_eq!(run.leave(reason, Some(target())), Order::Read);
+        assert_eq!(run.leave(reason, Some(target())), RunAction::Read);
         let mut run = migration(None, 2);
-        run.leave(Reason::Silent, Some(target()));
+        run.leave(MigrationReason::Silent, Some(target()));
         run.after_stop(copied("h"));
         run.after_attempt(AttemptEnd::Answered, None);
         assert_eq!(run.leave(reason, Some(backup())), RunAction::Read);
@@ -209,32 +232,32 @@
 #[test]
 fn a_lost_engine_does_not_count_towards_the_engine_limit() {
     let mut run = migration(Some(backup()), 1);
-    run.leave(Reason::Broken, None);
-    let expected = Order::GoOn {
+    run.leave(MigrationReason::Broken, None);
+    let expected = RunAction::Resume {
         at: backup(),
         copy: copy("r1"),
     };
     assert_eq!(run.after_stop(CallEnd::NotReached), expected);
     let mut run = migration(Some(backup()), 1);
-    run.leave(Reason::Broken, None);
+    run.leave(MigrationReason::Broken, None);
     let stopped = CallEnd::Answered(MoveOutcome::NoSuchRun);
-    let expected = Order::End(EndReason::EngineLimit);
+    let expected = RunAction::End(EndReason::EngineLimit);
     assert_eq!(run.after_stop(stopped), expected, "this engine is not lost");
 }
 
 #[test]
 fn a_silent_engine_is_abandoned_only_if_unreachable() {
     let mut run = migration(Some(backup()), 2);
-    run.leave(Reason::Silent, None);
+    run.leave(MigrationReason::Silent, None);
     let gone = CallEnd::Answered(MoveOutcome::NoSuchRun);
     assert_eq!(
         run.after_stop(gone),
-        Order::Read,
+        RunAction::Read,
         "the end of the stream may still arrive"
     );
-    run.leave(Reason::Silent, None);
+    run.leave(MigrationReason::Silent, None);
     let action = run.after_stop(CallEnd::NotReached);
-    assert!(matches!(action, Order::GoOn { .. }), "{action:?}");
+    assert!(matches!(action, RunAction::Resume { .. }), "{action:?}");
 }
 
 fn record(id: &str, zone: &str, draining: bool) -> WorkerRecord {
@@ -276,11 +299,11 @@
         chosen(&workers, &[], ZonePreference::Other).as_deref(),
         Some("w3")
     );
-    let excluded = chosen(&workers, &["w2"], ZoneWish::Same);
+    let excluded = chosen(&workers, &["w2"], ZonePreference::Same);
     assert_eq!(excluded.as_deref(), Some("w3"));
     workers.note_start("w2", now);
     workers.note_start("w2", now);
-    let when_full = chosen(&workers, &[], ZoneWish::Same);
+    let when_full = chosen(&workers, &[], ZonePreference::Same);
     assert_eq!(
         when_full.as_deref(),
         Some("w3"),
@@ -344,9 +367,9 @@
         let mut backups = Backups::default();
         let mut now = Timestamp(1);
         let mut transferred = 0_u64;
-        for (tokens, left_tokens, delay_us) in runs {
+        for (tokens, remaining_tokens, delay_us) in runs {
             now = now + Duration::from_micros(delay_us);
-            let run = RunSize { tokens, left_tokens, token_bytes: 18_432 };
+            let run = RunSize { tokens, remaining_tokens, token_bytes: 18_432 };
             if let Some(bytes) = backups.begin(&rules, &run, now) {
                 transferred += bytes;
                 let elapsed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
--- a/crates/gateway-core/tests/run_moves_model.rs
+++ b/crates/gateway-core/tests/run_moves_model.rs
@@ -7,7 +7,8 @@
 
 use elderworks_gateway_core::engines::{MoveOutcome, RunCopy};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, Engine, Hop, MAX_MIGRATIONS, MAX_UNFORCED_ATTEMPTS, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, Engine, MAX_MIGRATIONS, MAX_UNFORCED_ATTEMPTS, MigrationReason,
+    RunAction, RunMigration,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -51,7 +52,7 @@
     /// The connection is lost. The flag tells whether the engine continues the run.
     Reset(bool),
     /// The gateway migrates the run for another reason.
-    Migrate(Reason),
+    Migrate(MigrationReason),
 }
 
 #[derive(Clone, Debug)]
@@ -81,7 +82,7 @@
 }
 
 impl World {
-    fn stop(&mut self, hop: Hop, outcome: Outcome) -> CallEnd {
+    fn stop(&mut self, hop: CopyPath, outcome: Outcome) -> CallEnd {
         let source = number(hop.source);
         if let Outcome::EngineCrashes = outcome {
             self.crash(source);
@@ -118,7 +119,7 @@
         }
     }
 
-    fn copy(&mut self, hop: Hop, outcome: Outcome) -> CallEnd {
+    fn copy(&mut self, hop: CopyPath, outcome: Outcome) -> CallEnd {
         let source = number(hop.source);
         match outcome {
             _ if self.crashed.contains(&source) => CallEnd::NotReached,
@@ -203,17 +204,17 @@
 struct Script {
     events: u32,
     has_backup: bool,
-    most_engines: u32,
+    max_engines: u32,
     occurrences: Vec<Occurrence>,
     outcomes: Vec<Outcome>,
 }
 
 fn script() -> impl Strategy<Value = Script> {
     let reasons = [
-        Reason::Silent,
-        Reason::Draining,
-        Reason::Preempted,
-        Reason::Slow,
+        MigrationReason::Silent,
+        MigrationReason::Draining,
+        MigrationReason::Preempted,
+        MigrationReason::Slow,
     ];
     let occurrence = prop_oneof![
         4 => Just(Occurrence::Event),
@@ -237,13 +238,13 @@
         proptest::collection::vec(outcome, 1..20),
     )
         .prop_map(
-            |(events, has_backup, most_engines, mut occurrences, outcomes)| {
+            |(events, has_backup, max_engines, mut occurrences, outcomes)| {
                 // Guarantees progress: a run also generates events between migrations.
                 occurrences.push(Occurrence::Event);
                 Script {
                     events,
                     has_backup,
-                    most_engines,
+                    max_engines,
                     occurrences,
                     outcomes,
                 }
@@ -268,7 +269,7 @@
         runs: 1,
     };
     let ran_at = vec![engine(0).worker];
-    let mut migration = RunLife::new(
+    let mut migration = RunMigration::new(
         REQUEST.to_owned(),
         engine(0),
         backup.map(engine),
@@ -279,21 +280,21 @@
     let mut occurrences = script.occurrences.iter().copied().cycle();
     let mut freed = Vec::new();
     let mut is_complete = false;
-    let mut action = Order::Read;
+    let mut action = RunAction::Read;
     let mut calls = 0;
     for _ in 0..MAX_STEPS {
         let candidate = (0..ENGINES).find(|other| engine(*other) != *migration.at());
         let mut outcome = || outcomes.next().expect("a cycle");
-        calls += u32::from(matches!(action, Order::Copy(_) | Order::Stop(_)));
+        calls += u32::from(matches!(action, RunAction::Copy(_) | RunAction::Stop(_)));
         action = match action {
-            Order::Copy(hop) => migration.after_copy(world.copy(hop, outcome())),
-            Order::Stop(hop) => migration.after_stop(world.stop(hop, outcome())),
-            Order::GoOn { at, copy } => {
+            RunAction::Copy(hop) => migration.after_copy(world.copy(hop, outcome())),
+            RunAction::Stop(hop) => migration.after_stop(world.stop(hop, outcome())),
+            RunAction::Resume { at, copy } => {
                 let end = world.attempt(number(at.address), &copy, outcome());
                 migration.after_attempt(end, candidate.map(engine))
             }
-            Order::Read => {
-                freed.extend(migration.take_unused());
+            RunAction::Read => {
+                freed.extend(migration.take_unused_copies());
                 let at = number(migration.at().address);
                 if world.last() == world.events {
                     is_complete = true;
@@ -310,30 +311,30 @@
                         migration.leave(reason, candidate.map(engine))
                     }
                     Occurrence::Reset(continues) if is_read && continues => {
-                        migration.leave(Reason::Broken, candidate.map(engine))
+                        migration.leave(MigrationReason::Broken, candidate.map(engine))
                     }
                     Occurrence::Reset(_) if is_read => {
                         world.executing.remove(&at);
-                        migration.leave(Reason::Broken, candidate.map(engine))
+                        migration.leave(MigrationReason::Broken, candidate.map(engine))
                     }
                     // Otherwise the engine has crashed or was stopped by a call whose response was
                     // lost, and the stream breaks off.
                     Occurrence::Crash if is_read => {
                         world.crash(at);
-                        migration.leave(Reason::Broken, candidate.map(engine))
+                        migration.leave(MigrationReason::Broken, candidate.map(engine))
                     }
-                    _ => migration.leave(Reason::Broken, candidate.map(engine)),
+                    _ => migration.leave(MigrationReason::Broken, candidate.map(engine)),
                 }
             }
             RunAction::End(_) => break,
         };
     }
-    let has_ended = is_complete || matches!(action, Order::End(_));
+    let has_ended = is_complete || matches!(action, RunAction::End(_));
     assert!(has_ended, "the run does not end");
     // One copy call and two stop calls for each migration attempt.
     assert!(calls <= 3 * (MAX_UNFORCED_ATTEMPTS + MAX_MIGRATIONS + 1));
     migration.end();
-    freed.extend(migration.take_unused());
+    freed.extend(migration.take_unused_copies());
     for copy in &freed {
         let known = &world.copies[&copy.handle];
         assert!(!known.is_used, "a used copy is freed");
@@ -362,7 +363,7 @@
         prop_assert_eq!(is_complete, world.last() == world.events);
         prop_assert!(world.runs <= 1 + MAX_MIGRATIONS);
         let alive = world.ran_at.difference(&world.crashed).count();
-        prop_assert!(alive <= script.most_engines as usize, "{:?}", world);
+        prop_assert!(alive <= script.max_engines as usize, "{:?}", world);
     }
 }
 
@@ -372,7 +373,7 @@
     let script = |has_backup, occurrence| Script {
         events: 4,
         has_backup,
-        most_engines: 2,
+        max_engines: 2,
         occurrences: vec![
             Occurrence::Event,
             occurrence,
@@ -384,5 +385,11 @@
     assert!(simulate(&script(false, Occurrence::Reset(true))).1);
     assert!(simulate(&script(true, Occurrence::Crash)).1);
     assert!(!simulate(&script(false, Occurrence::Crash)).1);
-    assert!(simulate(&script(false, Occurrence::Migrate(Reason::Draining))).1);
+    assert!(
+        simulate(&script(
+            false,
+            Occurrence::Migrate(MigrationReason::Draining)
+        ))
+        .1
+    );
 }
