--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! The turns that wait at this node for places at engines, and those that have gone.
+//! Admission of turns to engines at this node: the queue of waiting turns and the admitted ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,36 +11,36 @@
 use crate::gateway::Gateway;
 use crate::settings::GatewaySettings;
 
-/// How often a node that has turns waiting looks for places that others have left.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a node with queued turns checks for slots that other nodes have released.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Most turns that wait at one node: more than a node's callers have in the seconds that a turn
-/// can wait, and few enough to be searched for each release.
-const MOST_WAITING: usize = 512;
+/// Maximum number of turns queued at one node. Large enough for a node's callers within the maximum
+/// wait, and small enough to be searched at each release.
+const MAX_QUEUED_TURNS: usize = 512;
 
-/// Part of the process's memory that the bodies of waiting turns may take. Bodies of all requests
-/// together may take a fifth.
+/// Divisor of the process's memory limit that gives the memory available to the bodies of queued
+/// turns. The bodies of all requests may take a fifth of the memory.
 const MEMORY_DIVISOR: usize = 12;
 
-/// What became of a waiting turn.
+/// The outcome for a queued turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It may go.
-    Go,
-    /// It has to make room for a more pressing one.
+    /// The turn may run.
+    Admitted,
+    /// The turn was displaced by a more urgent one.
     Evicted,
 }
 
-/// The admission of this node and the tasks that wait for it.
+/// This node's admission queue and the tasks that wait in it.
 #[derive(Debug)]
 pub(crate) struct AdmissionDriver {
     pub(crate) core: RefCell<Admission>,
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
-    is_looking: Cell<bool>,
+    is_polling: Cell<bool>,
 }
 
 impl AdmissionDriver {
-    /// Nothing waits yet.
+    /// Creates an empty queue.
     pub(crate) fn new(settings: &GatewaySettings) -> Self {
         let policy = &settings.policy;
         let core = Admission::new(AdmissionRules {
@@ -49,63 +49,64 @@
             floor_interval: policy.floor_interval,
             fair_share: policy.fair_share,
             limits: QueueLimits {
-                entries: MOST_WAITING,
+                entries: MAX_QUEUED_TURNS,
                 bytes: settings.memory_bytes / MEMORY_DIVISOR,
             },
         });
         Self {
             core: RefCell::new(core),
             waiting: RefCell::default(),
-            is_looking: Cell::default(),
+            is_polling: Cell::default(),
         }
     }
 
-    fn call(&self, ticket: Ticket, call: Verdict) -> bool {
+    /// Sends a verdict to a queued turn. Returns whether the turn received it.
+    fn notify(&self, ticket: Ticket, verdict: Verdict) -> bool {
         let waiting = self.waiting.borrow_mut().remove(&ticket);
-        waiting.is_some_and(|waiting| waiting.send(call).is_ok())
+        waiting.is_some_and(|waiting| waiting.send(verdict).is_ok())
     }
 }
 
-/// A turn that waits. Dropped before it has heard, it waits no longer.
-pub(crate) struct WaitingTurn {
+/// A queued turn. Dropping it before it receives its verdict withdraws it.
+pub(crate) struct QueuedTurn {
     gateway: Rc<Gateway>,
     service: String,
     ticket: Ticket,
-    heard: oneshot::Receiver<Verdict>,
-    has_heard: bool,
+    verdict: oneshot::Receiver<Verdict>,
+    has_verdict: bool,
 }
 
-impl WaitingTurn {
-    /// Begins to wait with a ticket that the admission gave.
-    pub(crate) fn begin(gateway: &Rc<Gateway>, service: &str, ticket: Ticket) -> Self {
-        let (sender, heard) = oneshot::channel();
+impl QueuedTurn {
+    /// Queues a turn under the ticket assigned by [`Admission`].
+    pub(crate) fn enqueue(gateway: &Rc<Gateway>, service: &str, ticket: Ticket) -> Self {
+        let (sender, verdict) = oneshot::channel();
         let driver = &gateway.admission;
         driver.waiting.borrow_mut().insert(ticket, sender);
-        gateway.note_waiting();
-        if !driver.is_looking.replace(true) {
-            actix_rt::spawn(look_for_places(gateway.clone()));
+        gateway.update_queue_metric();
+        if !driver.is_polling.replace(true) {
+            actix_rt::spawn(poll_for_slots(gateway.clone()));
         }
         Self {
             gateway: gateway.clone(),
             service: service.to_owned(),
             ticket,
-            heard,
-            has_heard: false,
+            verdict,
+            has_verdict: false,
         }
     }
 
-    /// What it hears until then; `None` if it hears nothing.
+    /// Waits for the verdict; `None` if there is none by `until`.
     pub(crate) async fn wait(mut self, until: Instant) -> Option<Verdict> {
-        let heard = tokio::time::timeout_at(until.into(), &mut self.heard).await;
-        let heard = heard.ok()?.ok();
-        self.has_heard = heard.is_some();
-        heard
+        let verdict = tokio::time::timeout_at(until.into(), &mut self.verdict).await;
+        let verdict = verdict.ok()?.ok();
+        self.has_verdict = verdict.is_some();
+        verdict
     }
 }
 
-impl Drop for WaitingTurn {
+impl Drop for QueuedTurn {
     fn drop(&mut self) {
-        if self.has_heard {
+        if self.has_verdict {
             return;
         }
         let driver = &self.gateway.admission;
@@ -113,58 +114,58 @@
         if was_waiting {
             let mut core = driver.core.borrow_mut();
             core.withdraw(&self.service, self.ticket);
-        } else if self.heard.try_recv() == Ok(Verdict::Go) {
-            // It was let go and left at the same moment.
+        } else if self.verdict.try_recv() == Ok(Verdict::Admitted) {
+            // Admitted but not run: the slot is released.
             driver.core.borrow_mut().end(&self.service, None);
-            release(&self.gateway, &self.service);
+            admit_queued(&self.gateway, &self.service);
         }
-        self.gateway.note_waiting();
+        self.gateway.update_queue_metric();
     }
 }
 
-/// A turn that has gone to an engine.
+/// A turn admitted to an engine. Dropping it releases its slot.
 pub(crate) struct AdmittedTurn {
     gateway: Rc<Gateway>,
     service: String,
     since: Instant,
-    has_ended: bool,
+    is_complete: bool,
 }
 
 impl AdmittedTurn {
-    /// Begins with the admission's word.
-    pub(crate) fn begin(gateway: &Rc<Gateway>, service: &str) -> Self {
+    /// Registers an admitted turn, whose running time is measured from now on.
+    pub(crate) fn start(gateway: &Rc<Gateway>, service: &str) -> Self {
         Self {
             gateway: gateway.clone(),
             service: service.to_owned(),
             since: Instant::now(),
-            has_ended: false,
+            is_complete: false,
         }
     }
 
-    /// The turn has run to its end.
-    pub(crate) fn end(mut self) {
-        self.has_ended = true;
+    /// Releases the slot of a turn that has completed.
+    pub(crate) fn complete(mut self) {
+        self.is_complete = true;
     }
 }
 
 impl Drop for AdmittedTurn {
     fn drop(&mut self) {
-        let took = self.has_ended.then(|| self.since.elapsed());
+        let took = self.is_complete.then(|| self.since.elapsed());
         let driver = &self.gateway.admission;
         driver.core.borrow_mut().end(&self.service, took);
-        release(&self.gateway, &self.service);
+        admit_queued(&self.gateway, &self.service);
     }
 }
 
-/// Tells turns that made room for others.
-pub(crate) fn displace(gateway: &Gateway, displaced: &[Ticket]) {
+/// Notifies turns that were displaced from the queue.
+pub(crate) fn notify_displaced(gateway: &Gateway, displaced: &[Ticket]) {
     for ticket in displaced {
-        gateway.admission.call(*ticket, Verdict::Evicted);
+        gateway.admission.notify(*ticket, Verdict::Evicted);
     }
 }
 
-/// Lets those go for which there are places now.
-pub(crate) fn release(gateway: &Gateway, service: &str) {
+/// Admits queued turns to the slots that are free now.
+pub(crate) fn admit_queued(gateway: &Gateway, service: &str) {
     let driver = &gateway.admission;
     if driver.core.borrow().waiting_count() == 0 {
         return;
@@ -175,36 +176,36 @@
         core.release(gateway.now(), service, room)
     };
     for ticket in released {
-        if !driver.call(ticket, Verdict::Go) {
+        if !driver.notify(ticket, Verdict::Admitted) {
             driver.core.borrow_mut().end(service, None);
         }
     }
-    gateway.note_waiting();
+    gateway.update_queue_metric();
 }
 
-/// The room at a service's workers now.
+/// Returns the free slots of a service's engines.
 pub(crate) fn room_of(gateway: &Gateway, service: &str) -> Room {
     let workers = gateway.workers.borrow();
     Room::of(
         &workers,
         service,
-        gateway.nodes_serving.get(),
+        gateway.serving_count.get(),
         gateway.now(),
     )
 }
 
-/// Looks for places while anything waits.
-async fn look_for_places(gateway: Rc<Gateway>) {
+/// Polls for free slots while turns are queued.
+async fn poll_for_slots(gateway: Rc<Gateway>) {
     loop {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
         let waiting = gateway.admission.core.borrow().waiting_services();
         if waiting.is_empty() {
-            gateway.admission.is_looking.set(false);
+            gateway.admission.is_polling.set(false);
             return;
         }
         gateway.admission.core.borrow_mut().drop_old(gateway.now());
         for service in waiting {
-            release(&gateway, &service);
+            admit_queued(&gateway, &service);
         }
     }
 }
--- a/crates/gateway/src/buffered.rs
+++ b/crates/gateway/src/buffered.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with its buffers: codecs work on the buffers, sockets on the other side.
+//! A TCP connection split into two buffered halves. Codecs operate on the buffers.
 
 use std::io;
 
@@ -7,32 +7,32 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Room made for each read.
+/// Free buffer space in bytes that is reserved before each read.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Bytes taken in ahead while nobody decodes them; more stay in the socket.
+/// Maximum number of bytes buffered while nothing decodes them; the rest stays in the socket.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// Room that a buffer keeps for what is sent next, in bytes.
+/// Maximum capacity in bytes that an empty send buffer keeps.
 const MAX_KEPT_CAPACITY: usize = 16 * 1024;
 
-/// The receiving side.
+/// The receiving half.
 #[derive(Debug)]
 pub(crate) struct Receiver {
     half: OwnedReadHalf,
-    /// Bytes received and not decoded yet.
+    /// Bytes received but not decoded yet.
     pub(crate) buffer: BytesMut,
 }
 
 impl Receiver {
-    /// Waits for bytes; 0 means that the other side has closed.
+    /// Waits for bytes and returns their number; 0 means that the peer has closed the connection.
     pub(crate) async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.reserve(READ_BYTES);
         self.half.read_buf(&mut self.buffer).await
     }
 
-    /// Waits until the other side has closed or the connection failed, taking in what it sends
-    /// meanwhile.
+    /// Waits until the peer closes the connection or it fails, and buffers what the peer sends
+    /// until then.
     pub(crate) async fn closed(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD {
             match self.fill().await {
@@ -43,8 +43,8 @@
         std::future::pending().await
     }
 
-    /// Whether a connection at rest is still open and silent.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    /// Returns whether an idle connection is still open and has no unread bytes.
+    pub(crate) fn is_idle(&mut self) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
@@ -53,11 +53,11 @@
     }
 }
 
-/// The sending side.
+/// The sending half.
 #[derive(Debug)]
 pub(crate) struct Sender {
     half: OwnedWriteHalf,
-    /// Bytes encoded and not sent yet.
+    /// Bytes encoded but not sent yet.
     pub(crate) buffer: BytesMut,
 }
 
@@ -70,25 +70,25 @@
         Ok(())
     }
 
-    /// Sends as much as the other side takes at once, at least a byte. No byte is lost if the
+    /// Sends as much as the socket accepts, at least one byte. Cancel safe: no byte is lost if the
     /// future is dropped.
     pub(crate) async fn send_some(&mut self) -> io::Result<()> {
         self.half.write_buf(&mut self.buffer).await?;
         if self.buffer.is_empty() && self.buffer.capacity() > MAX_KEPT_CAPACITY {
-            // A large answer's room is not kept for the small ones that follow.
+            // Releases the capacity that a large response needed.
             self.buffer = BytesMut::new();
         }
         Ok(())
     }
 
-    /// Tells the other side that nothing more will come.
+    /// Closes the sending direction of the connection.
     pub(crate) async fn shut_down(&mut self) {
-        // The connection is at its end either way.
+        // Errors are ignored because the connection is being closed anyway.
         let _ = self.half.shutdown().await;
     }
 }
 
-/// Divides a connection into its two sides.
+/// Splits a connection into its halves.
 pub(crate) fn split(stream: TcpStream) -> (Receiver, Sender) {
     let (read, write) = stream.into_split();
     let receiver = Receiver {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,27 +4,28 @@
 
 use elderworks_types::Timestamp;
 
-/// Reads the monotonic clock only: the time of day may jump and decides nothing.
+/// A monotonic clock. The wall clock isn't used because it may jump.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// Starts at a time well after zero, which stands for "never".
+    /// Starts the clock.
     pub(crate) fn start() -> Self {
         Self {
             started: Instant::now(),
         }
     }
 
-    /// The present reading.
+    /// Returns the time since the start plus one microsecond, so that no reading is zero, which
+    /// means "never".
     pub(crate) fn now(&self) -> Timestamp {
         Timestamp(1) + self.started.elapsed()
     }
 }
 
-/// Milliseconds for a log line or a figure; -1 if there is no such time.
+/// Returns a duration in milliseconds for a log line or a metric; -1 if it is `None`.
 pub(crate) fn millis(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| {
         i64::try_from(time.as_millis()).unwrap_or(i64::MAX)
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The gateway's own small calls: readiness, the registry's answer, counters.
+//! The gateway's own HTTP endpoints: readiness, node addresses and metrics.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,40 +20,40 @@
 /// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What is asked at an address.
+/// Which endpoints an address serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Entry {
-    /// Readiness and the registry's answer.
+pub(crate) enum Endpoints {
+    /// Readiness and the addresses of nodes.
     Platform,
-    /// Counters.
+    /// Metrics.
     Metrics,
 }
 
-/// Accepts and answers until the node closes.
-pub(crate) async fn accept(gateway: Rc<Gateway>, listener: TcpListener, entry: Entry) {
+/// Accepts connections and serves them until the process ends.
+pub(crate) async fn accept(gateway: Rc<Gateway>, listener: TcpListener, endpoints: Endpoints) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                actix_rt::spawn(serve(gateway.clone(), stream, entry));
+                actix_rt::spawn(serve(gateway.clone(), stream, endpoints));
             }
             Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn serve(gateway: Rc<Gateway>, stream: TcpStream, entry: Entry) {
+async fn serve(gateway: Rc<Gateway>, stream: TcpStream, endpoints: Endpoints) {
     socket::prepare(&stream);
     let mut reader = RequestReader::new(&gateway, stream);
     while let Ok(request) = reader.next(&gateway).await {
-        let answer = match entry {
-            Entry::Platform => answer(&gateway, &request),
-            Entry::Metrics => metrics(&gateway),
+        let response = match endpoints {
+            Endpoints::Platform => respond(&gateway, &request),
+            Endpoints::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
         let share = gateway.memory.share(HeldFor::Callers);
         let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
         let sent = caller
-            .send_whole(answer.status, &answer.headers(), &answer.body)
+            .send_whole(response.status, &response.headers(), &response.body)
             .await;
         if sent.is_err() || close || !reader.codec.keep_alive() {
             break;
@@ -62,13 +62,13 @@
     reader.sender.shut_down().await;
 }
 
-struct EntryAnswer {
+struct EndpointResponse {
     status: StatusCode,
     media_type: &'static str,
     body: Bytes,
 }
 
-impl EntryAnswer {
+impl EndpointResponse {
     fn headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(self.media_type));
@@ -76,19 +76,19 @@
     }
 }
 
-fn answer(gateway: &Gateway, request: &CallerRequest) -> EntryAnswer {
-    let call = gateway
+fn respond(gateway: &Gateway, request: &CallerRequest) -> EndpointResponse {
+    let requested = gateway
         .platform
         .entry_call(&request.head.method, &request.head.uri);
-    match call {
+    match requested {
         EntryCall::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
         EntryCall::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         EntryCall::Resolve { zone } => resolve(gateway, zone.as_deref()),
-        EntryCall::Unknown => text(StatusCode::NOT_FOUND, "no such call"),
+        EntryCall::Unknown => text(StatusCode::NOT_FOUND, "no such endpoint"),
     }
 }
 
-fn resolve(gateway: &Gateway, zone: Option<&str>) -> EntryAnswer {
+fn resolve(gateway: &Gateway, zone: Option<&str>) -> EndpointResponse {
     let addresses = gateway
         .nodes
         .borrow()
@@ -101,53 +101,53 @@
     }
     let ttl = Duration::from_millis(gateway.settings.policy.addresses_ttl_ms);
     let ttl = ttl.min(gateway.settings.longest_ttl);
-    EntryAnswer {
+    EndpointResponse {
         status: StatusCode::OK,
         media_type: "application/json",
         body: gateway.platform.resolve_answer(&addresses, ttl),
     }
 }
 
-/// Most tenants that are shown.
-const TENANTS_SHOWN: usize = 20;
+/// Maximum number of tenants whose quota usage is exposed.
+const MAX_TENANTS_EXPOSED: usize = 20;
 
-/// Brings figures up to date that are worked out when they are asked for.
-fn refresh(gateway: &Gateway) {
+/// Updates the metrics that are computed on request.
+fn update_computed_metrics(gateway: &Gateway) {
     let (now, proof) = (gateway.now(), *gateway.config_proof.borrow());
     gateway.metrics.proof_age_ms.set(millis(proof.age(now)));
     let read_age = millis(proof.own_age(now));
     gateway.metrics.config_read_age_ms.set(read_age);
-    let shown = &gateway.metrics.quota_used_percent;
-    shown.clear();
+    let gauges = &gateway.metrics.quota_used_percent;
+    gauges.clear();
     let Some(config) = gateway.current_config() else {
         return;
     };
-    for (key, used) in gateway.quotas.borrow().most_used(TENANTS_SHOWN) {
+    for (key, used) in gateway.quotas.borrow().most_used(MAX_TENANTS_EXPOSED) {
         let Some(tenant) = config.tenants.iter().find(|tenant| tenant.key() == key) else {
             continue;
         };
         let label = TenantLabel {
             tenant: tenant.name.clone(),
         };
-        shown
+        gauges
             .get_or_create(&label)
             .set((used * 100.0).round() as i64);
     }
 }
 
-fn metrics(gateway: &Gateway) -> EntryAnswer {
-    refresh(gateway);
-    EntryAnswer {
+fn metrics(gateway: &Gateway) -> EndpointResponse {
+    update_computed_metrics(gateway);
+    EndpointResponse {
         status: StatusCode::OK,
         media_type: "text/plain",
         body: Bytes::from(gateway.metrics.encode()),
     }
 }
 
-fn text(status: StatusCode, words: &'static str) -> EntryAnswer {
-    EntryAnswer {
+fn text(status: StatusCode, body: &'static str) -> EndpointResponse {
+    EndpointResponse {
         status,
         media_type: "text/plain",
-        body: Bytes::from_static(words.as_bytes()),
+        body: Bytes::from_static(body.as_bytes()),
     }
 }
--- a/crates/gateway/src/forward/access.rs
+++ b/crates/gateway/src/forward/access.rs
@@ -1,4 +1,5 @@
-//! Who a request is from: decided before anything is done for it, and anew before each send.
+//! Identification of a request's sender: before any work is done for the request, and again before
+//! each send to a worker.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,86 +15,88 @@
 use super::attempts::Call;
 use super::{Trace, find_route};
 use crate::gateway::Gateway;
-use crate::reply::{Fault, Refusal};
+use crate::reply::{ErrorStatus, Refusal};
 
-/// When to come back if this node alone cannot tell whether a key counts: another one can.
+/// `Retry-After` if this node alone can't decide whether a key is valid: another node can.
 const OTHER_NODE_RETRY: Duration = Duration::from_millis(200);
 
-/// When to come back if no node can tell: an outage of the log lasts seconds, and tries that fail
-/// within it are lost. The caller shortens this if it has less time.
+/// `Retry-After` if no node can decide: log outages last seconds, and retries during one are
+/// wasted. Callers with less time left shorten it.
 const OUTAGE_RETRY: Duration = Duration::from_millis(950);
 
-/// Other nodes that answered so lately know no better than this one.
-const ANSWER_LIFETIME: Duration = Duration::from_secs(1);
+/// Maximum age of another node's reply from which this node concludes that no node has a newer
+/// configuration.
+const PEER_REPLY_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether a key's lease counts again.
-const LEASE_PAUSE: Duration = Duration::from_millis(25);
+/// Interval between checks whether a key's lease is valid again.
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// When to come back after the lease for acting on keys is over.
+/// Returns the `Retry-After` for a request refused because the lease on its key has expired.
 fn lease_retry(gateway: &Gateway) -> Duration {
     let now = gateway.now();
-    let is_late = |answered| now.since(answered) < ANSWER_LIFETIME;
-    if gateway.proof_answered.get().is_some_and(is_late) {
+    let is_recent = |answered| now.since(answered) < PEER_REPLY_MAX_AGE;
+    if gateway.proof_answered.get().is_some_and(is_recent) {
         OUTAGE_RETRY
     } else {
         OTHER_NODE_RETRY
     }
 }
 
-/// The tenant that a request is for.
+/// The tenant on whose behalf a request is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Sender {
-    /// Its name; `None` for requests that need no tenant.
+pub(super) struct SenderIdentity {
+    /// Name of the tenant; `None` for requests that need no tenant.
     pub(super) tenant: Option<String>,
-    /// Rank of its requests in place of their route's.
+    /// Priority of the tenant's requests, which overrides their route's.
     pub(super) priority: Option<u8>,
-    /// Its quota, if it has one.
+    /// The tenant's quota, if it has one.
     pub(super) quota: Option<(TenantKey, Quota)>,
 }
 
-/// Why a request may not go on for its sender.
+/// The reason why a request is refused for its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Denial {
-    /// No configuration in force knows the key.
+    /// The key isn't in the current configuration.
     InvalidKey,
-    /// The key is not known here, but may be new.
-    KeyUnsure,
-    /// The key may have been taken away; when to come back.
-    LeaseOver(Duration),
-    /// The key has become another tenant's.
+    /// The key isn't in this node's configuration, but may have been added since.
+    UnconfirmedKey,
+    /// The key may have been revoked. Holds the `Retry-After`.
+    LeaseExpired(Duration),
+    /// The key was reassigned to another tenant.
     OtherTenant,
 }
 
 impl Denial {
-    /// The answer to a request of which nothing was run.
-    pub(super) fn refusal(self, shown: NotRun) -> Refusal {
+    /// Returns the response to a request that was not run.
+    pub(super) fn refusal(self, not_run: NotRun) -> Refusal {
         match self {
             Self::InvalidKey => {
-                Refusal::fault(Fault::Unauthorized, "the request bears no valid key")
+                Refusal::error(ErrorStatus::Unauthorized, "the request bears no valid key")
             }
-            Self::KeyUnsure => {
+            Self::UnconfirmedKey => {
                 let reason = "the key is not known here, and may be new";
-                Refusal::not_run_until(shown, reason, OTHER_NODE_RETRY)
+                Refusal::not_run_retry_after(not_run, reason, OTHER_NODE_RETRY)
             }
-            Self::LeaseOver(pause) => {
+            Self::LeaseExpired(pause) => {
                 let reason =
                     "the key may have been taken away: the configuration here is too old to tell";
-                Refusal::not_run_until(shown, reason, pause)
-            }
-            Self::OtherTenant => {
-                Refusal::fault(Fault::Unauthorized, "the key has become another tenant's")
+                Refusal::not_run_retry_after(not_run, reason, pause)
             }
+            Self::OtherTenant => Refusal::error(
+                ErrorStatus::Unauthorized,
+                "the key has become another tenant's",
+            ),
         }
     }
 }
 
-/// Finds out who sends a request, or why it may not go on.
+/// Returns the sender of a request, or why it is refused.
 pub(super) fn identify(
     gateway: &Gateway,
     config: &ServingConfig,
     route: &Route,
     attributes: &CallAttributes,
-) -> Result<Sender, Denial> {
+) -> Result<SenderIdentity, Denial> {
     let decided = access::decide(
         config,
         &gateway.config_proof.borrow(),
@@ -103,33 +106,33 @@
         route.public,
     );
     match decided {
-        Access::Allowed(tenant) => Ok(Sender {
+        Access::Allowed(tenant) => Ok(SenderIdentity {
             tenant: tenant.map(|tenant| tenant.name.clone()),
             priority: tenant.and_then(|tenant| tenant.priority),
             quota: tenant.and_then(|tenant| Some((tenant.key(), tenant.quota?))),
         }),
         Access::Denied => Err(Denial::InvalidKey),
-        Access::KeyUnsure => Err(Denial::KeyUnsure),
-        Access::LeaseOver => Err(Denial::LeaseOver(lease_retry(gateway))),
+        Access::KeyUnsure => Err(Denial::UnconfirmedKey),
+        Access::LeaseOver => Err(Denial::LeaseExpired(lease_retry(gateway))),
     }
 }
 
-/// Whether a request waits though its key cannot be proved now: its turn would wait for the log anyway,
-/// and is refused if that shows that the key was taken away.
+/// Returns whether a request waits although its key can't be verified now. Its turn has to wait for
+/// the log anyway, and is refused if the log then shows that the key was revoked.
 fn waits_for_lease(gateway: &Gateway, route: &Route, denial: Denial) -> bool {
-    let is_over = matches!(denial, Denial::LeaseOver(_));
-    is_over && route.keeps_turns && gateway.log_outage.state().is_silent()
+    let is_expired = matches!(denial, Denial::LeaseExpired(_));
+    is_expired && route.keeps_turns && gateway.log_outage.state().is_silent()
 }
 
-/// The same, after a wait for the log if that is silent. What is sent on is decided anew by the
-/// configuration of then.
-pub(super) async fn identify_in_time(
+/// Like [`identify`], but waits for the log first if the log doesn't respond. Before the request is
+/// sent to a worker, [`Call::check_sender`] checks its key against the configuration of that time.
+pub(super) async fn identify_with_wait(
     gateway: &Gateway,
     config: &ServingConfig,
     route: &Route,
     attributes: &CallAttributes,
     left: Duration,
-) -> Result<Sender, Denial> {
+) -> Result<SenderIdentity, Denial> {
     let decided = identify(gateway, config, route, attributes);
     let denial = match decided {
         Err(denial) if waits_for_lease(gateway, route, denial) => denial,
@@ -138,9 +141,9 @@
     let share = gateway.settings.policy.outage_wait_share;
     let until = Instant::now() + outage_wait(left, share);
     while Instant::now() < until {
-        actix_rt::time::sleep(LEASE_PAUSE).await;
+        actix_rt::time::sleep(LEASE_POLL_INTERVAL).await;
         let decided = identify(gateway, config, route, attributes);
-        if !matches!(decided, Err(Denial::LeaseOver(_))) {
+        if !matches!(decided, Err(Denial::LeaseExpired(_))) {
             gateway.metrics.note_outage_wait(decided.is_ok());
             return decided;
         }
@@ -149,21 +152,21 @@
     Err(denial)
 }
 
-/// The answer to a request for which the configuration in force has no route.
-pub(super) fn refuse_unknown_route(gateway: &Gateway) -> Refusal {
-    let shown = NotRun::before_any_attempt();
+/// Returns the response to a request for which the current configuration has no route.
+pub(super) fn unknown_route_refusal(gateway: &Gateway) -> Refusal {
+    let not_run = NotRun::before_any_attempt();
     let proof = *gateway.config_proof.borrow();
     if gateway.key_leases.may_deny(&proof, gateway.now()) {
-        return Refusal::fault(Fault::NotFound, "no such route");
+        return Refusal::error(ErrorStatus::NotFound, "no such route");
     }
     let reason =
         "no such route is known here, and it may be new: the configuration is too old to tell";
-    Refusal::not_run_until(shown, reason, lease_retry(gateway))
+    Refusal::not_run_retry_after(not_run, reason, lease_retry(gateway))
 }
 
-/// Refuses a request whose body has not been read, if its sender may not send it.
-pub(crate) fn refuse_unread(gateway: &Rc<Gateway>, head: &RequestHead) -> Result<(), Refusal> {
-    // What else is wrong with the request is told once it was read.
+/// Refuses a request before its body is read if its sender isn't allowed to send it.
+pub(crate) fn refuse_before_body(gateway: &Rc<Gateway>, head: &RequestHead) -> Result<(), Refusal> {
+    // All other faults of the request are reported after its body is read.
     let Some(config) = gateway.current_config() else {
         return Ok(());
     };
@@ -181,12 +184,12 @@
         return Ok(());
     }
     let refusal = denial.refusal(NotRun::before_any_attempt());
-    Trace::note_unread(gateway, &attributes, &config, route, &refusal);
+    Trace::log_before_body(gateway, &attributes, &config, route, &refusal);
     Err(refusal)
 }
 
 impl Call<'_> {
-    /// Decides anew, before a send, whether the sender's key still counts.
+    /// Checks again, before a send, that the sender's key is still valid.
     pub(super) fn check_sender(&self) -> Result<(), Refusal> {
         if self.sender.tenant.is_none() {
             return Ok(());
@@ -201,8 +204,10 @@
             Err(denial) => denial,
         };
         Err(match self.history.not_run() {
-            Some(shown) => denial.refusal(shown),
-            None => Refusal::unknown("the key no longer counts, and the request may have run"),
+            Some(not_run) => denial.refusal(not_run),
+            None => {
+                Refusal::outcome_unknown("the key no longer counts, and the request may have run")
+            }
         })
     }
 }
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of one call at workers.
+//! Attempts to get a response to one call from a worker.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
 use elderworks_gateway_core::workers::idle_connections_share;
 
-use super::access::Sender;
-use super::occupied::{Occupied, RunningAnswer};
-use super::outliving::{OutlivingRun, RunBackup};
-use super::quota::Counted;
-use super::turn::TurnLease;
+use super::access::SenderIdentity;
+use super::migration::{MigratableRun, RunBackup};
+use super::quota::CountedRequest;
+use super::turn::TurnPermit;
+use super::worker_use::{RunningResponse, WorkerUse};
 use super::{CallError, Milestones, Trace, headers};
 use crate::admission::AdmittedTurn;
 use crate::caller::Caller;
@@ -30,57 +30,58 @@
 use crate::server::CallerRequest;
 use crate::upstream::{ExchangeContext, ExchangeError, OutgoingRequest, Target, exchange};
 
-/// Largest answer that is collected before it is passed on, in bytes.
-const MAX_WHOLE_ANSWER: usize = 16 * 1024 * 1024;
+/// Maximum size in bytes of a response that is buffered before it is forwarded.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Least urgent rank that engines know; 0 is the most urgent.
-const LEAST_URGENT: u8 = 9;
+/// Lowest priority that engines accept; 0 is the most urgent.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// One request on its way.
+/// One request in progress.
 pub(super) struct Call<'a> {
     pub(super) gateway: &'a Rc<Gateway>,
     pub(super) config: &'a ServingConfig,
     pub(super) route: &'a Route,
     pub(super) attributes: &'a CallAttributes,
-    pub(super) sender: Sender,
-    pub(super) counted: Option<Counted>,
+    pub(super) sender: SenderIdentity,
+    /// The request's count against its tenant's quota.
+    pub(super) counted: Option<CountedRequest>,
     pub(super) head: Rc<RequestHead>,
     pub(super) body: Option<Bytes>,
     pub(super) deadline: Instant,
     pub(super) received: Instant,
     pub(super) service: String,
-    pub(super) lease: Option<TurnLease>,
-    /// Its place at an engine, while it has one.
-    pub(super) place: Option<AdmittedTurn>,
+    pub(super) permit: Option<TurnPermit>,
+    /// The call's slot at an engine, while it holds one.
+    pub(super) slot: Option<AdmittedTurn>,
     pub(super) history: AttemptHistory,
     pub(super) milestones: Milestones,
-    /// Counts the body for as long as the call holds it.
+    /// Accounts for the body's memory while the call holds it.
     _memory: Share,
     tried: TriedWorkers,
-    /// Where the next attempt must go, if the route allows no other worker.
+    /// The worker of the next attempt, if the route allows no other.
     retry_at: Option<Target>,
-    /// Set once the run has gone on elsewhere.
-    pub(super) run: Option<OutlivingRun>,
-    /// Where the run's memory is sent as it grows.
+    /// Set once the run has been moved to another engine.
+    pub(super) run: Option<MigratableRun>,
+    /// The engine to which the run's memory is copied as it grows.
     pub(super) backup: Option<RunBackup>,
-    /// Since when the worker of the present attempt has shown no sign of life.
+    /// Time since which the current attempt's worker has been silent.
     pub(super) waiting_since: Option<Instant>,
 }
 
-/// Ids of the workers that were tried for a request, in order; shared with its log line.
+/// Ids of the workers tried for a request, in order; shared with its log line.
 pub(super) type TriedWorkers = Rc<RefCell<Vec<String>>>;
 
 impl<'a> Call<'a> {
     #[allow(
         clippy::too_many_arguments,
-        reason = "the parts of one call, each named where it is made"
+        reason = "each argument initializes one field of the call"
     )]
     pub(super) fn new(
         gateway: &'a Rc<Gateway>,
         config: &'a ServingConfig,
         route: &'a Route,
         attributes: &'a CallAttributes,
-        sender: Sender,
+        sender: SenderIdentity,
         request: CallerRequest,
         deadline: Instant,
         trace: &Trace,
@@ -99,8 +100,8 @@
             deadline,
             received: request.received,
             service: service.unwrap_or_default(),
-            lease: None,
-            place: None,
+            permit: None,
+            slot: None,
             history: AttemptHistory::default(),
             milestones: trace.milestones.clone(),
             tried: trace.tried.clone(),
@@ -115,23 +116,27 @@
         self.route
     }
 
-    /// Runs a request whose answer is passed on whole.
-    pub(super) async fn run_whole(&mut self, caller: &mut Caller<'_>) -> Result<(), CallError> {
+    /// Runs a request whose response is buffered and forwarded as a whole.
+    pub(super) async fn run_buffered(&mut self, caller: &mut Caller<'_>) -> Result<(), CallError> {
         loop {
-            let mut running = self.next_answer(None, None).await?;
-            match running.answer.whole_body(MAX_WHOLE_ANSWER).await {
+            let mut running = self.next_response(None, None).await?;
+            match running
+                .response
+                .buffer_body(MAX_BUFFERED_RESPONSE_BYTES)
+                .await
+            {
                 Ok(body) => {
-                    self.note_answer(&running.occupied.worker, running.answer.head.status);
-                    self.count_answer(&running.occupied.worker, body.len());
-                    drop(running.occupied);
-                    self.leave_place();
-                    let head = &running.answer.head;
-                    let passed = headers::end_to_end(&head.headers);
-                    caller.send_whole(head.status, &passed, &body).await?;
+                    self.note_response(&running.worker_use.worker, running.response.head.status);
+                    self.count_response_bytes(&running.worker_use.worker, body.len());
+                    drop(running.worker_use);
+                    self.release_slot();
+                    let head = &running.response.head;
+                    let forwarded = headers::end_to_end(&head.headers);
+                    caller.send_whole(head.status, &forwarded, &body).await?;
                     return Ok(());
                 }
                 Err(broken) => {
-                    let worker = running.occupied.worker.clone();
+                    let worker = running.worker_use.worker.clone();
                     self.log_failure(&worker, &broken.to_string());
                     self.after_failure(&worker, AttemptFailure::Unknown)?;
                 }
@@ -139,12 +144,12 @@
         }
     }
 
-    /// The head of a valid answer, from whichever worker gives one. `preferred` is tried first.
-    pub(super) async fn next_answer(
+    /// Returns the response of the first worker that gives a valid one. `preferred` is tried first.
+    pub(super) async fn next_response(
         &mut self,
         last_event_id: Option<&str>,
         mut preferred: Option<Target>,
-    ) -> Result<RunningAnswer, CallError> {
+    ) -> Result<RunningResponse, CallError> {
         loop {
             self.check_sender().map_err(CallError::Refused)?;
             let target = match preferred.take().or_else(|| self.retry_at.take()) {
@@ -153,32 +158,33 @@
             };
             let target = self.with_backup(target);
             let (failure, reason) = match self.attempt(&target, last_event_id).await {
-                Ok(running) if self.gateway.platform.was_not_run(&running.answer.head) => {
-                    let status = running.answer.head.status;
+                Ok(running) if self.gateway.platform.was_not_run(&running.response.head) => {
+                    let status = running.response.head.status;
                     self.note_refusal(&target.worker, status);
                     let reason = format!("refused with {}", status.as_u16());
                     (AttemptFailure::RefusedByWorker, reason)
                 }
-                Ok(running) if is_unbacked_promise(running.answer.head.status) => {
-                    let status = running.answer.head.status.as_u16();
-                    let reason = format!("{status} without a word that it was not run");
+                Ok(running) if implies_not_run(running.response.head.status) => {
+                    let status = running.response.head.status.as_u16();
+                    let reason = format!("status {status}, but not marked as not run");
                     (AttemptFailure::Unknown, reason)
                 }
                 Ok(running) => return Ok(running),
                 Err(ExchangeError::NotSent(reason)) => (AttemptFailure::NotSent, reason),
-                Err(ExchangeError::NoAnswer(reason)) => (AttemptFailure::Unknown, reason),
+                Err(ExchangeError::NoResponse(reason)) => (AttemptFailure::Unknown, reason),
             };
             self.log_failure(&target.worker, &reason);
             self.after_failure(&target.worker, failure)?;
         }
     }
 
+    /// Sends the request to a worker and waits for the head of its response.
     pub(super) async fn attempt(
         &mut self,
         target: &Target,
         last_event_id: Option<&str>,
-    ) -> Result<RunningAnswer, ExchangeError> {
-        let occupied = Occupied::start(self.gateway, &target.worker);
+    ) -> Result<RunningResponse, ExchangeError> {
+        let worker_use = WorkerUse::start(self.gateway, &target.worker);
         self.note_tried(&target.worker);
         let request = OutgoingRequest {
             head: self.head.clone(),
@@ -191,8 +197,8 @@
             http: &self.gateway.http,
             memory: &self.gateway.memory,
             platform: &*self.gateway.platform,
-            connections_made: &self.gateway.metrics.worker_connections,
-            most_idle: self.most_idle_connections(),
+            connections_opened: &self.gateway.metrics.worker_connections,
+            max_idle: self.max_idle_connections(),
             mark: self.history.begin(),
         };
         self.gateway.metrics.attempts.inc();
@@ -200,14 +206,14 @@
             counted.note_send();
         }
         self.note_progress();
-        self.count_request(&target.worker);
+        self.count_request_bytes(&target.worker);
         let mut exchanging = std::pin::pin!(exchange(&context, target, &request, extra));
-        let soon = actix_rt::time::timeout(self.longest_silence(), &mut exchanging).await;
-        let answer = match soon {
-            Ok(answer) => answer?,
-            Err(_) if self.should_ask_again() => {
+        let timed = actix_rt::time::timeout(self.max_silence(), &mut exchanging).await;
+        let response = match timed {
+            Ok(response) => response?,
+            Err(_) if self.should_retry_silent() => {
                 let reason = "the worker is silent".to_owned();
-                return Err(ExchangeError::NoAnswer(reason));
+                return Err(ExchangeError::NoResponse(reason));
             }
             Err(_) => {
                 self.note_worker_failure(&target.worker);
@@ -215,11 +221,11 @@
                 exchanging.await?
             }
         };
-        self.note_heard(&target.worker);
-        Ok(RunningAnswer {
-            answer,
+        self.note_response_start(&target.worker);
+        Ok(RunningResponse {
+            response,
             address: target.address,
-            occupied,
+            worker_use,
         })
     }
 
@@ -238,10 +244,10 @@
         }
     }
 
-    fn most_idle_connections(&self) -> usize {
+    fn max_idle_connections(&self) -> usize {
         let service = self.config.service(&self.service);
         let max_connections = service.map_or(u32::MAX, |service| service.max_connections);
-        let share = idle_connections_share(max_connections, self.gateway.nodes_serving.get());
+        let share = idle_connections_share(max_connections, self.gateway.serving_count.get());
         usize::try_from(share).unwrap_or(usize::MAX)
     }
 
@@ -263,17 +269,17 @@
         extra
     }
 
-    /// Requests for engines carry the rank of their tenant, or else of their route.
+    /// Returns the priority sent to engines: the tenant's, or else the route's.
     fn engine_priority(&self) -> Option<u8> {
         let service = self.config.service(&self.service)?;
-        let is_told = service.engine.is_some() && self.gateway.settings.policy.engine_rank;
-        let rank = self.sender.priority.unwrap_or(self.route.priority);
-        is_told.then(|| rank.min(LEAST_URGENT))
+        let sends_priority = service.engine.is_some() && self.gateway.settings.policy.engine_rank;
+        let priority = self.sender.priority.unwrap_or(self.route.priority);
+        sends_priority.then(|| priority.min(LOWEST_PRIORITY))
     }
 
     fn choose(&self) -> Result<Target, CallError> {
         let tried = self.tried.borrow();
-        let prefers_resting = self.gateway.settings.policy.resting_connections;
+        let prefers_idle = self.gateway.settings.policy.resting_connections;
         let query = PlacementQuery {
             service: &self.service,
             key: self
@@ -285,7 +291,7 @@
             tried: &tried,
             turn: self.engine_turn(),
             spread: self.gateway.next_sequence(),
-            is_connected: &|worker| prefers_resting && self.gateway.pool.has(worker),
+            is_connected: &|worker| prefers_idle && self.gateway.pool.has_idle(worker),
         };
         let now = self.gateway.now();
         let mut workers = self.gateway.workers.borrow_mut();
@@ -298,20 +304,20 @@
         if let Some(is_at_home) = balancer::is_at_home(&workers, &query, worker) {
             self.gateway.metrics.note_placement(is_at_home);
         }
-        let mut target = Target::plain(&worker.record);
+        let mut target = Target::direct(&worker.record);
         if let Some(turn) = query.turn.as_ref().filter(|_| tried.is_empty()) {
             let moves = self.engine_moves();
             let source = workers.prompt_source(&target.worker, turn, moves, now);
             if let Some((source, bytes)) = source {
                 target.prompt_source = PromptSource::Engine(source);
                 self.gateway.metrics.note_prompt_fetch(bytes);
-                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.part_tokens; "an engine takes a prompt's part from another one");
+                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.part_tokens; "engine fetches the prompt's shared segment from another engine");
             }
         }
         Ok(target)
     }
 
-    /// What engines of the call's service pass to each other.
+    /// Returns what engines of the call's service can transfer to each other.
     fn engine_moves(&self) -> &MemoryMoves {
         const NONE: &MemoryMoves = &MemoryMoves::NONE;
         let service = self.config.service(&self.service);
@@ -319,7 +325,7 @@
         engine.map_or(NONE, |engine| &engine.memory_moves)
     }
 
-    /// The turn as an engine sees it, if the request is one.
+    /// Returns the turn's parameters for placement at an engine, if the request is a turn.
     fn engine_turn(&self) -> Option<EngineTurn> {
         let engine = self.config.service(&self.service)?.engine.as_ref()?;
         let (first, private) = self.attributes.prompt.split_first()?;
@@ -333,7 +339,7 @@
         })
     }
 
-    /// Notes a failed attempt; an error is the answer if there is to be no other attempt.
+    /// Records a failed attempt. An error means that no further attempt is made.
     pub(super) fn after_failure(
         &mut self,
         worker: &str,
@@ -362,11 +368,13 @@
         }
     }
 
-    /// The answer if no further attempt is made.
+    /// Returns the response for a call that makes no further attempt.
     fn give_up(&self) -> CallError {
         CallError::Refused(match self.history.not_run() {
-            Some(shown) => Refusal::not_run(shown, "no worker takes the request now"),
-            None => Refusal::unknown("no worker gave a valid answer; the request may have run"),
+            Some(not_run) => Refusal::not_run(not_run, "no worker takes the request now"),
+            None => {
+                Refusal::outcome_unknown("no worker gave a valid answer; the request may have run")
+            }
         })
     }
 
@@ -374,15 +382,15 @@
         let now = self.gateway.now();
         let workers = self.gateway.workers.borrow();
         let known = workers.get(worker)?;
-        let may_get = workers.is_open(known) && !workers.is_held_back(known, now);
-        let is_fit = may_get && !known.is_ejected(now);
-        is_fit.then(|| Target::plain(&known.record))
+        let accepts_requests = workers.is_open(known) && !workers.is_held_back(known, now);
+        let is_usable = accepts_requests && !known.is_ejected(now);
+        is_usable.then(|| Target::direct(&known.record))
     }
 }
 
-/// Whether callers take a status for a promise that the request was not run, which a worker that
-/// gives it of its own accord does not make.
-pub(super) fn is_unbacked_promise(status: StatusCode) -> bool {
+/// Returns whether callers take a status as a guarantee that the request was not run. From a worker
+/// the status alone is not enough: without the platform's marker, the request may have run.
+pub(super) fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::PAYMENT_REQUIRED
@@ -393,7 +401,7 @@
     )
 }
 
-/// The head of a request as it goes to workers, apart from what depends on the worker.
+/// Returns the request head sent to any worker, without the headers that depend on the worker.
 fn outgoing_head(gateway: &Gateway, config: &ServingConfig, head: &RequestHead) -> RequestHead {
     let mut outgoing = headers::outgoing_head(head);
     let has_tenants = !config.tenants.is_empty();
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -1,8 +1,8 @@
-//! The way of a stream between a worker that may send fast and a caller that may read slowly.
+//! Flow control between a worker that may send fast and a caller that may read slowly.
 //!
-//! The worker is read ahead of the caller as far as the stream's buffer goes, so that most answers
-//! free their worker whatever their caller does; beyond it, the worker waits. Thresholds are
-//! `elderworks_gateway_core::pressure`'s.
+//! The gateway reads ahead of the caller up to the stream's buffer limit, so that most responses
+//! release their worker regardless of the caller's speed. Beyond the limit the worker is not read
+//! from. The thresholds are defined in `elderworks_gateway_core::pressure`.
 
 use std::time::{Duration, Instant};
 
@@ -14,43 +14,43 @@
 use crate::gateway::Gateway;
 use crate::memory::{Memory, StreamEntry};
 use crate::metrics::GivenUpLabel;
-use crate::upstream::Answer;
+use crate::upstream::WorkerResponse;
 
-/// What happens next to a stream.
-pub(super) enum Step {
-    /// More of it has come.
-    Piece(Bytes),
-    /// The worker has ended it.
+/// The next step of a forwarded stream.
+pub(super) enum FlowStep {
+    /// Received a chunk.
+    Chunk(Bytes),
+    /// The worker completed the stream.
     End,
-    /// The worker's answer broke off.
+    /// The stream broke off.
     Broken(String),
-    /// Nothing has come for a while.
+    /// The worker has been silent for the configured time.
     Silent,
-    /// The worker is let go until the caller has read what is held for it.
-    LetWorkerGo,
+    /// The connection to the worker is to be closed until the caller has read the buffered data.
+    ReleaseWorker,
 }
 
-/// One stream's flow.
-pub(super) struct Flow<'a> {
+/// Flow control of one stream.
+pub(super) struct StreamFlow<'a> {
     gateway: &'a Gateway,
     memory: Memory,
     entry: StreamEntry,
     request: &'a str,
     is_resumable: bool,
-    /// Silence of the worker that is told, if any is.
-    told_silence: Option<Duration>,
-    /// When the caller last took bytes, or when there were first some to take.
+    /// Silence of the worker after which [`FlowStep::Silent`] is returned, if any.
+    silence_limit: Option<Duration>,
+    /// When the caller last read bytes, or when the first unsent bytes became available.
     stalled_since: Instant,
     is_paused: bool,
 }
 
-impl<'a> Flow<'a> {
-    /// A stream that begins.
+impl<'a> StreamFlow<'a> {
+    /// Creates the flow control of a new stream.
     pub(super) fn new(
         gateway: &'a Gateway,
         request: &'a str,
         is_resumable: bool,
-        told_silence: Option<Duration>,
+        silence_limit: Option<Duration>,
     ) -> Self {
         let memory = gateway.memory.clone();
         Self {
@@ -59,32 +59,32 @@
             gateway,
             request,
             is_resumable,
-            told_silence,
+            silence_limit,
             stalled_since: Instant::now(),
             is_paused: false,
         }
     }
 
-    /// Encodes a piece for the caller.
-    pub(super) fn push(&mut self, caller: &mut Caller<'_>, piece: Bytes) -> Result<(), CallError> {
+    /// Encodes a chunk for the caller.
+    pub(super) fn push(&mut self, caller: &mut Caller<'_>, chunk: Bytes) -> Result<(), CallError> {
         if caller.unsent() == 0 {
             self.stalled_since = Instant::now();
         }
-        caller.push_piece(piece)?;
+        caller.push_chunk(chunk)?;
         self.entry.note(caller.unsent(), self.stalled_since);
         Ok(())
     }
 
-    /// Sends what the caller takes until there is something to do. `waiting_since` is since when
-    /// the worker is silent: never while it is not read from.
+    /// Sends to the caller what it accepts until the next step. `waiting_since` holds the time
+    /// since which the worker has been silent, or `None` while the worker is not read from.
     pub(super) async fn next(
         &mut self,
         caller: &mut Caller<'_>,
-        answer: &mut Answer,
+        response: &mut WorkerResponse,
         waiting_since: &mut Option<Instant>,
-    ) -> Result<Step, CallError> {
+    ) -> Result<FlowStep, CallError> {
         let buffer = self.gateway.settings.policy.stream_buffer_bytes;
-        let silence_end = self.told_silence.map(|silence| Instant::now() + silence);
+        let silence_end = self.silence_limit.map(|silence| Instant::now() + silence);
         loop {
             let unsent = caller.unsent();
             let reads = reads_stream(unsent, buffer, self.memory.pressure());
@@ -97,24 +97,24 @@
                 () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some(), if unsent > 0 => {
                     sent?;
-                    self.note_taken(caller);
+                    self.note_sent(caller);
                 }
-                piece = answer.next_piece(), if reads => {
-                    return Ok(match piece {
-                        Ok(Some(piece)) => Step::Piece(piece),
-                        Ok(None) => Step::End,
-                        Err(broken) => Step::Broken(broken.to_string()),
+                chunk = response.next_chunk(), if reads => {
+                    return Ok(match chunk {
+                        Ok(Some(chunk)) => FlowStep::Chunk(chunk),
+                        Ok(None) => FlowStep::End,
+                        Err(broken) => FlowStep::Broken(broken.to_string()),
                     });
                 }
                 () = sleep_until_some(silence_end), if reads && silence_end.is_some() => {
-                    return Ok(Step::Silent);
+                    return Ok(FlowStep::Silent);
                 }
                 () = tokio::time::sleep_until(stall_end.into()), if !reads => {
                     match after_stall(self.stalled_since.elapsed(), self.is_resumable) {
                         StallStep::Wait => {}
                         StallStep::LetWorkerGo => {
-                            self.log(unsent, "the worker is let go: the caller reads nothing");
-                            return Ok(Step::LetWorkerGo);
+                            self.log(unsent, "worker released: the caller is not reading");
+                            return Ok(FlowStep::ReleaseWorker);
                         }
                         StallStep::GiveUp => return Err(self.give_up(unsent, STALLED)),
                     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Sends the caller everything that is held for it.
+    /// Sends all buffered data to the caller.
     pub(super) async fn drain(&mut self, caller: &mut Caller<'_>) -> Result<(), CallError> {
         while caller.unsent() > 0 {
             let unsent = caller.unsent();
@@ -132,25 +132,28 @@
                 () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some() => {
                     sent?;
-                    self.note_taken(caller);
+                    self.note_sent(caller);
                 }
             }
         }
         Ok(())
     }
 
-    fn note_taken(&mut self, caller: &Caller<'_>) {
+    fn note_sent(&mut self, caller: &Caller<'_>) {
         self.stalled_since = Instant::now();
         self.entry.note(caller.unsent(), self.stalled_since);
     }
 
-    /// Notes whether the worker waits for the caller; tells whether that has changed.
+    /// Records whether reading from the worker is paused; returns whether that has changed.
     fn note_pause(&mut self, is_paused: bool, unsent: usize) -> bool {
         let has_changed = is_paused != self.is_paused;
         self.is_paused = is_paused;
         if has_changed && is_paused {
             self.gateway.metrics.streams_paused.inc();
-            self.log(unsent, "the worker waits for the caller");
+            self.log(
+                unsent,
+                "reading from the worker paused until the caller reads",
+            );
         }
         has_changed
     }
@@ -163,7 +166,7 @@
             .get_or_create(&label)
             .inc();
         self.log(unsent, reason);
-        CallError::Broken(reason)
+        CallError::Aborted(reason)
     }
 
     fn log(&self, unsent: usize, decision: &str) {
@@ -182,8 +185,8 @@
     }
 }
 
-/// Why a stream is ended although its worker goes on.
+/// Reason for ending a stream under memory pressure.
 const MEMORY_FULL: &str = "memory is full and the caller reads nothing";
 
-/// The same while there is memory.
+/// Reason for ending a stalled stream.
 const STALLED: &str = "the caller reads nothing and its worker waits";
--- a/crates/gateway/src/forward/headers.rs
+++ b/crates/gateway/src/forward/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only, and those that a request for a worker bears.
+//! Hop-by-hop headers, and the request head that is sent to workers.
 
 use actix_http::RequestHead;
 use actix_http::header::{
@@ -6,7 +6,7 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that are never passed on.
+/// Headers that are never forwarded.
 const HOP_BY_HOP: [HeaderName; 6] = [
     CONNECTION,
     TE,
@@ -16,17 +16,17 @@
     CONTENT_LENGTH,
 ];
 
-/// Like [`HOP_BY_HOP`], for names that the library has no constant for.
+/// Like [`HOP_BY_HOP`], for names without a constant in the HTTP library.
 const HOP_BY_HOP_NAMES: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authorization"];
 
-/// The host that a request names, in lower case and without a port.
+/// Returns the request's host in lower case, without its port.
 pub(super) fn host(head: &RequestHead) -> Option<String> {
     let value = head.headers.get(HOST)?.to_str().ok()?;
     let name = value.split(':').next().unwrap_or(value);
     Some(name.to_ascii_lowercase())
 }
 
-/// The headers that are passed on in either direction.
+/// Returns the headers that are forwarded in either direction.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<String> = headers
         .get_all(CONNECTION)
@@ -34,7 +34,7 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let is_hop_by_hop = HOP_BY_HOP.contains(name)
             || HOP_BY_HOP_NAMES.contains(&name.as_str())
@@ -42,13 +42,13 @@
                 .iter()
                 .any(|named| named == name.as_str());
         if !is_hop_by_hop {
-            passed.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    passed
+    forwarded
 }
 
-/// The head of a request as it goes to workers, apart from what depends on the worker.
+/// Returns the request head sent to any worker, without the headers that depend on the worker.
 pub(super) fn outgoing_head(head: &RequestHead) -> RequestHead {
     let mut outgoing = RequestHead::default();
     outgoing.method = head.method.clone();
--- a/crates/gateway/src/forward/outliving.rs
+++ b/crates/gateway/src/forward/migration.rs
@@ -1,6 +1,7 @@
-//! Goes on with a run whose stream broke off, at an engine that has a copy of its memory.
+//! Migration of a run whose stream broke off, or whose engine is silent, to an engine that has a
+//! copy of its memory.
 //!
-//! Decisions are `elderworks_gateway_core::run_moves`'s.
+//! The decisions are made by `elderworks_gateway_core::run_moves`.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,29 +15,29 @@
 };
 
 use super::CallError;
-use super::attempts::{Call, is_unbacked_promise};
-use super::occupied::RunningAnswer;
+use super::attempts::{Call, implies_not_run};
 use super::stream::is_event_stream;
+use super::worker_use::RunningResponse;
 use crate::gateway::Gateway;
 use crate::metrics::RunEndLabel;
 use crate::ports::EngineError;
 use crate::upstream::{ExchangeError, Target};
 
-/// Longest wait for an engine to stop a run and copy its memory. Callers give a stream up after two
+/// Timeout for an engine to stop a run and copy its memory. Callers abandon a stream after two
 /// seconds of silence.
 const COPY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why an answer ends.
-const BROKEN: &str = "the worker's stream broke off";
+/// Reason for ending a response whose run can't be resumed.
+const STREAM_BROKEN: &str = "the worker's stream broke off";
 
-/// A run that may go on elsewhere. What is left of its copies is freed with it.
-pub(super) struct OutlivingRun {
+/// A run that can be resumed at another engine. Dropping it frees its unused copies.
+pub(super) struct MigratableRun {
     gateway: Rc<Gateway>,
     request_id: String,
     life: RunLife,
 }
 
-impl OutlivingRun {
+impl MigratableRun {
     fn free_unused(&mut self) {
         for copy in self.life.take_unused() {
             let gateway = self.gateway.clone();
@@ -46,13 +47,13 @@
     }
 }
 
-impl Drop for OutlivingRun {
+impl Drop for MigratableRun {
     fn drop(&mut self) {
         self.free_unused();
     }
 }
 
-/// A copy that is not freed goes after a while by itself.
+/// Frees a copy. If that fails, the copy expires later.
 async fn free(gateway: &Gateway, request_id: &str, copy: &RunCopy) {
     let freed = gateway.platform.free_copy(copy.source, &copy.handle).await;
     match freed {
@@ -61,12 +62,12 @@
             log::info!(request = request_id, engine:% = copy.source; "copy of a run freed");
         }
         Err(error) => {
-            log::info!(request = request_id, engine:% = copy.source, error:% = error; "copy of a run not freed");
+            log::info!(request = request_id, engine:% = copy.source, error:% = error; "copy of a run could not be freed");
         }
     }
 }
 
-/// A backup under way; it ends with the call.
+/// A backup in progress; ends when dropped.
 pub(super) struct RunBackup {
     gateway: Rc<Gateway>,
     pub(super) engine: Engine,
@@ -79,65 +80,65 @@
 }
 
 impl Call<'_> {
-    /// What the engines of the call's service can do with its run, if it may go on elsewhere. Runs
-    /// that may be repeated go on without a copy.
+    /// Returns the engines' transfer capabilities if the call's run may be migrated. Repeatable
+    /// runs are restarted instead and need no copy.
     fn memory_moves(&self) -> Option<&MemoryMoves> {
         let service = self.config.service(&self.service)?;
         let moves = &service.engine.as_ref()?.memory_moves;
         let is_allowed = self.gateway.settings.policy.run_moves && moves.moves_runs;
-        let is_nameable = self.attributes.request_id.is_some();
+        let has_id = self.attributes.request_id.is_some();
         let runs_once = self.route.kind == RouteKind::Streaming && !self.route.resumable;
-        (is_allowed && is_nameable && runs_once).then_some(moves)
+        (is_allowed && has_id && runs_once).then_some(moves)
     }
 
-    /// Silence of an engine after which its run is to leave it.
-    pub(super) fn told_silence(&self) -> Option<Duration> {
+    /// Returns the silence of an engine after which its run is migrated, if any.
+    pub(super) fn migration_silence(&self) -> Option<Duration> {
         let silence = self.gateway.settings.policy.leaving_silence_ms;
         let is_on = silence > 0 && self.memory_moves().is_some();
         is_on.then(|| Duration::from_millis(silence))
     }
 
-    /// Goes on elsewhere with a run whose engine has been silent; `None` if it stays where it is.
-    pub(super) async fn leave_silent(
+    /// Migrates a run whose engine is silent; `None` if the run stays where it is.
+    pub(super) async fn migrate_silent(
         &mut self,
-        running: &RunningAnswer,
+        running: &RunningResponse,
         last_event_id: Option<&str>,
-    ) -> Result<Option<RunningAnswer>, CallError> {
+    ) -> Result<Option<RunningResponse>, CallError> {
         let Some(last_event_id) = last_event_id else {
             return Ok(None);
         };
-        self.leave(running.engine(), last_event_id, Reason::Silent)
+        self.migrate(running.engine(), last_event_id, Reason::Silent)
             .await
     }
 
-    /// Goes on with a run whose stream broke off behind an event.
-    pub(super) async fn go_on(
+    /// Resumes a run whose stream broke off after an event.
+    pub(super) async fn resume_migrated(
         &mut self,
         from: Engine,
         last_event_id: Option<&str>,
-    ) -> Result<RunningAnswer, CallError> {
+    ) -> Result<RunningResponse, CallError> {
         let (Some(_), Some(last_event_id)) = (self.memory_moves(), last_event_id) else {
-            return Err(CallError::Broken(BROKEN));
+            return Err(CallError::Aborted(STREAM_BROKEN));
         };
-        let gone_on = self.leave(from, last_event_id, Reason::Broken).await?;
-        gone_on.ok_or(CallError::Broken(BROKEN))
+        let resumed = self.migrate(from, last_event_id, Reason::Broken).await?;
+        resumed.ok_or(CallError::Aborted(STREAM_BROKEN))
     }
 
-    /// Has a run leave its engine; `None` if its stream is to be read on.
-    async fn leave(
+    /// Migrates a run to another engine; `None` if its current stream is read further.
+    async fn migrate(
         &mut self,
         from: Engine,
         last_event_id: &str,
         reason: Reason,
-    ) -> Result<Option<RunningAnswer>, CallError> {
-        let mut run = self.outliving(from);
+    ) -> Result<Option<RunningResponse>, CallError> {
+        let mut run = self.migratable_run(from);
         let candidate = self.candidate(run.life.at());
         let mut order = run.life.leave(reason, candidate);
         loop {
             order = match order {
-                Order::Copy(hop) => run.life.after_copy(self.copy(hop, None).await),
+                Order::Copy(hop) => run.life.after_copy(self.request_copy(hop, None).await),
                 Order::Stop(hop) => {
-                    let end = self.copy(hop, Some(last_event_id)).await;
+                    let end = self.request_copy(hop, Some(last_event_id)).await;
                     run.life.after_stop(end)
                 }
                 Order::GoOn { at, copy } => {
@@ -161,26 +162,26 @@
                 }
                 Order::End(reason) => {
                     self.note_run_ended(run.life.at(), reason);
-                    return Err(CallError::Broken(BROKEN));
+                    return Err(CallError::Aborted(STREAM_BROKEN));
                 }
             };
         }
     }
 
-    /// The call's run, which was at `from` last.
-    fn outliving(&mut self, from: Engine) -> OutlivingRun {
+    /// Returns the state of the call's run, which last ran at `from`.
+    fn migratable_run(&mut self, from: Engine) -> MigratableRun {
         if let Some(run) = self.run.take() {
             return run;
         }
         let request_id = self.attributes.request_id.clone().unwrap_or_default();
         let backup = self.backup.as_ref().map(|backup| backup.engine.clone());
         let backup = backup.filter(|engine| *engine != from);
-        // A request that may not be repeated has been nowhere else.
+        // A request that isn't repeatable has run at no other worker.
         let ran_at = vec![from.worker.clone()];
-        let most_engines = self.route.attempts;
-        OutlivingRun {
+        let max_engines = self.route.attempts;
+        MigratableRun {
             gateway: self.gateway.clone(),
-            life: RunLife::new(request_id.clone(), from, backup, ran_at, most_engines),
+            life: RunLife::new(request_id.clone(), from, backup, ran_at, max_engines),
             request_id,
         }
     }
@@ -202,8 +203,8 @@
         })
     }
 
-    async fn copy(&self, hop: Hop, stop_after: Option<&str>) -> CallEnd {
-        let began = Instant::now();
+    async fn request_copy(&self, hop: Hop, stop_after: Option<&str>) -> CallEnd {
+        let started = Instant::now();
         let request_id = self.attributes.request_id.clone().unwrap_or_default();
         let wanted = RunMove {
             request_id,
@@ -215,8 +216,8 @@
         log::info!(
             request = wanted.request_id.as_str(), engine:% = hop.source, target:% = hop.target,
             last_event = stop_after.unwrap_or_default(), answer:? = answered,
-            ms = began.elapsed().as_millis();
-            "an engine was asked to hand a run over"
+            ms = started.elapsed().as_millis();
+            "requested a copy of a run"
         );
         match answered {
             Ok(outcome) => {
@@ -234,7 +235,7 @@
         at: &Engine,
         copy: RunCopy,
         last_event_id: &str,
-    ) -> Result<RunningAnswer, AttemptEnd> {
+    ) -> Result<RunningResponse, AttemptEnd> {
         let target = Target {
             worker: at.worker.clone(),
             address: at.address,
@@ -242,8 +243,8 @@
             backup_at: None,
         };
         let (end, reason) = match self.attempt(&target, Some(last_event_id)).await {
-            Ok(running) if self.gateway.platform.was_not_run(&running.answer.head) => {
-                let status = running.answer.head.status;
+            Ok(running) if self.gateway.platform.was_not_run(&running.response.head) => {
+                let status = running.response.head.status;
                 self.note_refusal(&at.worker, status);
                 (
                     AttemptEnd::NotRun,
@@ -251,20 +252,23 @@
                 )
             }
             Ok(running) if is_event_stream(&running) => {
-                self.note_gone_on(at);
+                self.note_migrated(at);
                 return Ok(running);
             }
-            Ok(running) if is_unbacked_promise(running.answer.head.status) => {
-                let status = running.answer.head.status.as_u16();
-                let reason = format!("{status} without a word that it was not run");
+            Ok(running) if implies_not_run(running.response.head.status) => {
+                let status = running.response.head.status.as_u16();
+                let reason = format!("status {status}, but not marked as not run");
                 (AttemptEnd::Unknown, reason)
             }
             Ok(running) => {
-                let status = running.answer.head.status.as_u16();
-                (AttemptEnd::Unknown, format!("no stream but {status}"))
+                let status = running.response.head.status.as_u16();
+                (
+                    AttemptEnd::Unknown,
+                    format!("status {status} instead of an event stream"),
+                )
             }
             Err(ExchangeError::NotSent(reason)) => (AttemptEnd::NotRun, reason),
-            Err(ExchangeError::NoAnswer(reason)) => (AttemptEnd::Unknown, reason),
+            Err(ExchangeError::NoResponse(reason)) => (AttemptEnd::Unknown, reason),
         };
         self.log_failure(&at.worker, &reason);
         self.gateway.metrics.attempts_failed.inc();
@@ -272,13 +276,13 @@
         Err(end)
     }
 
-    /// The target of a first attempt, with a backup of the run elsewhere if that pays.
+    /// Adds a backup engine to the target of a first attempt if a backup is worth its cost.
     pub(super) fn with_backup(&mut self, target: Target) -> Target {
         let Some(size) = self.run_size(|moves| moves.backs_up_runs) else {
             return target;
         };
         if self.backup.is_none() {
-            self.backup = self.begin_backup(&target, &size);
+            self.backup = self.start_backup(&target, &size);
         }
         let backup = self.backup.as_ref().map(|backup| &backup.engine);
         let backup = backup.filter(|engine| engine.worker != target.worker);
@@ -298,9 +302,10 @@
         self.gateway.metrics.copy_bytes.inc_by(bytes);
     }
 
-    /// What the call's run takes, if it may go on elsewhere and its engines are able to.
-    fn run_size(&self, are_able: impl Fn(&MemoryMoves) -> bool) -> Option<RunSize> {
-        let moves = self.memory_moves().filter(|moves| are_able(moves))?;
+    /// Returns the size of the call's run if the run may be migrated and its engines have the
+    /// capability that `supports` checks.
+    fn run_size(&self, supports: impl Fn(&MemoryMoves) -> bool) -> Option<RunSize> {
+        let moves = self.memory_moves().filter(|moves| supports(moves))?;
         let prompt = self.attributes.prompt.iter().map(|segment| segment.tokens);
         Some(RunSize {
             tokens: prompt.sum(),
@@ -309,7 +314,7 @@
         })
     }
 
-    fn begin_backup(&self, target: &Target, size: &RunSize) -> Option<RunBackup> {
+    fn start_backup(&self, target: &Target, size: &RunSize) -> Option<RunBackup> {
         let now = self.gateway.now();
         let policy = &self.gateway.settings.policy;
         let rules = BackupRules {
@@ -332,12 +337,12 @@
         })
     }
 
-    fn note_gone_on(&self, at: &Engine) {
+    fn note_migrated(&self, at: &Engine) {
         self.gateway.metrics.runs_gone_on.inc();
         log::info!(
             request = self.attributes.request_id.as_deref().unwrap_or_default(),
             worker = at.worker.as_str(), ms = self.received.elapsed().as_millis();
-            "a run goes on with a copy of its memory"
+            "run resumed from a copy of its memory"
         );
     }
 
@@ -350,7 +355,7 @@
             request = self.attributes.request_id.as_deref().unwrap_or_default(),
             worker = at.worker.as_str(), reason = reason.text(),
             ms = self.received.elapsed().as_millis();
-            "a run ends with its stream"
+            "run could not be resumed"
         );
     }
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,18 +1,19 @@
-//! The way of one request: its route, its turn's leave, attempts at workers, its answer.
+//! Handling of one request: routing, identification, quota, the permit to run, attempts at workers
+//! and the response.
 
 mod access;
 mod admission;
 mod attempts;
 mod flow;
 mod headers;
+mod migration;
 mod observations;
-mod occupied;
-mod outliving;
 mod quota;
 mod resumption;
 mod stream;
 mod turn;
-mod zones;
+mod worker_use;
+mod zone_traffic;
 
 use std::cell::Cell;
 use std::io;
@@ -29,16 +30,16 @@
 use crate::clock::millis;
 use crate::gateway::Gateway;
 use crate::metrics::AnswerLabel;
-use crate::reply::{Fault, Refusal};
+use crate::reply::{ErrorStatus, Refusal};
 use crate::server::CallerRequest;
 
-use access::Sender;
+use access::SenderIdentity;
 use attempts::{Call, TriedWorkers};
 
-pub(crate) use access::refuse_unread;
+pub(crate) use access::refuse_before_body;
 
-/// Answers one request. An error means that the connection is of no further use.
-pub(crate) async fn answer(
+/// Handles one request. An error means that the connection can't be used for further requests.
+pub(crate) async fn handle(
     gateway: &Rc<Gateway>,
     caller: &mut Caller<'_>,
     request: CallerRequest,
@@ -58,15 +59,15 @@
     attributes: &CallAttributes,
     trace: &mut Trace,
 ) -> io::Result<()> {
-    await_start(gateway, attributes).await;
+    wait_for_start(gateway, attributes).await;
     let Some(config) = gateway.current_config() else {
-        let shown = NotRun::before_any_attempt();
-        let refusal = Refusal::not_run(shown, "no configuration is known yet");
+        let not_run = NotRun::before_any_attempt();
+        let refusal = Refusal::not_run(not_run, "no configuration is known yet");
         return refuse(caller, trace, &refusal).await;
     };
     trace.note_config(&config);
     let found = find_route(&config, &request.head);
-    let found = found.and_then(|route| route.ok_or_else(|| access::refuse_unknown_route(gateway)));
+    let found = found.and_then(|route| route.ok_or_else(|| access::unknown_route_refusal(gateway)));
     let route = match found {
         Ok(route) => route,
         Err(refusal) => return refuse(caller, trace, &refusal).await,
@@ -75,7 +76,7 @@
     let left = attributes
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    let identified = access::identify_in_time(gateway, &config, route, attributes, left).await;
+    let identified = access::identify_with_wait(gateway, &config, route, attributes, left).await;
     let sender = match identified {
         Ok(sender) => sender,
         Err(denial) => {
@@ -93,43 +94,44 @@
     let result = match timed {
         Ok(result) => result,
         Err(_) => {
-            call.note_time_over();
-            expire(&call, caller, trace).await
+            call.note_timeout();
+            respond_timed_out(&call, caller, trace).await
         }
     };
     trace.may_have_run = call.history.may_have_run();
     result
 }
 
-/// Waits a moment for the rest of this node's start: who comes back after a refusal finds other nodes
-/// that have just started too, and a node that has not joined yet knows no owner of a ledger.
-async fn await_start(gateway: &Gateway, attributes: &CallAttributes) {
+/// Waits a limited time for this node to finish starting. A refused caller would only retry at
+/// other nodes that are starting too, and a node that has not joined yet doesn't know which nodes
+/// own the ledger's partitions.
+async fn wait_for_start(gateway: &Gateway, attributes: &CallAttributes) {
     if gateway.start.is_complete() || !gateway.settings.policy.starting_patience {
         return;
     }
-    let longest = starting_patience(attributes.deadline);
-    gateway.start.wait(longest).await;
+    let max_wait = starting_patience(attributes.deadline);
+    gateway.start.wait(max_wait).await;
 }
 
 async fn run(call: &mut Call<'_>, caller: &mut Caller<'_>, trace: &mut Trace) -> io::Result<()> {
     if let Err(refusal) = call.take_quota().await {
         return refuse(caller, trace, &refusal).await;
     }
-    if let Err(refusal) = call.begin_turn().await {
+    if let Err(refusal) = call.start_turn().await {
         return refuse(caller, trace, &refusal).await;
     }
-    trace.milestones.note_leave(trace.received);
+    trace.milestones.note_permit(trace.received);
     if let Err(refusal) = call.admit().await {
         return refuse(caller, trace, &refusal).await;
     }
     let result = match call.route().kind {
         RouteKind::Streaming => call.run_stream(caller).await,
-        RouteKind::Idempotent | RouteKind::Mutating => call.run_whole(caller).await,
+        RouteKind::Idempotent | RouteKind::Mutating => call.run_buffered(caller).await,
     };
     match result {
         Ok(()) => Ok(()),
         Err(CallError::Refused(refusal)) => refuse(caller, trace, &refusal).await,
-        Err(CallError::Broken(reason)) => {
+        Err(CallError::Aborted(reason)) => {
             trace.outcome = reason;
             Err(io::Error::other(reason))
         }
@@ -137,27 +139,33 @@
     }
 }
 
-/// The time of a request is over.
-async fn expire(call: &Call<'_>, caller: &mut Caller<'_>, trace: &mut Trace) -> io::Result<()> {
+/// Responds to a request whose deadline has passed.
+async fn respond_timed_out(
+    call: &Call<'_>,
+    caller: &mut Caller<'_>,
+    trace: &mut Trace,
+) -> io::Result<()> {
     if caller.progress() != Progress::None {
         trace.outcome = "time is over within the answer";
         return Err(io::ErrorKind::TimedOut.into());
     }
     let refusal = match call.history.not_run() {
-        Some(shown) => Refusal::not_run(shown, "the time of the request is over; it was not run"),
+        Some(not_run) => {
+            Refusal::not_run(not_run, "the time of the request is over; it was not run")
+        }
         None => Refusal::timed_out("the time of the request is over"),
     };
     refuse(caller, trace, &refusal).await
 }
 
-/// Why a call has no answer of a worker.
+/// The reason why no worker's response reached the caller in full.
 #[derive(Debug)]
 pub(crate) enum CallError {
-    /// This is the answer.
+    /// The request is refused with this response.
     Refused(Refusal),
-    /// Part of an answer was sent that cannot be finished: the connection must be closed.
-    Broken(&'static str),
-    /// The caller cannot be reached.
+    /// Part of a response was sent that can't be completed: the connection must be closed.
+    Aborted(&'static str),
+    /// Writing to the caller failed.
     Caller(io::Error),
 }
 
@@ -172,30 +180,30 @@
     caller.send_refusal(refusal).await
 }
 
-/// The route of a request; `None` if the configuration has none for it.
+/// Returns the route of a request; `None` if the configuration has no matching one.
 fn find_route<'a>(
     config: &'a ServingConfig,
     head: &RequestHead,
 ) -> Result<Option<&'a Route>, Refusal> {
-    let no_host = Refusal::fault(Fault::BadRequest, "the request names no host");
+    let no_host = Refusal::error(ErrorStatus::BadRequest, "the request names no host");
     let host = headers::host(head).ok_or(no_host)?;
     Ok(config.route_for(&host, head.uri.path()))
 }
 
-/// When a request got how far; shared with its log line.
+/// Times from receipt of a request to its permit and its first event; shared with its log line.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Milestones {
-    leave: Rc<Cell<Option<Duration>>>,
+    permit: Rc<Cell<Option<Duration>>>,
     first_event: Rc<Cell<Option<Duration>>>,
 }
 
 impl Milestones {
-    /// The request may run now.
-    fn note_leave(&self, received: Instant) {
-        self.leave.set(Some(received.elapsed()));
+    /// Records that the request got its permit to run.
+    fn note_permit(&self, received: Instant) {
+        self.permit.set(Some(received.elapsed()));
     }
 
-    /// The first event of the answer goes to the caller. Tells whether it is the first.
+    /// Records that an event is sent to the caller. Returns whether it is the first one.
     fn note_first_event(&self, received: Instant) -> bool {
         let is_first = self.first_event.get().is_none();
         if is_first {
@@ -205,25 +213,25 @@
     }
 }
 
-/// Collects what the log line of a request says.
+/// Collects the fields of a request's log line, and writes the line.
 pub(crate) struct Trace {
     gateway: Rc<Gateway>,
     received: Instant,
     request_id: String,
     program: String,
     session: String,
-    /// Time that the program had left when the request came.
-    finish: Option<Duration>,
+    /// Time left to the program when the request arrived.
+    program_time_left: Option<Duration>,
     pub(crate) milestones: Milestones,
     config_version: u64,
-    /// Age of this node's last read of the configuration's stream, when the route was looked up.
+    /// Age of this node's last read of the configuration stream when the route was looked up.
     config_read: Option<Duration>,
     pub(crate) route: String,
-    /// The tenant whose key the request bears, if it is known.
+    /// The tenant of the request's key, if known.
     tenant: String,
-    /// Age of the proof that its configuration was the newest, when the sender was identified.
+    /// Age of the configuration's proof when the sender was identified.
     proof_age: Option<Duration>,
-    /// Workers tried so far, also of a request whose caller leaves.
+    /// Workers tried so far; shared, so that they are logged even if the caller disconnects.
     pub(crate) tried: TriedWorkers,
     pub(crate) outcome: &'static str,
     /// Whether a worker may have run the request.
@@ -231,8 +239,8 @@
     finished: bool,
 }
 
-/// Requests slower than this are logged with a warning.
-const SLOW: Duration = Duration::from_secs(2);
+/// Requests that take longer than this are logged as warnings.
+const SLOW_REQUEST: Duration = Duration::from_secs(2);
 
 impl Trace {
     fn new(gateway: &Rc<Gateway>, attributes: &CallAttributes, received: Instant) -> Self {
@@ -242,7 +250,7 @@
             request_id: attributes.request_id.clone().unwrap_or_default(),
             program: attributes.program.clone().unwrap_or_default(),
             session: attributes.session.clone().unwrap_or_default(),
-            finish: attributes.finish,
+            program_time_left: attributes.finish,
             milestones: Milestones::default(),
             config_version: 0,
             config_read: None,
@@ -256,8 +264,8 @@
         }
     }
 
-    /// Writes the line of a request that is refused before its body is read.
-    fn note_unread(
+    /// Writes the log line of a request that is refused before its body is read.
+    fn log_before_body(
         gateway: &Rc<Gateway>,
         attributes: &CallAttributes,
         config: &ServingConfig,
@@ -283,7 +291,7 @@
         self.gateway.metrics.note_refusal(refusal);
     }
 
-    fn note_sender(&mut self, sender: &Sender) {
+    fn note_sender(&mut self, sender: &SenderIdentity) {
         let Some(tenant) = &sender.tenant else {
             return;
         };
@@ -311,7 +319,7 @@
             .get_or_create(&AnswerLabel { status })
             .inc();
         let took = self.received.elapsed().as_millis();
-        let level = if self.received.elapsed() > SLOW || status >= 500 {
+        let level = if self.received.elapsed() > SLOW_REQUEST || status >= 500 {
             log::Level::Warn
         } else {
             log::Level::Info
@@ -319,8 +327,8 @@
         log::log!(
             level,
             request = self.request_id.as_str(), program = self.program.as_str(),
-            session = self.session.as_str(), finish_ms = millis(self.finish),
-            leave_ms = millis(self.milestones.leave.get()),
+            session = self.session.as_str(), finish_ms = millis(self.program_time_left),
+            leave_ms = millis(self.milestones.permit.get()),
             first_ms = millis(self.milestones.first_event.get()),
             route = self.route.as_str(), tenant = self.tenant.as_str(), config = self.config_version,
             config_read_ms = millis(self.config_read), proof_ms = millis(self.proof_age),
--- a/crates/gateway/src/forward/observations.rs
+++ b/crates/gateway/src/forward/observations.rs
@@ -1,4 +1,4 @@
-//! What a call's attempts show of workers: failures, silence, answers.
+//! Observations of workers during a call's attempts: failures, silence and responses.
 
 use std::time::{Duration, Instant};
 
@@ -6,24 +6,23 @@
 
 use super::attempts::Call;
 
-/// An engine that has been silent for this long is taken to fail. Callers give a stream up after
-/// two seconds of silence.
+/// Silence after which an engine counts as failed. Callers abandon a stream after two seconds of
+/// silence.
 const ENGINE_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Another worker is taken to fail once it has been silent for this many times the target of the
-/// route, in which an answer has its full value.
-const SILENCE_IN_TARGETS: u32 = 3;
+/// Silence after which other workers count as failed, in multiples of the route's target latency.
+const MAX_SILENCE_TARGETS: u32 = 3;
 
-/// Silence that speaks against no worker, however short the target.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(250);
+/// Minimum silence that counts as a failure, even if the route's target is shorter.
+const MIN_SILENCE: Duration = Duration::from_millis(250);
 
 impl Drop for Call<'_> {
-    /// The caller may have given up on a silent worker.
+    /// Records a failure if the caller disconnected while a worker was silent for too long.
     fn drop(&mut self) {
         let Some(since) = self.waiting_since else {
             return;
         };
-        if since.elapsed() >= self.longest_silence()
+        if since.elapsed() >= self.max_silence()
             && let Some(worker) = self.last_tried()
         {
             self.note_worker_failure(&worker);
@@ -32,7 +31,8 @@
 }
 
 impl Call<'_> {
-    /// Notes a failure of a worker; if it is ejected for that, the zone's other nodes are told.
+    /// Records a failure of a worker. If the worker is ejected, reports that to the zone's other
+    /// nodes.
     pub(super) fn note_worker_failure(&self, worker: &str) {
         let now = self.gateway.now();
         let ejected = self.gateway.workers.borrow_mut().note_failure(worker, now);
@@ -44,29 +44,29 @@
         }
     }
 
-    /// Notes a whole answer: one that tells of a failure of the worker speaks against it.
-    pub(super) fn note_answer(&mut self, worker: &str, status: StatusCode) {
+    /// Records a complete response; one with status 500 counts as a failure of the worker.
+    pub(super) fn note_response(&mut self, worker: &str, status: StatusCode) {
         self.waiting_since = None;
         if status == StatusCode::INTERNAL_SERVER_ERROR {
             self.note_worker_failure(worker);
         } else {
             self.gateway.workers.borrow_mut().note_success(worker);
         }
-        self.note_heard(worker);
+        self.note_response_start(worker);
     }
 
-    /// Notes that the worker has shown life.
+    /// Records that the worker made progress.
     pub(super) fn note_progress(&mut self) {
         self.waiting_since = Some(Instant::now());
     }
 
-    /// Notes that the time is over while a worker has shown no answer. Engines may let a request
-    /// wait for its turn; other workers answer sooner.
-    pub(super) fn note_time_over(&mut self) {
-        let had_its_time = self.received.elapsed() >= self.route.target;
+    /// Records that the deadline passed without a response from the worker. Engines are exempt:
+    /// requests may wait in their queues.
+    pub(super) fn note_timeout(&mut self) {
+        let had_target_time = self.received.elapsed() >= self.route.target;
         if let Some(worker) = self.last_tried()
             && self.waiting_since.is_some()
-            && had_its_time
+            && had_target_time
             && !self.is_for_engine()
         {
             self.note_worker_failure(&worker);
@@ -93,22 +93,22 @@
         );
     }
 
-    /// How long a worker may be silent before that speaks against it. Engines let requests wait
-    /// for their turn; other workers answer sooner.
-    pub(super) fn longest_silence(&self) -> Duration {
+    /// Returns the silence after which a worker counts as failed. Engines are allowed more, because
+    /// requests may wait in their queues.
+    pub(super) fn max_silence(&self) -> Duration {
         if !self.gateway.settings.policy.silence {
             return self.route.timeout;
         }
         if self.is_for_engine() {
             ENGINE_SILENCE
         } else {
-            (self.route.target * SILENCE_IN_TARGETS).max(SHORTEST_SILENCE)
+            (self.route.target * MAX_SILENCE_TARGETS).max(MIN_SILENCE)
         }
     }
 
-    /// Whether a request that a worker has left without an answer is better sent again than waited
-    /// for.
-    pub(super) fn should_ask_again(&self) -> bool {
+    /// Returns whether a request to a silent worker is sent to another one instead of waiting
+    /// further.
+    pub(super) fn should_retry_silent(&self) -> bool {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let is_allowed = self.gateway.settings.policy.second_send;
         is_allowed
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -1,4 +1,4 @@
-//! The count of a request in its tenant's quota.
+//! Accounting of a request against its tenant's quota.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,14 +13,15 @@
 use crate::peers::Lessor;
 use crate::reply::Refusal;
 
-/// A request that counts in its tenant's quota. It is given back if nothing was sent for it.
-pub(super) struct Counted {
+/// A request counted against its tenant's quota. The count is returned on drop if nothing was sent
+/// to a worker.
+pub(super) struct CountedRequest {
     gateway: Rc<Gateway>,
     ticket: Ticket,
     is_sent: bool,
 }
 
-impl Counted {
+impl CountedRequest {
     /// Counts a send to a worker.
     pub(super) fn note_send(&mut self) {
         let now = self.gateway.now();
@@ -34,7 +35,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountedRequest {
     fn drop(&mut self) {
         if !self.is_sent {
             self.gateway.quotas.borrow_mut().give_back(self.ticket);
@@ -43,7 +44,7 @@
 }
 
 impl Call<'_> {
-    /// Counts the request in its tenant's quota, or refuses it.
+    /// Counts the request against its tenant's quota, or refuses it.
     pub(super) async fn take_quota(&mut self) -> Result<(), Refusal> {
         let Some((tenant, quota)) = self.sender.quota else {
             return Ok(());
@@ -52,36 +53,37 @@
         let now = gateway.now();
         gateway.quotas.borrow_mut().note_asked(now, tenant, quota);
         let order = self.order();
-        let admitted = self.obtain(tenant, quota, order).await;
-        let ticket = admitted.map_err(|over| self.refuse_over(over, order))?;
-        self.counted = Some(Counted {
+        let admitted = self.obtain_ticket(tenant, quota, order).await;
+        let ticket = admitted.map_err(|over| self.over_quota_refusal(over, order))?;
+        self.counted = Some(CountedRequest {
             gateway: gateway.clone(),
             ticket,
             is_sent: false,
         });
         if let Some(program) = &self.attributes.program {
-            let program = self.in_scope(program);
-            gateway.begun_programs.borrow_mut().note(now, &program);
+            let program = self.scoped_id(program);
+            gateway.started_programs.borrow_mut().note(now, &program);
         }
         Ok(())
     }
 
-    /// What a program has begun goes before new programs while its tenant's quota is short.
+    /// Returns whether this is the first request of a program or a later one: while a tenant's
+    /// quota is short, its later requests take precedence.
     fn order(&self) -> Order {
         let Some(program) = &self.attributes.program else {
             return Order::Later;
         };
-        let has_begun = !self.is_turn()
+        let has_started = !self.is_turn()
             || self.attributes.previous_turn.is_some()
-            || (self.gateway.begun_programs.borrow()).contains(&self.in_scope(program));
-        if has_begun {
+            || (self.gateway.started_programs.borrow()).contains(&self.scoped_id(program));
+        if has_started {
             Order::Later
         } else {
             Order::First
         }
     }
 
-    async fn obtain(
+    async fn obtain_ticket(
         &self,
         tenant: TenantKey,
         quota: Quota,
@@ -90,9 +92,9 @@
         let gateway = self.gateway;
         let lessor = gateway.lessors.lessor(gateway, tenant);
         if lessor == Lessor::Absent {
-            return self.admit_told(tenant, quota);
+            return self.admit_from_reports(tenant, quota);
         }
-        if let Some(ticket) = self.admit_calm(tenant, quota) {
+        if let Some(ticket) = self.admit_below_threshold(tenant, quota) {
             return Ok(ticket);
         }
         let granted = match lessor {
@@ -102,7 +104,7 @@
             }
             Lessor::Other(node) => {
                 let verdict = gateway.lessors.ask(gateway, &node, tenant, order).await;
-                result_of(verdict)
+                grant_result(verdict)
             }
             Lessor::Absent => None,
         };
@@ -118,24 +120,24 @@
             }
             None => {
                 gateway.metrics.note_quota_grant("unready");
-                self.admit_told(tenant, quota)
+                self.admit_from_reports(tenant, quota)
             }
         }
     }
 
-    fn admit_calm(&self, tenant: TenantKey, quota: Quota) -> Option<Ticket> {
+    fn admit_below_threshold(&self, tenant: TenantKey, quota: Quota) -> Option<Ticket> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
         quotas.admit_calm(gateway.now(), tenant, quota, gateway.fleet())
     }
 
-    fn admit_told(&self, tenant: TenantKey, quota: Quota) -> Result<Ticket, OverQuota> {
+    fn admit_from_reports(&self, tenant: TenantKey, quota: Quota) -> Result<Ticket, OverQuota> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
         quotas.admit_told(gateway.now(), tenant, quota, gateway.fleet())
     }
 
-    fn refuse_over(&self, over: OverQuota, order: Order) -> Refusal {
+    fn over_quota_refusal(&self, over: OverQuota, order: Order) -> Refusal {
         let metrics = &self.gateway.metrics;
         metrics.over_quota.inc();
         metrics.note_quota_refusal(over.basis.as_str(), over.is_held_back);
@@ -151,13 +153,13 @@
                 "over quota"
             );
         }
-        // The quota is taken before the first attempt.
+        // The quota is checked before the first attempt.
         Refusal::over_quota(NotRun::before_any_attempt(), over.retry_after)
     }
 }
 
-/// `None` if the lessor cannot tell.
-fn result_of(verdict: GrantVerdict) -> Option<Result<(), OverQuota>> {
+/// Converts a lessor's verdict; `None` if the lessor can't decide yet.
+fn grant_result(verdict: GrantVerdict) -> Option<Result<(), OverQuota>> {
     match verdict {
         GrantVerdict::Granted => Some(Ok(())),
         GrantVerdict::Refused {
--- a/crates/gateway/src/forward/resumption.rs
+++ b/crates/gateway/src/forward/resumption.rs
@@ -1,33 +1,33 @@
-//! Takes a stream up again that broke off: by running the request anew from the last event where its
-//! route allows that, else by going on with a copy of the run.
+//! Resumption of a stream that broke off: the request is run again from the last event if its route
+//! allows that; otherwise the run is resumed from a copy of its memory.
 
 use elderworks_gateway_core::run_moves::Engine;
 
 use super::CallError;
 use super::attempts::Call;
-use super::occupied::RunningAnswer;
-use super::stream::Passed;
+use super::stream::ForwardedStream;
+use super::worker_use::RunningResponse;
 use crate::caller::{Caller, Progress};
 use crate::upstream::Target;
 
-/// A stream is taken up again at most this often.
+/// Maximum number of times that a stream is resumed.
 const MAX_RESUMPTIONS: u32 = 3;
 
 impl Call<'_> {
-    /// Goes on with a stream that broke off at an engine.
-    pub(super) async fn take_up_again(
+    /// Resumes a stream that broke off at an engine.
+    pub(super) async fn resume_broken(
         &mut self,
         caller: &Caller<'_>,
         engine: Engine,
-        passed: &mut Passed,
-    ) -> Result<RunningAnswer, CallError> {
+        forwarded: &mut ForwardedStream,
+    ) -> Result<RunningResponse, CallError> {
         if self.may_resume() {
-            return self.resume(caller, &engine.worker, passed).await;
+            return self.resume(caller, &engine.worker, forwarded).await;
         }
-        let going_on = self.go_on(engine, passed.last_event_id.as_deref());
-        going_on
+        let resuming = self.resume_migrated(engine, forwarded.last_event_id.as_deref());
+        resuming
             .await
-            .map_err(|error| once_streaming(caller, error))
+            .map_err(|error| abort_if_streaming(caller, error))
     }
 
     /// Runs the request again from the last event.
@@ -35,37 +35,38 @@
         &mut self,
         caller: &Caller<'_>,
         worker: &str,
-        passed: &mut Passed,
-    ) -> Result<RunningAnswer, CallError> {
-        let preferred = self.plan_resumption(worker, passed)?;
-        let last_event_id = passed.last_event_id.clone();
-        self.begin_stream(caller, last_event_id, preferred).await
+        forwarded: &mut ForwardedStream,
+    ) -> Result<RunningResponse, CallError> {
+        let preferred = self.plan_resumption(worker, forwarded)?;
+        let last_event_id = forwarded.last_event_id.clone();
+        self.open_stream(caller, last_event_id, preferred).await
     }
 
-    /// The head of an answer, from `preferred` first.
-    pub(super) async fn begin_stream(
+    /// Returns the response of the first worker that gives a valid one. `preferred` is tried first.
+    pub(super) async fn open_stream(
         &mut self,
         caller: &Caller<'_>,
         last_event_id: Option<String>,
         preferred: Option<Target>,
-    ) -> Result<RunningAnswer, CallError> {
-        let beginning = self.next_answer(last_event_id.as_deref(), preferred);
-        beginning
+    ) -> Result<RunningResponse, CallError> {
+        let opening = self.next_response(last_event_id.as_deref(), preferred);
+        opening
             .await
-            .map_err(|error| once_streaming(caller, error))
+            .map_err(|error| abort_if_streaming(caller, error))
     }
 
-    /// The worker at which a broken stream goes on: the same one, which holds the prompt and keeps
-    /// within the route's attempts, unless it is gone.
+    /// Returns the worker at which a broken stream is resumed: the same one unless it is gone,
+    /// because it has the prompt cached and doesn't count against the route's maximum number of
+    /// workers.
     fn plan_resumption(
         &mut self,
         worker: &str,
-        passed: &mut Passed,
+        forwarded: &mut ForwardedStream,
     ) -> Result<Option<Target>, CallError> {
-        if !self.may_resume() || passed.resumptions >= MAX_RESUMPTIONS {
-            return Err(CallError::Broken("the worker's stream broke off"));
+        if !self.may_resume() || forwarded.resumptions >= MAX_RESUMPTIONS {
+            return Err(CallError::Aborted("the worker's stream broke off"));
         }
-        passed.resumptions += 1;
+        forwarded.resumptions += 1;
         self.gateway.metrics.streams_resumed.inc();
         self.gateway.pool.forget(worker);
         let now = self.gateway.now();
@@ -73,7 +74,7 @@
         let same = workers
             .get(worker)
             .filter(|known| workers.is_open(known) && !workers.is_held_back(known, now))
-            .map(|known| Target::plain(&known.record));
+            .map(|known| Target::direct(&known.record));
         Ok(same)
     }
 
@@ -82,11 +83,11 @@
     }
 }
 
-/// Once the head of a stream was sent, no other answer can be given.
-fn once_streaming(caller: &Caller<'_>, error: CallError) -> CallError {
+/// Converts a refusal into an aborted connection if the head of a stream was already sent.
+fn abort_if_streaming(caller: &Caller<'_>, error: CallError) -> CallError {
     match error {
         CallError::Refused(_) if caller.progress() != Progress::None => {
-            CallError::Broken("the stream could not be taken up again")
+            CallError::Aborted("the stream could not be resumed")
         }
         error => error,
     }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a worker's stream of events on, and goes on with it at a worker if it breaks off.
+//! Forwarding of a worker's event stream, including its resumption after a failure.
 
 use actix_http::header::CONTENT_TYPE;
 use bytes::{BufMut, BytesMut};
@@ -9,8 +9,8 @@
 use elderworks_protocol::ledger::KeptTurn;
 
 use super::attempts::Call;
-use super::flow::{Flow, Step};
-use super::occupied::RunningAnswer;
+use super::flow::{FlowStep, StreamFlow};
+use super::worker_use::RunningResponse;
 use super::{CallError, headers};
 use crate::caller::{Caller, Progress};
 use crate::memory::Share;
@@ -19,137 +19,139 @@
 /// Media type of event streams.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Largest event in bytes; a worker that sends more without ending it is taken to be broken.
+/// Maximum size of an event in bytes; the stream of a worker that exceeds it counts as broken.
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Largest answer that is no stream, in bytes.
-const MAX_OTHER_ANSWER: usize = 1024 * 1024;
+/// Maximum size in bytes of a response that is not an event stream.
+const MAX_OTHER_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// What has been passed on of a stream.
+/// State of a stream that is being forwarded.
 #[derive(Debug)]
-pub(super) struct Passed {
+pub(super) struct ForwardedStream {
     pub(super) last_event_id: Option<String>,
     pub(super) resumptions: u32,
-    /// Data of the events so far with a line feed behind each, if the turn is to be kept.
+    /// Data of the events so far, each followed by a line feed, if the turn is stored.
     output: BytesMut,
-    /// Counts the output.
-    held: Share,
+    /// Accounts for the memory of `output`.
+    output_memory: Share,
 }
 
 /// How a worker's part of a stream ended.
 enum PartEnd {
-    /// The stream is whole.
-    Whole,
-    /// It broke off.
+    /// The stream is complete.
+    Complete,
+    /// The stream broke off.
     Broken(String),
-    /// The worker was let go before the end, since the caller reads nothing.
-    LetGo,
+    /// The worker was released before the end because the caller reads nothing.
+    Released,
 }
 
 impl Call<'_> {
-    /// Runs a request whose answer is a stream.
+    /// Runs a request whose response is an event stream.
     pub(super) async fn run_stream(&mut self, caller: &mut Caller<'_>) -> Result<(), CallError> {
         self.refuse_if_short_of_memory()?;
-        let mut passed = Passed {
+        let mut forwarded = ForwardedStream {
             last_event_id: self.attributes.last_event_id.clone(),
             resumptions: 0,
             output: BytesMut::new(),
-            held: self.gateway.memory.share(HeldFor::KeptTurns),
+            output_memory: self.gateway.memory.share(HeldFor::KeptTurns),
         };
         let request = self.attributes.request_id.as_deref().unwrap_or_default();
-        let mut flow = Flow::new(
+        let mut flow = StreamFlow::new(
             self.gateway,
             request,
             self.may_resume(),
-            self.told_silence(),
+            self.migration_silence(),
         );
         let mut running = self
-            .begin_stream(caller, passed.last_event_id.clone(), None)
+            .open_stream(caller, forwarded.last_event_id.clone(), None)
             .await?;
         loop {
             if !is_event_stream(&running) {
-                return self.pass_other_answer(caller, running).await;
+                return self.forward_other_response(caller, running).await;
             }
             if caller.progress() == Progress::None {
-                let head = &running.answer.head;
-                let passed_headers = headers::end_to_end(&head.headers);
-                caller.start_stream(head.status, &passed_headers).await?;
+                let head = &running.response.head;
+                let forwarded_headers = headers::end_to_end(&head.headers);
+                caller.start_stream(head.status, &forwarded_headers).await?;
             }
-            let part = self.pass_events(caller, &mut flow, &mut running, &mut passed);
+            let part = self.forward_events(caller, &mut flow, &mut running, &mut forwarded);
             running = match part.await? {
-                PartEnd::Whole => {
-                    self.note_answer(&running.occupied.worker, running.answer.head.status);
+                PartEnd::Complete => {
+                    self.note_response(&running.worker_use.worker, running.response.head.status);
                     drop(running);
-                    self.leave_place();
-                    return self.end_stream(caller, &mut flow, passed).await;
+                    self.release_slot();
+                    return self.end_stream(caller, &mut flow, forwarded).await;
                 }
                 PartEnd::Broken(reason) => {
-                    let engine = engine_of(running);
+                    let engine = into_engine(running);
                     self.log_failure(&engine.worker, &reason);
                     self.note_worker_failure(&engine.worker);
-                    self.take_up_again(caller, engine, &mut passed).await?
+                    self.resume_broken(caller, engine, &mut forwarded).await?
                 }
-                PartEnd::LetGo => {
-                    let worker = engine_of(running).worker;
+                PartEnd::Released => {
+                    let worker = into_engine(running).worker;
                     self.waiting_since = None;
                     flow.drain(caller).await?;
-                    self.resume(caller, &worker, &mut passed).await?
+                    self.resume(caller, &worker, &mut forwarded).await?
                 }
             };
         }
     }
 
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
         caller: &mut Caller<'_>,
-        flow: &mut Flow<'_>,
-        running: &mut RunningAnswer,
-        passed: &mut Passed,
+        flow: &mut StreamFlow<'_>,
+        running: &mut RunningResponse,
+        forwarded: &mut ForwardedStream,
     ) -> Result<PartEnd, CallError> {
-        let keeps_output = self.route.keeps_turns;
+        let stores_output = self.route.keeps_turns;
         let mut splitter = EventSplitter::default();
         let mut pending = self.gateway.memory.share(HeldFor::Answers);
         loop {
-            let answer = &mut running.answer;
-            let step = flow.next(caller, answer, &mut self.waiting_since).await?;
-            let piece = match step {
-                Step::Piece(piece) => piece,
-                Step::End if splitter.pending_bytes() == 0 => return Ok(PartEnd::Whole),
-                Step::End => return Ok(PartEnd::Broken("stream ends within an event".to_owned())),
-                Step::Broken(reason) => return Ok(PartEnd::Broken(reason)),
-                Step::LetWorkerGo => return Ok(PartEnd::LetGo),
-                Step::Silent => {
-                    let last_event_id = passed.last_event_id.as_deref();
-                    if let Some(next) = self.leave_silent(running, last_event_id).await? {
+            let response = &mut running.response;
+            let step = flow.next(caller, response, &mut self.waiting_since).await?;
+            let chunk = match step {
+                FlowStep::Chunk(chunk) => chunk,
+                FlowStep::End if splitter.pending_bytes() == 0 => return Ok(PartEnd::Complete),
+                FlowStep::End => {
+                    return Ok(PartEnd::Broken("stream ended within an event".to_owned()));
+                }
+                FlowStep::Broken(reason) => return Ok(PartEnd::Broken(reason)),
+                FlowStep::ReleaseWorker => return Ok(PartEnd::Released),
+                FlowStep::Silent => {
+                    let last_event_id = forwarded.last_event_id.as_deref();
+                    if let Some(next) = self.migrate_silent(running, last_event_id).await? {
                         *running = next;
                         splitter = EventSplitter::default();
                     }
                     continue;
                 }
             };
-            self.count_answer(&running.occupied.worker, piece.len());
-            splitter.push(&piece);
-            let mut any = false;
+            self.count_response_bytes(&running.worker_use.worker, chunk.len());
+            splitter.push(&chunk);
+            let mut any_event = false;
             while let Some(event) = splitter.next_event() {
-                any = true;
+                any_event = true;
                 if event.id.is_some() {
-                    passed.last_event_id = event.id;
+                    forwarded.last_event_id = event.id;
                 }
-                if keeps_output {
-                    passed.output.extend_from_slice(&event.data);
-                    passed.output.put_u8(b'\n');
-                    passed.held.set(passed.output.len());
+                if stores_output {
+                    forwarded.output.extend_from_slice(&event.data);
+                    forwarded.output.put_u8(b'\n');
+                    forwarded.output_memory.set(forwarded.output.len());
                 }
-                if let Some(lease) = &mut self.lease {
-                    lease.note_event();
+                if let Some(permit) = &mut self.permit {
+                    permit.note_event();
                 }
                 flow.push(caller, event.raw)?;
             }
             pending.set(splitter.pending_bytes());
             if splitter.pending_bytes() > MAX_EVENT_BYTES {
-                return Ok(PartEnd::Broken("an event never ends".to_owned()));
+                return Ok(PartEnd::Broken("event is too large".to_owned()));
             }
-            if any {
+            if any_event {
                 self.note_first_event();
                 self.note_progress();
             }
@@ -159,18 +161,20 @@
     async fn end_stream(
         &mut self,
         caller: &mut Caller<'_>,
-        flow: &mut Flow<'_>,
-        passed: Passed,
+        flow: &mut StreamFlow<'_>,
+        forwarded: ForwardedStream,
     ) -> Result<(), CallError> {
         let previous = self.previous_turn();
-        if let Some(lease) = &mut self.lease {
+        if let Some(permit) = &mut self.permit {
             let kept = self.route.keeps_turns.then(|| KeptTurn {
                 previous,
-                input: lease.input(),
-                output: passed.output.freeze(),
+                input: permit.input(),
+                output: forwarded.output.freeze(),
             });
-            if !lease.finish(kept).await {
-                return Err(CallError::Broken("the end of the turn is not durable"));
+            if !permit.finish(kept).await {
+                return Err(CallError::Aborted(
+                    "the end of the turn could not be made durable",
+                ));
             }
         }
         caller.push_end()?;
@@ -179,9 +183,10 @@
         Ok(())
     }
 
-    /// Running streams need what memory is left.
+    /// Refuses a new stream under memory pressure: the remaining memory is reserved for streams in
+    /// progress.
     fn refuse_if_short_of_memory(&self) -> Result<(), CallError> {
-        let Some(shown) = self.history.not_run() else {
+        let Some(not_run) = self.history.not_run() else {
             return Ok(());
         };
         if self.gateway.memory.takes_stream() {
@@ -190,43 +195,43 @@
         log::info!(
             request = self.attributes.request_id.as_deref().unwrap_or_default(),
             held = self.gateway.memory.held(), pressure:? = self.gateway.memory.pressure();
-            "stream refused for want of memory"
+            "stream refused under memory pressure"
         );
         let reason = "no memory for another stream now";
-        let refusal = Refusal::not_run(shown, reason);
+        let refusal = Refusal::not_run(not_run, reason);
         Err(CallError::Refused(refusal))
     }
 
     fn previous_turn(&self) -> Option<String> {
         let previous = self.attributes.previous_turn.as_deref();
-        previous.map(|turn| self.in_scope(turn))
+        previous.map(|turn| self.scoped_id(turn))
     }
 
-    /// An answer that is no stream: a failure, as the worker gave it.
-    async fn pass_other_answer(
+    /// Forwards a response that is not an event stream, such as an error.
+    async fn forward_other_response(
         &mut self,
         caller: &mut Caller<'_>,
-        mut running: RunningAnswer,
+        mut running: RunningResponse,
     ) -> Result<(), CallError> {
         if caller.progress() != Progress::None {
-            return Err(CallError::Broken("the stream could not be taken up again"));
+            return Err(CallError::Aborted("the stream could not be resumed"));
         }
-        let body = match running.answer.whole_body(MAX_OTHER_ANSWER).await {
+        let body = match running.response.buffer_body(MAX_OTHER_RESPONSE_BYTES).await {
             Ok(body) => body,
             Err(broken) => {
-                let worker = running.occupied.worker.clone();
+                let worker = running.worker_use.worker.clone();
                 self.log_failure(&worker, &broken.to_string());
                 self.history
                     .after_failure(AttemptFailure::Unknown, false, 1);
                 let reason = "the worker's answer broke off";
-                return Err(CallError::Refused(Refusal::unknown(reason)));
+                return Err(CallError::Refused(Refusal::outcome_unknown(reason)));
             }
         };
-        let head = &running.answer.head;
-        self.note_answer(&running.occupied.worker, head.status);
-        let passed_headers = headers::end_to_end(&head.headers);
+        let head = &running.response.head;
+        self.note_response(&running.worker_use.worker, head.status);
+        let forwarded_headers = headers::end_to_end(&head.headers);
         caller
-            .send_whole(head.status, &passed_headers, &body)
+            .send_whole(head.status, &forwarded_headers, &body)
             .await?;
         Ok(())
     }
@@ -239,13 +244,13 @@
     }
 }
 
-/// The engine of an answer that is given up; its connection is closed.
-fn engine_of(running: RunningAnswer) -> Engine {
+/// Returns the engine of an abandoned response and closes its connection.
+fn into_engine(running: RunningResponse) -> Engine {
     running.engine()
 }
 
-pub(super) fn is_event_stream(running: &RunningAnswer) -> bool {
-    let head = &running.answer.head;
+pub(super) fn is_event_stream(running: &RunningResponse) -> bool {
+    let head = &running.response.head;
     let media_type = head
         .headers
         .get(CONTENT_TYPE)
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -1,4 +1,4 @@
-//! A turn's leave from the ledger, and its return.
+//! A turn's permit to run, granted by its program's ledger, and the report of the turn's end.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,68 +16,70 @@
 use crate::gateway::Gateway;
 use crate::ledger::{self, Answered, AskedNodes};
 use crate::memory::Share;
-use crate::reply::{Fault, Refusal};
+use crate::reply::{ErrorStatus, Refusal};
 
-/// Times that the end of a turn is reported before it is given up.
-const FINISH_TRIES: u32 = 12;
+/// Maximum number of attempts to report the end of a turn.
+const MAX_FINISH_ATTEMPTS: u32 = 12;
 
-/// Share of a turn's time for which an outage of the log is waited for.
-const PATIENT_SHARE: f64 = 0.4;
+/// Fraction of a turn's remaining time for which it waits out a log outage.
+const OUTAGE_WAIT_FRACTION: f64 = 0.4;
 
-/// Longest wait for an outage of the log to end. Callers give up streams that stay silent for two
+/// Maximum wait for the end of a log outage. Callers abandon streams that are silent for two
 /// seconds.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(1_200);
+const MAX_OUTAGE_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Share of a turn's time after which it is refused if it has no leave, whatever is still being
-/// asked: the rest is for another try.
-const LONGEST_SHARE: f64 = 0.45;
+/// Fraction of a turn's remaining time after which it is refused if it has no permit yet. The rest
+/// leaves the caller time to retry.
+const MAX_PERMIT_WAIT_FRACTION: f64 = 0.45;
 
-/// Wait for leave of turns that have little time: a slow log that has to be read first takes this
-/// long.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1_200);
+/// Minimum wait for a permit, even for turns with little time left: the partition's owner may have
+/// to read a slow log first.
+const MIN_PERMIT_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Longest wait for leave. Callers give up streams that stay silent for two seconds.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait for a permit. Callers abandon streams that are silent for two seconds.
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Pause between two reports.
-const FINISH_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between attempts to report the end of a turn.
+const FINISH_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Leave to run a turn. Dropped before its end, it settles what was generated so far.
-pub(super) struct TurnLease {
+/// A permit to run a turn. If dropped before the turn's end is reported, the tokens generated so
+/// far are settled.
+pub(super) struct TurnPermit {
     gateway: Rc<Gateway>,
     partition: PartitionId,
-    /// The node that granted the turn.
+    /// The node that granted the permit.
     granter: NodeId,
-    /// Every node that was asked for the turn.
+    /// Every node that was asked for the permit.
     asked: AskedNodes,
     program: String,
     turn: String,
     tokens_per_event: u64,
     used: u64,
     input: Bytes,
-    /// Counts the body that begins with the turn's conversation.
+    /// Accounts for the memory of the body, which begins with the turn's conversation.
     conversation: Share,
-    returned: bool,
+    /// Whether the granter needs no further report.
+    settled: bool,
 }
 
-impl TurnLease {
-    /// Notes that an event goes to the caller.
+impl TurnPermit {
+    /// Records that an event is sent to the caller.
     pub(super) fn note_event(&mut self) {
         self.used += self.tokens_per_event;
     }
 
-    /// Tokens that have gone to the caller.
+    /// Returns the number of tokens sent to the caller.
     pub(super) fn used(&self) -> u64 {
         self.used
     }
 
-    /// The turn's own input.
+    /// Returns the turn's own input.
     pub(super) fn input(&self) -> Bytes {
         self.input.clone()
     }
 
-    /// Reports the end of a whole turn. A turn to be kept waits until that is durable; tells
-    /// whether it is.
+    /// Reports the end of a complete turn. For a turn that is stored, waits until it is durable and
+    /// returns whether it is.
     pub(super) async fn finish(&mut self, kept: Option<KeptTurn>) -> bool {
         let Some(content) = kept else {
             return true;
@@ -89,22 +91,22 @@
             kept: Some(content),
             waits: false,
         };
-        let finished = keep_turn(&self.gateway, &self.granter, self.partition, report).await;
+        let finished = store_turn(&self.gateway, &self.granter, self.partition, report).await;
         if finished {
-            self.returned = true;
+            self.settled = true;
             self.withdraw_elsewhere();
         }
         finished
     }
 
-    /// The granter has denied the turn, so nothing is to be returned to it.
-    fn deny(&mut self) {
-        self.returned = true;
+    /// Marks the permit as denied by its granter, so that no end is reported to it.
+    fn mark_denied(&mut self) {
+        self.settled = true;
         self.withdraw_elsewhere();
     }
 
-    /// Tells the nodes that were asked in vain that the turn does not run on their account: they
-    /// may have set tokens aside for it and not been heard.
+    /// Withdraws the turn at the other nodes that were asked: they may have reserved tokens
+    /// although their reply was lost.
     fn withdraw_elsewhere(&self) {
         for node in self.asked.list() {
             if node == self.granter {
@@ -130,9 +132,9 @@
     }
 }
 
-impl Drop for TurnLease {
+impl Drop for TurnPermit {
     fn drop(&mut self) {
-        if self.returned {
+        if self.settled {
             return;
         }
         self.withdraw_elsewhere();
@@ -144,32 +146,33 @@
         let granter = self.granter.clone();
         let partition = self.partition;
         actix_rt::spawn(async move {
-            // If nobody takes it, the turn counts at its most.
+            // If this fails, the full reservation is counted as spent.
             report_end(&gateway, &granter, partition, request).await;
         });
     }
 }
 
-/// Has a turn kept, by its granter or whoever can act for its partition. While the log is away, the
-/// report waits where it will be carried out first. Tells whether the turn is kept.
-async fn keep_turn(
+/// Stores a turn through its granter, or else through another node that can act for its partition.
+/// During a log outage that node holds the report until the log responds again. Returns whether the
+/// turn is durable.
+async fn store_turn(
     gateway: &Rc<Gateway>,
     granter: &NodeId,
     partition: PartitionId,
     report: FinishTurn,
 ) -> bool {
-    let at_once = LedgerRequest::Finish(report.clone());
-    let on_return = LedgerRequest::Finish(FinishTurn {
+    let immediate = LedgerRequest::Finish(report.clone());
+    let deferred = LedgerRequest::Finish(FinishTurn {
         waits: true,
         ..report
     });
-    for _ in 0..FINISH_TRIES {
-        let reply = ledger::request_of(gateway, granter, partition, at_once.clone()).await;
+    for _ in 0..MAX_FINISH_ATTEMPTS {
+        let reply = ledger::request_of(gateway, granter, partition, immediate.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
-        let pause = actix_rt::time::sleep(FINISH_PAUSE);
-        let waiting = ledger::request_on_return(gateway, partition, on_return.clone());
+        let pause = actix_rt::time::sleep(FINISH_RETRY_INTERVAL);
+        let waiting = ledger::request_on_return(gateway, partition, deferred.clone());
         if waiting.await == LedgerReply::Finished {
             return true;
         }
@@ -178,38 +181,39 @@
     false
 }
 
+/// Reports the end of a turn until a node accepts the report. Returns whether one did.
 async fn report_end(
     gateway: &Rc<Gateway>,
     granter: &NodeId,
     partition: PartitionId,
     request: LedgerRequest,
 ) -> bool {
-    for _ in 0..FINISH_TRIES {
+    for _ in 0..MAX_FINISH_ATTEMPTS {
         let reply = ledger::request_of(gateway, granter, partition, request.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
-        actix_rt::time::sleep(FINISH_PAUSE).await;
+        actix_rt::time::sleep(FINISH_RETRY_INTERVAL).await;
     }
     false
 }
 
 impl Call<'_> {
-    /// Obtains leave for a turn of a program; other requests need none.
-    pub(super) async fn begin_turn(&mut self) -> Result<(), Refusal> {
-        let needs_leave = self.route.keeps_turns || self.attributes.token_budget.is_some();
+    /// Obtains the permit for a turn of a program; other requests need none.
+    pub(super) async fn start_turn(&mut self) -> Result<(), Refusal> {
+        let needs_permit = self.route.keeps_turns || self.attributes.token_budget.is_some();
         let (Some(program), Some(turn)) = (&self.attributes.program, &self.attributes.request_id)
         else {
             return Ok(());
         };
-        if !needs_leave || !self.is_turn() {
+        if !needs_permit || !self.is_turn() {
             return Ok(());
         }
-        let program = self.in_scope(program);
-        let turn = self.in_scope(turn);
+        let program = self.scoped_id(program);
+        let turn = self.scoped_id(turn);
         let partition = partition_of(&program, self.gateway.settings.partitions);
         let previous = self.attributes.previous_turn.as_deref();
-        let previous = previous.map(|turn| self.in_scope(turn));
+        let previous = previous.map(|turn| self.scoped_id(turn));
         let begin = BeginTurn {
             program: program.clone(),
             turn: turn.clone(),
@@ -219,7 +223,7 @@
             imported: None,
         };
         let input = self.body.clone().unwrap_or_default();
-        let lease = TurnLease {
+        let permit = TurnPermit {
             gateway: self.gateway.clone(),
             partition,
             granter: self.gateway.settings.node.clone(),
@@ -230,35 +234,35 @@
             used: 0,
             input: input.clone(),
             conversation: self.gateway.memory.share(HeldFor::Conversations),
-            returned: false,
+            settled: false,
         };
-        let conversation = self.obtain_leave(lease, partition, begin).await?;
+        let conversation = self.obtain_permit(permit, partition, begin).await?;
         if !conversation.is_empty() {
             let mut whole = BytesMut::with_capacity(conversation.len() + input.len());
             whole.extend_from_slice(&conversation);
             whole.extend_from_slice(&input);
-            if let Some(lease) = &mut self.lease {
-                lease.conversation.set(whole.len());
+            if let Some(permit) = &mut self.permit {
+                permit.conversation.set(whole.len());
             }
             self.body = Some(whole.freeze());
         }
         Ok(())
     }
 
-    /// The name under which the ledger knows a program or a turn of the caller's: tenants cannot
-    /// reach each other's.
-    pub(super) fn in_scope(&self, id: &str) -> String {
+    /// Returns the id under which the ledger stores a program or a turn. It is scoped to the
+    /// tenant, so that tenants can't access each other's.
+    pub(super) fn scoped_id(&self, id: &str) -> String {
         scoped(self.sender.tenant.as_deref(), id)
     }
 
-    /// How long an outage of the log is waited for.
-    fn ledger_patience(&self) -> Duration {
+    /// Returns how long the call waits for a log outage to end.
+    fn max_outage_wait(&self) -> Duration {
         if !self.gateway.settings.policy.patience {
             return Duration::ZERO;
         }
         self.time_left()
-            .mul_f64(PATIENT_SHARE)
-            .min(LONGEST_PATIENCE)
+            .mul_f64(OUTAGE_WAIT_FRACTION)
+            .min(MAX_OUTAGE_WAIT)
     }
 
     pub(super) fn is_turn(&self) -> bool {
@@ -272,46 +276,49 @@
             .map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    /// Obtains leave for the turn, or an answer that refuses it while the caller still has time to
-    /// come back.
-    async fn obtain_leave(
+    /// Obtains the permit for the turn, or refuses the turn while the caller still has time to
+    /// retry.
+    async fn obtain_permit(
         &mut self,
-        mut lease: TurnLease,
+        mut permit: TurnPermit,
         partition: PartitionId,
         begin: BeginTurn,
     ) -> Result<Bytes, Refusal> {
-        self.await_log().await?;
+        self.wait_for_log().await?;
         let left = self.time_left();
-        let longest = left
-            .mul_f64(LONGEST_SHARE)
-            .clamp(SHORTEST_WAIT, LONGEST_WAIT);
-        let asking = self.ask_for_leave(partition, begin, &lease.asked);
-        let Ok(answered) = actix_rt::time::timeout(longest, asking).await else {
-            return Err(NoLeave::TooSlow.refusal());
+        let max_wait = left
+            .mul_f64(MAX_PERMIT_WAIT_FRACTION)
+            .clamp(MIN_PERMIT_WAIT, MAX_PERMIT_WAIT);
+        let requesting = self.request_permit(partition, begin, &permit.asked);
+        let Ok(answered) = actix_rt::time::timeout(max_wait, requesting).await else {
+            return Err(PermitUnavailable::TooSlow.refusal());
         };
-        lease.granter = answered.by;
+        permit.granter = answered.by;
         match answered.reply {
             LedgerReply::Granted { conversation } => {
-                // It may have fallen silent meanwhile; what was set aside goes back.
-                self.await_log().await?;
-                self.lease = Some(lease);
+                // The log may have failed since; dropping the permit returns the reservation.
+                self.wait_for_log().await?;
+                self.permit = Some(permit);
                 Ok(conversation)
             }
             LedgerReply::BudgetSpent => {
-                lease.deny();
+                permit.mark_denied();
                 Err(Refusal::budget_spent(NotRun::before_any_attempt()))
             }
             LedgerReply::UnknownTurn => {
-                lease.deny();
-                Err(Refusal::fault(Fault::NotFound, "no such turn is kept"))
+                permit.mark_denied();
+                Err(Refusal::error(
+                    ErrorStatus::NotFound,
+                    "no such turn is kept",
+                ))
             }
-            // The lease settles a reservation that was made nevertheless.
-            reply => Err(NoLeave::of_reply(&reply).refusal()),
+            // Dropping the permit settles a reservation that may have been made.
+            reply => Err(PermitUnavailable::of_reply(&reply).refusal()),
         }
     }
 
-    /// Waits while the log is silent if the turn is to be kept: its end would not be durable.
-    async fn await_log(&self) -> Result<(), Refusal> {
+    /// Waits while the log doesn't respond if the turn is stored: its end would not be durable.
+    async fn wait_for_log(&self) -> Result<(), Refusal> {
         let outage = &self.gateway.log_outage;
         if !self.route.keeps_turns || !outage.state().is_silent() {
             return Ok(());
@@ -323,7 +330,7 @@
         self.gateway.metrics.note_outage_wait(is_back);
         match is_back {
             true => Ok(()),
-            false => Err(NoLeave::LogSilent.refusal()),
+            false => Err(PermitUnavailable::LogSilent.refusal()),
         }
     }
 
@@ -331,17 +338,18 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Asks the turn's partition, and, for a conversation that it does not keep, all others.
-    async fn ask_for_leave(
+    /// Asks the turn's partition, and all others for a conversation that this partition doesn't
+    /// store.
+    async fn request_permit(
         &self,
         partition: PartitionId,
         mut begin: BeginTurn,
         asked: &AskedNodes,
     ) -> Answered {
         let request = LedgerRequest::Begin(begin.clone());
-        let patience = self.ledger_patience();
+        let max_wait = self.max_outage_wait();
         let answered =
-            ledger::request_patiently(self.gateway, partition, request, patience, asked).await;
+            ledger::request_patiently(self.gateway, partition, request, max_wait, asked).await;
         let Some(previous) = begin.previous.clone() else {
             return answered;
         };
@@ -359,43 +367,43 @@
     }
 }
 
-/// Why a turn has no leave yet: it may be asked for again.
+/// The reason why a turn has no permit yet; the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoLeave {
-    /// The log answers nobody.
+enum PermitUnavailable {
+    /// The log responds to no node.
     LogSilent,
-    /// No node could carry the request out: the log does not answer them.
-    LogAway,
-    /// No reply came while the caller had time for another try.
+    /// No reachable node could carry out the request because the log doesn't respond.
+    LogUnavailable,
+    /// No reply arrived early enough to leave the caller time for a retry.
     TooSlow,
-    /// Another owner will soon settle what decides whether the budget holds the turn.
-    BudgetUnsure,
-    /// An owner that is lost may have spent what the budget lacks for the turn.
-    BudgetInDoubt,
+    /// A pending settlement by another owner decides whether the budget suffices.
+    BudgetPending,
+    /// An unreachable owner may have spent the tokens that the turn needs.
+    BudgetUnsettled,
 }
 
-impl NoLeave {
-    /// What a reply that grants and denies nothing means.
+impl PermitUnavailable {
+    /// Returns the reason for a reply that neither grants nor denies the turn.
     fn of_reply(reply: &LedgerReply) -> Self {
         match reply {
-            LedgerReply::BudgetUnsure => Self::BudgetUnsure,
-            LedgerReply::BudgetInDoubt => Self::BudgetInDoubt,
-            _ => Self::LogAway,
+            LedgerReply::BudgetUnsure => Self::BudgetPending,
+            LedgerReply::BudgetInDoubt => Self::BudgetUnsettled,
+            _ => Self::LogUnavailable,
         }
     }
 
     fn reason(self) -> &'static str {
         match self {
             Self::LogSilent => "the log answers nobody now",
-            Self::LogAway => "the program's ledger cannot be asked now",
+            Self::LogUnavailable => "the program's ledger cannot be asked now",
             Self::TooSlow => "the program's ledger has not answered in time",
-            Self::BudgetUnsure => "another node has yet to settle the program's budget",
-            Self::BudgetInDoubt => "a lost node may have spent the program's budget",
+            Self::BudgetPending => "another node has yet to settle the program's budget",
+            Self::BudgetUnsettled => "a lost node may have spent the program's budget",
         }
     }
 
-    /// Leave is asked for before the first attempt.
+    /// Returns the response; permits are requested before the first attempt, so nothing has run.
     fn refusal(self) -> Refusal {
-        Refusal::not_run_until(NotRun::before_any_attempt(), self.reason(), COME_BACK)
+        Refusal::not_run_retry_after(NotRun::before_any_attempt(), self.reason(), COME_BACK)
     }
 }
--- a/crates/gateway/src/forward/occupied.rs
+++ b/crates/gateway/src/forward/worker_use.rs
@@ -1,4 +1,4 @@
-//! A worker that a request occupies.
+//! Accounting of requests in progress at workers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,16 +7,16 @@
 use elderworks_gateway_core::workers::WorkerLife;
 
 use crate::gateway::Gateway;
-use crate::upstream::Answer;
+use crate::upstream::WorkerResponse;
 
-/// A request that occupies a worker.
-pub(super) struct Occupied {
+/// Counts a request as in progress at a worker until dropped.
+pub(super) struct WorkerUse {
     gateway: Rc<Gateway>,
     pub(super) worker: String,
     life: WorkerLife,
 }
 
-impl Occupied {
+impl WorkerUse {
     pub(super) fn start(gateway: &Rc<Gateway>, worker: &str) -> Self {
         let now = gateway.now();
         let life = gateway.workers.borrow_mut().note_start(worker, now);
@@ -28,26 +28,26 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for WorkerUse {
     fn drop(&mut self) {
         let mut workers = self.gateway.workers.borrow_mut();
         workers.note_end(&self.life);
     }
 }
 
-/// The answer of a worker with the worker that it occupies.
-pub(super) struct RunningAnswer {
-    pub(super) answer: Answer,
-    /// Where it runs.
+/// A worker's response while the request is in progress at the worker.
+pub(super) struct RunningResponse {
+    pub(super) response: WorkerResponse,
+    /// Address of the worker.
     pub(super) address: SocketAddr,
-    pub(super) occupied: Occupied,
+    pub(super) worker_use: WorkerUse,
 }
 
-impl RunningAnswer {
-    /// The worker that it runs at.
+impl RunningResponse {
+    /// Returns the worker that serves the response.
     pub(super) fn engine(&self) -> Engine {
         Engine {
-            worker: self.occupied.worker.clone(),
+            worker: self.worker_use.worker.clone(),
             address: self.address,
         }
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one gateway share.
+//! State shared by the tasks of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -34,54 +34,54 @@
 use crate::peers::{LessorDesk, Peers};
 use crate::ports::{Platform, StreamRecord};
 use crate::settings::GatewaySettings;
-use crate::start::Start;
+use crate::start::StartTracker;
 use crate::upstream::Pool;
 
-/// Stages of a process's life.
+/// Stages of a process's lifecycle, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Leaving: finishes requests, keeps no connection.
+    /// Shutting down: still accepts requests, but closes each connection after its response.
     Draining,
-    /// Takes no new connection and closes those at rest.
+    /// Accepts no new connections and closes idle ones.
     Closing,
 }
 
-/// A node that has read the configuration this long ago is taken to have no way to the log: reads
-/// wait for news for two seconds at most.
-const LATE_READ: Duration = Duration::from_millis(2_500);
+/// Age of the last configuration read beyond which this node counts as cut off from the log: a read
+/// waits two seconds for new records.
+const CUT_OFF_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Shared by all tasks of the process; they run on one thread.
+/// State shared by all tasks of the process, which run on one thread.
 pub(crate) struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) platform: Rc<dyn Platform>,
     pub(crate) clock: Clock,
     pub(crate) http: ServiceConfig,
     pub(crate) config: RefCell<ActiveConfig>,
-    /// When the configuration in force was last known to be the newest one.
+    /// When the current configuration was last known to be the newest.
     pub(crate) config_proof: RefCell<ConfigProof>,
-    /// The record of that configuration, for nodes that cannot read the log.
+    /// The record of the current configuration, for nodes that can't read the log.
     pub(crate) config_record: RefCell<Option<StreamRecord>>,
-    /// Where the stream of configurations ended when it was last read.
+    /// End offset of the configuration stream at the last read.
     pub(crate) config_end: Cell<Option<Offset>>,
-    /// Zones whose workers are to get nothing more.
+    /// Zones whose workers get no new requests.
     pub(crate) evacuations: RefCell<Evacuations>,
-    /// Keys of entries that could not be read.
+    /// Keys of stream entries that could not be parsed.
     pub(crate) unreadable_entries: RefCell<UnreadableKeys>,
-    /// When another node last answered a question for its proof, whatever it had.
+    /// When another node last replied to a request for its configuration proof.
     pub(crate) proof_answered: Cell<Option<Timestamp>>,
-    /// How old that proof may be.
+    /// Maximum age of the configuration proof for accepting and for refusing keys.
     pub(crate) key_leases: KeyLeases,
-    /// What was sent on for tenants, here and elsewhere.
+    /// Requests sent per tenant, at this node and elsewhere.
     pub(crate) quotas: RefCell<QuotaBook>,
-    /// Who grants requests within quotas.
+    /// State of other nodes as quota lessors, and pending grant requests.
     pub(crate) lessors: LessorDesk,
-    /// Programs of tenants with quotas that have begun here.
-    pub(crate) begun_programs: RefCell<BegunPrograms>,
-    /// Whether this node reads the log's streams, and what it hears of them otherwise.
+    /// Programs started at this node by tenants with quotas.
+    pub(crate) started_programs: RefCell<BegunPrograms>,
+    /// Whether this node reads the log's streams, and what it receives of them from other nodes.
     pub(crate) feed: Feed,
-    /// Engines whose memory this node reads.
+    /// Engines whose cache contents this node reads.
     pub(crate) engines: Engines,
     pub(crate) workers: RefCell<WorkerDirectory>,
     pub(crate) nodes: RefCell<NodeDirectory>,
@@ -89,37 +89,37 @@
     pub(crate) peers: Peers,
     pub(crate) pool: Rc<Pool>,
     pub(crate) ledger: Ledger,
-    /// Response times of the log's calls for the ledger.
+    /// Response times of the ledger's log calls.
     pub(crate) log_timer: RefCell<ResponseTimer>,
-    /// Response times of the log's reads for the ledger, which may bring many records.
+    /// Response times of the ledger's log reads, which may return many records.
     pub(crate) log_read_timer: RefCell<ResponseTimer>,
-    /// Whether the log answers this node.
+    /// Whether the log responds to this node.
     pub(crate) log_reach: RefCell<LogReach>,
-    /// Whether the log answers anybody.
+    /// Whether the log responds to any node.
     pub(crate) log_outage: LogOutage,
     pub(crate) metrics: Metrics,
     pub(crate) stage: watch::Sender<Stage>,
-    /// Nodes of all zones that callers are sent to, as last counted.
-    pub(crate) nodes_serving: Cell<u32>,
-    /// Those nodes.
+    /// Number of nodes of all zones that callers are sent to.
+    pub(crate) serving_count: Cell<u32>,
+    /// The nodes of all zones that callers are sent to.
     pub(crate) serving: RefCell<BTreeSet<NodeId>>,
-    /// What is held for callers, workers and peers.
+    /// Memory accounting of buffers for callers, workers and peers.
     pub(crate) memory: Memory,
-    /// Turns that wait for places at engines.
+    /// Turns queued for engine slots.
     pub(crate) admission: AdmissionDriver,
-    /// Runs of this node that have a backup.
+    /// Runs at this node that have a backup.
     pub(crate) backups: RefCell<Backups>,
-    /// Requests under way.
+    /// Requests in progress.
     pub(crate) in_flight: Cell<u32>,
-    /// What this node knows already, and what it still needs to serve.
-    pub(crate) start: Start,
-    /// Changes of nodes that wait to be acted on together.
+    /// Progress of the node's start.
+    pub(crate) start: StartTracker,
+    /// Node changes that are applied as one batch.
     node_changes: RefCell<ChangeBatch>,
     sequence: Cell<u64>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates the state of a gateway that has not read any stream.
     pub(crate) fn new(settings: GatewaySettings, platform: Rc<dyn Platform>) -> Rc<Self> {
         let (stage, _) = watch::channel(Stage::Serving);
         let policy = settings.policy;
@@ -169,39 +169,39 @@
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
             lessors: LessorDesk::default(),
-            begun_programs: RefCell::default(),
+            started_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
             splits: RefCell::new(SplitState::new(rand::random())),
             pool: Rc::default(),
             metrics,
             stage,
-            nodes_serving: Cell::new(1),
+            serving_count: Cell::new(1),
             serving: RefCell::default(),
             in_flight: Cell::new(0),
-            start: Start::default(),
+            start: StartTracker::default(),
             node_changes: RefCell::new(ChangeBatch::new(pace)),
             sequence: Cell::new(0),
         })
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Time since the start.
+    /// Returns the time since the process started.
     pub(crate) fn age(&self) -> Duration {
         self.now().since(Timestamp::default())
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub(crate) fn current_config(&self) -> Option<Rc<ServingConfig>> {
         self.config.borrow().current().cloned()
     }
 
-    /// How long a proof of the configuration counts for acting on keys; `None` if there are none,
-    /// or if they need not be refused in time.
+    /// Returns the maximum age of the configuration proof for accepting keys; `None` if there are
+    /// no keys, or if there is no deadline for refusing revoked ones.
     pub(crate) fn key_lease(&self) -> Option<Duration> {
         let config = self.config.borrow();
         let has_keys = config
@@ -210,37 +210,38 @@
         self.key_leases.acting.filter(|_| has_keys)
     }
 
-    /// Age of the proof of the configuration at which other nodes are asked for a younger one.
+    /// Returns the age of the configuration proof from which other nodes are asked for a newer one.
     pub(crate) fn asking_age(&self) -> Duration {
         let reads = self.feed.reads();
         asking_age(self.key_lease(), self.settings.apply_within, reads)
     }
 
-    /// The present stage.
+    /// Returns the current stage.
     pub(crate) fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be sent to this node.
     pub(crate) fn is_ready(&self) -> bool {
         self.stage() == Stage::Serving && self.start.is_complete()
     }
 
-    /// Notes that nodes have come, gone or changed. What follows from it is worked out now or soon.
+    /// Records that nodes were added, removed or changed, and recomputes derived state now or as
+    /// part of a later batch.
     pub(crate) fn note_node_changes(&self) {
         if self.node_changes.borrow_mut().note(self.now()) {
             self.recompute_nodes();
         }
     }
 
-    /// Acts on changes of nodes that have waited for others.
+    /// Recomputes derived state if a batch of node changes is due.
     pub(crate) fn act_on_node_changes(&self) {
         if self.node_changes.borrow_mut().take_due(self.now()) {
             self.recompute_nodes();
         }
     }
 
-    /// Acts on changes of nodes without delay: what follows must not rest on what was known before.
+    /// Recomputes derived state immediately, for callers that need the current state of the nodes.
     pub(crate) fn act_on_node_changes_now(&self) {
         self.node_changes.borrow_mut().act(self.now());
         self.recompute_nodes();
@@ -255,7 +256,7 @@
         self.count_serving_nodes();
     }
 
-    /// Counts the nodes that callers are sent to.
+    /// Updates the set of nodes that callers are sent to.
     pub(crate) fn count_serving_nodes(&self) {
         let nodes = self.nodes.borrow();
         let serving = self.serving_nodes(&nodes);
@@ -264,10 +265,10 @@
         workers.cold_senders().set_nodes(serving.iter().copied());
         let serving = serving.into_iter().cloned().collect();
         *self.serving.borrow_mut() = serving;
-        self.nodes_serving.set(saturating_u32(count.max(1)));
+        self.serving_count.set(saturating_u32(count.max(1)));
     }
 
-    /// Brings what is believed of workers in line with the zones that are to get nothing more.
+    /// Applies the current evacuations to the worker directory and the feed.
     pub(crate) fn act_on_evacuations(&self) {
         let evacuations = self.evacuations.borrow();
         let now = self.now();
@@ -279,21 +280,21 @@
         self.metrics.zones_evacuated.set(count);
     }
 
-    /// The nodes of all zones that callers are sent to.
+    /// Returns the nodes of all zones that callers are sent to.
     pub(crate) fn serving_nodes<'a>(&self, nodes: &'a NodeDirectory) -> BTreeSet<&'a NodeId> {
         nodes.offered_anywhere(|node| self.is_serving(node))
     }
 
-    /// The nodes between which quotas are divided.
+    /// Returns the nodes between which quotas are divided.
     pub(crate) fn fleet(&self) -> Fleet {
         let proof_age = self.config_proof.borrow().own_age(self.now());
         Fleet {
-            nodes: self.nodes_serving.get(),
-            is_cut_off: proof_age.is_none_or(|age| age > LATE_READ),
+            nodes: self.serving_count.get(),
+            is_cut_off: proof_age.is_none_or(|age| age > CUT_OFF_AFTER),
         }
     }
 
-    /// Whether a node takes requests, as far as this one knows.
+    /// Returns whether a node accepts requests, to this node's knowledge.
     pub(crate) fn is_serving(&self, node: &NodeId) -> bool {
         if *node == self.settings.node {
             self.is_ready()
@@ -302,12 +303,12 @@
         }
     }
 
-    /// Whether callers are to be sent to a node, as far as this one knows.
+    /// Returns whether callers may be sent to a node, to this node's knowledge.
     pub(crate) fn is_offered(&self, node: &NodeId) -> bool {
         self.is_serving(node) && !self.peers.is_zone_suspected(self, node)
     }
 
-    /// Listed nodes that are neither alive nor this one.
+    /// Returns listed nodes that are not alive, except this one.
     pub(crate) fn absent_nodes(&self) -> Vec<(NodeId, Incarnation)> {
         let nodes = self.nodes.borrow();
         nodes
@@ -317,15 +318,15 @@
             .collect()
     }
 
-    /// Shows how many turns wait.
-    pub(crate) fn note_waiting(&self) {
+    /// Updates the metric of queued turns.
+    pub(crate) fn update_queue_metric(&self) {
         let count = self.admission.core.borrow().waiting_count();
         self.metrics
             .admission_waiting
             .set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// A number that no other caller of this function gets.
+    /// Returns a number that is unique within the process.
     pub(crate) fn next_sequence(&self) -> u64 {
         let number = self.sequence.get() + 1;
         self.sequence.set(number);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,15 @@
-//! The callers' gateway: a driver around `elderworks-gateway-core`.
+//! The gateway that callers connect to: drives the state machines of `elderworks-gateway-core`.
 //!
-//! Every task runs on one thread and shares one [`gateway::Gateway`]. Bytes become typed calls and
-//! decisions become bytes here; what the platform calls things is known only to the adapter behind
-//! [`ports::Platform`].
+//! All tasks run on one thread and share one [`gateway::Gateway`]. This crate does the I/O and the
+//! encoding; decisions are made in `elderworks-gateway-core`. The platform's own names and formats
+//! are confined to the adapter behind [`ports::Platform`].
 
 mod admission;
 mod buffered;
 mod caller;
 mod clock;
+mod endpoints;
 mod engines;
-mod entry;
 mod far_bytes;
 mod feed;
 mod forward;
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs of the platform that it runs on. An adapter translates.
+//! The interface between the gateway and the platform that it runs on, which an adapter implements.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,89 +16,90 @@
 use elderworks_types::Offset;
 use futures_util::future::LocalBoxFuture;
 
-/// Why a call to the platform's log failed.
+/// The error of a call to the platform's log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The call was refused and had no effect.
     #[error("the log refused the call: {0}")]
     Unavailable(String),
-    /// No answer came: the call may have been carried out, or may be later.
-    #[error("no answer from the log: {0}")]
+    /// No response arrived: the call may have taken effect, or may do so later.
+    #[error("no response from the log: {0}")]
     Unknown(String),
-    /// The stream does not end where the caller said; nothing was done.
-    #[error("the stream ends at {end}")]
+    /// The stream doesn't end at the expected offset; the call had no effect.
+    #[error("the stream ends at offset {end}")]
     Conflict {
-        /// Where it ends.
+        /// End offset of the stream.
         end: Offset,
     },
-    /// Records at the asked offset are no longer kept.
-    #[error("records before {first} are gone")]
+    /// The records at the requested offset were deleted.
+    #[error("records before offset {first} were deleted")]
     Gone {
-        /// The first offset kept.
+        /// The first offset that still exists.
         first: Offset,
     },
 }
 
-/// How long a read may take and how much it may bring.
+/// Limits of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadLimits {
-    /// How long to wait for a record to come.
+    /// How long the log waits for new records.
     pub wait: Duration,
-    /// No answer within this time beyond the wait is [`StoreError::Unknown`].
+    /// Time beyond `wait` after which a read without a response fails with [`StoreError::Unknown`].
     pub timeout: Duration,
-    /// Most bytes of records, in steps of the platform's; `None` for as many as the platform sends.
+    /// Maximum size of the returned records in bytes, rounded up to the platform's granularity;
+    /// `None` for the platform's maximum.
     pub most_bytes: Option<usize>,
 }
 
-/// Records read from one stream.
+/// Records read from a stream.
 #[derive(Clone, Debug, Default)]
 pub struct ReadBatch {
-    /// In order, from the asked offset on.
+    /// The records in order, starting at the requested offset.
     pub records: Vec<StreamRecord>,
-    /// Where the stream ended.
+    /// End offset of the stream at the time of the read.
     pub end: Offset,
 }
 
-/// One record of a stream.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamRecord {
-    /// Its position.
+    /// Offset of the record.
     pub offset: Offset,
-    /// Its key, in streams that have keys.
+    /// Key of the record; `None` in streams without keys.
     pub key: Option<String>,
-    /// Its content; empty in a keyed stream if the key was dropped.
+    /// Content of the record; empty in a keyed stream if the key was deleted.
     pub value: Bytes,
 }
 
-/// Some of the newest records of a keyed stream, one of each key, in the order of the keys.
+/// A page of the newest records of a keyed stream: one per key, in key order.
 #[derive(Clone, Debug, Default)]
 pub struct NewestPage {
-    /// Those that can be read.
+    /// The records that could be read.
     pub records: Vec<StreamRecord>,
-    /// The last key of the page, behind which the next one begins; `None` if this is the last page.
+    /// The last key of the page, after which the next page starts; `None` if this is the last page.
     pub next_after: Option<String>,
-    /// Where the stream ended before the page was made. What changes while pages are read lies
-    /// behind the first page's end.
+    /// End offset of the stream before the page was built. Changes made while the pages are read
+    /// have offsets of at least the first page's end.
     pub end: Offset,
 }
 
-/// What a record of [`Stream::Configuration`] says.
+/// Content of a record of [`Stream::Configuration`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Publication {
-    /// The configuration, whole.
+    /// A complete configuration.
     Configuration(ServingConfig),
-    /// Whether the workers of a zone are to get nothing more.
+    /// Whether a zone is evacuated: its workers get no new requests.
     Evacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether they are.
+        /// Whether the zone is evacuated.
         is_on: bool,
     },
-    /// Something that does not concern this system.
+    /// Content that the gateway doesn't use.
     Other,
 }
 
-/// A published entry that cannot be read.
+/// The error of a stream entry that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct FormatError(pub String);
@@ -106,60 +107,64 @@
 /// Headers that the gateway adds to a request for a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerHeaders<'a> {
-    /// The worker that must be the one to answer.
+    /// Id of the worker that must handle the request.
     pub worker_id: &'a str,
-    /// Time left to the request.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Rank among the requests that wait at an engine; 0 is the most urgent.
+    /// Priority among the requests queued at an engine; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The tenant whose request it is.
+    /// The tenant that sent the request.
     pub tenant: Option<&'a str>,
-    /// Last event passed on, if the request goes on with a stream.
+    /// Id of the last event forwarded, if the request resumes a stream.
     pub last_event_id: Option<&'a str>,
-    /// Where an engine takes the prompt from.
+    /// Where an engine gets the prompt's cached state from.
     pub prompt_source: &'a PromptSource,
-    /// The engine to which the run's memory is copied while it runs.
+    /// The engine to which the run's memory is copied while the run is in progress.
     pub backup_at: Option<SocketAddr>,
-    /// How long an engine keeps what the request has read and made from giving way.
+    /// How long an engine must keep the request's prompt and output in its cache.
     pub pin: Option<Duration>,
 }
 
-/// Why a call to an engine's own interface has brought nothing.
+/// The error of a call to an engine's own interface.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// Nothing was done.
+    /// The call was refused and had no effect.
     #[error("the engine refused the call: {0}")]
     Refused(String),
-    /// No connection could be made: nothing was done, and nobody serves at the address or the way
-    /// there is cut.
+    /// No connection could be made, so the call had no effect: nothing listens at the address, or
+    /// the network path is interrupted.
     #[error("the engine cannot be reached: {0}")]
     NotReached(String),
-    /// No answer came in time: what was asked for may have been done.
-    #[error("no answer from the engine: {0}")]
+    /// No response arrived in time: the call may have taken effect.
+    #[error("no response from the engine: {0}")]
     Unknown(String),
-    /// The answer cannot be read.
-    #[error("the engine's answer cannot be read: {0}")]
+    /// The response can't be parsed.
+    #[error("invalid response from the engine: {0}")]
     Format(String),
 }
 
-/// A call to the gateway's own addresses.
+/// A request to one of the gateway's own endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryCall {
-    /// Is this node ready?
+    /// Asks whether this node is ready.
     Ready,
-    /// Which nodes take requests?
+    /// Asks for the addresses of nodes that accept requests.
     Resolve {
-        /// Zone of the asker.
+        /// Zone of the client.
         zone: Option<String>,
     },
-    /// Nothing that this system answers.
+    /// Any other request.
     Unknown,
 }
 
-/// The platform as the gateway sees it.
+/// The platform that the gateway runs on.
 pub trait Platform {
-    /// Appends records, all or none, if the stream ends at `at`. Returns the offset of the first.
-    /// No answer within `timeout` is [`StoreError::Unknown`].
+    /// Appends records atomically if the stream ends at `at`. Returns the offset of the first.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`StoreError::Conflict`] if the stream ends elsewhere, and with
+    /// [`StoreError::Unknown`] if no response arrives within `timeout`.
     fn append(
         &self,
         stream: Stream,
@@ -176,7 +181,7 @@
         value: Bytes,
     ) -> LocalBoxFuture<'a, Result<Offset, StoreError>>;
 
-    /// Reads records from an offset on.
+    /// Reads records starting at an offset.
     fn read(
         &self,
         stream: Stream,
@@ -184,49 +189,49 @@
         limits: ReadLimits,
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>>;
 
-    /// Reads the newest record of each key behind `after`, or else from the first on.
+    /// Reads a page of the newest record of each key, in key order, starting after the key `after`.
     fn newest<'a>(
         &'a self,
         stream: Stream,
         after: Option<&'a str>,
     ) -> LocalBoxFuture<'a, Result<NewestPage, StoreError>>;
 
-    /// What a record of [`Stream::Configuration`] publishes.
+    /// Parses a record of [`Stream::Configuration`].
     fn publication(&self, record: &StreamRecord) -> Result<Publication, FormatError>;
 
-    /// The worker that a record of [`Stream::Workers`] describes.
+    /// Parses a record of [`Stream::Workers`].
     fn worker(&self, record: &StreamRecord) -> Result<WorkerRecord, FormatError>;
 
-    /// What a request's headers say of it.
+    /// Parses the headers of a request.
     fn call_attributes(&self, headers: &HeaderMap) -> CallAttributes;
 
-    /// Removes what only the system may tell workers, whatever the caller sent, and, where the
-    /// configuration has tenants, the caller's key.
+    /// Removes the headers that only the system may send to workers, and, if the configuration has
+    /// tenants, the caller's key.
     fn remove_system_headers(&self, headers: &mut HeaderMap, has_tenants: bool);
 
-    /// Sets the headers that a request for a worker bears beyond those of the caller.
+    /// Sets the headers that are added to a request for a worker.
     fn set_worker_headers(&self, headers: &mut HeaderMap, values: &WorkerHeaders<'_>);
 
-    /// Whether an answer says that the worker did not run the request.
-    fn was_not_run(&self, answer: &ResponseHead) -> bool;
+    /// Returns whether a response states that the worker did not run the request.
+    fn was_not_run(&self, response: &ResponseHead) -> bool;
 
-    /// The request id that an answer bears.
+    /// Returns the request id that a response repeats.
     fn answered_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// What a call to one of the gateway's own addresses asks.
+    /// Parses a request to one of the gateway's own endpoints.
     fn entry_call(&self, method: &Method, uri: &Uri) -> EntryCall;
 
-    /// Body of the answer to [`EntryCall::Resolve`]; JSON.
+    /// Returns the JSON body of the response to [`EntryCall::Resolve`].
     fn resolve_answer(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
 
-    /// What an engine reports of itself.
+    /// Returns an engine's report of its own state.
     fn engine_report(
         &self,
         engine: SocketAddr,
     ) -> LocalBoxFuture<'_, Result<EngineReport, EngineError>>;
 
-    /// Changes of what an engine keeps, behind those that `since` (the last `next`) names. The
-    /// engine holds the call for up to `wait` until there are any.
+    /// Returns the changes of an engine's cache contents after `since`, the `next` of the previous
+    /// call. The engine holds the call for up to `wait` until there are any.
     fn memory_events(
         &self,
         engine: SocketAddr,
@@ -234,14 +239,18 @@
         wait: Duration,
     ) -> LocalBoxFuture<'_, Result<MemoryEvents, EngineError>>;
 
-    /// Everything that an engine keeps; holds the engine up.
+    /// Returns an engine's complete cache contents. The call blocks the engine while it builds the
+    /// list.
     fn memory_listing(
         &self,
         engine: SocketAddr,
     ) -> LocalBoxFuture<'_, Result<MemoryListing, EngineError>>;
 
-    /// Has a run's memory copied; answered once the copy is whole. No answer within `timeout` is
-    /// [`EngineError::Unknown`].
+    /// Requests a copy of a run's memory; returns once the copy is complete.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`EngineError::Unknown`] if no response arrives within `timeout`.
     fn move_run<'a>(
         &'a self,
         engine: SocketAddr,
@@ -249,7 +258,7 @@
         timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<MoveOutcome, EngineError>>;
 
-    /// Frees a copy at the engine that it was made from, and at the one that holds it.
+    /// Frees a copy at the engine that it was made from and at the engine that holds it.
     fn free_copy<'a>(
         &'a self,
         engine: SocketAddr,
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! A gateway process from its start to its end.
+//! Lifecycle of a gateway process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,28 +16,32 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::entry::{self, Entry};
+use crate::endpoints::{self, Endpoints};
 use crate::gateway::{Gateway, Stage};
 use crate::ports::{Platform, StoreError};
 use crate::settings::GatewaySettings;
 use crate::{engines, ledger, peers, server, socket, watch};
 
 /// Pause between attempts to write the node's entry.
-const JOIN_PAUSE: Duration = Duration::from_millis(200);
+const ENTRY_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Interval at which nodes that are gone for good are looked for.
-const DEPARTURE_CHECK: Duration = Duration::from_secs(30);
+/// Interval of checks for nodes that have departed permanently.
+const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Interval at which calls to the log are told.
+/// Interval at which the numbers of log calls are logged.
 const LOG_CALLS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Interval at which a draining node looks whether it is done.
-const DRAIN_CHECK: Duration = Duration::from_millis(100);
+/// Interval at which a draining node checks its progress.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads settings anew; what has changed is logged by its reader.
+/// Reads the settings again. The implementation logs what has changed.
 pub type Reload = Box<dyn Fn() -> eyre::Result<GatewaySettings>>;
 
-/// Runs a gateway until it is told to stop and has finished.
+/// Runs a gateway until it receives a termination signal, then drains it.
+///
+/// # Errors
+///
+/// Fails if the signal handlers can't be installed or the gateway can't be started.
 pub async fn run(
     settings: GatewaySettings,
     platform: Rc<dyn Platform>,
@@ -46,27 +50,31 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hang_up = signal(SignalKind::hangup())?;
-    let known = settings.clone();
+    let current = settings.clone();
     let node = start(settings, platform)?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hang_up.recv() => note_reload(&known, &reload),
+            _ = hang_up.recv() => report_reload(&current, &reload),
         }
     }
     node.stop().await;
     Ok(())
 }
 
-/// A gateway that takes requests. Its tasks run on when this is dropped.
+/// A running gateway. Its tasks continue when this is dropped.
 pub struct Running {
     gateway: Rc<Gateway>,
     gossip_socket: Rc<UdpSocket>,
 }
 
 /// Listens on every address of the settings and starts the gateway's tasks. Must be called within
-/// an actix runtime. A port of 0 is replaced by the one that the system gives.
+/// an actix runtime. A port of 0 in the settings is replaced by the port that the system assigns.
+///
+/// # Errors
+///
+/// Fails if a required address can't be listened on.
 pub fn start(mut settings: GatewaySettings, platform: Rc<dyn Platform>) -> eyre::Result<Running> {
     let listeners = Listeners::bind(&mut settings)?;
     log::info!(
@@ -81,10 +89,18 @@
         .into_iter()
         .flatten()
     {
-        actix_rt::spawn(entry::accept(gateway.clone(), listener, Entry::Platform));
+        actix_rt::spawn(endpoints::accept(
+            gateway.clone(),
+            listener,
+            Endpoints::Platform,
+        ));
     }
     if let Some(listener) = listeners.metrics {
-        actix_rt::spawn(entry::accept(gateway.clone(), listener, Entry::Metrics));
+        actix_rt::spawn(endpoints::accept(
+            gateway.clone(),
+            listener,
+            Endpoints::Metrics,
+        ));
     }
     if let Some(listener) = listeners.callers {
         actix_rt::spawn(server::accept_callers(gateway.clone(), listener));
@@ -96,7 +112,7 @@
     actix_rt::spawn(peers::probe_nodes(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
-    actix_rt::spawn(tell_log_calls(gateway.clone()));
+    actix_rt::spawn(log_call_counts(gateway.clone()));
     Ok(Running {
         gateway,
         gossip_socket,
@@ -104,24 +120,24 @@
 }
 
 impl Running {
-    /// The settings with the ports that the system gave.
+    /// Returns the settings with the assigned ports.
     pub fn settings(&self) -> &GatewaySettings {
         &self.gateway.settings
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be sent to this node.
     pub fn is_ready(&self) -> bool {
         self.gateway.is_ready()
     }
 
-    /// Finishes what is under way, lets callers move on to other nodes, and returns.
+    /// Drains the node: completes requests in progress and lets callers move to other nodes.
     pub async fn stop(&self) {
         drain(&self.gateway, &self.gossip_socket).await;
         log::info!(in_flight = self.gateway.in_flight.get(); "stopped");
     }
 }
 
-/// The sockets of a gateway.
+/// The listening sockets of a gateway.
 struct Listeners {
     callers: Option<TcpListener>,
     readiness: Option<TcpListener>,
@@ -137,9 +153,9 @@
         let gossip = std::net::UdpSocket::bind(settings.peers)?;
         gossip.set_nonblocking(true)?;
         Ok(Self {
-            callers: listen_if_given(&mut settings.callers)?,
-            readiness: listen_if_given(&mut settings.readiness)?,
-            registry: listen_if_given(&mut settings.registry)?,
+            callers: listen_if_set(&mut settings.callers)?,
+            readiness: listen_if_set(&mut settings.readiness)?,
+            registry: listen_if_set(&mut settings.registry)?,
             metrics: listen_for_metrics(settings),
             peers,
             gossip,
@@ -147,37 +163,39 @@
     }
 }
 
-/// A process that cannot show its counters serves nevertheless.
+/// Listens for metrics requests. A process that can't serve its metrics still serves requests.
 fn listen_for_metrics(settings: &mut GatewaySettings) -> Option<TcpListener> {
-    match listen_if_given(&mut settings.metrics) {
+    match listen_if_set(&mut settings.metrics) {
         Ok(listener) => listener,
         Err(error) => {
-            log::error!(error = error.to_string().as_str(); "counters are not shown");
+            log::error!(error = error.to_string().as_str(); "metrics are not served");
             None
         }
     }
 }
 
-fn listen_if_given(address: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
+fn listen_if_set(address: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
     address.as_mut().map(listen_at).transpose()
 }
 
 fn listen_at(address: &mut SocketAddr) -> eyre::Result<TcpListener> {
     let listener = socket::listen(*address)
-        .map_err(|error| eyre::eyre!("cannot listen at {address}: {error}"))?;
+        .map_err(|error| eyre::eyre!("cannot listen on {address}: {error}"))?;
     *address = listener.local_addr()?;
     Ok(listener)
 }
 
-/// Writes the node's entry, whose position is its incarnation, and then follows the others.
+/// Writes the node's entry, whose offset is the node's incarnation, and then follows the other
+/// nodes' entries.
 async fn join(gateway: Rc<Gateway>, gossip_socket: Rc<UdpSocket>) {
-    let before = read_entries_before(&gateway).await;
+    let before = read_earlier_entries(&gateway).await;
     let incarnation = write_entry(&gateway).await;
     let listed = u64::from(gateway.nodes.borrow().count());
     let written = incarnation.0.saturating_sub(before.map_or(0, |end| end.0));
     gateway.feed.begin(seems_small(listed, written));
-    // Known after the entry is written: of two nodes that start together, one sees the other.
-    let end = await_entries(&gateway, before).await;
+    // Read after the entry is written: of two nodes that start together, at least one sees the
+    // other.
+    let end = wait_for_entries(&gateway, before).await;
     actix_rt::spawn(watch::follow_nodes(gateway.clone(), end));
     let seeds = gateway
         .nodes
@@ -190,12 +208,12 @@
     peers.join(&gateway, &gossip_socket, incarnation, seeds);
     log::info!(incarnation = incarnation.0; "joined");
     gateway.reach(Milestone::Joined);
-    drop_departed_nodes(gateway).await;
+    remove_departed_nodes(gateway).await;
 }
 
-/// Waits until the entries of the other nodes are known: this node reads them, or hears of them from
-/// one that does. Tells where they end.
-async fn await_entries(gateway: &Rc<Gateway>, before: Option<Offset>) -> Offset {
+/// Waits until the entries of the other nodes are known, either from the log or from a node that
+/// reads it. Returns the offset up to which they are known.
+async fn wait_for_entries(gateway: &Rc<Gateway>, before: Option<Offset>) -> Offset {
     let feed = &gateway.feed;
     tokio::select! {
         () = feed.until_nodes_heard() => feed.nodes_end().unwrap_or_default(),
@@ -203,9 +221,9 @@
     }
 }
 
-/// Takes the entries that stand before this start writes its own, and notes whether there is one of
-/// this machine. Tells where they end, `None` if they cannot be read.
-async fn read_entries_before(gateway: &Rc<Gateway>) -> Option<Offset> {
+/// Reads the entries written before this start, and records whether there is one of this machine.
+/// Returns the offset up to which they were read, or `None` if they can't be read.
+async fn read_earlier_entries(gateway: &Rc<Gateway>) -> Option<Offset> {
     match watch::read_nodes(gateway, None).await {
         Ok(end) => {
             let own = &gateway.settings.node;
@@ -215,7 +233,7 @@
             Some(end)
         }
         Err(error) => {
-            log::warn!(error = error.to_string().as_str(); "whether this machine is new is not known");
+            log::warn!(error = error.to_string().as_str(); "cannot determine whether this machine is new");
             None
         }
     }
@@ -226,49 +244,49 @@
         match put_entry(gateway, false).await {
             Ok(incarnation) => return incarnation,
             Err(error) => {
-                log::warn!(error = error.as_str(); "the node's entry cannot be written yet");
-                actix_rt::time::sleep(JOIN_PAUSE).await;
+                log::warn!(error = error.as_str(); "failed to write the node's entry; retrying");
+                actix_rt::time::sleep(ENTRY_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Takes the entries since an offset, or else the newest of all nodes.
+/// Reads the entries since an offset, or else the newest entry of every node.
 async fn read_entries_since(gateway: &Rc<Gateway>, mut since: Option<Offset>) -> Offset {
     loop {
         match watch::read_nodes(gateway, since).await {
             Ok(end) => return end,
             Err(StoreError::Gone { .. }) => since = None,
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "the nodes' entries cannot be read yet");
-                actix_rt::time::sleep(JOIN_PAUSE).await;
+                log::warn!(error = error.to_string().as_str(); "failed to read the nodes' entries; retrying");
+                actix_rt::time::sleep(ENTRY_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Tells now and then how many calls to the log were made so far, by what for.
-async fn tell_log_calls(gateway: Rc<Gateway>) {
+/// Periodically logs the number of log calls by cause, and the bytes sent between zones.
+async fn log_call_counts(gateway: Rc<Gateway>) {
     loop {
         actix_rt::time::sleep(LOG_CALLS_INTERVAL).await;
         let calls = gateway.metrics.log_calls_by_cause();
         let total: u64 = calls.values().sum();
-        log::info!(total = total, calls:serde = calls; "calls to the log so far");
+        log::info!(total = total, calls:serde = calls; "log calls since start");
         let bytes = gateway.metrics.far_bytes.totals();
         let total: u64 = bytes.values().sum();
         if total > 0 {
-            log::info!(total = total, bytes:serde = bytes; "bytes between zones so far");
+            log::info!(total = total, bytes:serde = bytes; "bytes sent between zones since start");
         }
     }
 }
 
-/// Drops the entries of nodes that are gone for good, one node for all.
-async fn drop_departed_nodes(gateway: Rc<Gateway>) {
+/// Removes the entries of permanently departed nodes; one node does so for all.
+async fn remove_departed_nodes(gateway: Rc<Gateway>) {
     let mut departures = Departures::default();
     loop {
-        actix_rt::time::sleep(DEPARTURE_CHECK).await;
+        actix_rt::time::sleep(DEPARTURE_CHECK_INTERVAL).await;
         let departed = departures.update(gateway.now(), gateway.absent_nodes());
-        // The node that should act for the first partition does this too.
+        // The node responsible for the first partition also does this.
         let candidates = gateway.peers.candidates(&gateway, PartitionId(0));
         if candidates.first() != Some(&gateway.settings.node) {
             continue;
@@ -278,23 +296,23 @@
                 .platform
                 .put(Stream::Nodes, node.as_str(), Bytes::new());
             match put.await {
-                Ok(_) => log::info!(node = node.as_str(); "entry of a departed node dropped"),
+                Ok(_) => log::info!(node = node.as_str(); "removed the entry of a departed node"),
                 Err(error) => {
-                    log::warn!(node = node.as_str(), error = error.to_string().as_str(); "a departed node's entry cannot be dropped");
+                    log::warn!(node = node.as_str(), error = error.to_string().as_str(); "failed to remove the entry of a departed node");
                 }
             }
         }
     }
 }
 
-/// Writes this node's entry again after another node has dropped it by mistake.
+/// Restores this node's entry after another node has removed it by mistake.
 pub(crate) async fn restore_entry(gateway: Rc<Gateway>) {
     while gateway.stage() == Stage::Serving {
         match put_entry(&gateway, false).await {
             Ok(_) => return,
             Err(error) => {
-                log::warn!(error = error.as_str(); "the node's entry cannot be restored yet");
-                actix_rt::time::sleep(JOIN_PAUSE).await;
+                log::warn!(error = error.as_str(); "failed to restore the node's entry; retrying");
+                actix_rt::time::sleep(ENTRY_RETRY_INTERVAL).await;
             }
         }
     }
@@ -320,16 +338,16 @@
     Ok(Incarnation(offset.0))
 }
 
-/// Finishes what is under way and lets callers move on to other nodes.
+/// Completes requests in progress and lets callers move to other nodes.
 async fn drain(gateway: &Rc<Gateway>, gossip_socket: &UdpSocket) {
     let started = Instant::now();
     log::info!(in_flight = gateway.in_flight.get(); "draining");
     gateway.stage.send_replace(Stage::Draining);
     gateway.peers.drain(gateway, gossip_socket);
-    let telling = gateway.clone();
+    let announcing = gateway.clone();
     actix_rt::spawn(async move {
-        if let Err(error) = put_entry(&telling, true).await {
-            log::warn!(error = error.as_str(); "the others were not told of the drain");
+        if let Err(error) = put_entry(&announcing, true).await {
+            log::warn!(error = error.as_str(); "failed to announce the drain to the other nodes");
         }
     });
     let plan = DrainPlan::new(gateway.settings.grace);
@@ -339,12 +357,12 @@
             DrainStep::Finish => close(gateway),
             DrainStep::End => break,
         }
-        actix_rt::time::sleep(DRAIN_CHECK).await;
+        actix_rt::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     close(gateway);
 }
 
-/// Takes no new connection from now on, and closes those at rest.
+/// Stops accepting connections and closes idle ones.
 fn close(gateway: &Gateway) {
     gateway.stage.send_if_modified(|stage| {
         let is_new = *stage != Stage::Closing;
@@ -353,14 +371,14 @@
     });
 }
 
-fn note_reload(known: &GatewaySettings, reload: &Reload) {
+fn report_reload(current: &GatewaySettings, reload: &Reload) {
     match reload() {
-        Ok(settings) if settings == *known => {
-            log::info!("settings read anew: nothing has changed");
+        Ok(settings) if settings == *current => {
+            log::info!("settings reloaded: no changes");
         }
-        Ok(_) => log::warn!("settings have changed; they take effect at the next start"),
+        Ok(_) => log::warn!("settings have changed and take effect after a restart"),
         Err(error) => {
-            log::error!(error = error.to_string().as_str(); "settings cannot be read anew; the old ones stay");
+            log::error!(error = error.to_string().as_str(); "failed to reload settings; keeping the current ones");
         }
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: reads requests, has each one answered, keeps the connection or closes it.
+//! Serving of callers' connections: reads requests, handles each, then keeps or closes the
+//! connection.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,32 +19,32 @@
 use crate::forward;
 use crate::gateway::{Gateway, Stage};
 use crate::memory::Share;
-use crate::reply::{Fault, Refusal};
+use crate::reply::{ErrorStatus, Refusal};
 use crate::socket;
 
-/// Longest silence within a body.
+/// Maximum time between two reads of a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long bytes of a refused request are read before the connection is closed.
-const LINGER: Duration = Duration::from_millis(500);
+/// Time for which the rest of a refused request is discarded before the connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause after a failed accept, such as one for want of descriptors.
+/// Pause after a failed accept, for example when no file descriptors are available.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// One request of a caller, read whole.
+/// A request of a caller, read completely.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
     /// Method, path and headers.
     pub(crate) head: RequestHead,
-    /// The body; absent if the request has none.
+    /// The body; `None` if the request has none.
     pub(crate) body: Option<Bytes>,
     /// When its head was read.
     pub(crate) received: Instant,
-    /// Keeps count of the body while the request is under way.
+    /// Accounts for the body's memory while the request is in progress.
     pub(crate) memory: Share,
 }
 
-/// Accepts callers until the node closes.
+/// Accepts connections of callers until the process is closing.
 pub(crate) async fn accept_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     let mut stage = gateway.stage.subscribe();
     loop {
@@ -57,22 +58,22 @@
                 actix_rt::spawn(async move { serve(&gateway, stream).await });
             }
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "accepting a caller failed");
+                log::warn!(error = error.to_string().as_str(); "failed to accept a connection");
                 actix_rt::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Why no further request is read from a connection.
+/// The reason why no further request is read from a connection.
 pub(crate) enum ReadEnd {
-    /// The caller closed, or the connection rested for too long.
-    Quiet,
-    /// The request cannot be taken; this is the answer.
+    /// The caller closed the connection, or it was idle for too long.
+    Closed,
+    /// The request is refused with this response.
     Refuse(Refusal),
 }
 
-/// A connection from which requests are read one after the other.
+/// A connection from which requests are read one after another.
 pub(crate) struct RequestReader {
     pub(crate) codec: Codec,
     pub(crate) receiver: Receiver,
@@ -80,7 +81,7 @@
 }
 
 impl RequestReader {
-    /// Takes a connection over.
+    /// Creates a reader for an accepted connection.
     pub(crate) fn new(gateway: &Gateway, stream: TcpStream) -> Self {
         let (receiver, sender) = buffered::split(stream);
         Self {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The next request, read whole.
+    /// Reads the next request completely.
     pub(crate) async fn next(&mut self, gateway: &Rc<Gateway>) -> Result<CallerRequest, ReadEnd> {
         let limits = request_limits(gateway);
         let Self {
@@ -103,23 +104,23 @@
 }
 
 async fn serve(gateway: &Rc<Gateway>, stream: TcpStream) {
-    socket::prepare_caller(&stream);
+    socket::set_caller_options(&stream);
     let mut reader = RequestReader::new(gateway, stream);
     loop {
         match reader.next(gateway).await {
             Ok(request) => {
-                if !answer(gateway, &mut reader, request).await {
+                if !respond(gateway, &mut reader, request).await {
                     break;
                 }
             }
-            Err(ReadEnd::Quiet) => break,
+            Err(ReadEnd::Closed) => break,
             Err(ReadEnd::Refuse(refusal)) => {
                 let share = gateway.memory.share(HeldFor::Callers);
                 let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, true);
-                // The caller may be gone already.
+                // The caller may have disconnected already.
                 let _ = caller.send_refusal(&refusal).await;
                 reader.sender.shut_down().await;
-                linger(&mut reader.receiver).await;
+                discard_input(&mut reader.receiver).await;
                 return;
             }
         }
@@ -134,8 +135,12 @@
         .unwrap_or_default()
 }
 
-/// Has a request answered; tells whether the connection stays.
-async fn answer(gateway: &Rc<Gateway>, reader: &mut RequestReader, request: CallerRequest) -> bool {
+/// Handles a request. Returns whether the connection can be kept.
+async fn respond(
+    gateway: &Rc<Gateway>,
+    reader: &mut RequestReader,
+    request: CallerRequest,
+) -> bool {
     let RequestReader {
         codec,
         receiver,
@@ -149,7 +154,7 @@
     let mut caller = Caller::new(codec, sender, share, closing);
     let answered = tokio::select! {
         biased;
-        answered = forward::answer(gateway, &mut caller, request) => answered.is_ok(),
+        answered = forward::handle(gateway, &mut caller, request) => answered.is_ok(),
         () = receiver.closed() => {
             gateway.metrics.caller_left.inc();
             false
@@ -183,8 +188,8 @@
         MessageType::None if head.headers.contains_key("content-length") => Some(Bytes::new()),
         MessageType::None => None,
         MessageType::Payload | MessageType::Stream => {
-            forward::refuse_unread(gateway, &head).map_err(ReadEnd::Refuse)?;
-            confirm_expectation(&head.headers, sender).await?;
+            forward::refuse_before_body(gateway, &head).map_err(ReadEnd::Refuse)?;
+            send_continue(&head.headers, sender).await?;
             let read = read_body(codec, receiver, limits.body_bytes, &mut memory).await;
             Some(read.inspect_err(|end| note_body_refused(gateway, &head, end))?)
         }
@@ -205,102 +210,102 @@
     if !receiver.buffer.is_empty() {
         return Ok(());
     }
-    // A connection at rest holds no buffer.
+    // Idle connections hold no buffer.
     receiver.buffer = BytesMut::new();
     let mut stage = gateway.stage.subscribe();
     let received = tokio::select! {
         biased;
         received = actix_rt::time::timeout(idle_timeout, receiver.fill()) => received,
-        _ = stage.wait_for(|stage| *stage == Stage::Closing) => return Err(ReadEnd::Quiet),
+        _ = stage.wait_for(|stage| *stage == Stage::Closing) => return Err(ReadEnd::Closed),
     };
     match received {
         Ok(Ok(count)) if count > 0 => Ok(()),
-        _ => Err(ReadEnd::Quiet),
+        _ => Err(ReadEnd::Closed),
     }
 }
 
 async fn read_head(
     codec: &mut Codec,
     receiver: &mut Receiver,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<RequestHead, ReadEnd> {
     loop {
         let before = receiver.buffer.len();
         match codec.decode(&mut receiver.buffer) {
             Ok(Some(Message::Item(request))) => {
-                if before - receiver.buffer.len() > most {
+                if before - receiver.buffer.len() > max_bytes {
                     return Err(head_too_large());
                 }
                 return Ok(request.head().clone());
             }
             Ok(Some(Message::Chunk(_))) => continue,
-            Ok(None) if receiver.buffer.len() > most => return Err(head_too_large()),
+            Ok(None) if receiver.buffer.len() > max_bytes => return Err(head_too_large()),
             Ok(None) => {}
             Err(_) => {
                 let reason = "the request is not valid HTTP";
-                let refusal = Refusal::fault(Fault::BadRequest, reason);
+                let refusal = Refusal::error(ErrorStatus::BadRequest, reason);
                 return Err(ReadEnd::Refuse(refusal));
             }
         }
         match receiver.fill().await {
             Ok(count) if count > 0 => {}
-            _ => return Err(ReadEnd::Quiet),
+            _ => return Err(ReadEnd::Closed),
         }
     }
 }
 
 fn head_too_large() -> ReadEnd {
     let reason = "the head of the request is too large";
-    ReadEnd::Refuse(Refusal::fault(Fault::HeadTooLarge, reason))
+    ReadEnd::Refuse(Refusal::error(ErrorStatus::HeadTooLarge, reason))
 }
 
-async fn confirm_expectation(headers: &HeaderMap, sender: &mut Sender) -> Result<(), ReadEnd> {
+async fn send_continue(headers: &HeaderMap, sender: &mut Sender) -> Result<(), ReadEnd> {
     if !headers.contains_key(EXPECT) {
         return Ok(());
     }
     sender
         .buffer
         .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-    sender.flush().await.map_err(|_| ReadEnd::Quiet)
+    sender.flush().await.map_err(|_| ReadEnd::Closed)
 }
 
 async fn read_body(
     codec: &mut Codec,
     receiver: &mut Receiver,
-    most: usize,
+    max_bytes: usize,
     memory: &mut Share,
 ) -> Result<Bytes, ReadEnd> {
     let mut body = BytesMut::new();
     loop {
         match codec.decode(&mut receiver.buffer) {
-            Ok(Some(Message::Chunk(Some(piece)))) => {
-                if body.len() + piece.len() > most {
+            Ok(Some(Message::Chunk(Some(chunk)))) => {
+                if body.len() + chunk.len() > max_bytes {
                     let reason = "the body of the request is too large";
-                    let refusal = Refusal::fault(Fault::BodyTooLarge, reason);
+                    let refusal = Refusal::error(ErrorStatus::BodyTooLarge, reason);
                     return Err(ReadEnd::Refuse(refusal));
                 }
-                if !memory.grow_body(piece.len()) {
+                if !memory.grow_body(chunk.len()) {
                     let reason = "no memory for the body of the request now";
                     let refusal = Refusal::not_run(NotRun::before_any_attempt(), reason);
                     return Err(ReadEnd::Refuse(refusal));
                 }
-                body.extend_from_slice(&piece);
+                body.extend_from_slice(&chunk);
             }
             Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
             Ok(Some(Message::Item(_))) | Err(_) => {
                 let reason = "the body of the request is not valid";
-                let refusal = Refusal::fault(Fault::BadRequest, reason);
+                let refusal = Refusal::error(ErrorStatus::BadRequest, reason);
                 return Err(ReadEnd::Refuse(refusal));
             }
             Ok(None) => match actix_rt::time::timeout(BODY_TIMEOUT, receiver.fill()).await {
                 Ok(Ok(count)) if count > 0 => {}
-                _ => return Err(ReadEnd::Quiet),
+                _ => return Err(ReadEnd::Closed),
             },
         }
     }
 }
 
-/// Counts and logs a body for which there is no memory.
+/// Counts and logs a request refused because there is no memory for its body.
 fn note_body_refused(gateway: &Gateway, head: &RequestHead, end: &ReadEnd) {
     let ReadEnd::Refuse(refusal) = end else {
         return;
@@ -317,8 +322,9 @@
     );
 }
 
-/// Reads what the caller still sends, so that the answer is not lost to a reset.
-async fn linger(receiver: &mut Receiver) {
+/// Discards what the caller still sends: closing a socket with unread data would reset the
+/// connection and could lose the response.
+async fn discard_input(receiver: &mut Receiver) {
     let discarding = async {
         loop {
             receiver.buffer.clear();
@@ -328,6 +334,6 @@
             }
         }
     };
-    // The end of the time is as good an end as the caller's.
-    let _ = actix_rt::time::timeout(LINGER, discarding).await;
+    // Whether the caller closed first or the time is over makes no difference.
+    let _ = actix_rt::time::timeout(LINGER_TIMEOUT, discarding).await;
 }
