--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -9,54 +9,55 @@
 use elderworks_gateway_core::stream_reads::NewsDeadlines;
 use elderworks_types::{NodeId, ZoneId};
 
-/// Settings of a gateway process, as its adapter reads them from the platform.
+/// Settings of a gateway process, which the adapter reads from the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// Name of this node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of this node.
     pub region: String,
-    /// Its address.
+    /// IP address of this node.
     pub ip: IpAddr,
-    /// Where callers connect; absent if this role takes no callers.
+    /// Listening address for callers; `None` if this role serves no callers.
     pub callers: Option<SocketAddr>,
-    /// Where readiness is asked.
+    /// Listening address for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Where callers ask for addresses.
+    /// Listening address for callers that look up node addresses.
     pub registry: Option<SocketAddr>,
-    /// Where peers connect (TCP) and gossip (UDP).
+    /// Address for peer connections (TCP) and gossip (UDP).
     pub peers: SocketAddr,
-    /// Where counters are shown.
+    /// Listening address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Partitions of the ledger.
+    /// Number of partitions of the ledger.
     pub partitions: u32,
-    /// Time from the signal to stop until the process is killed.
+    /// Time between the termination signal and the kill signal.
     pub grace: Duration,
     /// Processor capacity in thousandths of a core.
     pub millicores: u32,
-    /// Memory in bytes beyond which the process is killed.
+    /// Memory limit of the process in bytes.
     pub memory_bytes: usize,
-    /// Time from a worker's word that it is leaving until it must get no new work.
+    /// Time between a worker's announcement that it is leaving and the moment when it must get no
+    /// new requests.
     pub drain_notice: Duration,
-    /// Longest validity of an answer of the registry.
+    /// Maximum validity of a list of node addresses.
     pub longest_ttl: Duration,
-    /// Time within which a configuration must be in force everywhere.
+    /// Time within which a configuration must be applied at every node.
     pub apply_within: Duration,
-    /// Time within which a key that was taken away must be refused everywhere, also by nodes that
-    /// cannot read the log; `None` if that is not asked for.
+    /// Time within which a revoked key must be refused at every node, including nodes that can't
+    /// read the log; `None` if there is no such requirement.
     pub revoke_within: Option<Duration>,
-    /// How far the rate that cold workers bear may be passed.
+    /// How far the request rate of cold workers may be exceeded.
     pub cold: ColdRules,
     /// How tenants' quotas are measured.
     pub quotas: QuotaRules,
-    /// Which mechanisms are in use.
+    /// Which mechanisms are enabled.
     pub policy: Policy,
 }
 
 impl GatewaySettings {
-    /// How soon news of the platform's streams must be acted on.
+    /// Returns how soon new records of the platform's streams must be applied.
     pub(crate) fn news_deadlines(&self) -> NewsDeadlines {
         NewsDeadlines {
             apply: self.apply_within,
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets.
+//! Socket creation and options.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,17 +6,19 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections waiting to be accepted; a full queue costs the caller seconds.
+/// Length of the queue of connections to accept. If it is full, callers lose seconds to
+/// retransmissions.
 const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// A peer that has not acknowledged bytes for this long is taken for dead.
+/// TCP user timeout: a peer that doesn't acknowledge bytes for this long is considered dead.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The same for a caller. A caller that stops reading acknowledges nothing either, and is given up
-/// by what is held for it and by its request's deadline; this only ends what those do not.
+/// [`USER_TIMEOUT`] for callers. A caller that stops reading doesn't acknowledge bytes either. Such
+/// callers are handled by the limits on buffered data and by request deadlines; this timeout only
+/// ends the remaining ones.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for a connection to come up.
+/// Timeout for establishing a connection.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Listens on an address.
@@ -33,18 +35,19 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Sets the options that every connection has.
+/// Sets the options common to all connections.
 pub(crate) fn prepare(stream: &TcpStream) {
-    prepare_with(stream, USER_TIMEOUT);
+    set_options_with(stream, USER_TIMEOUT);
 }
 
 /// Sets the options of a caller's connection.
-pub(crate) fn prepare_caller(stream: &TcpStream) {
-    prepare_with(stream, CALLER_TIMEOUT);
+pub(crate) fn set_caller_options(stream: &TcpStream) {
+    set_options_with(stream, CALLER_TIMEOUT);
 }
 
-fn prepare_with(stream: &TcpStream, user_timeout: Duration) {
-    // A connection without these options works, only slower or longer.
+fn set_options_with(stream: &TcpStream, user_timeout: Duration) {
+    // Errors are ignored: the connection works without these options, with worse latency or
+    // timeouts.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(user_timeout));
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Tells requests and operators how far the start of this node has come.
+//! Tracks the progress of this node's start for requests, metrics and logs.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::gateway::Gateway;
 use crate::metrics::StepLabel;
 
-/// How far the start has come.
+/// Progress of the start.
 #[derive(Debug)]
-pub(crate) struct Start {
+pub(crate) struct StartTracker {
     progress: Cell<StartProgress>,
     is_complete: watch::Sender<bool>,
 }
 
-impl Default for Start {
+impl Default for StartTracker {
     fn default() -> Self {
         Self {
             progress: Cell::default(),
@@ -26,28 +26,28 @@
     }
 }
 
-impl Start {
-    /// Whether nothing is missing.
+impl StartTracker {
+    /// Returns whether all milestones are reached.
     pub(crate) fn is_complete(&self) -> bool {
         *self.is_complete.borrow()
     }
 
-    /// Whether a step is done.
+    /// Returns whether a milestone is reached.
     pub(crate) fn has(&self, milestone: Milestone) -> bool {
         self.progress.get().has(milestone)
     }
 
-    /// Waits until nothing is missing, `longest` at most.
-    pub(crate) async fn wait(&self, longest: Duration) {
-        let mut news = self.is_complete.subscribe();
-        let complete = news.wait_for(|is_complete| *is_complete);
-        // What is missing then is told by whoever needs it.
-        let _ = actix_rt::time::timeout(longest, complete).await;
+    /// Waits until the start is complete, for at most `max_wait`.
+    pub(crate) async fn wait(&self, max_wait: Duration) {
+        let mut changes = self.is_complete.subscribe();
+        let complete = changes.wait_for(|is_complete| *is_complete);
+        // Callers check for what they need, so a timeout isn't an error here.
+        let _ = actix_rt::time::timeout(max_wait, complete).await;
     }
 }
 
 impl Gateway {
-    /// Notes that a step of the start is done.
+    /// Records that a milestone is reached.
     pub(crate) fn reach(&self, milestone: Milestone) {
         let mut progress = self.start.progress.get();
         if progress.has(milestone) {
@@ -56,31 +56,31 @@
         let now = self.now();
         let is_last = progress.reach(milestone, now);
         self.start.progress.set(progress);
-        self.note_step(milestone.name(), now);
+        self.record_step(milestone.name(), now);
         if is_last {
             self.note_ready(&progress, now);
         }
     }
 
-    fn note_step(&self, step: &'static str, now: Timestamp) {
+    fn record_step(&self, step: &'static str, now: Timestamp) {
         let label = StepLabel { step };
         let gauge = self.metrics.start_ms.get_or_create(&label);
-        gauge.set(millis(now));
+        gauge.set(timestamp_millis(now));
     }
 
     fn note_ready(&self, progress: &StartProgress, now: Timestamp) {
-        let after = |milestone| progress.at(milestone).map_or(-1, millis);
+        let after = |milestone| progress.at(milestone).map_or(-1, timestamp_millis);
         log::info!(
-            after_ms = millis(now), configuration_ms = after(Milestone::Configuration),
+            after_ms = timestamp_millis(now), configuration_ms = after(Milestone::Configuration),
             workers_ms = after(Milestone::Workers), joined_ms = after(Milestone::Joined);
             "ready"
         );
-        self.note_step("ready", now);
+        self.record_step("ready", now);
         self.start.is_complete.send_replace(true);
         self.count_serving_nodes();
     }
 }
 
-fn millis(at: Timestamp) -> i64 {
+fn timestamp_millis(at: Timestamp) -> i64 {
     i64::try_from(at.0 / 1_000).unwrap_or(i64::MAX)
 }
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one request to one worker and waits for the head of its answer.
+//! Sends one request to one worker and waits for the head of its response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,54 +15,54 @@
 use prometheus_client::metrics::counter::Counter;
 use tokio_util::codec::{Decoder, Encoder};
 
-use super::answer::{Home, ends_with_connection, named_idle_time};
-use super::{Answer, Pool, WorkerConnection};
+use super::response::{PoolReturn, ends_on_close, keep_alive_timeout};
+use super::{Pool, WorkerConnection, WorkerResponse};
 use crate::buffered;
 use crate::memory::Memory;
 use crate::ports::Platform;
 use crate::socket;
 
-/// Answers to other requests that are passed over before the connection is given up.
-const MAX_FOREIGN_ANSWERS: u32 = 2;
+/// Maximum number of responses to other requests that are skipped on a connection.
+const MAX_MISMATCHED_RESPONSES: u32 = 2;
 
-/// Why no valid head of an answer came.
+/// The reason why no valid response head was received.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ExchangeError {
     /// No byte of the request can have reached the worker.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The request was sent, in part at least.
-    #[error("no answer: {0}")]
-    NoAnswer(String),
+    /// The request was sent, at least in part.
+    #[error("no response: {0}")]
+    NoResponse(String),
 }
 
-/// A request as it goes to a worker.
+/// A request to a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingRequest {
     /// Method, path and the caller's headers.
     pub(crate) head: Rc<RequestHead>,
-    /// The whole body; absent for requests that have none.
+    /// The whole body; `None` for requests without a body.
     pub(crate) body: Option<Bytes>,
-    /// Its id, which the answer must bear.
+    /// The request's id, which the response must repeat.
     pub(crate) request_id: Option<String>,
 }
 
-/// A worker to send to.
+/// The worker that a request is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// Its id.
+    /// Id of the worker.
     pub(crate) worker: String,
-    /// Its address.
+    /// Address of the worker.
     pub(crate) address: SocketAddr,
-    /// Where an engine takes the prompt from.
+    /// Where an engine gets the prompt's cached state from.
     pub(crate) prompt_source: PromptSource,
-    /// The engine to which the run's memory is copied while it runs.
+    /// The engine to which the run's memory is copied while the run is in progress.
     pub(crate) backup_at: Option<SocketAddr>,
 }
 
 impl Target {
-    /// A worker that reads the whole prompt itself.
-    pub(crate) fn plain(record: &WorkerRecord) -> Self {
+    /// Creates a target that processes the whole prompt itself and has no backup.
+    pub(crate) fn direct(record: &WorkerRecord) -> Self {
         Self {
             worker: record.id.clone(),
             address: record.address,
@@ -72,27 +72,32 @@
     }
 }
 
-/// What an exchange needs besides the request.
+/// The parameters of an exchange that don't depend on the request.
 pub(crate) struct ExchangeContext<'a> {
     pub(crate) pool: &'a Rc<Pool>,
     pub(crate) http: &'a ServiceConfig,
-    /// Counts answers that are collected.
+    /// Accounts for buffered responses.
     pub(crate) memory: &'a Memory,
     pub(crate) platform: &'a dyn Platform,
-    pub(crate) connections_made: &'a Counter,
-    /// Most connections at rest that this node may keep to the worker.
-    pub(crate) most_idle: usize,
-    /// Set before the first byte of the request may go out.
+    pub(crate) connections_opened: &'a Counter,
+    /// Maximum number of idle connections that this node keeps to the worker.
+    pub(crate) max_idle: usize,
+    /// Set before the first byte of the request may be sent.
     pub(crate) mark: SendMark,
 }
 
-/// Sends a request and waits for the head of the answer to it.
+/// Sends a request and waits for the head of its response.
+///
+/// # Errors
+///
+/// Returns [`ExchangeError::NotSent`] if no byte of the request can have reached the worker, and
+/// [`ExchangeError::NoResponse`] if the worker may have received it but no valid response came.
 pub(crate) async fn exchange(
     context: &ExchangeContext<'_>,
     target: &Target,
     request: &OutgoingRequest,
     extra_headers: HeaderMap,
-) -> Result<Answer, ExchangeError> {
+) -> Result<WorkerResponse, ExchangeError> {
     let connection = open(context, target).await?;
     let mut transfer = Transfer {
         codec: ClientCodec::new(context.http.clone()),
@@ -102,19 +107,19 @@
     };
     transfer.encode(request, extra_headers)?;
     context.mark.note_sending();
-    for _ in 0..=MAX_FOREIGN_ANSWERS {
+    for _ in 0..=MAX_MISMATCHED_RESPONSES {
         let head = transfer.next_head().await?;
-        if is_answer_to(context.platform, request, &head) {
-            return Ok(transfer.into_answer(context, target, &request.head.method, head));
+        if is_response_to(context.platform, request, &head) {
+            return Ok(transfer.into_response(context, target, &request.head.method, head));
         }
         log::warn!(
             request = request.request_id.as_deref().unwrap_or_default(), worker = target.worker.as_str();
-            "answer to another request passed over"
+            "skipped a response to another request"
         );
         transfer.skip_body(context, &head).await?;
     }
-    Err(ExchangeError::NoAnswer(
-        "answers to other requests".to_owned(),
+    Err(ExchangeError::NoResponse(
+        "only responses to other requests".to_owned(),
     ))
 }
 
@@ -128,25 +133,27 @@
     let stream = socket::connect(target.address)
         .await
         .map_err(|error| ExchangeError::NotSent(error.to_string()))?;
-    context.connections_made.inc();
+    context.connections_opened.inc();
     let (receiver, sender) = buffered::split(stream);
     Ok(WorkerConnection { receiver, sender })
 }
 
-/// Whether an answer belongs to the request. Refusals by whoever has taken over the address bear
-/// no id.
-fn is_answer_to(platform: &dyn Platform, request: &OutgoingRequest, head: &ResponseHead) -> bool {
+/// Returns whether a response belongs to the request. A process that has taken over the worker's
+/// address refuses requests without repeating their id.
+fn is_response_to(platform: &dyn Platform, request: &OutgoingRequest, head: &ResponseHead) -> bool {
     match platform.answered_id(&head.headers) {
         Some(id) => Some(id) == request.request_id.as_deref(),
         None => platform.was_not_run(head) || request.request_id.is_none(),
     }
 }
 
-/// A request under way on one connection.
+/// An exchange in progress on one connection.
 struct Transfer {
     codec: ClientCodec,
     connection: WorkerConnection,
+    /// Whether part of the request remains to be sent.
     sending: bool,
+    /// Whether any byte of the request was sent.
     any_sent: bool,
 }
 
@@ -170,7 +177,7 @@
         Ok(())
     }
 
-    /// Sends what is left to send while waiting for the head of an answer.
+    /// Sends the rest of the request while waiting for the head of a response.
     async fn next_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let buffer = &mut self.connection.receiver.buffer;
@@ -178,12 +185,13 @@
                 Ok(Some(head)) if head.status.is_informational() => continue,
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => {}
-                Err(error) => return Err(ExchangeError::NoAnswer(error.to_string())),
+                Err(error) => return Err(ExchangeError::NoResponse(error.to_string())),
             }
             self.transfer_some().await?;
         }
     }
 
+    /// Sends a part of the request or receives a part of a response, whichever is possible first.
     async fn transfer_some(&mut self) -> Result<(), ExchangeError> {
         let WorkerConnection { receiver, sender } = &mut self.connection;
         let unsent = sender.buffer.len();
@@ -196,49 +204,56 @@
                     Err(error) if !self.any_sent => {
                         Err(ExchangeError::NotSent(error.to_string()))
                     }
-                    // The worker may have answered before it closed.
+                    // The worker may have responded before it closed the connection.
                     Err(_) => Ok(()),
                 }
             }
             received = receiver.fill() => {
                 self.any_sent |= sender.buffer.len() < unsent;
                 match received {
-                    Ok(0) => Err(ExchangeError::NoAnswer("connection closed".to_owned())),
+                    Ok(0) => Err(ExchangeError::NoResponse("connection closed".to_owned())),
                     Ok(_) => Ok(()),
-                    Err(error) => Err(ExchangeError::NoAnswer(error.to_string())),
+                    Err(error) => Err(ExchangeError::NoResponse(error.to_string())),
                 }
             }
         }
     }
 
-    fn into_answer(
+    fn into_response(
         self,
         context: &ExchangeContext<'_>,
         target: &Target,
         method: &Method,
         head: ResponseHead,
-    ) -> Answer {
-        let home = Home {
+    ) -> WorkerResponse {
+        let pool_return = PoolReturn {
             pool: context.pool.clone(),
             worker: target.worker.clone(),
             reusable: !self.sending,
-            idle_time: named_idle_time(&head.headers),
-            most_idle: context.most_idle,
+            idle_timeout: keep_alive_timeout(&head.headers),
+            max_idle: context.max_idle,
         };
-        let collected = context.memory.share(HeldFor::Answers);
-        Answer::new(method, head, self.codec, self.connection, home, collected)
+        let buffered_bytes = context.memory.share(HeldFor::Answers);
+        WorkerResponse::new(
+            method,
+            head,
+            self.codec,
+            self.connection,
+            pool_return,
+            buffered_bytes,
+        )
     }
 
-    /// Reads to the end of an answer to another request. The connection is not used again after
-    /// the right answer: the fresh codec does not vouch for it.
+    /// Discards the body of a response to another request. The connection isn't returned to the
+    /// pool afterwards, because the new codec doesn't know whether it can be kept alive.
     async fn skip_body(
         &mut self,
         context: &ExchangeContext<'_>,
         head: &ResponseHead,
     ) -> Result<(), ExchangeError> {
-        if ends_with_connection(head) {
-            let reason = "answer to another request without an end".to_owned();
-            return Err(ExchangeError::NoAnswer(reason));
+        if ends_on_close(head) {
+            let reason = "response to another request without a length".to_owned();
+            return Err(ExchangeError::NoResponse(reason));
         }
         let has_body = self.codec.message_type() != MessageType::None;
         let fresh = ClientCodec::new(context.http.clone());
@@ -253,7 +268,7 @@
                 Ok(Some(Some(_))) => {}
                 Ok(Some(None)) => return Ok(()),
                 Ok(None) => self.transfer_some().await?,
-                Err(error) => return Err(ExchangeError::NoAnswer(error.to_string())),
+                Err(error) => return Err(ExchangeError::NoResponse(error.to_string())),
             }
         }
     }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,16 +1,16 @@
-//! Connections to workers and the exchange of one request and its answer.
+//! Connections to workers, and the exchange of a request and its response.
 
-mod answer;
 mod exchange;
 mod pool;
+mod response;
 
-pub(crate) use answer::Answer;
 pub(crate) use exchange::{ExchangeContext, ExchangeError, OutgoingRequest, Target, exchange};
 pub(crate) use pool::Pool;
+pub(crate) use response::WorkerResponse;
 
 use crate::buffered::{Receiver, Sender};
 
-/// A connection to a worker, at rest or in use.
+/// A connection to a worker, idle or in use.
 #[derive(Debug)]
 pub(crate) struct WorkerConnection {
     pub(crate) receiver: Receiver,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to workers at rest, kept for the next request.
+//! Pool of idle connections to workers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,12 +6,13 @@
 
 use super::WorkerConnection;
 
-/// Share of the worker's own idle time for which a connection is used again: the worker's clock
-/// starts earlier than ours, and it gives the time in whole seconds.
-const USABLE_SHARE: f64 = 0.7;
+/// Fraction of the idle timeout announced by a worker for which a connection is reused. The
+/// worker's timer starts earlier than this node's, and it announces whole seconds.
+const REUSE_FRACTION: f64 = 0.7;
 
-/// A worker that names no idle time closes after less than a second.
-const UNNAMED_IDLE_TIME: Duration = Duration::from_millis(350);
+/// Time for which connections to workers that announce no idle timeout are reused; such workers
+/// close them within a second.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(350);
 
 #[derive(Debug)]
 struct IdleConnection {
@@ -19,47 +20,48 @@
     usable_until: Instant,
 }
 
-/// Connections at rest by worker id.
+/// Idle connections by worker id.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last and is still open.
+    /// Takes the most recently used connection that is still open.
     pub(crate) fn take(&self, worker: &str) -> Option<WorkerConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(worker)?;
         let now = Instant::now();
         while let Some(mut candidate) = connections.pop() {
-            if candidate.usable_until > now && candidate.connection.receiver.is_quiet() {
+            if candidate.usable_until > now && candidate.connection.receiver.is_idle() {
                 return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// Whether a connection to a worker is likely to be at rest.
-    pub(crate) fn has(&self, worker: &str) -> bool {
+    /// Returns whether there is an idle connection to a worker that is probably still open.
+    pub(crate) fn has_idle(&self, worker: &str) -> bool {
         let idle = self.idle.borrow();
         let connections = idle.get(worker);
         let now = Instant::now();
         connections.is_some_and(|all| all.iter().any(|one| one.usable_until > now))
     }
 
-    /// Keeps a connection for the next request, unless as many as allowed are kept. `idle_time` is
-    /// what the worker said.
+    /// Adds a connection to the pool unless it has `max_idle` to the worker already. `idle_timeout`
+    /// is the idle timeout announced by the worker.
     pub(crate) fn put(
         &self,
         worker: &str,
         connection: WorkerConnection,
-        idle_time: Option<Duration>,
-        most: usize,
+        idle_timeout: Option<Duration>,
+        max_idle: usize,
     ) {
-        let usable_for = idle_time.map_or(UNNAMED_IDLE_TIME, |time| time.mul_f64(USABLE_SHARE));
+        let usable_for =
+            idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.mul_f64(REUSE_FRACTION));
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(worker.to_owned()).or_default();
-        if connections.len() >= most {
+        if connections.len() >= max_idle {
             return;
         }
         connections.push(IdleConnection {
@@ -68,12 +70,12 @@
         });
     }
 
-    /// Closes the connections of a worker that is gone.
+    /// Closes the idle connections to a worker.
     pub(crate) fn forget(&self, worker: &str) {
         self.idle.borrow_mut().remove(worker);
     }
 
-    /// Closes connections that are too old to be used again.
+    /// Closes connections whose idle timeout has passed.
     pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
--- a/crates/gateway/src/upstream/answer.rs
+++ b/crates/gateway/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! A worker's answer: its head, then its body piece by piece.
+//! A worker's response: its head, and its body in chunks.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,79 +13,79 @@
 use super::{Pool, WorkerConnection};
 use crate::memory::Share;
 
-/// An answer that ended before it was whole.
+/// The error of a response that ended before it was complete.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer broke off: {0}")]
-pub(crate) struct BrokenAnswer(pub(crate) String);
+#[error("incomplete response: {0}")]
+pub(crate) struct IncompleteResponse(pub(crate) String);
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 enum Framing {
-    /// By a length or by chunks.
+    /// By a length or by chunked encoding.
     Framed(ClientPayloadCodec),
-    /// By the end of the connection. The library's codec takes such an answer for one without a
-    /// body.
+    /// By the end of the connection. The HTTP library treats such a response as one without a body.
     UntilClose,
 }
 
-/// The answer of a worker.
-pub(crate) struct Answer {
+/// A worker's response.
+pub(crate) struct WorkerResponse {
     /// Status and headers.
     pub(crate) head: ResponseHead,
     body: Option<Body>,
-    /// Counts the bytes collected of it, for as long as the answer is held.
-    collected: Share,
+    /// Accounts for the memory of the body while it is buffered.
+    buffered_bytes: Share,
 }
 
 struct Body {
     connection: WorkerConnection,
     framing: Framing,
-    home: Home,
+    pool_return: PoolReturn,
 }
 
-/// Where a connection goes after its answer.
-pub(crate) struct Home {
+/// Parameters for returning a connection to the pool after its response.
+pub(crate) struct PoolReturn {
     /// The pool.
     pub(crate) pool: Rc<Pool>,
-    /// The worker.
+    /// Id of the worker.
     pub(crate) worker: String,
-    /// Whether the connection may be used again if its answer ends well.
+    /// Whether the connection can be reused if the response is complete.
     pub(crate) reusable: bool,
-    /// The idle time that the worker named.
-    pub(crate) idle_time: Option<Duration>,
-    /// Most connections at rest that this node may keep to the worker.
-    pub(crate) most_idle: usize,
+    /// Idle timeout that the worker announced.
+    pub(crate) idle_timeout: Option<Duration>,
+    /// Maximum number of idle connections that this node keeps to the worker.
+    pub(crate) max_idle: usize,
 }
 
-impl Home {
-    fn take_back(self, mut connection: WorkerConnection, keeps_alive: bool) {
+impl PoolReturn {
+    /// Returns the connection to the pool if it can be reused, or else closes it.
+    fn return_connection(self, mut connection: WorkerConnection, keeps_alive: bool) {
         let is_clean = connection.receiver.buffer.is_empty() && connection.sender.buffer.is_empty();
         if self.reusable && keeps_alive && is_clean {
             connection.receiver.buffer = bytes::BytesMut::new();
             connection.sender.buffer = bytes::BytesMut::new();
             self.pool
-                .put(&self.worker, connection, self.idle_time, self.most_idle);
+                .put(&self.worker, connection, self.idle_timeout, self.max_idle);
         }
     }
 }
 
-impl Answer {
-    /// An answer to a `method` request whose head has been decoded by `codec` from `connection`.
+impl WorkerResponse {
+    /// Creates the response to a `method` request, whose head `codec` decoded from `connection`.
     pub(crate) fn new(
         method: &Method,
         head: ResponseHead,
         codec: ClientCodec,
         connection: WorkerConnection,
-        home: Home,
-        collected: Share,
+        pool_return: PoolReturn,
+        buffered_bytes: Share,
     ) -> Self {
-        let framing = if method != Method::HEAD && ends_with_connection(&head) {
+        let framing = if method != Method::HEAD && ends_on_close(&head) {
             Framing::UntilClose
         } else if codec.message_type() == MessageType::None {
-            home.take_back(connection, codec.keep_alive());
+            pool_return.return_connection(connection, codec.keep_alive());
             return Self {
                 head,
                 body: None,
-                collected,
+                buffered_bytes,
             };
         } else {
             Framing::Framed(codec.into_payload_codec())
@@ -93,23 +93,23 @@
         let body = Body {
             connection,
             framing,
-            home,
+            pool_return,
         };
         Self {
             head,
             body: Some(body),
-            collected,
+            buffered_bytes,
         }
     }
 
-    /// The next piece of the body; `None` once it was whole.
-    pub(crate) async fn next_piece(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    /// Returns the next chunk of the body; `None` after the end of the body.
+    pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, IncompleteResponse> {
         loop {
             let Some(body) = &mut self.body else {
                 return Ok(None);
             };
-            match body.decode_piece()? {
-                Decoded::Piece(piece) => return Ok(Some(piece)),
+            match body.decode_chunk()? {
+                Decoded::Chunk(chunk) => return Ok(Some(chunk)),
                 Decoded::End => {
                     self.finish();
                     return Ok(None);
@@ -117,7 +117,7 @@
                 Decoded::Incomplete => {}
             }
             let received = body.connection.receiver.fill().await;
-            if received.map_err(|error| BrokenAnswer(error.to_string()))? > 0 {
+            if received.map_err(|error| IncompleteResponse(error.to_string()))? > 0 {
                 continue;
             }
             let ends_here = matches!(body.framing, Framing::UntilClose);
@@ -125,24 +125,27 @@
             if ends_here {
                 return Ok(None);
             }
-            return Err(BrokenAnswer("connection closed".to_owned()));
+            return Err(IncompleteResponse("connection closed".to_owned()));
         }
     }
 
-    /// The whole body, up to a size.
-    pub(crate) async fn whole_body(&mut self, most: usize) -> Result<Bytes, BrokenAnswer> {
+    /// Returns the whole body, or an error if it is larger than `max_bytes`.
+    pub(crate) async fn buffer_body(
+        &mut self,
+        max_bytes: usize,
+    ) -> Result<Bytes, IncompleteResponse> {
         let mut whole = bytes::BytesMut::new();
-        while let Some(piece) = self.next_piece().await? {
-            if whole.len() + piece.len() > most {
-                return Err(BrokenAnswer(format!("more than {most} bytes")));
+        while let Some(chunk) = self.next_chunk().await? {
+            if whole.len() + chunk.len() > max_bytes {
+                return Err(IncompleteResponse(format!("more than {max_bytes} bytes")));
             }
-            self.collected.set(whole.len() + piece.len());
+            self.buffered_bytes.set(whole.len() + chunk.len());
             if whole.is_empty() {
-                whole = bytes::BytesMut::from(&piece[..]);
+                whole = bytes::BytesMut::from(&chunk[..]);
             } else {
-                whole.extend_from_slice(&piece);
+                whole.extend_from_slice(&chunk);
             }
-            let memory = self.collected.memory().clone();
+            let memory = self.buffered_bytes.memory().clone();
             if !reads_answer(whole.len(), memory.pressure()) {
                 memory.relieved().await;
             }
@@ -154,33 +157,34 @@
         if let Some(body) = self.body.take()
             && let Framing::Framed(codec) = body.framing
         {
-            body.home.take_back(body.connection, codec.keep_alive());
+            body.pool_return
+                .return_connection(body.connection, codec.keep_alive());
         }
     }
 }
 
-/// What the bytes received so far hold.
+/// Result of decoding the bytes received so far.
 enum Decoded {
-    Piece(Bytes),
+    Chunk(Bytes),
     End,
     Incomplete,
 }
 
 impl Body {
-    fn decode_piece(&mut self) -> Result<Decoded, BrokenAnswer> {
+    fn decode_chunk(&mut self) -> Result<Decoded, IncompleteResponse> {
         let buffer = &mut self.connection.receiver.buffer;
         let codec = match &mut self.framing {
             Framing::Framed(codec) => codec,
             Framing::UntilClose if buffer.is_empty() => return Ok(Decoded::Incomplete),
-            Framing::UntilClose => return Ok(Decoded::Piece(buffer.split().freeze())),
+            Framing::UntilClose => return Ok(Decoded::Chunk(buffer.split().freeze())),
         };
         loop {
             let decoded = codec
                 .decode(buffer)
-                .map_err(|error| BrokenAnswer(error.to_string()))?;
+                .map_err(|error| IncompleteResponse(error.to_string()))?;
             match decoded {
-                Some(Some(piece)) if piece.is_empty() => {}
-                Some(Some(piece)) => return Ok(Decoded::Piece(piece)),
+                Some(Some(chunk)) if chunk.is_empty() => {}
+                Some(Some(chunk)) => return Ok(Decoded::Chunk(chunk)),
                 Some(None) => return Ok(Decoded::End),
                 None => return Ok(Decoded::Incomplete),
             }
@@ -188,8 +192,8 @@
     }
 }
 
-/// Whether only the end of the connection ends an answer's body.
-pub(crate) fn ends_with_connection(head: &ResponseHead) -> bool {
+/// Returns whether the body of a response ends when the connection is closed.
+pub(crate) fn ends_on_close(head: &ResponseHead) -> bool {
     let has_no_body = matches!(
         head.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
@@ -199,8 +203,8 @@
     !has_no_body && !is_framed
 }
 
-/// The idle time that a worker names in an answer.
-pub(crate) fn named_idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the timeout of a `Keep-Alive` header.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
