--- a/crates/gateway/src/forward/access.rs
+++ b/crates/gateway/src/forward/access.rs
@@ -138,8 +138,8 @@
         Err(denial) if waits_for_lease(gateway, route, denial) => denial,
         _ => return decided,
     };
-    let share = gateway.settings.policy.outage_wait_share;
-    let until = Instant::now() + outage_wait(left, share);
+    let fraction = gateway.settings.policy.outage_wait_share;
+    let until = Instant::now() + outage_wait(left, fraction);
     while Instant::now() < until {
         actix_rt::time::sleep(LEASE_POLL_INTERVAL).await;
         let decided = identify(gateway, config, route, attributes);
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -247,8 +247,8 @@
     fn max_idle_connections(&self) -> usize {
         let service = self.config.service(&self.service);
         let max_connections = service.map_or(u32::MAX, |service| service.max_connections);
-        let share = idle_connections_share(max_connections, self.gateway.serving_count.get());
-        usize::try_from(share).unwrap_or(usize::MAX)
+        let limit = idle_connections_share(max_connections, self.gateway.serving_count.get());
+        usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
     fn worker_headers(&self, target: &Target, last_event_id: Option<&str>) -> HeaderMap {
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -323,9 +323,9 @@
         if !self.route.keeps_turns || !outage.state().is_silent() {
             return Ok(());
         }
-        let share = self.gateway.settings.policy.outage_wait_share;
+        let fraction = self.gateway.settings.policy.outage_wait_share;
         let is_back = outage
-            .until_back(outage_wait(self.time_left(), share))
+            .until_back(outage_wait(self.time_left(), fraction))
             .await;
         self.gateway.metrics.note_outage_wait(is_back);
         match is_back {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -152,9 +152,9 @@
     gateway.metrics.in_flight.inc();
     let share = gateway.memory.share(HeldFor::Callers);
     let mut caller = Caller::new(codec, sender, share, closing);
-    let answered = tokio::select! {
+    let handled = tokio::select! {
         biased;
-        answered = forward::handle(gateway, &mut caller, request) => answered.is_ok(),
+        handled = forward::handle(gateway, &mut caller, request) => handled.is_ok(),
         () = receiver.closed() => {
             gateway.metrics.caller_left.inc();
             false
@@ -167,7 +167,7 @@
         .metrics
         .request_seconds
         .observe(received.elapsed().as_secs_f64());
-    answered && whole && codec.keep_alive() && !closing && gateway.stage() != Stage::Closing
+    handled && whole && codec.keep_alive() && !closing && gateway.stage() != Stage::Closing
 }
 
 async fn read_request(
