--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -10,7 +10,7 @@
 use tokio_util::codec::Encoder;
 
 use crate::buffered::Sender;
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::Refusal;
 
 /// Progress of the response to the current request.
@@ -41,7 +41,7 @@
     pub(crate) fn new(
         codec: &'a mut Codec,
         sender: &'a mut Sender,
-        unsent: Share,
+        unsent: MemoryReservation,
         close_after: bool,
     ) -> Self {
         Self {
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -6,14 +6,14 @@
 use actix_http::StatusCode;
 use actix_http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::caller::Caller;
 use crate::clock::millis;
 use crate::gateway::{Gateway, Stage};
 use crate::metrics::TenantLabel;
-use crate::ports::EntryCall;
+use crate::ports::EndpointRequest;
 use crate::server::{CallerRequest, RequestReader};
 use crate::socket;
 
@@ -50,7 +50,7 @@
             Endpoints::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
-        let share = gateway.memory.share(HeldFor::Callers);
+        let share = gateway.memory.reservation(BufferKind::Callers);
         let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
         let sent = caller
             .send_whole(response.status, &response.headers(), &response.body)
@@ -104,7 +104,7 @@
     EndpointResponse {
         status: StatusCode::OK,
         media_type: "application/json",
-        body: gateway.platform.resolve_answer(&addresses, ttl),
+        body: gateway.platform.resolve_response(&addresses, ttl),
     }
 }
 
@@ -115,7 +115,7 @@
 fn update_computed_metrics(gateway: &Gateway) {
     let (now, proof) = (gateway.now(), *gateway.config_proof.borrow());
     gateway.metrics.proof_age_ms.set(millis(proof.age(now)));
-    let read_age = millis(proof.own_age(now));
+    let read_age = millis(proof.last_read_age(now));
     gateway.metrics.config_read_age_ms.set(read_age);
     let gauges = &gateway.metrics.quota_used_percent;
     gauges.clear();
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::admission::{AdmissionMode, Arrival, Standing, Turn};
+use elderworks_gateway_core::admission::{AdmissionMode, Arrival, ProgramState, Turn};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::tenants::TenantKey;
 
@@ -74,7 +74,7 @@
                         return Ok(());
                     }
                     Some(admission::Verdict::Evicted) => AdmissionRefusal::Displaced,
-                    None => AdmissionRefusal::WaitedInVain,
+                    None => AdmissionRefusal::WaitTimedOut,
                 };
                 let room = admission::room_of(gateway, &self.service);
                 let core = gateway.admission.core.borrow();
@@ -125,7 +125,7 @@
             latest_start: now + latest_start.saturating_duration_since(Instant::now()),
             prompt_tokens: prompt.sum(),
             bytes: self.body.as_ref().map_or(0, bytes::Bytes::len),
-            spread: self.gateway.next_sequence(),
+            seed: self.gateway.next_sequence(),
         }
     }
 
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -12,8 +12,8 @@
 use elderworks_gateway_core::call::CallAttributes;
 use elderworks_gateway_core::config::{MemoryMoves, Route, ServingConfig};
 use elderworks_gateway_core::engines::PromptSource;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartKey};
-use elderworks_gateway_core::workers::idle_connections_share;
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixKey};
+use elderworks_gateway_core::workers::max_idle_connections;
 
 use super::access::SenderIdentity;
 use super::migration::{MigratableRun, RunBackup};
@@ -24,7 +24,7 @@
 use crate::admission::AdmittedTurn;
 use crate::caller::Caller;
 use crate::gateway::Gateway;
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::ports::WorkerHeaders;
 use crate::reply::Refusal;
 use crate::server::CallerRequest;
@@ -330,10 +330,10 @@
         let engine = self.config.service(&self.service)?.engine.as_ref()?;
         let (first, private) = self.attributes.prompt.split_first()?;
         Some(EngineTurn {
-            part: PartKey::of(&first.id),
-            part_tokens: first.tokens,
-            private_tokens: private.iter().map(|segment| segment.tokens).sum(),
-            answer_tokens: self.attributes.most_tokens,
+            prefix: PrefixKey::of(&first.id),
+            prefix_tokens: first.tokens,
+            suffix_tokens: private.iter().map(|segment| segment.tokens).sum(),
+            max_output_tokens: self.attributes.max_tokens,
             memory_tokens: engine.memory_tokens,
             slots: engine.slots,
         })
@@ -348,7 +348,7 @@
         self.gateway.metrics.attempts_failed.inc();
         self.waiting_since = None;
         if failure != AttemptFailure::RefusedByWorker {
-            self.gateway.pool.forget(worker);
+            self.gateway.pool.discard_connections(worker);
             self.note_worker_failure(worker);
         }
         let repeatable = self.route.is_repeatable();
@@ -356,8 +356,8 @@
             .history
             .after_failure(failure, repeatable, self.route.attempts);
         match step {
-            NextStep::TryAgain => Ok(()),
-            NextStep::TrySameWorker => {
+            NextStep::Retry => Ok(()),
+            NextStep::RetrySameWorker => {
                 self.retry_at = self.target_unless_ejected(worker);
                 match self.retry_at {
                     Some(_) => Ok(()),
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::{LONGEST_STALL, StallStep, after_stall, reads_stream};
+use elderworks_gateway_core::pressure::{MAX_STALL, StallStep, after_stall, should_read_stream};
 
 use super::CallError;
 use crate::caller::Caller;
@@ -33,8 +33,8 @@
 /// Flow control of one stream.
 pub(super) struct StreamFlow<'a> {
     gateway: &'a Gateway,
-    memory: Memory,
-    entry: StreamEntry,
+    memory: MemoryTracker,
+    entry: StreamRegistration,
     request: &'a str,
     is_resumable: bool,
     /// Silence of the worker after which [`FlowStep::Silent`] is returned, if any.
@@ -54,7 +54,7 @@
     ) -> Self {
         let memory = gateway.memory.clone();
         Self {
-            entry: memory.begin_stream(),
+            entry: memory.register_stream(),
             memory,
             gateway,
             request,
@@ -87,14 +87,14 @@
         let silence_end = self.silence_limit.map(|silence| Instant::now() + silence);
         loop {
             let unsent = caller.unsent();
-            let reads = reads_stream(unsent, buffer, self.memory.pressure());
+            let reads = should_read_stream(unsent, buffer, self.memory.pressure());
             if self.note_pause(!reads, unsent) {
                 *waiting_since = reads.then(Instant::now);
             }
-            let stall_end = self.stalled_since + LONGEST_STALL;
+            let stall_end = self.stalled_since + MAX_STALL;
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some(), if unsent > 0 => {
                     sent?;
                     self.note_sent(caller);
@@ -129,7 +129,7 @@
             let unsent = caller.unsent();
             tokio::select! {
                 biased;
-                () = self.entry.must_end() => return Err(self.give_up(unsent, MEMORY_FULL)),
+                () = self.entry.wait_for_abort() => return Err(self.give_up(unsent, MEMORY_FULL)),
                 sent = caller.send_some() => {
                     sent?;
                     self.note_sent(caller);
@@ -159,7 +159,7 @@
     }
 
     fn give_up(&self, unsent: usize, reason: &'static str) -> CallError {
-        let label = GivenUpLabel { reason };
+        let label = StalledCallerLabel { reason };
         self.gateway
             .metrics
             .callers_given_up
--- a/crates/gateway/src/forward/migration.rs
+++ b/crates/gateway/src/forward/migration.rs
@@ -9,9 +9,9 @@
 use elderworks_gateway_core::config::{MemoryMoves, RouteKind};
 use elderworks_gateway_core::engines::{MoveOutcome, PromptSource, RunCopy, RunMove};
 use elderworks_gateway_core::run_moves::backups::{BackupRules, RunSize};
-use elderworks_gateway_core::run_moves::targets::{self, ZoneWish};
+use elderworks_gateway_core::run_moves::targets::{self, ZonePreference};
 use elderworks_gateway_core::run_moves::{
-    AttemptEnd, CallEnd, EndReason, Engine, Hop, Order, Reason, RunLife,
+    AttemptEnd, CallEnd, CopyPath, EndReason, Engine, MigrationReason, RunAction, RunMigration,
 };
 
 use super::CallError;
@@ -34,12 +34,12 @@
 pub(super) struct MigratableRun {
     gateway: Rc<Gateway>,
     request_id: String,
-    life: RunLife,
+    life: RunMigration,
 }
 
 impl MigratableRun {
     fn free_unused(&mut self) {
-        for copy in self.life.take_unused() {
+        for copy in self.life.take_unused_copies() {
             let gateway = self.gateway.clone();
             let request_id = self.request_id.clone();
             actix_rt::spawn(async move { free(&gateway, &request_id, &copy).await });
@@ -141,7 +141,7 @@
                     let end = self.request_copy(hop, Some(last_event_id)).await;
                     run.life.after_stop(end)
                 }
-                Order::GoOn { at, copy } => {
+                RunAction::Resume { at, copy } => {
                     self.check_sender().map_err(CallError::Refused)?;
                     let end = match self.attempt_with_copy(&at, copy, last_event_id).await {
                         Ok(running) => {
@@ -155,12 +155,12 @@
                     let candidate = self.candidate(&at);
                     run.life.after_attempt(end, candidate)
                 }
-                Order::Read => {
+                RunAction::Read => {
                     run.free_unused();
                     self.run = Some(run);
                     return Ok(None);
                 }
-                Order::End(reason) => {
+                RunAction::End(reason) => {
                     self.note_run_ended(run.life.at(), reason);
                     return Err(CallError::Aborted(STREAM_BROKEN));
                 }
@@ -194,7 +194,7 @@
             &self.service,
             &own.worker,
             &tried,
-            ZoneWish::Same,
+            ZonePreference::Same,
             self.gateway.now(),
         );
         found.map(|worker| Engine {
@@ -272,7 +272,7 @@
         };
         self.log_failure(&at.worker, &reason);
         self.gateway.metrics.attempts_failed.inc();
-        self.gateway.pool.forget(&at.worker);
+        self.gateway.pool.discard_connections(&at.worker);
         Err(end)
     }
 
@@ -309,7 +309,7 @@
         let prompt = self.attributes.prompt.iter().map(|segment| segment.tokens);
         Some(RunSize {
             tokens: prompt.sum(),
-            left_tokens: self.attributes.most_tokens,
+            remaining_tokens: self.attributes.max_tokens,
             token_bytes: moves.token_bytes,
         })
     }
@@ -318,12 +318,12 @@
         let now = self.gateway.now();
         let policy = &self.gateway.settings.policy;
         let rules = BackupRules {
-            most_bytes_per_token: policy.backup_bytes_per_token,
-            most_at_once: policy.most_backups,
+            max_bytes_per_token: policy.backup_bytes_per_token,
+            max_concurrent: policy.most_backups,
             bytes_per_s: policy.backup_bytes_per_s,
         };
         let workers = self.gateway.workers.borrow();
-        let wish = ZoneWish::Other;
+        let wish = ZonePreference::Other;
         let worker = targets::choose(&workers, &self.service, &target.worker, &[], wish, now)?;
         let bytes = self.gateway.backups.borrow_mut().begin(&rules, size, now)?;
         self.gateway.metrics.backups.inc();
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -24,7 +24,7 @@
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::call::CallAttributes;
 use elderworks_gateway_core::config::{Route, RouteKind, ServingConfig};
-use elderworks_gateway_core::start::starting_patience;
+use elderworks_gateway_core::start::start_wait;
 
 use crate::caller::{Caller, Progress};
 use crate::clock::millis;
@@ -283,7 +283,7 @@
     fn note_config(&mut self, config: &ServingConfig) {
         self.config_version = config.version;
         let now = self.gateway.now();
-        self.config_read = self.gateway.config_proof.borrow().own_age(now);
+        self.config_read = self.gateway.config_proof.borrow().last_read_age(now);
     }
 
     fn note_refusal(&mut self, refusal: &Refusal) {
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -27,7 +27,7 @@
         let now = self.gateway.now();
         let mut quotas = self.gateway.quotas.borrow_mut();
         if self.is_sent {
-            quotas.note_further_send(now, self.ticket);
+            quotas.note_resend(now, self.ticket);
         } else {
             quotas.note_send(now, self.ticket);
         }
@@ -71,7 +71,7 @@
     /// quota is short, its later requests take precedence.
     fn order(&self) -> Order {
         let Some(program) = &self.attributes.program else {
-            return Order::Later;
+            return Order::Continuation;
         };
         let has_started = !self.is_turn()
             || self.attributes.previous_turn.is_some()
@@ -79,7 +79,7 @@
         if has_started {
             Order::Later
         } else {
-            Order::First
+            Order::NewProgram
         }
     }
 
@@ -98,21 +98,21 @@
             return Ok(ticket);
         }
         let granted = match lessor {
-            Lessor::Own => {
+            Lessor::Local => {
                 let mut quotas = gateway.quotas.borrow_mut();
                 quotas.grant(gateway.now(), tenant, quota, gateway.fleet(), None, order)
             }
-            Lessor::Other(node) => {
+            Lessor::Remote(node) => {
                 let verdict = gateway.lessors.ask(gateway, &node, tenant, order).await;
                 grant_result(verdict)
             }
-            Lessor::Absent => None,
+            Lessor::Unavailable => None,
         };
         match granted {
             Some(Ok(())) => {
                 gateway.metrics.note_quota_grant("granted");
                 let mut quotas = gateway.quotas.borrow_mut();
-                Ok(quotas.take_granted(gateway.now(), tenant, quota))
+                Ok(quotas.record_granted(gateway.now(), tenant, quota))
             }
             Some(Err(over)) => {
                 gateway.metrics.note_quota_grant("refused");
@@ -128,13 +128,13 @@
     fn admit_below_threshold(&self, tenant: TenantKey, quota: Quota) -> Option<Ticket> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
-        quotas.admit_calm(gateway.now(), tenant, quota, gateway.fleet())
+        quotas.admit_low_usage(gateway.now(), tenant, quota, gateway.fleet())
     }
 
     fn admit_from_reports(&self, tenant: TenantKey, quota: Quota) -> Result<Ticket, OverQuota> {
         let gateway = self.gateway;
         let mut quotas = gateway.quotas.borrow_mut();
-        quotas.admit_told(gateway.now(), tenant, quota, gateway.fleet())
+        quotas.admit_by_reports(gateway.now(), tenant, quota, gateway.fleet())
     }
 
     fn over_quota_refusal(&self, over: OverQuota, order: Order) -> Refusal {
@@ -147,8 +147,8 @@
                 request = self.attributes.request_id.as_deref().unwrap_or_default(),
                 tenant = self.sender.tenant.as_deref().unwrap_or_default(),
                 used = quotas.used_by(tenant), limit = quotas.limit_of(quota).round(),
-                basis = over.basis.as_str(), begins = order == Order::First,
-                held_back = over.is_held_back, nodes_heard = quotas.tellers().count(),
+                basis = over.basis.as_str(), begins = order == Order::NewProgram,
+                held_back = over.is_held_back, nodes_heard = quotas.reporting_nodes().count(),
                 pause_ms = over.retry_after.as_millis();
                 "over quota"
             );
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -4,7 +4,7 @@
 use bytes::{BufMut, BytesMut};
 use elderworks_gateway_core::attempt::AttemptFailure;
 use elderworks_gateway_core::events::EventSplitter;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::run_moves::Engine;
 use elderworks_protocol::ledger::KeptTurn;
 
@@ -13,7 +13,7 @@
 use super::worker_use::RunningResponse;
 use super::{CallError, headers};
 use crate::caller::{Caller, Progress};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::Refusal;
 
 /// Media type of event streams.
@@ -108,7 +108,7 @@
     ) -> Result<PartEnd, CallError> {
         let stores_output = self.route.keeps_turns;
         let mut splitter = EventSplitter::default();
-        let mut pending = self.gateway.memory.share(HeldFor::Answers);
+        let mut pending = self.gateway.memory.reservation(BufferKind::Answers);
         loop {
             let response = &mut running.response;
             let step = flow.next(caller, response, &mut self.waiting_since).await?;
@@ -189,7 +189,7 @@
         let Some(not_run) = self.history.not_run() else {
             return Ok(());
         };
-        if self.gateway.memory.takes_stream() {
+        if self.gateway.memory.accepts_stream() {
             return Ok(());
         }
         log::info!(
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -6,8 +6,8 @@
 use bytes::{Bytes, BytesMut};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::ledger::partition_of;
-use elderworks_gateway_core::outage_wait::{COME_BACK, outage_wait};
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::tenants::scoped;
 use elderworks_protocol::ledger::{BeginTurn, FinishTurn, KeptTurn, LedgerReply, LedgerRequest};
 use elderworks_types::{NodeId, PartitionId};
@@ -218,7 +218,7 @@
             program: program.clone(),
             turn: turn.clone(),
             budget: self.attributes.token_budget,
-            tokens: self.attributes.most_tokens,
+            tokens: self.attributes.max_tokens,
             previous: previous.filter(|_| self.route.keeps_turns),
             imported: None,
         };
@@ -345,7 +345,7 @@
         partition: PartitionId,
         mut begin: BeginTurn,
         asked: &AskedNodes,
-    ) -> Answered {
+    ) -> LedgerAnswer {
         let request = LedgerRequest::Begin(begin.clone());
         let max_wait = self.max_outage_wait();
         let answered =
@@ -362,7 +362,7 @@
                 let request = LedgerRequest::Begin(begin);
                 ledger::request(self.gateway, partition, request, asked).await
             }
-            reply => Answered { reply, ..answered },
+            reply => LedgerAnswer { reply, ..answered },
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,17 +7,19 @@
 
 use actix_http::ServiceConfig;
 use elderworks_gateway_core::access::KeyLeases;
-use elderworks_gateway_core::change_batch::{ChangeBatch, RECOMPUTING_PACE};
 use elderworks_gateway_core::cold::ColdSenders;
 use elderworks_gateway_core::config::{ActiveConfig, ServingConfig};
-use elderworks_gateway_core::config_proof::{ConfigProof, asking_age, denial_lease_of, lease_of};
+use elderworks_gateway_core::config_proof::{
+    ConfigProof, denial_lease_of, lease_of, proof_request_age,
+};
 use elderworks_gateway_core::evacuations::Evacuations;
-use elderworks_gateway_core::log_reach::LogReach;
+use elderworks_gateway_core::log_reachability::LogReachability;
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::quota::{BegunPrograms, Division, Fleet, QuotaBook};
+use elderworks_gateway_core::quota::{Division, Fleet, QuotaTracker, StartedPrograms};
+use elderworks_gateway_core::recompute_throttle::{MIN_RECOMPUTE_INTERVAL, RecomputeThrottle};
 use elderworks_gateway_core::response_time::ResponseTimer;
 use elderworks_gateway_core::run_moves::backups::Backups;
-use elderworks_gateway_core::split::SplitState;
+use elderworks_gateway_core::split::WeightedRoundRobin;
 use elderworks_gateway_core::unreadable::UnreadableKeys;
 use elderworks_gateway_core::workers::WorkerDirectory;
 use elderworks_types::{Incarnation, NodeId, Offset, Timestamp};
@@ -29,9 +31,9 @@
 use crate::feed::Feed;
 use crate::ledger::Ledger;
 use crate::log_outage::LogOutage;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::metrics::Metrics;
-use crate::peers::{LessorDesk, Peers};
+use crate::peers::{Lessors, Peers};
 use crate::ports::{Platform, StreamRecord};
 use crate::settings::GatewaySettings;
 use crate::start::StartTracker;
@@ -85,7 +87,7 @@
     pub(crate) engines: Engines,
     pub(crate) workers: RefCell<WorkerDirectory>,
     pub(crate) nodes: RefCell<NodeDirectory>,
-    pub(crate) splits: RefCell<SplitState>,
+    pub(crate) splits: RefCell<WeightedRoundRobin>,
     pub(crate) peers: Peers,
     pub(crate) pool: Rc<Pool>,
     pub(crate) ledger: Ledger,
@@ -134,11 +136,11 @@
         };
         let metrics = Metrics::new();
         let pace = match policy.batched_changes {
-            true => RECOMPUTING_PACE,
+            true => MIN_RECOMPUTE_INTERVAL,
             false => Duration::ZERO,
         };
-        let quotas = QuotaBook::new(settings.quotas, division, rand::random(), clock.now())
-            .with_order(policy.quota_order);
+        let quotas = QuotaTracker::new(settings.quotas, division, rand::random(), clock.now())
+            .with_program_priority(policy.quota_order);
         let cold = ColdSenders::new(settings.cold, &settings.node);
         let workers = WorkerDirectory::new(policy)
             .with_cold_senders(cold)
@@ -151,7 +153,7 @@
             log_read_timer: RefCell::default(),
             log_reach: RefCell::default(),
             log_outage: LogOutage::default(),
-            memory: Memory::new(settings.memory_bytes, &metrics),
+            memory: MemoryTracker::new(settings.memory_bytes, &metrics),
             admission: AdmissionDriver::new(&settings),
             backups: RefCell::default(),
             settings,
@@ -161,10 +163,10 @@
             config: RefCell::default(),
             config_proof: RefCell::default(),
             config_record: RefCell::default(),
-            config_end: Cell::default(),
+            config_stream_end: Cell::default(),
             evacuations: RefCell::default(),
             unreadable_entries: RefCell::default(),
-            proof_answered: Cell::default(),
+            last_proof_reply: Cell::default(),
             key_leases,
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
@@ -172,7 +174,7 @@
             started_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
-            splits: RefCell::new(SplitState::new(rand::random())),
+            splits: RefCell::new(WeightedRoundRobin::new(rand::random())),
             pool: Rc::default(),
             metrics,
             stage,
@@ -213,7 +215,7 @@
     /// Returns the age of the configuration proof from which other nodes are asked for a newer one.
     pub(crate) fn asking_age(&self) -> Duration {
         let reads = self.feed.reads();
-        asking_age(self.key_lease(), self.settings.apply_within, reads)
+        proof_request_age(self.key_lease(), self.settings.apply_within, reads)
     }
 
     /// Returns the current stage.
@@ -229,7 +231,7 @@
     /// Records that nodes were added, removed or changed, and recomputes derived state now or as
     /// part of a later batch.
     pub(crate) fn note_node_changes(&self) {
-        if self.node_changes.borrow_mut().note(self.now()) {
+        if self.node_changes.borrow_mut().on_change(self.now()) {
             self.recompute_nodes();
         }
     }
@@ -253,7 +255,7 @@
         }
         self.metrics.node_recomputations.inc();
         self.feed.note_node_changes();
-        self.count_serving_nodes();
+        self.update_serving_nodes();
     }
 
     /// Updates the set of nodes that callers are sent to.
@@ -282,12 +284,12 @@
 
     /// Returns the nodes of all zones that callers are sent to.
     pub(crate) fn serving_nodes<'a>(&self, nodes: &'a NodeDirectory) -> BTreeSet<&'a NodeId> {
-        nodes.offered_anywhere(|node| self.is_serving(node))
+        nodes.offered_in_any_zone(|node| self.is_serving(node))
     }
 
     /// Returns the nodes between which quotas are divided.
     pub(crate) fn fleet(&self) -> Fleet {
-        let proof_age = self.config_proof.borrow().own_age(self.now());
+        let proof_age = self.config_proof.borrow().last_read_age(self.now());
         Fleet {
             nodes: self.serving_count.get(),
             is_cut_off: proof_age.is_none_or(|age| age > CUT_OFF_AFTER),
@@ -305,7 +307,7 @@
 
     /// Returns whether callers may be sent to a node, to this node's knowledge.
     pub(crate) fn is_offered(&self, node: &NodeId) -> bool {
-        self.is_serving(node) && !self.peers.is_zone_suspected(self, node)
+        self.is_serving(node) && !self.peers.is_in_suspected_zone(self, node)
     }
 
     /// Returns listed nodes that are not alive, except this one.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::log_causes::LogCause;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::pressure::BufferKind;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -14,7 +14,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::far_bytes::FarBytes;
+use crate::cross_zone_bytes::FarBytes;
 use crate::reply::Refusal;
 
 /// Label of answered requests.
@@ -58,7 +58,7 @@
 
 /// Label of streams that were ended since their caller read nothing.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct GivenUpLabel {
+pub(crate) struct StalledCallerLabel {
     /// What did not allow to wait longer.
     pub(crate) reason: &'static str,
 }
@@ -126,7 +126,7 @@
     /// A more pressing turn took its place in the queue.
     Displaced,
     /// It got no place in the time that it could wait.
-    WaitedInVain,
+    WaitTimedOut,
 }
 
 impl AdmissionRefusal {
@@ -136,7 +136,7 @@
             Self::NoPlaceInTime => "no engine will be free in time",
             Self::QueueFull => "no more turns can wait here now",
             Self::Displaced => "a more pressing turn waits in its place",
-            Self::WaitedInVain => "no engine became free in time",
+            Self::WaitTimedOut => "no engine became free in time",
         }
     }
 }
@@ -200,11 +200,11 @@
     held_bytes: Family<HeldLabel, Gauge>,
     pub(crate) held_peak_bytes: Gauge,
     pub(crate) streams_paused: Counter,
-    pub(crate) callers_given_up: Family<GivenUpLabel, Counter>,
+    pub(crate) callers_given_up: Family<StalledCallerLabel, Counter>,
     pub(crate) admission_wait_seconds: Histogram,
     pub(crate) admission_waiting: Gauge,
     pub(crate) admission_refusals: Family<AdmissionLabel, Counter>,
-    pub(crate) runs_gone_on: Counter,
+    pub(crate) runs_resumed: Counter,
     pub(crate) runs_ended: Family<RunEndLabel, Counter>,
     pub(crate) copies_freed: Counter,
     pub(crate) copy_bytes: Counter,
@@ -273,7 +273,7 @@
             admission_wait_seconds: histogram(),
             admission_waiting: Gauge::default(),
             admission_refusals: Family::default(),
-            runs_gone_on: Counter::default(),
+            runs_resumed: Counter::default(),
             runs_ended: Family::default(),
             copies_freed: Counter::default(),
             copy_bytes: Counter::default(),
@@ -324,7 +324,7 @@
     /// Counts an answer of the gateway's own.
     pub(crate) fn note_refusal(&self, refusal: &Refusal) {
         let label = RefusalLabel {
-            not_run: if refusal.is_promise() {
+            not_run: if refusal.guarantees_not_run() {
                 "promised"
             } else {
                 "open"
@@ -335,7 +335,7 @@
     }
 
     /// The gauge of memory held for something.
-    pub(crate) fn held_bytes(&self, kind: HeldFor) -> Gauge {
+    pub(crate) fn held_bytes(&self, kind: BufferKind) -> Gauge {
         let label = HeldLabel { kind: kind.name() };
         self.held_bytes.get_or_create(&label).clone()
     }
@@ -392,7 +392,7 @@
     }
 
     /// Counts another call to the log.
-    pub(crate) fn note_log_call(&self, cause: LogCause, outcome: &'static str) {
+    pub(crate) fn note_log_call(&self, cause: LogCallPurpose, outcome: &'static str) {
         self.count_log_call(cause.name(), outcome);
     }
 
@@ -635,7 +635,7 @@
         registry.register(
             "runs_gone_on",
             "Runs that went on with a copy of their memory after their stream broke off",
-            self.runs_gone_on.clone(),
+            self.runs_resumed.clone(),
         );
         registry.register(
             "runs_ended",
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::departures::Departures;
-use elderworks_gateway_core::directory::Stream;
 use elderworks_gateway_core::drain::{DrainPlan, DrainStep};
 use elderworks_gateway_core::feed::roles::seems_small;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::nodes::NodeRecord;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_protocol::encode;
@@ -109,7 +109,7 @@
     actix_rt::spawn(watch::prove_configuration(gateway.clone()));
     actix_rt::spawn(watch::follow_workers(gateway.clone()));
     actix_rt::spawn(ledger::prepare_partitions(gateway.clone()));
-    actix_rt::spawn(peers::probe_nodes(gateway.clone(), gossip_socket.clone()));
+    actix_rt::spawn(peers::run_gossip(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
     actix_rt::spawn(log_call_counts(gateway.clone()));
@@ -216,7 +216,7 @@
 async fn wait_for_entries(gateway: &Rc<Gateway>, before: Option<Offset>) -> Offset {
     let feed = &gateway.feed;
     tokio::select! {
-        () = feed.until_nodes_heard() => feed.nodes_end().unwrap_or_default(),
+        () = feed.until_nodes_received() => feed.nodes_end().unwrap_or_default(),
         _ = feed.until_reading() => read_entries_since(gateway, before).await,
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::config::RequestLimits;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Decoder;
 
@@ -115,7 +115,7 @@
             }
             Err(ReadEnd::Closed) => break,
             Err(ReadEnd::Refuse(refusal)) => {
-                let share = gateway.memory.share(HeldFor::Callers);
+                let share = gateway.memory.reservation(BufferKind::Callers);
                 let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, true);
                 // The caller may have disconnected already.
                 let _ = caller.send_refusal(&refusal).await;
@@ -150,7 +150,7 @@
     let received = request.received;
     gateway.in_flight.set(gateway.in_flight.get() + 1);
     gateway.metrics.in_flight.inc();
-    let share = gateway.memory.share(HeldFor::Callers);
+    let share = gateway.memory.reservation(BufferKind::Callers);
     let mut caller = Caller::new(codec, sender, share, closing);
     let handled = tokio::select! {
         biased;
@@ -183,7 +183,7 @@
         .await
         .map_err(|_| ReadEnd::Refuse(Refusal::head_timeout(NotRun::before_any_attempt())))??;
     let received = Instant::now();
-    let mut memory = gateway.memory.share(HeldFor::Bodies);
+    let mut memory = gateway.memory.reservation(BufferKind::Bodies);
     let body = match codec.message_type() {
         MessageType::None if head.headers.contains_key("content-length") => Some(Bytes::new()),
         MessageType::None => None,
@@ -310,7 +310,7 @@
     let ReadEnd::Refuse(refusal) = end else {
         return;
     };
-    if !refusal.is_promise() {
+    if !refusal.guarantees_not_run() {
         return;
     }
     gateway.metrics.note_refusal(refusal);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::cold::ColdRules;
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::quota::QuotaRules;
-use elderworks_gateway_core::stream_reads::NewsDeadlines;
+use elderworks_gateway_core::stream_reads::UpdateDeadlines;
 use elderworks_types::{NodeId, ZoneId};
 
 /// Settings of a gateway process, which the adapter reads from the platform.
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -58,6 +58,6 @@
     let stream = actix_rt::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
-    prepare(&stream);
+    set_options(&stream);
     Ok(stream)
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -50,7 +50,7 @@
     /// Records that a milestone is reached.
     pub(crate) fn reach(&self, milestone: Milestone) {
         let mut progress = self.start.progress.get();
-        if progress.has(milestone) {
+        if progress.has_reached(milestone) {
             return;
         }
         let now = self.now();
@@ -77,7 +77,7 @@
         );
         self.record_step("ready", now);
         self.start.is_complete.send_replace(true);
-        self.count_serving_nodes();
+        self.update_serving_nodes();
     }
 }
 
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use elderworks_gateway_core::attempt::SendMark;
 use elderworks_gateway_core::engines::PromptSource;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::workers::WorkerRecord;
 use prometheus_client::metrics::counter::Counter;
 use tokio_util::codec::{Decoder, Encoder};
@@ -18,7 +18,7 @@
 use super::response::{PoolReturn, ends_on_close, keep_alive_timeout};
 use super::{Pool, WorkerConnection, WorkerResponse};
 use crate::buffered;
-use crate::memory::Memory;
+use crate::memory::MemoryTracker;
 use crate::ports::Platform;
 use crate::socket;
 
--- a/crates/gateway/src/upstream/response.rs
+++ b/crates/gateway/src/upstream/response.rs
@@ -7,11 +7,11 @@
 use actix_http::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use actix_http::{Method, ResponseHead, StatusCode};
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::reads_answer;
+use elderworks_gateway_core::pressure::should_read_answer;
 use tokio_util::codec::Decoder;
 
 use super::{Pool, WorkerConnection};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 
 /// The error of a response that ended before it was complete.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::config_proof::proving_pause;
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::evacuations::ZoneWish;
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::config_proof::proof_interval;
+use elderworks_gateway_core::evacuations::EvacuationOrder;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::start::Milestone;
-use elderworks_gateway_core::stream_reads::ReadTimes;
+use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_types::{Offset, Timestamp};
 
 use super::{Follower, PROOF_TIMEOUT, follow, limits, read_more};
@@ -33,20 +33,22 @@
         };
         // Exponentially distributed pauses: nodes that start together soon read at any time.
         let share = -(1.0 - rand::random::<f64>()).ln();
-        actix_rt::time::sleep(proving_pause(nodes).mul_f64(share)).await;
+        actix_rt::time::sleep(proof_interval(nodes).mul_f64(share)).await;
         let Some(from) = gateway
-            .config_end
+            .config_stream_end
             .get()
             .filter(|_| gateway.key_lease().is_some() || gateway.feed.reads_for_others())
         else {
             continue;
         };
         let sent = gateway.now();
-        let limits = limits(ReadTimes::at_once(PROOF_TIMEOUT));
+        let limits = limits(ReadTimeouts::immediate(PROOF_TIMEOUT));
         // Failures are told by the follower of the configuration.
         let read = read_more::<ConfigurationFollower>(&gateway, from, limits).await;
         let outcome = if read.is_ok() { "ok" } else { "failed" };
-        gateway.metrics.note_log_call(LogCause::Prove, outcome);
+        gateway
+            .metrics
+            .note_log_call(LogCallPurpose::Prove, outcome);
         if let Ok(progress) = read
             && progress.is_complete
         {
@@ -62,7 +64,7 @@
 
     fn note_current(gateway: &Gateway, sent: Timestamp, end: Offset) {
         gateway.config_proof.borrow_mut().note_read(sent);
-        gateway.config_end.set(Some(end));
+        gateway.config_stream_end.set(Some(end));
     }
 
     fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
@@ -71,12 +73,12 @@
             .filter_map(|record| evacuated_zone(gateway, record))
             .collect();
         let zones = zones.iter().map(String::as_str).collect();
-        let lifted = gateway.evacuations.borrow_mut().lift_all_but(&zones, end);
+        let lifted = gateway.evacuations.borrow_mut().lift_unlisted(&zones, end);
         for zone in &lifted {
             log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone takes work again");
         }
         if !lifted.is_empty() {
-            gateway.act_on_evacuations();
+            gateway.apply_evacuations();
         }
         Self::take_more(gateway, records);
     }
@@ -90,7 +92,7 @@
 
 /// The zone that a record asks to empty, if it asks for that.
 fn evacuated_zone(gateway: &Gateway, record: &StreamRecord) -> Option<String> {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Evacuation { zone, is_on: true }) => Some(zone),
         _ => None,
     }
@@ -98,22 +100,22 @@
 
 /// Takes what the operator has published.
 pub(crate) fn take_publication(gateway: &Gateway, record: &StreamRecord) {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Configuration(config)) => take_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
-            take_zone_wish(gateway, &zone, ZoneWish { offset, is_on }, "log");
+            take_zone_wish(gateway, &zone, EvacuationOrder { offset, is_on }, "log");
         }
         Ok(Publication::Other) => {}
         Err(error) => {
             log::error!(offset = record.offset.0, error = error.to_string().as_str(); "configuration cannot be read");
-            gateway.config_proof.borrow_mut().obscure();
+            gateway.config_proof.borrow_mut().note_unreadable();
         }
     }
 }
 
 /// Takes the operator's wish for a zone, whoever has told it, unless it is older than what is known.
-pub(crate) fn take_zone_wish(gateway: &Gateway, zone: &str, wish: ZoneWish, by: &str) {
+pub(crate) fn take_zone_wish(gateway: &Gateway, zone: &str, wish: EvacuationOrder, by: &str) {
     if !gateway.evacuations.borrow_mut().note(zone, wish) {
         return;
     }
@@ -122,7 +124,7 @@
         false => "zone takes work again",
     };
     log::info!(zone = zone, offset = wish.offset.0, by = by; "{news}");
-    gateway.act_on_evacuations();
+    gateway.apply_evacuations();
 }
 
 /// Takes a configuration into force, from the log or from another node, unless one of the same or a
@@ -140,7 +142,7 @@
     gateway.config_proof.borrow_mut().replace(version);
     *gateway.config_record.borrow_mut() = Some(record.clone());
     log::info!(version = version, routes = routes, tenants = tenants, offset = record.offset.0; "configuration in force");
-    gateway.reach(Milestone::Configuration);
+    gateway.reach_milestone(Milestone::Configuration);
     gateway.peers.wake_owners();
     let version = i64::try_from(version).unwrap_or(i64::MAX);
     gateway.metrics.config_version.set(version);
