--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -116,7 +116,7 @@
             core.withdraw(&self.service, self.ticket);
         } else if self.verdict.try_recv() == Ok(Verdict::Admitted) {
             // Admitted but not run: the slot is released.
-            driver.core.borrow_mut().end(&self.service, None);
+            driver.core.borrow_mut().complete(&self.service, None);
             admit_queued(&self.gateway, &self.service);
         }
         self.gateway.update_queue_metric();
@@ -152,7 +152,7 @@
     fn drop(&mut self) {
         let took = self.is_complete.then(|| self.since.elapsed());
         let driver = &self.gateway.admission;
-        driver.core.borrow_mut().end(&self.service, took);
+        driver.core.borrow_mut().complete(&self.service, took);
         admit_queued(&self.gateway, &self.service);
     }
 }
@@ -177,7 +177,7 @@
     };
     for ticket in released {
         if !driver.notify(ticket, Verdict::Admitted) {
-            driver.core.borrow_mut().end(service, None);
+            driver.core.borrow_mut().complete(service, None);
         }
     }
     gateway.update_queue_metric();
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -29,7 +29,7 @@
     codec: &'a mut Codec,
     sender: &'a mut Sender,
     /// Accounts for bytes that are encoded but not sent.
-    unsent: Share,
+    unsent: MemoryReservation,
     close_after: bool,
     progress: Progress,
     status: Option<StatusCode>,
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -42,7 +42,7 @@
 }
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, endpoints: Endpoints) {
-    socket::prepare(&stream);
+    socket::set_options(&stream);
     let mut reader = RequestReader::new(&gateway, stream);
     while let Ok(request) = reader.next(&gateway).await {
         let response = match endpoints {
@@ -79,12 +79,12 @@
 fn respond(gateway: &Gateway, request: &CallerRequest) -> EndpointResponse {
     let requested = gateway
         .platform
-        .entry_call(&request.head.method, &request.head.uri);
+        .parse_endpoint_request(&request.head.method, &request.head.uri);
     match requested {
-        EntryCall::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
-        EntryCall::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        EntryCall::Resolve { zone } => resolve(gateway, zone.as_deref()),
-        EntryCall::Unknown => text(StatusCode::NOT_FOUND, "no such endpoint"),
+        EndpointRequest::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
+        EndpointRequest::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        EndpointRequest::Resolve { zone } => resolve(gateway, zone.as_deref()),
+        EndpointRequest::Unknown => text(StatusCode::NOT_FOUND, "no such endpoint"),
     }
 }
 
--- a/crates/gateway/src/forward/access.rs
+++ b/crates/gateway/src/forward/access.rs
@@ -35,7 +35,7 @@
 fn lease_retry(gateway: &Gateway) -> Duration {
     let now = gateway.now();
     let is_recent = |answered| now.since(answered) < PEER_REPLY_MAX_AGE;
-    if gateway.proof_answered.get().is_some_and(is_recent) {
+    if gateway.last_proof_reply.get().is_some_and(is_recent) {
         OUTAGE_RETRY
     } else {
         OTHER_NODE_RETRY
@@ -112,8 +112,8 @@
             quota: tenant.and_then(|tenant| Some((tenant.key(), tenant.quota?))),
         }),
         Access::Denied => Err(Denial::InvalidKey),
-        Access::KeyUnsure => Err(Denial::UnconfirmedKey),
-        Access::LeaseOver => Err(Denial::LeaseExpired(lease_retry(gateway))),
+        Access::KeyUnverified => Err(Denial::UnconfirmedKey),
+        Access::LeaseExpired => Err(Denial::LeaseExpired(lease_retry(gateway))),
     }
 }
 
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -38,7 +38,7 @@
         let arrived = Instant::now();
         let latest_start = self.latest_start();
         let admission_turn = self.admission_turn(latest_start);
-        let (urgency, spread) = (admission_turn.urgency, admission_turn.spread);
+        let (urgency, spread) = (admission_turn.urgency, admission_turn.seed);
         let room = admission::room_of(gateway, &self.service);
         let decision = {
             let mut core = gateway.admission.core.borrow_mut();
@@ -51,7 +51,7 @@
             slots: room.slots,
         };
         match decision.arrival {
-            Arrival::Go => {
+            Arrival::Admit => {
                 self.slot = Some(AdmittedTurn::start(gateway, &self.service));
                 Ok(())
             }
@@ -115,9 +115,9 @@
         Turn {
             urgency: self.sender.priority.unwrap_or(self.route.priority),
             tenant: self.tenant_key(),
-            standing: match has_started {
-                true => Standing::Begun,
-                false => Standing::New,
+            program_state: match has_started {
+                true => ProgramState::Started,
+                false => ProgramState::New,
             },
             finish: attributes
                 .finish
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -56,7 +56,7 @@
     pub(super) history: AttemptHistory,
     pub(super) milestones: Milestones,
     /// Accounts for the body's memory while the call holds it.
-    _memory: Share,
+    _memory: MemoryReservation,
     tried: TriedWorkers,
     /// The worker of the next attempt, if the route allows no other.
     retry_at: Option<Target>,
@@ -199,7 +199,7 @@
             platform: &*self.gateway.platform,
             connections_opened: &self.gateway.metrics.worker_connections,
             max_idle: self.max_idle_connections(),
-            mark: self.history.begin(),
+            mark: self.history.start_attempt(),
         };
         self.gateway.metrics.attempts.inc();
         if let Some(counted) = &mut self.counted {
@@ -247,7 +247,7 @@
     fn max_idle_connections(&self) -> usize {
         let service = self.config.service(&self.service);
         let max_connections = service.map_or(u32::MAX, |service| service.max_connections);
-        let limit = idle_connections_share(max_connections, self.gateway.serving_count.get());
+        let limit = max_idle_connections(max_connections, self.gateway.serving_count.get());
         usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
@@ -290,7 +290,7 @@
             repeatable: self.route.is_repeatable(),
             tried: &tried,
             turn: self.engine_turn(),
-            spread: self.gateway.next_sequence(),
+            seed: self.gateway.next_sequence(),
             is_connected: &|worker| prefers_idle && self.gateway.pool.has_idle(worker),
         };
         let now = self.gateway.now();
@@ -311,7 +311,7 @@
             if let Some((source, bytes)) = source {
                 target.prompt_source = PromptSource::Engine(source);
                 self.gateway.metrics.note_prompt_fetch(bytes);
-                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.part_tokens; "engine fetches the prompt's shared segment from another engine");
+                log::info!(worker = target.worker.as_str(), source = source.to_string().as_str(), tokens = turn.prefix_tokens; "engine fetches the prompt's shared segment from another engine");
             }
         }
         Ok(target)
@@ -382,7 +382,7 @@
         let now = self.gateway.now();
         let workers = self.gateway.workers.borrow();
         let known = workers.get(worker)?;
-        let accepts_requests = workers.is_open(known) && !workers.is_held_back(known, now);
+        let accepts_requests = workers.is_open(known) && !workers.is_throttled(known, now);
         let is_usable = accepts_requests && !known.is_ejected(now);
         is_usable.then(|| Target::direct(&known.record))
     }
--- a/crates/gateway/src/forward/flow.rs
+++ b/crates/gateway/src/forward/flow.rs
@@ -12,8 +12,8 @@
 use super::CallError;
 use crate::caller::Caller;
 use crate::gateway::Gateway;
-use crate::memory::{Memory, StreamEntry};
-use crate::metrics::GivenUpLabel;
+use crate::memory::{MemoryTracker, StreamRegistration};
+use crate::metrics::StalledCallerLabel;
 use crate::upstream::WorkerResponse;
 
 /// The next step of a forwarded stream.
@@ -112,7 +112,7 @@
                 () = tokio::time::sleep_until(stall_end.into()), if !reads => {
                     match after_stall(self.stalled_since.elapsed(), self.is_resumable) {
                         StallStep::Wait => {}
-                        StallStep::LetWorkerGo => {
+                        StallStep::ReleaseWorker => {
                             self.log(unsent, "worker released: the caller is not reading");
                             return Ok(FlowStep::ReleaseWorker);
                         }
--- a/crates/gateway/src/forward/migration.rs
+++ b/crates/gateway/src/forward/migration.rs
@@ -107,7 +107,7 @@
         let Some(last_event_id) = last_event_id else {
             return Ok(None);
         };
-        self.migrate(running.engine(), last_event_id, Reason::Silent)
+        self.migrate(running.engine(), last_event_id, MigrationReason::Silent)
             .await
     }
 
@@ -120,7 +120,9 @@
         let (Some(_), Some(last_event_id)) = (self.memory_moves(), last_event_id) else {
             return Err(CallError::Aborted(STREAM_BROKEN));
         };
-        let resumed = self.migrate(from, last_event_id, Reason::Broken).await?;
+        let resumed = self
+            .migrate(from, last_event_id, MigrationReason::Broken)
+            .await?;
         resumed.ok_or(CallError::Aborted(STREAM_BROKEN))
     }
 
@@ -129,15 +131,15 @@
         &mut self,
         from: Engine,
         last_event_id: &str,
-        reason: Reason,
+        reason: MigrationReason,
     ) -> Result<Option<RunningResponse>, CallError> {
         let mut run = self.migratable_run(from);
         let candidate = self.candidate(run.life.at());
         let mut order = run.life.leave(reason, candidate);
         loop {
             order = match order {
-                Order::Copy(hop) => run.life.after_copy(self.request_copy(hop, None).await),
-                Order::Stop(hop) => {
+                RunAction::Copy(hop) => run.life.after_copy(self.request_copy(hop, None).await),
+                RunAction::Stop(hop) => {
                     let end = self.request_copy(hop, Some(last_event_id)).await;
                     run.life.after_stop(end)
                 }
@@ -181,7 +183,7 @@
         let max_engines = self.route.attempts;
         MigratableRun {
             gateway: self.gateway.clone(),
-            life: RunLife::new(request_id.clone(), from, backup, ran_at, max_engines),
+            life: RunMigration::new(request_id.clone(), from, backup, ran_at, max_engines),
             request_id,
         }
     }
@@ -203,7 +205,7 @@
         })
     }
 
-    async fn request_copy(&self, hop: Hop, stop_after: Option<&str>) -> CallEnd {
+    async fn request_copy(&self, hop: CopyPath, stop_after: Option<&str>) -> CallEnd {
         let started = Instant::now();
         let request_id = self.attributes.request_id.clone().unwrap_or_default();
         let wanted = RunMove {
@@ -338,7 +340,7 @@
     }
 
     fn note_migrated(&self, at: &Engine) {
-        self.gateway.metrics.runs_gone_on.inc();
+        self.gateway.metrics.runs_resumed.inc();
         log::info!(
             request = self.attributes.request_id.as_deref().unwrap_or_default(),
             worker = at.worker.as_str(), ms = self.received.elapsed().as_millis();
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -109,7 +109,7 @@
     if gateway.start.is_complete() || !gateway.settings.policy.starting_patience {
         return;
     }
-    let max_wait = starting_patience(attributes.deadline);
+    let max_wait = start_wait(attributes.deadline);
     gateway.start.wait(max_wait).await;
 }
 
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -77,7 +77,7 @@
             || self.attributes.previous_turn.is_some()
             || (self.gateway.started_programs.borrow()).contains(&self.scoped_id(program));
         if has_started {
-            Order::Later
+            Order::Continuation
         } else {
             Order::NewProgram
         }
@@ -90,8 +90,8 @@
         order: Order,
     ) -> Result<Ticket, OverQuota> {
         let gateway = self.gateway;
-        let lessor = gateway.lessors.lessor(gateway, tenant);
-        if lessor == Lessor::Absent {
+        let lessor = gateway.lessors.lessor_for(gateway, tenant);
+        if lessor == Lessor::Unavailable {
             return self.admit_from_reports(tenant, quota);
         }
         if let Some(ticket) = self.admit_below_threshold(tenant, quota) {
--- a/crates/gateway/src/forward/resumption.rs
+++ b/crates/gateway/src/forward/resumption.rs
@@ -73,7 +73,7 @@
         let workers = self.gateway.workers.borrow();
         let same = workers
             .get(worker)
-            .filter(|known| workers.is_open(known) && !workers.is_held_back(known, now))
+            .filter(|known| workers.is_open(known) && !workers.is_throttled(known, now))
             .map(|known| Target::direct(&known.record));
         Ok(same)
     }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -33,7 +33,7 @@
     /// Data of the events so far, each followed by a line feed, if the turn is stored.
     output: BytesMut,
     /// Accounts for the memory of `output`.
-    output_memory: Share,
+    output_memory: MemoryReservation,
 }
 
 /// How a worker's part of a stream ended.
@@ -54,7 +54,7 @@
             last_event_id: self.attributes.last_event_id.clone(),
             resumptions: 0,
             output: BytesMut::new(),
-            output_memory: self.gateway.memory.share(HeldFor::KeptTurns),
+            output_memory: self.gateway.memory.reservation(BufferKind::KeptTurns),
         };
         let request = self.attributes.request_id.as_deref().unwrap_or_default();
         let mut flow = StreamFlow::new(
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -14,8 +14,8 @@
 
 use super::attempts::Call;
 use crate::gateway::Gateway;
-use crate::ledger::{self, Answered, AskedNodes};
-use crate::memory::Share;
+use crate::ledger::{self, AskedNodes, LedgerAnswer};
+use crate::memory::MemoryReservation;
 use crate::reply::{ErrorStatus, Refusal};
 
 /// Maximum number of attempts to report the end of a turn.
@@ -57,7 +57,7 @@
     used: u64,
     input: Bytes,
     /// Accounts for the memory of the body, which begins with the turn's conversation.
-    conversation: Share,
+    conversation: MemoryReservation,
     /// Whether the granter needs no further report.
     settled: bool,
 }
@@ -167,12 +167,13 @@
         ..report
     });
     for _ in 0..MAX_FINISH_ATTEMPTS {
-        let reply = ledger::request_of(gateway, granter, partition, immediate.clone()).await;
+        let reply =
+            ledger::request_from_granter(gateway, granter, partition, immediate.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
         let pause = actix_rt::time::sleep(FINISH_RETRY_INTERVAL);
-        let waiting = ledger::request_on_return(gateway, partition, deferred.clone());
+        let waiting = ledger::request_when_log_returns(gateway, partition, deferred.clone());
         if waiting.await == LedgerReply::Finished {
             return true;
         }
@@ -189,7 +190,8 @@
     request: LedgerRequest,
 ) -> bool {
     for _ in 0..MAX_FINISH_ATTEMPTS {
-        let reply = ledger::request_of(gateway, granter, partition, request.clone()).await;
+        let reply =
+            ledger::request_from_granter(gateway, granter, partition, request.clone()).await;
         if reply == LedgerReply::Finished {
             return true;
         }
@@ -233,7 +235,7 @@
             tokens_per_event: self.tokens_per_event(),
             used: 0,
             input: input.clone(),
-            conversation: self.gateway.memory.share(HeldFor::Conversations),
+            conversation: self.gateway.memory.reservation(BufferKind::Conversations),
             settled: false,
         };
         let conversation = self.obtain_permit(permit, partition, begin).await?;
@@ -325,7 +327,7 @@
         }
         let fraction = self.gateway.settings.policy.outage_wait_share;
         let is_back = outage
-            .until_back(outage_wait(self.time_left(), fraction))
+            .wait_until_available(outage_wait(self.time_left(), fraction))
             .await;
         self.gateway.metrics.note_outage_wait(is_back);
         match is_back {
@@ -349,7 +351,7 @@
         let request = LedgerRequest::Begin(begin.clone());
         let max_wait = self.max_outage_wait();
         let answered =
-            ledger::request_patiently(self.gateway, partition, request, max_wait, asked).await;
+            ledger::request_with_retries(self.gateway, partition, request, max_wait, asked).await;
         let Some(previous) = begin.previous.clone() else {
             return answered;
         };
@@ -404,6 +406,6 @@
 
     /// Returns the response; permits are requested before the first attempt, so nothing has run.
     fn refusal(self) -> Refusal {
-        Refusal::not_run_retry_after(NotRun::before_any_attempt(), self.reason(), COME_BACK)
+        Refusal::not_run_retry_after(NotRun::before_any_attempt(), self.reason(), RETRY_AFTER)
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -66,21 +66,21 @@
     /// The record of the current configuration, for nodes that can't read the log.
     pub(crate) config_record: RefCell<Option<StreamRecord>>,
     /// End offset of the configuration stream at the last read.
-    pub(crate) config_end: Cell<Option<Offset>>,
+    pub(crate) config_stream_end: Cell<Option<Offset>>,
     /// Zones whose workers get no new requests.
     pub(crate) evacuations: RefCell<Evacuations>,
     /// Keys of stream entries that could not be parsed.
     pub(crate) unreadable_entries: RefCell<UnreadableKeys>,
     /// When another node last replied to a request for its configuration proof.
-    pub(crate) proof_answered: Cell<Option<Timestamp>>,
+    pub(crate) last_proof_reply: Cell<Option<Timestamp>>,
     /// Maximum age of the configuration proof for accepting and for refusing keys.
     pub(crate) key_leases: KeyLeases,
     /// Requests sent per tenant, at this node and elsewhere.
-    pub(crate) quotas: RefCell<QuotaBook>,
+    pub(crate) quotas: RefCell<QuotaTracker>,
     /// State of other nodes as quota lessors, and pending grant requests.
-    pub(crate) lessors: LessorDesk,
+    pub(crate) lessors: Lessors,
     /// Programs started at this node by tenants with quotas.
-    pub(crate) started_programs: RefCell<BegunPrograms>,
+    pub(crate) started_programs: RefCell<StartedPrograms>,
     /// Whether this node reads the log's streams, and what it receives of them from other nodes.
     pub(crate) feed: Feed,
     /// Engines whose cache contents this node reads.
@@ -96,7 +96,7 @@
     /// Response times of the ledger's log reads, which may return many records.
     pub(crate) log_read_timer: RefCell<ResponseTimer>,
     /// Whether the log responds to this node.
-    pub(crate) log_reach: RefCell<LogReach>,
+    pub(crate) log_reach: RefCell<LogReachability>,
     /// Whether the log responds to any node.
     pub(crate) log_outage: LogOutage,
     pub(crate) metrics: Metrics,
@@ -106,7 +106,7 @@
     /// The nodes of all zones that callers are sent to.
     pub(crate) serving: RefCell<BTreeSet<NodeId>>,
     /// Memory accounting of buffers for callers, workers and peers.
-    pub(crate) memory: Memory,
+    pub(crate) memory: MemoryTracker,
     /// Turns queued for engine slots.
     pub(crate) admission: AdmissionDriver,
     /// Runs at this node that have a backup.
@@ -116,7 +116,7 @@
     /// Progress of the node's start.
     pub(crate) start: StartTracker,
     /// Node changes that are applied as one batch.
-    node_changes: RefCell<ChangeBatch>,
+    node_changes: RefCell<RecomputeThrottle>,
     sequence: Cell<u64>,
 }
 
@@ -170,7 +170,7 @@
             key_leases,
             quotas: RefCell::new(quotas),
             engines: Engines::default(),
-            lessors: LessorDesk::default(),
+            lessors: Lessors::default(),
             started_programs: RefCell::default(),
             workers: RefCell::new(workers),
             nodes: RefCell::new(NodeDirectory::new(&policy)),
@@ -182,7 +182,7 @@
             serving: RefCell::default(),
             in_flight: Cell::new(0),
             start: StartTracker::default(),
-            node_changes: RefCell::new(ChangeBatch::new(pace)),
+            node_changes: RefCell::new(RecomputeThrottle::new(pace)),
             sequence: Cell::new(0),
         })
     }
@@ -193,7 +193,7 @@
     }
 
     /// Returns the time since the process started.
-    pub(crate) fn age(&self) -> Duration {
+    pub(crate) fn uptime(&self) -> Duration {
         self.now().since(Timestamp::default())
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Returns the age of the configuration proof from which other nodes are asked for a newer one.
-    pub(crate) fn asking_age(&self) -> Duration {
+    pub(crate) fn proof_request_age(&self) -> Duration {
         let reads = self.feed.reads();
         proof_request_age(self.key_lease(), self.settings.apply_within, reads)
     }
@@ -237,15 +237,15 @@
     }
 
     /// Recomputes derived state if a batch of node changes is due.
-    pub(crate) fn act_on_node_changes(&self) {
+    pub(crate) fn apply_due_node_changes(&self) {
         if self.node_changes.borrow_mut().take_due(self.now()) {
             self.recompute_nodes();
         }
     }
 
     /// Recomputes derived state immediately, for callers that need the current state of the nodes.
-    pub(crate) fn act_on_node_changes_now(&self) {
-        self.node_changes.borrow_mut().act(self.now());
+    pub(crate) fn apply_node_changes_now(&self) {
+        self.node_changes.borrow_mut().mark_recomputed(self.now());
         self.recompute_nodes();
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Updates the set of nodes that callers are sent to.
-    pub(crate) fn count_serving_nodes(&self) {
+    pub(crate) fn update_serving_nodes(&self) {
         let nodes = self.nodes.borrow();
         let serving = self.serving_nodes(&nodes);
         let count = serving.len();
@@ -271,7 +271,7 @@
     }
 
     /// Applies the current evacuations to the worker directory and the feed.
-    pub(crate) fn act_on_evacuations(&self) {
+    pub(crate) fn apply_evacuations(&self) {
         let evacuations = self.evacuations.borrow();
         let now = self.now();
         let mut workers = self.workers.borrow_mut();
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -145,7 +145,7 @@
 
 /// A request to one of the gateway's own endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum EntryCall {
+pub enum EndpointRequest {
     /// Asks whether this node is ready.
     Ready,
     /// Asks for the addresses of nodes that accept requests.
@@ -190,17 +190,17 @@
     ) -> LocalBoxFuture<'_, Result<ReadBatch, StoreError>>;
 
     /// Reads a page of the newest record of each key, in key order, starting after the key `after`.
-    fn newest<'a>(
+    fn read_newest<'a>(
         &'a self,
         stream: Stream,
         after: Option<&'a str>,
     ) -> LocalBoxFuture<'a, Result<NewestPage, StoreError>>;
 
     /// Parses a record of [`Stream::Configuration`].
-    fn publication(&self, record: &StreamRecord) -> Result<Publication, FormatError>;
+    fn parse_publication(&self, record: &StreamRecord) -> Result<Publication, FormatError>;
 
     /// Parses a record of [`Stream::Workers`].
-    fn worker(&self, record: &StreamRecord) -> Result<WorkerRecord, FormatError>;
+    fn parse_worker(&self, record: &StreamRecord) -> Result<WorkerRecord, FormatError>;
 
     /// Parses the headers of a request.
     fn call_attributes(&self, headers: &HeaderMap) -> CallAttributes;
@@ -216,13 +216,13 @@
     fn was_not_run(&self, response: &ResponseHead) -> bool;
 
     /// Returns the request id that a response repeats.
-    fn answered_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
+    fn response_request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
     /// Parses a request to one of the gateway's own endpoints.
-    fn entry_call(&self, method: &Method, uri: &Uri) -> EntryCall;
+    fn parse_endpoint_request(&self, method: &Method, uri: &Uri) -> EndpointRequest;
 
-    /// Returns the JSON body of the response to [`EntryCall::Resolve`].
-    fn resolve_answer(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
+    /// Returns the JSON body of the response to [`EndpointRequest::Resolve`].
+    fn resolve_response(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
 
     /// Returns an engine's report of its own state.
     fn engine_report(
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -64,7 +64,7 @@
 }
 
 /// A running gateway. Its tasks continue when this is dropped.
-pub struct Running {
+pub struct RunningGateway {
     gateway: Rc<Gateway>,
     gossip_socket: Rc<UdpSocket>,
 }
@@ -75,7 +75,10 @@
 /// # Errors
 ///
 /// Fails if a required address can't be listened on.
-pub fn start(mut settings: GatewaySettings, platform: Rc<dyn Platform>) -> eyre::Result<Running> {
+pub fn start(
+    mut settings: GatewaySettings,
+    platform: Rc<dyn Platform>,
+) -> eyre::Result<RunningGateway> {
     let listeners = Listeners::bind(&mut settings)?;
     log::info!(
         node = settings.node.as_str(), zone = settings.zone.as_str(),
@@ -113,13 +116,13 @@
     actix_rt::spawn(join(gateway.clone(), gossip_socket.clone()));
     actix_rt::spawn(engines::read_engines(gateway.clone()));
     actix_rt::spawn(log_call_counts(gateway.clone()));
-    Ok(Running {
+    Ok(RunningGateway {
         gateway,
         gossip_socket,
     })
 }
 
-impl Running {
+impl RunningGateway {
     /// Returns the settings with the assigned ports.
     pub fn settings(&self) -> &GatewaySettings {
         &self.gateway.settings
@@ -207,7 +210,7 @@
     let peers = &gateway.peers;
     peers.join(&gateway, &gossip_socket, incarnation, seeds);
     log::info!(incarnation = incarnation.0; "joined");
-    gateway.reach(Milestone::Joined);
+    gateway.reach_milestone(Milestone::Joined);
     remove_departed_nodes(gateway).await;
 }
 
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether the response guarantees that the request was not run and won't be.
-    pub(crate) fn is_promise(&self) -> bool {
+    pub(crate) fn guarantees_not_run(&self) -> bool {
         self.has_guarantee
     }
 
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -18,7 +18,7 @@
 use crate::caller::{Caller, Progress};
 use crate::forward;
 use crate::gateway::{Gateway, Stage};
-use crate::memory::Share;
+use crate::memory::MemoryReservation;
 use crate::reply::{ErrorStatus, Refusal};
 use crate::socket;
 
@@ -41,7 +41,7 @@
     /// When its head was read.
     pub(crate) received: Instant,
     /// Accounts for the body's memory while the request is in progress.
-    pub(crate) memory: Share,
+    pub(crate) memory: MemoryReservation,
 }
 
 /// Accepts connections of callers until the process is closing.
@@ -273,7 +273,7 @@
     codec: &mut Codec,
     receiver: &mut Receiver,
     max_bytes: usize,
-    memory: &mut Share,
+    memory: &mut MemoryReservation,
 ) -> Result<Bytes, ReadEnd> {
     let mut body = BytesMut::new();
     loop {
@@ -284,7 +284,7 @@
                     let refusal = Refusal::error(ErrorStatus::BodyTooLarge, reason);
                     return Err(ReadEnd::Refuse(refusal));
                 }
-                if !memory.grow_body(chunk.len()) {
+                if !memory.try_grow_body(chunk.len()) {
                     let reason = "no memory for the body of the request now";
                     let refusal = Refusal::not_run(NotRun::before_any_attempt(), reason);
                     return Err(ReadEnd::Refuse(refusal));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -58,8 +58,8 @@
 
 impl GatewaySettings {
     /// Returns how soon new records of the platform's streams must be applied.
-    pub(crate) fn news_deadlines(&self) -> NewsDeadlines {
-        NewsDeadlines {
+    pub(crate) fn news_deadlines(&self) -> UpdateDeadlines {
+        UpdateDeadlines {
             apply: self.apply_within,
             drain: self.drain_notice,
         }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -36,7 +36,7 @@
 }
 
 /// Sets the options common to all connections.
-pub(crate) fn prepare(stream: &TcpStream) {
+pub(crate) fn set_options(stream: &TcpStream) {
     set_options_with(stream, USER_TIMEOUT);
 }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -33,8 +33,8 @@
     }
 
     /// Returns whether a milestone is reached.
-    pub(crate) fn has(&self, milestone: Milestone) -> bool {
-        self.progress.get().has(milestone)
+    pub(crate) fn has_reached(&self, milestone: Milestone) -> bool {
+        self.progress.get().has_reached(milestone)
     }
 
     /// Waits until the start is complete, for at most `max_wait`.
@@ -48,7 +48,7 @@
 
 impl Gateway {
     /// Records that a milestone is reached.
-    pub(crate) fn reach(&self, milestone: Milestone) {
+    pub(crate) fn reach_milestone(&self, milestone: Milestone) {
         let mut progress = self.start.progress.get();
         if progress.has_reached(milestone) {
             return;
--- a/crates/gateway/src/upstream/exchange.rs
+++ b/crates/gateway/src/upstream/exchange.rs
@@ -77,7 +77,7 @@
     pub(crate) pool: &'a Rc<Pool>,
     pub(crate) http: &'a ServiceConfig,
     /// Accounts for buffered responses.
-    pub(crate) memory: &'a Memory,
+    pub(crate) memory: &'a MemoryTracker,
     pub(crate) platform: &'a dyn Platform,
     pub(crate) connections_opened: &'a Counter,
     /// Maximum number of idle connections that this node keeps to the worker.
@@ -141,7 +141,7 @@
 /// Returns whether a response belongs to the request. A process that has taken over the worker's
 /// address refuses requests without repeating their id.
 fn is_response_to(platform: &dyn Platform, request: &OutgoingRequest, head: &ResponseHead) -> bool {
-    match platform.answered_id(&head.headers) {
+    match platform.response_request_id(&head.headers) {
         Some(id) => Some(id) == request.request_id.as_deref(),
         None => platform.was_not_run(head) || request.request_id.is_none(),
     }
@@ -233,7 +233,7 @@
             idle_timeout: keep_alive_timeout(&head.headers),
             max_idle: context.max_idle,
         };
-        let buffered_bytes = context.memory.share(HeldFor::Answers);
+        let buffered_bytes = context.memory.reservation(BufferKind::Answers);
         WorkerResponse::new(
             method,
             head,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -71,7 +71,7 @@
     }
 
     /// Closes the idle connections to a worker.
-    pub(crate) fn forget(&self, worker: &str) {
+    pub(crate) fn discard_connections(&self, worker: &str) {
         self.idle.borrow_mut().remove(worker);
     }
 
--- a/crates/gateway/src/upstream/response.rs
+++ b/crates/gateway/src/upstream/response.rs
@@ -32,7 +32,7 @@
     pub(crate) head: ResponseHead,
     body: Option<Body>,
     /// Accounts for the memory of the body while it is buffered.
-    buffered_bytes: Share,
+    buffered_bytes: MemoryReservation,
 }
 
 struct Body {
@@ -76,7 +76,7 @@
         codec: ClientCodec,
         connection: WorkerConnection,
         pool_return: PoolReturn,
-        buffered_bytes: Share,
+        buffered_bytes: MemoryReservation,
     ) -> Self {
         let framing = if method != Method::HEAD && ends_on_close(&head) {
             Framing::UntilClose
@@ -146,8 +146,8 @@
                 whole.extend_from_slice(&chunk);
             }
             let memory = self.buffered_bytes.memory().clone();
-            if !reads_answer(whole.len(), memory.pressure()) {
-                memory.relieved().await;
+            if !should_read_answer(whole.len(), memory.pressure()) {
+                memory.wait_for_capacity().await;
             }
         }
         Ok(whole.freeze())
