--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! Reads what engines keep of prompts, where this node is to read it.
+//! Reads which prompt parts engines have cached, for the engines that are assigned to this node.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,26 +20,27 @@
 use crate::gateway::{Gateway, Stage};
 use crate::ports::EngineError;
 
-/// Interval at which a node looks which engines it reads.
-const ASSIGNING_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a node updates the set of engines that it reads.
+const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most engines that one node reads; of the others nothing is known.
-const MOST_READ: usize = 64;
+/// Maximum number of engines that one node reads. Further engines are not read by any node.
+const MAX_ENGINES_READ: usize = 64;
 
 /// The engines that this node reads.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
-    readings: RefCell<BTreeMap<Start, Reading>>,
+    readings: RefCell<BTreeMap<EngineStart, Reading>>,
 }
 
-/// One start of an engine.
+/// One start of an engine process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Start {
+struct EngineStart {
     worker: String,
     born: u64,
     address: SocketAddr,
 }
 
+/// An engine that is being read; dropping it stops the task.
 #[derive(Debug)]
 struct Reading {
     reader: EngineReader,
@@ -53,14 +54,14 @@
 }
 
 impl Engines {
-    fn next(&self, start: &Start, now: Timestamp) -> Option<Step> {
+    fn next(&self, start: &EngineStart, now: Timestamp) -> Option<Step> {
         let readings = self.readings.borrow();
         Some(readings.get(start)?.reader.next(now))
     }
 
-    fn take(
+    fn apply_outcome(
         &self,
-        start: &Start,
+        start: &EngineStart,
         sent: Timestamp,
         now: Timestamp,
         outcome: &ReadOutcome,
@@ -69,36 +70,36 @@
         Some(readings.get_mut(start)?.reader.take(sent, now, outcome))
     }
 
-    /// What this node knows of the engines that it reads.
+    /// Returns what this node currently knows of the memory of the engines that it reads.
     pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, Belief> {
         let workers = gateway.workers.borrow();
         let readings = self.readings.borrow();
         let known = readings.iter().filter_map(|(start, reading)| {
             let worker = workers.get(&start.worker)?;
-            let heard = reading.reader.heard()?;
-            let belief = workers.belief_of(worker, heard, reading.reader.log());
+            let read_at = reading.reader.heard()?;
+            let belief = workers.belief_of(worker, read_at, reading.reader.log());
             Some((worker.key(), belief))
         });
         known.collect()
     }
 }
 
-/// Reads the engines that are this node's to read until the process ends.
+/// Reads the engines assigned to this node until the process ends.
 pub(crate) async fn read_engines(gateway: Rc<Gateway>) {
     if !gateway.settings.policy.engine_reading {
         return;
     }
     while gateway.stage() != Stage::Closing {
-        actix_rt::time::sleep(ASSIGNING_INTERVAL).await;
+        actix_rt::time::sleep(ASSIGNMENT_INTERVAL).await;
         let config = gateway.current_config();
         let assigned = config.map_or_else(Vec::new, |config| assigned(&gateway, &config));
-        assign(&gateway, assigned);
+        update_readings(&gateway, assigned);
     }
     gateway.engines.readings.borrow_mut().clear();
 }
 
-/// The engines that this node is to read: it is the first of its zone in their order.
-fn assigned(gateway: &Gateway, config: &ServingConfig) -> Vec<Start> {
+/// Returns the engines assigned to this node, which is the preferred reader of each in its zone.
+fn assigned(gateway: &Gateway, config: &ServingConfig) -> Vec<EngineStart> {
     let own = &gateway.settings.node;
     let serving = gateway.serving.borrow();
     if !serving.contains(own) {
@@ -125,8 +126,8 @@
             let nodes = serving.iter().copied();
             reader_of(worker.key(), &worker.record.zone, nodes) == Some(own)
         })
-        .take(MOST_READ)
-        .map(|worker| Start {
+        .take(MAX_ENGINES_READ)
+        .map(|worker| EngineStart {
             worker: worker.record.id.clone(),
             born: worker.record.born,
             address: worker.record.address,
@@ -134,8 +135,8 @@
         .collect()
 }
 
-/// Begins to read what is new, and ends the reading of what is another node's.
-fn assign(gateway: &Rc<Gateway>, assigned: Vec<Start>) {
+/// Starts to read newly assigned engines and stops reading those that are no longer assigned.
+fn update_readings(gateway: &Rc<Gateway>, assigned: Vec<EngineStart>) {
     let mut readings = gateway.engines.readings.borrow_mut();
     let before = readings.len();
     readings.retain(|start, _| assigned.contains(start));
@@ -147,13 +148,13 @@
         });
     }
     if kept != before || readings.len() != kept {
-        log::info!(engines = readings.len(), dropped = before - kept, added = readings.len() - kept; "engines whose memory this node reads");
+        log::info!(engines = readings.len(), dropped = before - kept, added = readings.len() - kept; "set of engines read by this node changed");
     }
     gateway.metrics.note_engines_read(readings.len());
 }
 
-/// Reads one engine until it is another node's to read.
-async fn read(gateway: Rc<Gateway>, start: Start) {
+/// Reads one engine until it is no longer assigned to this node.
+async fn read(gateway: Rc<Gateway>, start: EngineStart) {
     while let Some(step) = gateway.engines.next(&start, gateway.now()) {
         let sent = gateway.now();
         let outcome = match step {
@@ -171,13 +172,14 @@
                 listing.await.map(ReadOutcome::Listing)
             }
         };
-        take(&gateway, &start, sent, step, outcome);
+        record_outcome(&gateway, &start, sent, step, outcome);
     }
 }
 
-fn take(
+/// Applies the outcome of one call to an engine and counts it.
+fn record_outcome(
     gateway: &Gateway,
-    start: &Start,
+    start: &EngineStart,
     sent: Timestamp,
     step: Step,
     answer: Result<ReadOutcome, EngineError>,
@@ -195,13 +197,15 @@
         Step::Events { .. } | Step::Pause(_) => "events",
     };
     gateway.metrics.note_engine_read(call, label);
-    let change = gateway.engines.take(start, sent, gateway.now(), &outcome);
+    let change = gateway
+        .engines
+        .apply_outcome(start, sent, gateway.now(), &outcome);
     match change {
         Some(LogChange::Restarted) => {
-            log::info!(worker = start.worker.as_str(); "engine has started again: what it kept is forgotten");
+            log::info!(worker = start.worker.as_str(); "engine has restarted; its recorded memory is discarded");
         }
         Some(LogChange::Gap) => {
-            log::info!(worker = start.worker.as_str(); "events of an engine's memory are missing: its list is read");
+            log::info!(worker = start.worker.as_str(); "missed events of an engine's memory; reading the full list");
         }
         Some(LogChange::Went) | None => {}
     }
--- a/crates/gateway/src/far_bytes.rs
+++ b/crates/gateway/src/far_bytes.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that go between zones, by what they are for.
+//! Counts the bytes sent between zones by purpose.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 
-/// What bytes between zones are for.
+/// The purpose of bytes sent between zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FarKind {
-    /// Requests to workers, with their headers.
+    /// Requests to workers, including headers.
     Requests,
-    /// Bodies of workers' answers.
+    /// Response bodies of workers.
     Answers,
-    /// Questions to a partition's owner.
+    /// Requests to a partition's owner.
     LedgerRequests,
-    /// Turns that an owner is to keep.
+    /// Requests that finish a turn and carry its content to be kept by the owner.
     KeptTurns,
-    /// An owner's replies, with the conversations of turns that begin.
+    /// Replies of an owner, including the conversations of turns that start.
     LedgerReplies,
-    /// What readers of the log's streams tell.
-    News,
-    /// What nodes tell of their load and demand.
+    /// Heartbeats and answers of the readers of the log's streams.
+    StreamUpdates,
+    /// Reports of load and demand.
     Loads,
-    /// What nodes tell of tenants' use.
+    /// Reports of tenants' quota use.
     Quotas,
-    /// The failure detector.
+    /// Datagrams of the failure detector.
     Gossip,
-    /// Anything else between nodes.
+    /// All other traffic between nodes.
     Others,
 }
 
@@ -40,13 +40,14 @@
         Self::LedgerRequests,
         Self::KeptTurns,
         Self::LedgerReplies,
-        Self::News,
+        Self::StreamUpdates,
         Self::Loads,
         Self::Quotas,
         Self::Gossip,
         Self::Others,
     ];
 
+    /// Returns the value of the metric label.
     fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -54,7 +55,7 @@
             Self::LedgerRequests => "ledger_requests",
             Self::KeptTurns => "kept_turns",
             Self::LedgerReplies => "ledger_replies",
-            Self::News => "news",
+            Self::StreamUpdates => "news",
             Self::Loads => "loads",
             Self::Quotas => "quotas",
             Self::Gossip => "gossip",
@@ -62,7 +63,7 @@
         }
     }
 
-    /// What a frame is for.
+    /// Returns the purpose of a frame.
     pub(crate) fn of_frame(frame: &GatewayFrame) -> Self {
         match frame {
             GatewayFrame::Request { request, .. } => match request {
@@ -70,12 +71,12 @@
                 _ => Self::LedgerRequests,
             },
             GatewayFrame::Reply { .. } | GatewayFrame::Arrived { .. } => Self::LedgerReplies,
-            GatewayFrame::FeedAsked { .. } | GatewayFrame::FeedTold { .. } => Self::News,
+            GatewayFrame::FeedAsked { .. } | GatewayFrame::FeedTold { .. } => Self::StreamUpdates,
             _ => Self::Others,
         }
     }
 
-    /// What a datagram is for.
+    /// Returns the purpose of a datagram.
     pub(crate) fn of_datagram(datagram: &GatewayDatagram) -> Self {
         match datagram {
             GatewayDatagram::Gossip(_) => Self::Gossip,
@@ -83,39 +84,40 @@
                 Self::Loads
             }
             GatewayDatagram::Quota(_) => Self::Quotas,
-            GatewayDatagram::Beat(_) => Self::News,
+            GatewayDatagram::Beat(_) => Self::StreamUpdates,
             _ => Self::Others,
         }
     }
 }
 
-/// Label of bytes between zones.
+/// Metric label of bytes sent between zones.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct FarLabel {
-    /// What they are for.
+pub(crate) struct CrossZoneLabel {
+    /// Purpose of the bytes.
     kind: &'static str,
 }
 
-/// Bytes that this process has sent to other zones, and those of workers' answers from there.
+/// Counters of the bytes that this process has sent to other zones, and of worker responses received
+/// from there.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FarBytes {
-    pub(crate) family: Family<FarLabel, Counter>,
+pub(crate) struct CrossZoneBytes {
+    pub(crate) family: Family<CrossZoneLabel, Counter>,
 }
 
-impl FarBytes {
-    /// Counts bytes.
+impl CrossZoneBytes {
+    /// Adds bytes to a counter.
     pub(crate) fn note(&self, kind: FarKind, bytes: usize) {
         self.counter(kind).inc_by(bytes as u64);
     }
 
-    /// All bytes so far, by what they were for, without those that were none.
+    /// Returns the nonzero totals by purpose.
     pub(crate) fn totals(&self) -> BTreeMap<&'static str, u64> {
         let totals = FarKind::ALL.map(|kind| (kind.name(), self.counter(kind).get()));
         totals.into_iter().filter(|(_, bytes)| *bytes > 0).collect()
     }
 
     fn counter(&self, kind: FarKind) -> Counter {
-        let label = FarLabel { kind: kind.name() };
+        let label = CrossZoneLabel { kind: kind.name() };
         self.family.get_or_create(&label).clone()
     }
 }
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -1,4 +1,4 @@
-//! A listener asks a reader for what it has missed, and a reader answers.
+//! Catch-up: a listener asks a reader for the changes it has missed, and the reader answers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,19 +14,20 @@
 use crate::watch;
 use elderworks_gateway_core::start::Milestone;
 
-/// Asks the reader for whatever its heartbeat shows to be missing here, unless a reader is being asked.
+/// Starts to catch up if a reader's heartbeat shows that this node has missed changes, unless a
+/// catch-up is already in progress.
 pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedBeat) {
     let feed = &gateway.feed;
-    if feed.is_asking.get() || !is_behind(gateway, beat) {
+    if feed.is_catching_up.get() || !is_behind(gateway, beat) {
         return;
     }
-    feed.is_asking.set(true);
+    feed.is_catching_up.set(true);
     let (gateway, beat) = (gateway.clone(), beat.clone());
     actix_rt::spawn(async move {
         if let Err(reason) = catch_up(&gateway, address, &beat).await {
-            log::warn!(node = beat.node.as_str(), reason:? = reason; "a reader did not tell its news");
+            log::warn!(node = beat.node.as_str(), reason:? = reason; "cannot catch up: a reader of the log did not answer");
         }
-        gateway.feed.is_asking.set(false);
+        gateway.feed.is_catching_up.set(false);
     });
 }
 
@@ -41,6 +42,7 @@
     gateway.config_proof.borrow().version() < beat.config_version
 }
 
+/// Returns the reader and the revision of its workers that a heartbeat names.
 fn source_of(beat: &FeedBeat, revision: u64) -> Source {
     Source {
         node: beat.node.clone(),
@@ -62,18 +64,18 @@
     if has_newer_configuration(gateway, beat)
         && let FeedAnswer::Configuration(copy) = ask(FeedQuestion::Configuration).await?
     {
-        watch::take_publication(gateway, &record_of(copy));
+        watch::apply_publication(gateway, &record_of(copy));
     }
     let since = gateway.feed.nodes_end.get().unwrap_or_default();
     if gateway.feed.nodes_end.get().is_none() || since < beat.nodes_end {
-        take_nodes(gateway, ask(FeedQuestion::Nodes { since }).await?);
+        apply_nodes(gateway, ask(FeedQuestion::Nodes { since }).await?);
     }
     let known = gateway.feed.source.borrow().clone();
     let known = known.filter(|known| (&known.node, known.boot) == (&beat.node, beat.boot));
     let since = known.map(|known| known.revision);
     if since != Some(beat.workers_revision) {
         let answer = ask(FeedQuestion::Workers { since }).await?;
-        take_workers(gateway, beat, answer);
+        apply_workers(gateway, beat, answer);
     }
     Ok(())
 }
@@ -86,31 +88,31 @@
     }
 }
 
-fn take_nodes(gateway: &Rc<Gateway>, answer: FeedAnswer) {
+fn apply_nodes(gateway: &Rc<Gateway>, answer: FeedAnswer) {
     let FeedAnswer::Nodes { end, entries } = answer else {
         return;
     };
     let records: Vec<StreamRecord> = entries.into_iter().map(record_of).collect();
-    watch::take_nodes(gateway, &records);
+    watch::apply_nodes(gateway, &records);
     gateway.feed.note_nodes_end(end);
-    gateway.feed.nodes_heard.send_replace(true);
+    gateway.feed.nodes_received.send_replace(true);
 }
 
-fn take_workers(gateway: &Rc<Gateway>, beat: &FeedBeat, answer: FeedAnswer) {
+fn apply_workers(gateway: &Rc<Gateway>, beat: &FeedBeat, answer: FeedAnswer) {
     let FeedAnswer::Workers(update) = answer else {
         return;
     };
     if !gateway.feed.depends_on_others() {
-        // It reads by itself since it asked.
+        // This node has become a reader since it asked.
         return;
     }
     let source = source_of(beat, update.revision);
-    workers::take_update(gateway, update);
+    workers::apply_update(gateway, update);
     *gateway.feed.source.borrow_mut() = Some(source);
     gateway.reach(Milestone::Workers);
 }
 
-/// Answers a listener.
+/// Answers a listener's question.
 pub(crate) fn answer(gateway: &Gateway, question: &FeedQuestion) -> FeedAnswer {
     match question {
         FeedQuestion::Configuration => {
@@ -132,6 +134,7 @@
     }
 }
 
+/// Returns the node entries written or dropped since an offset.
 fn nodes_since(gateway: &Gateway, since: Offset) -> FeedAnswer {
     let Some(end) = gateway.feed.nodes_end.get() else {
         return FeedAnswer::Nothing;
--- a/crates/gateway/src/feed/beats.rs
+++ b/crates/gateway/src/feed/heartbeats.rs
@@ -1,4 +1,4 @@
-//! A reader's heartbeat to its zone, and what a listener makes of it.
+//! Heartbeats: a reader of the log's streams sends them to its zone, and listeners handle them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,38 +14,38 @@
 use crate::gateway::Gateway;
 use crate::peers;
 
-/// Tells the zone how far this node has read, if it reads for others and it is time, or anything else
+/// Sends a heartbeat to the zone if this node reads for others, and a heartbeat is due or its content
 /// has changed.
-pub(super) fn tell(gateway: &Rc<Gateway>, socket: &UdpSocket) {
+pub(super) fn send_if_due(gateway: &Rc<Gateway>, socket: &UdpSocket) {
     let feed = &gateway.feed;
     if !feed.reads_for_others() {
         return;
     }
-    let Some(beat) = beat_of(gateway) else {
+    let Some(beat) = current_heartbeat(gateway) else {
         return;
     };
     let now = gateway.now();
     let is_early = |at| now.since(at) < feed.times.beat;
-    let has_news = feed
-        .told
+    let has_changed = feed
+        .last_beat
         .borrow()
         .as_ref()
-        .is_none_or(|told| is_news(told, &beat));
-    if feed.told_at.get().is_some_and(is_early) && !has_news {
+        .is_none_or(|last| differs(last, &beat));
+    if feed.beat_sent_at.get().is_some_and(is_early) && !has_changed {
         return;
     }
-    feed.told_at.set(Some(now));
+    feed.beat_sent_at.set(Some(now));
     let datagram = encode(&GatewayDatagram::Beat(beat.clone()));
-    *feed.told.borrow_mut() = Some(beat);
+    *feed.last_beat.borrow_mut() = Some(beat);
     let others = feed.zone.borrow().others.clone();
     for to in others.iter() {
-        // The next heartbeat makes up for one that is lost.
+        // A lost heartbeat is superseded by the next one.
         let _ = socket.try_send_to(&datagram, *to);
     }
 }
 
-/// This node's heartbeat; `None` before it knows all streams.
-fn beat_of(gateway: &Gateway) -> Option<FeedBeat> {
+/// Returns this node's heartbeat; `None` before it has read all streams.
+fn current_heartbeat(gateway: &Gateway) -> Option<FeedBeat> {
     let feed = &gateway.feed;
     if !gateway.start.is_complete() {
         return None;
@@ -67,17 +67,17 @@
     })
 }
 
-/// Whether a heartbeat says anything that the one before does not, but for its age.
-fn is_news(told: &FeedBeat, beat: &FeedBeat) -> bool {
+/// Returns whether two heartbeats differ in anything but their age.
+fn differs(last: &FeedBeat, beat: &FeedBeat) -> bool {
     let same_age = FeedBeat {
-        age_us: told.age_us,
+        age_us: last.age_us,
         ..beat.clone()
     };
-    *told != same_age
+    *last != same_age
 }
 
-/// Takes a reader's heartbeat.
-pub(crate) fn take(gateway: &Rc<Gateway>, from: SocketAddr, beat: &FeedBeat) {
+/// Handles a reader's heartbeat.
+pub(crate) fn receive(gateway: &Rc<Gateway>, from: SocketAddr, beat: &FeedBeat) {
     let feed = &gateway.feed;
     if beat.node == gateway.settings.node {
         return;
@@ -87,19 +87,20 @@
     feed.roles
         .borrow_mut()
         .note_heard(now, &beat.node, age, beat.reads);
-    peers::take_zone_reports(gateway, &beat.zones);
+    peers::receive_zone_reports(gateway, &beat.zones);
     if !feed.depends_on_others() || !feed.roles.borrow().is_working(now, &beat.node) {
         return;
     }
     feed.worker_count
         .set(usize::try_from(beat.worker_count).ok());
-    note_age(gateway, beat, age);
+    record_age(gateway, beat, age);
     if is_source(gateway, &beat.node) {
         catch_up::ask_if_behind(gateway, from, beat);
     }
 }
 
-/// Whether to ask the node: it is the reader whose workers are known here, or that one works no more.
+/// Returns whether to catch up from a node: it is the reader that this node's workers came from, or that
+/// reader no longer works.
 fn is_source(gateway: &Gateway, node: &NodeId) -> bool {
     let feed = &gateway.feed;
     let source = feed.source.borrow();
@@ -109,8 +110,8 @@
     })
 }
 
-/// What a listener has heard counts like a read of its own, as old as the reader's was.
-fn note_age(gateway: &Gateway, beat: &FeedBeat, age: Duration) {
+/// Counts a heartbeat like a read of the configuration by this node, as old as the reader's own read.
+fn record_age(gateway: &Gateway, beat: &FeedBeat, age: Duration) {
     let mut proof = gateway.config_proof.borrow_mut();
     if proof.version() == beat.config_version {
         proof.note_heard(gateway.now(), age);
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -1,11 +1,11 @@
-//! This node's part in passing on the log's streams: whether it reads them, what it tells other nodes
-//! of its zone then, and what it hears of them otherwise.
+//! Distribution of the log's streams within a zone. Readers follow the streams themselves and send
+//! heartbeats; listeners receive the changes from a reader.
 //!
-//! The decisions are those of `gateway_core::feed`; a fleet that is small enough for every node to read
-//! knows readers only, and nothing is told.
+//! `gateway_core::feed` decides which nodes read. In a small fleet every node is a reader, and no
+//! heartbeats are sent.
 
-mod beats;
 mod catch_up;
+mod heartbeats;
 mod workers;
 
 use std::cell::{Cell, RefCell};
@@ -27,33 +27,34 @@
 use crate::gateway::Gateway;
 use crate::settings::GatewaySettings;
 
-pub(crate) use beats::take as take_beat;
 pub(crate) use catch_up::answer;
+pub(crate) use heartbeats::receive as receive_heartbeat;
 pub(crate) use workers::{apply, upkeep};
 
-/// The role is decided anew at this interval.
-const DECIDING_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the role is decided.
+const ROLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A node whose entry cannot be written reads the streams after this long: it can serve what needs no
-/// ledger.
-const LONGEST_INDECISION: Duration = Duration::from_millis(1_500);
+/// Time after which a node whose entry can't be written starts to read anyway, so that it can serve
+/// requests that need no ledger.
+const MAX_ROLE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Work at the workers' connections and counts is done at this interval.
+/// Interval at which worker connections and gauges are maintained.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The nodes of the own zone as the last change has left them.
+/// The nodes of this node's zone, as of the last change.
 #[derive(Debug, Default)]
 struct Zone {
-    /// In the order in which they should read.
+    /// The nodes in the order in which they should read.
     ranking: Rc<[NodeId]>,
-    /// Where the others are told.
+    /// Peer addresses of the other nodes.
     others: Rc<[SocketAddr]>,
-    /// Nodes and zones of the whole fleet.
+    /// Number of nodes in the whole fleet.
     nodes: usize,
+    /// Number of zones in the whole fleet.
     zones: usize,
 }
 
-/// The reader whose workers are known here.
+/// The reader, and its revision, that this node's workers came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Source {
     node: NodeId,
@@ -61,63 +62,64 @@
     revision: u64,
 }
 
-/// What this node reads or hears of the log's streams.
+/// The state of this node as a reader or listener of the log's streams.
 #[derive(Debug)]
 pub(crate) struct Feed {
     times: FeedTimes,
-    /// Pairs of node and worker up to which all nodes read.
-    pairs: usize,
+    /// Maximum number of pairs of node and worker up to which every node reads.
+    max_pairs: usize,
     roles: RefCell<Roles>,
     role: watch::Sender<Role>,
     zone: RefCell<Zone>,
     is_zone_stale: Cell<bool>,
-    /// Whether this node's entry is written, so that it can tell its place among the others.
-    has_begun: Cell<bool>,
-    /// Whether the fleet seemed small when this node began.
+    /// Whether this node's entry is written, which is required to decide its role.
+    has_entry: Cell<bool>,
+    /// Whether the fleet seemed small when this node's entry was written.
     seemed_small: Cell<bool>,
-    /// How many workers there are; `None` while that is not known.
+    /// Number of workers in the whole fleet; `None` if unknown.
     worker_count: Cell<Option<usize>>,
-    /// How many times this node began to read.
+    /// Number of times that this node has become a reader.
     term: Cell<u64>,
-    /// Whether the catalog holds every worker.
+    /// Whether the catalog contains every worker.
     is_loaded: Cell<bool>,
-    /// Every worker, while this node reads.
+    /// All workers, while this node is a reader.
     catalog: RefCell<WorkerCatalog>,
-    /// Those in use, for listeners.
+    /// The workers in use, as published to listeners.
     published: RefCell<PublishedWorkers>,
-    /// Offset of the last record that the catalog has taken.
+    /// Offset of the last record in the catalog.
     workers_offset: Cell<Offset>,
-    /// When the last read was sent that showed all workers.
+    /// When the last read was sent that reached the end of the workers' stream.
     workers_read: Cell<Option<Timestamp>>,
-    /// Where the nodes' entries end that are known.
+    /// Offset up to which node entries are known.
     nodes_end: Cell<Option<Offset>>,
-    /// Streams that cannot be read.
+    /// Streams whose reads currently fail.
     failing: RefCell<BTreeSet<Stream>>,
+    /// The reader that this node's workers came from; `None` if they came from the log or none are known.
     source: RefCell<Option<Source>>,
-    /// Whether a reader is being asked for what this node has missed.
-    is_asking: Cell<bool>,
-    /// Whether a reader's list of nodes is known here.
-    nodes_heard: watch::Sender<bool>,
+    /// Whether a catch-up is in progress.
+    is_catching_up: Cell<bool>,
+    /// Whether this node has received node entries from a reader.
+    nodes_received: watch::Sender<bool>,
     decided_at: Cell<Option<Timestamp>>,
-    told_at: Cell<Option<Timestamp>>,
-    kept_up_at: Cell<Option<Timestamp>>,
-    /// What a reader has told last.
-    told: RefCell<Option<FeedBeat>>,
+    beat_sent_at: Cell<Option<Timestamp>>,
+    upkeep_at: Cell<Option<Timestamp>>,
+    /// The last heartbeat that this node sent.
+    last_beat: RefCell<Option<FeedBeat>>,
 }
 
 impl Feed {
-    /// Has neither read nor heard anything.
+    /// Creates the state of a node that knows nothing of the streams yet.
     pub(crate) fn new(settings: &GatewaySettings) -> Self {
         let deadline = settings.apply_within.min(settings.drain_notice);
         let times = FeedTimes::within(deadline);
         Self {
             times,
-            pairs: settings.policy.reading_pairs,
+            max_pairs: settings.policy.reading_pairs,
             roles: RefCell::new(Roles::new(times)),
             role: watch::Sender::new(Role::default()),
             zone: RefCell::default(),
             is_zone_stale: Cell::new(true),
-            has_begun: Cell::default(),
+            has_entry: Cell::default(),
             seemed_small: Cell::default(),
             worker_count: Cell::default(),
             term: Cell::default(),
@@ -129,33 +131,32 @@
             nodes_end: Cell::default(),
             failing: RefCell::default(),
             source: RefCell::default(),
-            is_asking: Cell::default(),
-            nodes_heard: watch::Sender::new(false),
+            is_catching_up: Cell::default(),
+            nodes_received: watch::Sender::new(false),
             decided_at: Cell::default(),
-            told_at: Cell::default(),
-            kept_up_at: Cell::default(),
-            told: RefCell::default(),
+            beat_sent_at: Cell::default(),
+            upkeep_at: Cell::default(),
+            last_beat: RefCell::default(),
         }
     }
 
-    /// Whether this node reads the streams.
+    /// Returns whether this node is a reader.
     pub(crate) fn reads(&self) -> bool {
         *self.role.borrow() == Role::Reader
     }
 
-    /// Whether this node reads for others.
+    /// Returns whether this node reads for listeners in its zone.
     pub(crate) fn reads_for_others(&self) -> bool {
-        self.reads() && self.wanted(&self.zone.borrow()) != usize::MAX
+        self.reads() && self.readers_wanted(&self.zone.borrow()) != usize::MAX
     }
 
-    /// Whether this node depends on what others have read: it does not read, or the log does not answer
-    /// its reads.
+    /// Returns whether this node depends on other readers: it is a listener, or its own reads fail.
     pub(crate) fn depends_on_others(&self) -> bool {
         !self.reads() || !self.failing.borrow().is_empty()
     }
 
-    /// Waits until this node reads the streams; tells the number of the present term as a reader.
-    /// Nothing that was read in an earlier one is known any more.
+    /// Waits until this node is a reader. Returns the number of its current term; anything read in an
+    /// earlier term is outdated.
     pub(crate) async fn until_reading(&self) -> u64 {
         let mut role = self.role.subscribe();
         // The sender lives as long as the gateway.
@@ -163,51 +164,51 @@
         self.term.get()
     }
 
-    /// Waits until a reader's list of nodes is known here.
+    /// Waits until this node has received node entries from a reader.
     pub(crate) async fn until_nodes_heard(&self) {
-        let mut heard = self.nodes_heard.subscribe();
-        let _ = heard.wait_for(|is_heard| *is_heard).await;
+        let mut received = self.nodes_received.subscribe();
+        let _ = received.wait_for(|is_received| *is_received).await;
     }
 
-    /// This node's entry is written. In a fleet that seems small it reads at once; in another one it
-    /// finds out.
+    /// Starts to take part once this node's entry is written. In a fleet that seems small, the node
+    /// becomes a reader immediately; otherwise, the role is decided later.
     pub(crate) fn begin(&self, seemed_small: bool) {
-        self.has_begun.set(true);
+        self.has_entry.set(true);
         self.seemed_small.set(seemed_small);
         self.is_zone_stale.set(true);
         if seemed_small {
-            self.read();
+            self.become_reader();
         }
     }
 
-    fn read(&self) {
+    fn become_reader(&self) {
         self.roles.borrow_mut().read();
         self.set_role(Role::Reader, "start");
     }
 
-    /// Nodes have come, gone or changed.
+    /// Handles nodes that were added, removed or changed.
     pub(crate) fn note_node_changes(&self) {
         self.is_zone_stale.set(true);
     }
 
-    /// Zones that get no work have changed.
+    /// Handles a change of the evacuated zones.
     pub(crate) fn note_zones(&self) {
         self.catalog.borrow_mut().note_zones();
     }
 
-    /// Where the nodes' entries end that are known.
+    /// Returns the offset up to which node entries are known.
     pub(crate) fn nodes_end(&self) -> Option<Offset> {
         self.nodes_end.get()
     }
 
-    /// The nodes' entries are known up to an offset.
+    /// Records that node entries are known up to an offset.
     pub(crate) fn note_nodes_end(&self, end: Offset) {
         let known = self.nodes_end.get();
         self.nodes_end.set(known.max(Some(end)));
     }
 
-    /// A read of a stream has been answered, or has failed several times in a row.
-    pub(crate) fn note_reads(&self, gateway: &Gateway, stream: Stream, is_failing: bool) {
+    /// Records that a stream can be read, or that several reads of it in a row have failed.
+    pub(crate) fn set_failing(&self, gateway: &Gateway, stream: Stream, is_failing: bool) {
         let mut failing = self.failing.borrow_mut();
         if is_failing {
             failing.insert(stream);
@@ -216,14 +217,14 @@
         let is_back = failing.remove(&stream) && stream == Stream::Workers;
         drop(failing);
         if is_back && self.reads() {
-            // Meanwhile others may have told what they use.
+            // Updates of other readers may have been applied during the failure.
             *self.source.borrow_mut() = None;
             workers::restore(gateway);
         }
     }
 
-    /// Takes every worker there is, as the stream showed them when it ended at `end`.
-    pub(crate) fn take_workers(
+    /// Replaces the catalog with all workers listed in the stream up to `end`.
+    pub(crate) fn replace_workers(
         &self,
         gateway: &Rc<Gateway>,
         records: Vec<WorkerRecord>,
@@ -241,17 +242,17 @@
         workers::keep_only(gateway, &ids);
     }
 
-    /// Takes a worker's entry.
+    /// Adds or updates a worker in the catalog.
     pub(crate) fn upsert_worker(&self, record: WorkerRecord) {
         self.catalog.borrow_mut().upsert(record);
     }
 
-    /// A worker's entry is gone, or names no worker.
+    /// Removes a worker whose entry was dropped or can't be decoded.
     pub(crate) fn remove_worker(&self, id: &str) {
         self.catalog.borrow_mut().remove(id);
     }
 
-    /// A read that was sent then has shown all there was of the workers.
+    /// Records that a read sent at `sent` reached the end of the workers' stream.
     pub(crate) fn note_workers_read(&self, sent: Timestamp) {
         if self.reads() && self.is_loaded.get() {
             self.workers_read.set(Some(sent));
@@ -259,7 +260,7 @@
         }
     }
 
-    /// The readers that work, for what they alone add up.
+    /// Returns the working readers of this zone.
     pub(crate) fn readers(&self, gateway: &Gateway) -> Vec<NodeId> {
         let roles = self.roles.borrow();
         let now = gateway.now();
@@ -271,15 +272,16 @@
         working.cloned().collect()
     }
 
-    /// Whether this node goes on to read a list of workers that takes several pages.
-    pub(crate) fn reads_on(&self, gateway: &Gateway) -> bool {
-        // Left to others once, at the start: a node that reads since nobody else does reads all.
+    /// Returns whether this node continues to read a list of workers that takes several pages. If not,
+    /// its role becomes undecided.
+    pub(crate) fn continues_reading(&self, gateway: &Gateway) -> bool {
+        // Only at the start; a node that reads because no other one does must read all pages.
         if self.worker_count.get().is_some() || !self.seemed_small.replace(false) {
             return true;
         }
         self.refresh_zone(gateway);
         let zone = self.zone.borrow();
-        let wanted = self.wanted(&zone);
+        let wanted = self.readers_wanted(&zone);
         let own = &gateway.settings.node;
         let is_reader = zone.ranking.iter().take(wanted).any(|node| node == own);
         if !is_reader {
@@ -289,15 +291,15 @@
         is_reader
     }
 
-    /// How many nodes of a zone read.
-    fn wanted(&self, zone: &Zone) -> usize {
+    /// Returns how many nodes of a zone should read; `usize::MAX` for all of them.
+    fn readers_wanted(&self, zone: &Zone) -> usize {
         let size = FleetSize {
             nodes: zone.nodes,
             zones: zone.zones,
             workers: self.worker_count.get(),
             seemed_small: self.seemed_small.get(),
         };
-        size.readers_wanted(self.pairs)
+        size.readers_wanted(self.max_pairs)
     }
 
     fn refresh_zone(&self, gateway: &Gateway) {
@@ -334,11 +336,11 @@
             return;
         }
         let zone = self.zone.borrow();
-        log::info!(role:? = role, why = why, nodes = zone.nodes, workers = self.worker_count.get(); "role among the readers of the log");
+        log::info!(role:? = role, why = why, nodes = zone.nodes, workers = self.worker_count.get(); "role as a reader of the log changed");
         if role == Role::Reader {
             self.term.set(self.term.get() + 1);
         } else {
-            // The next reader that is heard tells its workers whole.
+            // The next reader that this node catches up from sends all of its workers.
             *self.source.borrow_mut() = None;
             self.workers_read.set(None);
             self.is_loaded.set(false);
@@ -347,17 +349,18 @@
         }
     }
 
-    fn decide(&self, gateway: &Gateway) {
+    /// Decides the role and publishes it.
+    fn update_role(&self, gateway: &Gateway) {
         let now = gateway.now();
-        if !self.has_begun.get() {
-            if gateway.age() >= LONGEST_INDECISION && !self.reads() {
-                self.read();
+        if !self.has_entry.get() {
+            if gateway.age() >= MAX_ROLE_DELAY && !self.reads() {
+                self.become_reader();
             }
             return;
         }
         self.refresh_zone(gateway);
         let zone = self.zone.borrow();
-        let wanted = self.wanted(&zone);
+        let wanted = self.readers_wanted(&zone);
         let own = &gateway.settings.node;
         let mut roles = self.roles.borrow_mut();
         let role = roles.decide(now, &zone.ranking, own, wanted);
@@ -369,7 +372,7 @@
     }
 }
 
-/// Decides the role, tells listeners and keeps counts up to date; called at a steady pace.
+/// Decides the role, sends heartbeats and updates gauges; called at a regular interval.
 pub(crate) fn tick(gateway: &Rc<Gateway>, socket: &UdpSocket) {
     let feed = &gateway.feed;
     let now = gateway.now();
@@ -380,13 +383,13 @@
         }
         is_due
     };
-    if is_due(&feed.decided_at, DECIDING_INTERVAL) {
-        feed.decide(gateway);
+    if is_due(&feed.decided_at, ROLE_INTERVAL) {
+        feed.update_role(gateway);
         gateway.metrics.reads_streams.set(i64::from(feed.reads()));
-        workers::follow_load(gateway);
+        workers::adapt_to_load(gateway);
     }
-    if is_due(&feed.kept_up_at, UPKEEP_INTERVAL) && !feed.reads() {
+    if is_due(&feed.upkeep_at, UPKEEP_INTERVAL) && !feed.reads() {
         upkeep(gateway);
     }
-    beats::tell(gateway, socket);
+    heartbeats::send_if_due(gateway, socket);
 }
--- a/crates/gateway/src/feed/workers.rs
+++ b/crates/gateway/src/feed/workers.rs
@@ -1,4 +1,4 @@
-//! The workers in use: from a reader's catalog or from a reader's update to what placement knows.
+//! Keeps the workers known to placement in line with this node's own catalog or with a reader's updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use crate::clock::millis;
 use crate::gateway::Gateway;
 
-/// Brings what placement knows and what listeners are told in line with the catalog.
-/// `offset` is that of the last record that the catalog has taken.
+/// Applies changes of the catalog to placement and to the workers published to listeners. `offset` is
+/// that of the last record in the catalog.
 pub(crate) fn apply(gateway: &Rc<Gateway>, offset: Offset) {
     let feed = &gateway.feed;
     if !feed.reads() || !feed.is_loaded.get() {
@@ -33,8 +33,8 @@
     }
 }
 
-/// Takes a reader's update.
-pub(super) fn take_update(gateway: &Rc<Gateway>, update: WorkersUpdate) {
+/// Applies a reader's update.
+pub(super) fn apply_update(gateway: &Rc<Gateway>, update: WorkersUpdate) {
     if update.is_whole {
         let ids = update.used.iter().map(|record| record.id.clone());
         keep_only(gateway, &ids.collect());
@@ -49,8 +49,8 @@
     upkeep(gateway);
 }
 
-/// Brings what placement knows in line with this node's own catalog, after it has heard of workers from
-/// others.
+/// Restores the workers known to placement from this node's own catalog, after updates of other readers
+/// were applied.
 pub(super) fn restore(gateway: &Gateway) {
     let feed = &gateway.feed;
     if !feed.is_loaded.get() {
@@ -67,12 +67,12 @@
     }
 }
 
-/// Drops all workers but those named.
+/// Marks all workers as missing except those in `ids`.
 pub(super) fn keep_only(gateway: &Gateway, ids: &BTreeSet<String>) {
     let now = gateway.now();
     let missing = gateway.workers.borrow_mut().mark_all_missing_but(ids, now);
     for worker in missing {
-        log::info!(worker = worker.as_str(); "worker is not listed or not used any more");
+        log::info!(worker = worker.as_str(); "worker is no longer listed or no longer in use");
     }
 }
 
@@ -97,11 +97,11 @@
 fn drop_worker(gateway: &Gateway, id: &str, offset: Offset) {
     let now = gateway.now();
     if gateway.workers.borrow_mut().mark_missing(id, now) {
-        log::info!(worker = id, offset = offset.0; "worker is gone or not used any more");
+        log::info!(worker = id, offset = offset.0; "worker was removed or is no longer in use");
     }
 }
 
-/// Forgets workers that are gone, and closes connections that are too old.
+/// Forgets workers that have been missing for long, and closes expired connections.
 pub(crate) fn upkeep(gateway: &Gateway) {
     let now = gateway.now();
     let forgotten = gateway.workers.borrow_mut().forget_missing(now);
@@ -114,8 +114,8 @@
     gateway.metrics.workers.set(count);
 }
 
-/// A reader uses as many workers as the load of its zone asks for.
-pub(super) fn follow_load(gateway: &Rc<Gateway>) {
+/// Adapts the number of workers in use to the load of the zone, if this node is a reader.
+pub(super) fn adapt_to_load(gateway: &Rc<Gateway>) {
     let feed = &gateway.feed;
     if !feed.reads() {
         return;
--- a/crates/gateway/src/ledger/log_calls.rs
+++ b/crates/gateway/src/ledger/log_calls.rs
@@ -1,8 +1,8 @@
-//! A partition's calls to the log.
+//! Reads and appends of one partition's ledger stream.
 //!
-//! A call that takes too long is given up by the owner, but goes on: a log that is slow answers it
-//! yet, and how long that takes tells how long to wait for the next one. Meanwhile the owner tries
-//! again on another connection, so that a log that was silent is met again soon after its return.
+//! The owner stops waiting for a call after a timeout, but the call itself keeps running up to
+//! [`MAX_CALL_TIME`]: the response time of a late answer still feeds the adaptive timeouts. In the
+//! meantime the owner retries on another connection, so it notices soon when the log answers again.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,92 +23,92 @@
 use crate::gateway::Gateway;
 use crate::ports::{ReadBatch, ReadLimits, StoreError};
 
-/// How long a call may go on after it began; the connection is closed then.
-const LONGEST_CALL: Duration = Duration::from_millis(1_500);
+/// Maximum duration of a call, after which its connection is closed.
+const MAX_CALL_TIME: Duration = Duration::from_millis(1_500);
 
-/// Most reads of one partition at the same time, those that were given up included.
-const MOST_READS: usize = 8;
+/// Maximum number of concurrent reads of one partition, including those no longer waited for.
+const MAX_CONCURRENT_READS: usize = 8;
 
-/// Most bytes of one read. Whoever takes a partition over reads it whole; in pages, what has
-/// arrived over a slow link is not read again when the next page takes too long.
+/// Maximum size of one read. A new owner reads the whole partition; with pages, a timeout on a slow
+/// link repeats only the current page.
 const PAGE_BYTES: usize = 128 * 1024;
 
-/// Shortest wait for a page while a partition is read that is not known yet: pages of many partitions
-/// share the log's bandwidth and a small machine's link and processor, and one that is read again
-/// takes as much of them once more.
-const PAGE_PATIENCE: Duration = Duration::from_millis(600);
+/// Minimum timeout for a page during catch-up. Many partitions catch up at the same time and share
+/// the bandwidth of the log and of this machine; a premature retry would add to that load.
+const MIN_PAGE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The reads of one partition: the present one, and those that were given up.
+/// The reads of one partition: the current one, and earlier ones that timed out but still run.
 pub(super) struct PartitionReads {
     gateway: Rc<Gateway>,
     partition: PartitionId,
-    under_way: FuturesUnordered<LocalBoxFuture<'static, EndedRead>>,
-    /// Most bytes of the next read.
+    in_flight: FuturesUnordered<LocalBoxFuture<'static, CompletedRead>>,
+    /// Maximum size of the next read in bytes; `None` for the platform's own limit.
     page_bytes: Option<usize>,
-    /// Whether the next read is expected to bring a whole page.
+    /// Whether the next read is expected to return a full page.
     is_behind: bool,
 }
 
-/// How one read has ended.
-struct EndedRead {
+/// The result of one read.
+struct CompletedRead {
     call: CallNumber,
     from: Offset,
     read: Result<ReadBatch, StoreError>,
 }
 
 impl PartitionReads {
-    /// No read is under way yet.
+    /// Creates the state of a partition without any read in flight.
     pub(super) fn new(gateway: &Rc<Gateway>, partition: PartitionId) -> Self {
         Self {
             gateway: gateway.clone(),
             partition,
-            under_way: FuturesUnordered::new(),
+            in_flight: FuturesUnordered::new(),
             page_bytes: Some(PAGE_BYTES),
             is_behind: true,
         }
     }
 
-    /// Reads from an offset on, and tells by which call that was answered: `call`, or an earlier
-    /// one from the same offset on.
+    /// Reads from an offset. Returns the outcome with the number of the call that was answered:
+    /// `call`, or an earlier call from the same offset.
     pub(super) async fn read(
         &mut self,
         call: CallNumber,
         from: Offset,
     ) -> (CallNumber, ReadOutcome) {
-        if self.under_way.len() < MOST_READS {
-            self.begin(call, from);
+        if self.in_flight.len() < MAX_CONCURRENT_READS {
+            self.start_read(call, from);
         }
-        let patience = self.patience();
-        let answering = actix_rt::time::timeout(patience, self.next_answer(call, from));
-        let (answered, read) = answering.await.unwrap_or_else(|_| {
-            let reason = "no answer to the read in time".to_owned();
+        let timeout = self.read_timeout();
+        let result = actix_rt::time::timeout(timeout, self.next_result(call, from));
+        let (answered, read) = result.await.unwrap_or_else(|_| {
+            let reason = "the read timed out".to_owned();
             (call, Err(StoreError::Unknown(reason)))
         });
         self.page_bytes = next_page_bytes(from, &read);
         self.is_behind = is_behind(from, &read, self.is_behind);
         match &read {
-            // What the others bring is older, or the same.
-            Ok(_) | Err(StoreError::Gone { .. }) => self.under_way.clear(),
-            Err(error) => note_failure(&self.gateway, error),
+            // The other reads would return the same records or fewer.
+            Ok(_) | Err(StoreError::Gone { .. }) => self.in_flight.clear(),
+            Err(error) => record_failure(&self.gateway, error),
         }
         (answered, read_outcome(self.partition, from, read))
     }
 
-    /// Whether the next read is expected to bring a whole page.
+    /// Returns whether the next read is expected to return a full page.
     pub(super) fn is_behind(&self) -> bool {
         self.is_behind
     }
 
-    /// How long an answer is waited for.
-    fn patience(&self) -> Duration {
+    /// Returns how long to wait for the answer to a read.
+    fn read_timeout(&self) -> Duration {
         let usual = self.gateway.log_read_timer.borrow().timeout();
         match self.is_behind {
-            true => usual.max(PAGE_PATIENCE),
+            true => usual.max(MIN_PAGE_TIMEOUT),
             false => usual,
         }
     }
 
-    fn begin(&mut self, call: CallNumber, from: Offset) {
+    /// Starts a read and adds it to the reads in flight.
+    fn start_read(&mut self, call: CallNumber, from: Offset) {
         let gateway = self.gateway.clone();
         let stream = Stream::Ledger(self.partition);
         let cause = match self.is_behind {
@@ -117,48 +117,48 @@
         };
         let limits = ReadLimits {
             wait: Duration::ZERO,
-            timeout: LONGEST_CALL,
+            timeout: MAX_CALL_TIME,
             most_bytes: self.page_bytes,
         };
         let reading = async move {
             let started = Instant::now();
             let read = gateway.platform.read(stream, from, limits);
             let read = match cause {
-                // A page takes as long as its bytes do.
+                // The duration of a page depends on its size and says nothing about an outage.
                 LogCause::CatchUp => read.await,
                 _ => gateway.log_outage.observe(&gateway, read).await,
             };
-            gateway.metrics.note_log_call(cause, outcome(&read));
-            note_response(
+            gateway.metrics.note_log_call(cause, outcome_label(&read));
+            record_response(
                 &gateway,
                 &gateway.log_read_timer,
                 started,
                 read.as_ref().err(),
             );
-            EndedRead { call, from, read }
+            CompletedRead { call, from, read }
         };
-        self.under_way.push(Box::pin(reading));
+        self.in_flight.push(Box::pin(reading));
     }
 
-    /// The first good answer to a read from `from` on, or the failure of `call`.
-    async fn next_answer(
+    /// Returns the first successful result of a read from `from`, or the failure of `call`.
+    async fn next_result(
         &mut self,
         call: CallNumber,
         from: Offset,
     ) -> (CallNumber, Result<ReadBatch, StoreError>) {
-        while let Some(ended) = self.under_way.next().await {
-            let is_answer = matches!(ended.read, Ok(_) | Err(StoreError::Gone { .. }));
-            let is_wanted = ended.call == call || is_answer;
-            if ended.from == from && is_wanted {
-                return (ended.call, ended.read);
+        while let Some(completed) = self.in_flight.next().await {
+            let is_answer = matches!(completed.read, Ok(_) | Err(StoreError::Gone { .. }));
+            let is_relevant = completed.call == call || is_answer;
+            if completed.from == from && is_relevant {
+                return (completed.call, completed.read);
             }
         }
-        let reason = "every read under way has failed".to_owned();
+        let reason = "every read in flight failed".to_owned();
         (call, Err(StoreError::Unknown(reason)))
     }
 }
 
-/// Appends records if the log ends at `at`.
+/// Appends records to a partition's ledger stream if the stream ends at `at`.
 pub(super) async fn append(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
@@ -175,10 +175,12 @@
         async move {
             let started = Instant::now();
             let stream = Stream::Ledger(partition);
-            let append = gateway.platform.append(stream, at, encoded, LONGEST_CALL);
+            let append = gateway.platform.append(stream, at, encoded, MAX_CALL_TIME);
             let appended = gateway.log_outage.observe(&gateway, append).await;
-            gateway.metrics.note_log_call(cause, outcome(&appended));
-            note_response(
+            gateway
+                .metrics
+                .note_log_call(cause, outcome_label(&appended));
+            record_response(
                 &gateway,
                 &gateway.log_timer,
                 started,
@@ -187,16 +189,16 @@
             appended
         }
     };
-    let patience = gateway.log_timer.borrow().timeout();
+    let timeout = gateway.log_timer.borrow().timeout();
     let appending = actix_rt::spawn(appending);
-    let error = match actix_rt::time::timeout(patience, appending).await {
+    let error = match actix_rt::time::timeout(timeout, appending).await {
         Ok(Ok(Ok(_))) => return AppendOutcome::Done,
         Ok(Ok(Err(error))) => error,
-        Ok(Err(ended)) => StoreError::Unknown(ended.to_string()),
-        Err(_) => StoreError::Unknown("no answer to the append in time".to_owned()),
+        Ok(Err(error)) => StoreError::Unknown(error.to_string()),
+        Err(_) => StoreError::Unknown("the append timed out".to_owned()),
     };
-    warn("append to the ledger failed", partition, at, &error);
-    note_failure(gateway, &error);
+    log_failure("append to the ledger failed", partition, at, &error);
+    record_failure(gateway, &error);
     match error {
         StoreError::Conflict { .. } => AppendOutcome::Conflict,
         StoreError::Unavailable(_) => AppendOutcome::Refused,
@@ -204,7 +206,7 @@
     }
 }
 
-/// Whether more is to be read after this.
+/// Returns whether records remain to be read after this read; a failed read changes nothing.
 fn is_behind(from: Offset, read: &Result<ReadBatch, StoreError>, before: bool) -> bool {
     match read {
         Ok(batch) => batch.end.0.saturating_sub(from.0) > batch.records.len() as u64,
@@ -213,7 +215,7 @@
     }
 }
 
-/// The size of the next read: a page, unless the last one did not suffice for a single record.
+/// Returns the size limit of the next read: a page, or no limit if the next record exceeds a page.
 fn next_page_bytes(from: Offset, read: &Result<ReadBatch, StoreError>) -> Option<usize> {
     match read {
         Ok(batch) if batch.records.is_empty() && batch.end > from => None,
@@ -230,7 +232,7 @@
         Ok(batch) => decode_records(partition, batch),
         Err(StoreError::Gone { first }) => ReadOutcome::Gone { first },
         Err(error) => {
-            warn("reading the ledger failed", partition, from, &error);
+            log_failure("reading the ledger failed", partition, from, &error);
             ReadOutcome::Failed
         }
     }
@@ -245,7 +247,7 @@
                 log::error!(
                     partition = partition.0, offset = record.offset.0,
                     error = error.to_string().as_str();
-                    "a record of the ledger cannot be read"
+                    "cannot decode a ledger record"
                 );
                 records.push(None);
             }
@@ -257,17 +259,17 @@
     }
 }
 
-/// How a call has ended, for the counters.
-fn outcome<T>(ended: &Result<T, StoreError>) -> &'static str {
-    match ended {
+/// Returns the outcome of a call as a metric label.
+fn outcome_label<T>(result: &Result<T, StoreError>) -> &'static str {
+    match result {
         Ok(_) => "ok",
         Err(StoreError::Conflict { .. } | StoreError::Gone { .. }) => "conflict",
         Err(StoreError::Unavailable(_) | StoreError::Unknown(_)) => "failed",
     }
 }
 
-/// Notes an answer, also one that came too late for whoever waited.
-fn note_response(
+/// Records the response time of an answered call, even if the caller no longer waits for it.
+fn record_response(
     gateway: &Gateway,
     timer: &RefCell<ResponseTimer>,
     started: Instant,
@@ -278,12 +280,12 @@
             timer.borrow_mut().note_answer(started.elapsed());
             gateway.log_reach.borrow_mut().note_answer();
         }
-        // A refusal tells nothing of how long an answer takes.
+        // Refusals and timeouts are no measure of the response time.
         Some(StoreError::Unknown(_) | StoreError::Unavailable(_)) => {}
     }
 }
 
-fn note_failure(gateway: &Gateway, error: &StoreError) {
+fn record_failure(gateway: &Gateway, error: &StoreError) {
     match error {
         StoreError::Conflict { .. } | StoreError::Gone { .. } => {}
         StoreError::Unknown(_) | StoreError::Unavailable(_) => {
@@ -292,9 +294,9 @@
     }
 }
 
-fn warn(what: &str, partition: PartitionId, at: Offset, error: &StoreError) {
+fn log_failure(message: &str, partition: PartitionId, at: Offset, error: &StoreError) {
     log::warn!(
         partition = partition.0, at = at.0, error = error.to_string().as_str();
-        "{what}"
+        "{message}"
     );
 }
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! Requests to the ledger: to the node that should own the partition, or carried out here.
+//! Ledger requests, which are sent to the partition's preferred owner or executed on this node.
 
 mod log_calls;
 mod owner;
@@ -21,20 +21,20 @@
 use crate::peers::NoReply;
 use owner::Job;
 
-/// Pause before a request that no node could carry out is made again.
+/// Pause before a request that no node could execute is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
-/// The partitions that this node has acted for.
+/// The partitions for which this node runs an owner, and its memory as a witness.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     partitions: u32,
     tasks: RefCell<HashMap<PartitionId, mpsc::UnboundedSender<Job>>>,
-    /// What this node witnesses for other owners.
+    /// What this node remembers as a witness for owners on other nodes.
     witness: RefCell<WitnessMemory>,
 }
 
 impl Ledger {
-    /// Acts for no partition yet.
+    /// Creates a ledger without any running owner.
     pub(crate) fn new(partitions: u32) -> Self {
         Self {
             partitions,
@@ -43,52 +43,52 @@
         }
     }
 
-    /// Names this start of the node.
+    /// Returns a random number that identifies this process among the starts of the node.
     pub(crate) fn boot(&self) -> u64 {
         self.witness.borrow().boot()
     }
 }
 
-/// The nodes to which requests for a turn went, whether or not they replied: any of them may have
-/// carried one out.
+/// The nodes to which requests for a turn were sent, whether or not they replied: any of them may
+/// have executed one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AskedNodes(Rc<RefCell<BTreeSet<NodeId>>>);
 
 impl AskedNodes {
-    /// Those asked so far.
+    /// Returns the nodes asked so far.
     pub(crate) fn list(&self) -> Vec<NodeId> {
         self.0.borrow().iter().cloned().collect()
     }
 
-    fn note(&self, node: &NodeId) {
+    fn insert(&self, node: &NodeId) {
         self.0.borrow_mut().insert(node.clone());
     }
 }
 
-/// A reply and the node that gave it.
+/// A reply and the node that sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answered {
-    /// The reply.
+    /// The ledger's reply.
     pub(crate) reply: LedgerReply,
-    /// The node.
+    /// The node that replied, or at which the request failed.
     pub(crate) by: NodeId,
 }
 
-/// Times that a node is told that a turn does not run.
-const WITHDRAW_TRIES: u32 = 5;
+/// Maximum number of attempts to withdraw a turn at a node.
+const MAX_WITHDRAW_ATTEMPTS: u32 = 5;
 
-/// Pause between two of these.
+/// Pause between two attempts to withdraw a turn.
 const WITHDRAW_PAUSE: Duration = Duration::from_millis(800);
 
-/// Other nodes that are asked for a partition before this one reads the partition itself. Reading
-/// is dear, and all nodes would do it at the same time for a partition whose owner is lost.
-const MOST_PEERS_ASKED: usize = 3;
+/// Maximum number of candidates that are considered before this node acts for a partition itself.
+/// Reading a partition is expensive, and every node would read it at once after the loss of its owner.
+const MAX_CANDIDATES_ASKED: usize = 3;
 
-/// Makes a request of a partition's ledger.
+/// Sends a request to a partition's ledger.
 ///
-/// Any node can carry it out; those that should act for the partition are asked in order, since
-/// the first of them has the state at hand. If none of them can, this node tries.
-/// [`LedgerReply::Unavailable`] if nobody could.
+/// Any node can execute it. The partition's candidates are asked in order, because the first one
+/// already has the state in memory; if none of them can, this node tries. Returns
+/// [`LedgerReply::Unavailable`] if no node could execute the request.
 pub(crate) async fn request(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
@@ -97,31 +97,31 @@
 ) -> Answered {
     let own = &gateway.settings.node;
     let mut candidates = gateway.peers.candidates(gateway, partition);
-    candidates.truncate(MOST_PEERS_ASKED);
+    candidates.truncate(MAX_CANDIDATES_ASKED);
     let is_candidate = candidates.contains(own);
     let before_own = candidates.into_iter().take_while(|node| node != own);
     for by in before_own {
-        asked.note(&by);
+        asked.insert(&by);
         let reason = match ask_peer(gateway, &by, partition, request.clone()).await {
-            // The log may refuse that node alone.
+            // The log may refuse only that node.
             Ok(LedgerReply::Unavailable) => PassedOver::Unavailable,
             Ok(reply) => return Answered { reply, by },
             Err(NoReply::Unreachable | NoReply::Silent) => PassedOver::Absent,
-            // The log is slow; a second node at the same partition would not help.
+            // The log is slow, and a second owner of the partition would only add load.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
                 return Answered { reply, by };
             }
         };
-        if !may_pass_over(gateway, reason) {
+        if !may_skip(gateway, reason) {
             let reply = LedgerReply::Unavailable;
             return Answered { reply, by };
         }
     }
     let may_act = gateway.log_reach.borrow().may_act(is_candidate) && may_act_alone(gateway);
     let reply = if may_act {
-        asked.note(own);
-        carry_out(gateway, partition, request).await
+        asked.insert(own);
+        execute(gateway, partition, request).await
     } else {
         LedgerReply::Unavailable
     };
@@ -129,23 +129,24 @@
     Answered { reply, by }
 }
 
-fn standing(gateway: &Gateway) -> Standing {
+fn acting_state(gateway: &Gateway) -> Standing {
     Standing { age: gateway.age() }
 }
 
-/// Whether to go on past a candidate; for a moment after the start, one that is left out stays so.
-fn may_pass_over(gateway: &Gateway, reason: PassedOver) -> bool {
-    !gateway.settings.policy.starting_restraint || standing(gateway).may_pass_over(reason)
+/// Returns whether the next candidate may be asked after one that failed. Shortly after the start,
+/// failed candidates are not skipped.
+fn may_skip(gateway: &Gateway, reason: PassedOver) -> bool {
+    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_pass_over(reason)
 }
 
+/// Returns whether this node may act for a partition although no candidate could.
 fn may_act_alone(gateway: &Gateway) -> bool {
     let has_joined = gateway.start.has(Milestone::Joined);
-    !gateway.settings.policy.starting_restraint || standing(gateway).may_act_alone(has_joined)
+    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_act_alone(has_joined)
 }
 
-/// Makes a request, which should say that it waits, of the first node that should act for a
-/// partition and can be reached: it carries the request out as soon as the log is back, or says
-/// after a while that the log is still away.
+/// Sends a request that waits for the end of a log outage to the partition's first candidate. That
+/// node executes it as soon as the log is available, or replies after a timeout that it still isn't.
 pub(crate) async fn request_on_return(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
@@ -157,12 +158,12 @@
         Some(first) if first != own => ask_peer(gateway, first, partition, request)
             .await
             .unwrap_or(LedgerReply::Unavailable),
-        _ => carry_out(gateway, partition, request).await,
+        _ => execute(gateway, partition, request).await,
     }
 }
 
-/// Makes a request of the node that has granted a turn, or else of the one that should own its
-/// partition now.
+/// Sends a request to the node that granted a turn, or to the partition's candidates if that node
+/// can't execute it.
 pub(crate) async fn request_of(
     gateway: &Rc<Gateway>,
     granter: &NodeId,
@@ -170,7 +171,7 @@
     wanted: LedgerRequest,
 ) -> LedgerReply {
     if *granter == gateway.settings.node {
-        return carry_out(gateway, partition, wanted).await;
+        return execute(gateway, partition, wanted).await;
     }
     match ask_peer(gateway, granter, partition, wanted.clone()).await {
         Ok(LedgerReply::Unavailable) | Err(_) => {
@@ -181,18 +182,18 @@
     }
 }
 
-/// Tells a node that was asked for a turn that the turn does not run, until it has heard.
+/// Withdraws a turn at a node that was asked to start it; retries until the node confirms.
 pub(crate) async fn withdraw(
     gateway: &Rc<Gateway>,
     node: &NodeId,
     partition: PartitionId,
-    end_of_turn: LedgerRequest,
+    finish: LedgerRequest,
 ) {
-    for _ in 0..WITHDRAW_TRIES {
+    for _ in 0..MAX_WITHDRAW_ATTEMPTS {
         let reply = if *node == gateway.settings.node {
-            Ok(carry_out(gateway, partition, end_of_turn.clone()).await)
+            Ok(execute(gateway, partition, finish.clone()).await)
         } else {
-            ask_peer(gateway, node, partition, end_of_turn.clone()).await
+            ask_peer(gateway, node, partition, finish.clone()).await
         };
         if reply == Ok(LedgerReply::Finished) {
             return;
@@ -201,8 +202,8 @@
     }
 }
 
-/// Like [`request`], again and again for up to `patience` while no node can carry it out: an outage
-/// of the log may end in time, and other owners settle what they have set aside.
+/// Like [`request`], but retries for up to `patience` while no node can execute the request: a log
+/// outage may end in time, and other owners may settle their budget reservations.
 pub(crate) async fn request_patiently(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
@@ -239,8 +240,8 @@
             peer = node.as_str(), partition = partition.0, reason:? = reason;
             "peer did not answer for a partition"
         );
-        // Else the next try would pass it over.
-        if may_pass_over(gateway, PassedOver::Absent) {
+        // Avoiding a candidate makes the next attempt skip it.
+        if may_skip(gateway, PassedOver::Absent) {
             gateway.peers.avoid(gateway, node, *reason);
             gateway.peers.stop_presuming(gateway, node);
         }
@@ -248,15 +249,16 @@
     replied
 }
 
-fn task_of(gateway: &Rc<Gateway>, partition: PartitionId) -> mpsc::UnboundedSender<Job> {
+/// Returns the queue of this node's owner of a partition, which is started on first use.
+fn owner_task(gateway: &Rc<Gateway>, partition: PartitionId) -> mpsc::UnboundedSender<Job> {
     let mut tasks = gateway.ledger.tasks.borrow_mut();
     let task = tasks.entry(partition);
     task.or_insert_with(|| owner::spawn(gateway, partition))
         .clone()
 }
 
-/// Begins to act for the partitions that this node should act for, before anybody asks, so that
-/// their state is at hand and an overdraft stands when the log fails.
+/// Starts the owners of the partitions for which this node is the first candidate before any request
+/// arrives, so that their state is in memory and an overdraft is in place when the log fails.
 pub(crate) async fn prepare_partitions(gateway: Rc<Gateway>) {
     let mut changes = gateway.peers.changes();
     if !gateway.settings.policy.preparation {
@@ -267,15 +269,15 @@
             continue;
         }
         for partition in (0..gateway.ledger.partitions).map(PartitionId) {
-            if gateway.peers.is_foremost(&gateway, partition) {
-                task_of(&gateway, partition);
+            if gateway.peers.is_first_candidate(&gateway, partition) {
+                owner_task(&gateway, partition);
             }
         }
     }
 }
 
-/// Carries a request out on this node.
-pub(crate) async fn carry_out(
+/// Executes a request on this node.
+pub(crate) async fn execute(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
     request: LedgerRequest,
@@ -285,15 +287,15 @@
         return LedgerReply::Witness(witness.answer(gateway.now(), question));
     }
     let (reply, answered) = oneshot::channel();
-    let task = task_of(gateway, partition);
+    let task = owner_task(gateway, partition);
     if task.send((request, reply)).is_err() {
         return LedgerReply::Unavailable;
     }
     answered.await.unwrap_or(LedgerReply::Unavailable)
 }
 
-/// Looks a conversation up in every partition but one. [`LedgerReply::UnknownTurn`] only if every
-/// partition is sure.
+/// Looks up a conversation in every partition but `except`. Returns [`LedgerReply::UnknownTurn`] only
+/// if every partition has confirmed that it doesn't know the turn.
 pub(crate) async fn find_conversation(
     gateway: &Rc<Gateway>,
     except: PartitionId,
@@ -302,7 +304,7 @@
     let others = (0..gateway.ledger.partitions)
         .map(PartitionId)
         .filter(|partition| *partition != except);
-    let asking = others.map(|partition| {
+    let requests = others.map(|partition| {
         let question = LedgerRequest::Conversation {
             turn: turn.to_owned(),
         };
@@ -311,16 +313,16 @@
             request(gateway, partition, question, &asked).await
         }
     });
-    let mut answers: FuturesUnordered<_> = asking.collect();
-    let mut sure = true;
+    let mut answers: FuturesUnordered<_> = requests.collect();
+    let mut is_certain = true;
     while let Some(Answered { reply, .. }) = answers.next().await {
         match reply {
             LedgerReply::Conversation { .. } => return reply,
             LedgerReply::UnknownTurn => {}
-            _ => sure = false,
+            _ => is_certain = false,
         }
     }
-    if sure {
+    if is_certain {
         LedgerReply::UnknownTurn
     } else {
         LedgerReply::Unavailable
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -1,4 +1,5 @@
-//! Drives one partition's ledger on this node: carries its reads and appends out.
+//! The task that drives a [`PartitionOwner`]: executes its reads and appends, asks witnesses and sends
+//! its replies.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,28 +18,28 @@
 use super::log_calls::{PartitionReads, append};
 use crate::gateway::Gateway;
 
-/// Interval at which old accounts and turns are dropped or written anew.
+/// Interval at which expired accounts and turns are dropped, and live ones rewritten.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Most appends in a row of records that are written anew.
+/// Maximum number of consecutive appends that rewrite old records.
 const MAX_REWRITES: u32 = 16;
 
-/// A request with the way back to whoever made it.
+/// A request and the channel for its reply.
 pub(super) type Job = (LedgerRequest, oneshot::Sender<LedgerReply>);
 
-/// Starts to act for a partition.
+/// Starts the owner of a partition and returns its request queue.
 pub(super) fn spawn(gateway: &Rc<Gateway>, partition: PartitionId) -> mpsc::UnboundedSender<Job> {
     let (sender, jobs) = mpsc::unbounded_channel();
-    let (heard, answers) = mpsc::unbounded_channel();
+    let (responses, answers) = mpsc::unbounded_channel();
     let driver = Driver {
         gateway: gateway.clone(),
         partition,
         owner: PartitionOwner::with_policy(owner_name(gateway), gateway.settings.policy),
-        waiting: HashMap::new(),
-        conflicts_counted: 0,
+        pending: HashMap::new(),
+        counted_conflicts: 0,
         reads: Some(PartitionReads::new(gateway, partition)),
         overdraft_use: OverdraftUse::None,
-        heard,
+        responses,
         pace: AppendPace::new(paces(&gateway.settings.policy)),
     };
     actix_rt::spawn(driver.run(Inbox { jobs, answers }));
@@ -52,22 +53,22 @@
     }
 }
 
-/// What a witness has answered, `None` if nothing came.
-type Heard = (WitnessQuestion, Option<WitnessAnswer>);
+/// A question to a witness and its answer, `None` if there was none.
+type WitnessResponse = (WitnessQuestion, Option<WitnessAnswer>);
 
-/// What comes to an owner.
+/// The inputs of an owner.
 struct Inbox {
     jobs: mpsc::UnboundedReceiver<Job>,
-    answers: mpsc::UnboundedReceiver<Heard>,
+    answers: mpsc::UnboundedReceiver<WitnessResponse>,
 }
 
-/// A name that no other start of a node bears.
+/// Returns a name for an owner that is unique across nodes and restarts.
 fn owner_name(gateway: &Gateway) -> String {
     format!("{}#{:016x}", gateway.settings.node, rand::random::<u64>())
 }
 
-/// Who waits for a reply.
-struct Waiting {
+/// A request that has not been replied to.
+struct PendingRequest {
     reply: oneshot::Sender<LedgerReply>,
     urgency: Urgency,
 }
@@ -76,15 +77,16 @@
     gateway: Rc<Gateway>,
     partition: PartitionId,
     owner: PartitionOwner,
-    waiting: HashMap<Ticket, Waiting>,
-    conflicts_counted: u64,
-    /// Taken while a read is under way.
+    pending: HashMap<Ticket, PendingRequest>,
+    /// Append conflicts already added to the metric.
+    counted_conflicts: u64,
+    /// `None` while a read is in flight.
     reads: Option<PartitionReads>,
-    /// As last logged.
+    /// The use of the overdraft as last logged.
     overdraft_use: OverdraftUse,
-    /// Where answers of witnesses go.
-    heard: mpsc::UnboundedSender<Heard>,
-    /// When the next append may begin.
+    /// Sends the responses of witnesses to [`Inbox::answers`].
+    responses: mpsc::UnboundedSender<WitnessResponse>,
+    /// Decides when the next append may start.
     pace: AppendPace,
 }
 
@@ -96,15 +98,15 @@
             while let Ok(job) = inbox.jobs.try_recv() {
                 self.submit(job);
             }
-            self.collect(&mut inbox).await;
+            self.collect_batch(&mut inbox).await;
             self.owner.set_preferred(self.is_preferred());
             self.owner.set_serves_without_log(self.serves_without_log());
             let witnesses = self.gateway.peers.witnesses(&self.gateway, self.partition);
             self.owner.set_witnesses(witnesses);
             let action = self.owner.next_action(self.gateway.now());
-            self.hand_on();
+            self.dispatch_output();
             let Action::Wait { until } = action else {
-                self.carry_out(action, &mut inbox).await;
+                self.execute(action, &mut inbox).await;
                 continue;
             };
             tokio::select! {
@@ -112,32 +114,32 @@
                     Some(job) => self.submit(job),
                     None => return,
                 },
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
                 // The sender lives as long as the gateway.
                 _ = peers.changed() => {}
                 () = sleep_until(&self.gateway, until) => {}
-                _ = upkeep.tick() => self.keep_up(&mut inbox).await,
+                _ = upkeep.tick() => self.run_upkeep(&mut inbox).await,
             }
         }
     }
 
-    /// While calls follow each other, takes what comes for some milliseconds, so that one call
-    /// carries it. What needs no call is answered meanwhile.
-    async fn collect(&mut self, inbox: &mut Inbox) {
+    /// Collects requests for some milliseconds if the previous append was recent, so that a single
+    /// append can write all of them. Requests that need no append are answered immediately.
+    async fn collect_batch(&mut self, inbox: &mut Inbox) {
         while let Some(wait) = self.pace.wait(self.gateway.now(), self.urgency()) {
             tokio::select! {
                 biased;
                 () = actix_rt::time::sleep(wait) => {}
                 Some(job) = inbox.jobs.recv() => self.submit(job),
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
             }
-            self.hand_on();
+            self.dispatch_output();
         }
     }
 
     fn urgency(&self) -> Urgency {
-        let mut waiting = self.waiting.values();
-        match waiting.any(|waiting| waiting.urgency == Urgency::Leave) {
+        let mut pending = self.pending.values();
+        match pending.any(|request| request.urgency == Urgency::Leave) {
             true => Urgency::Leave,
             false => Urgency::Ends,
         }
@@ -149,23 +151,24 @@
             LedgerRequest::Finish(_) => Urgency::Ends,
             _ => Urgency::Leave,
         };
-        self.waiting.insert(ticket, Waiting { reply, urgency });
+        self.pending
+            .insert(ticket, PendingRequest { reply, urgency });
         self.owner.submit(self.gateway.now(), ticket, request);
     }
 
-    fn hear(&mut self, (question, answer): &Heard) {
+    fn take_response(&mut self, (question, answer): &WitnessResponse) {
         self.owner.on_inquiry(self.gateway.now(), question, *answer);
     }
 
-    /// Hands on what the owner has decided: replies, and questions to witnesses.
-    fn hand_on(&mut self) {
-        self.hand_on_replies();
+    /// Sends the owner's replies and its questions to witnesses.
+    fn dispatch_output(&mut self) {
+        self.send_replies();
         for inquiry in self.owner.take_inquiries() {
-            let asking = inquire(self.gateway.clone(), self.partition, inquiry);
-            let heard = self.heard.clone();
+            let asking = ask_witness(self.gateway.clone(), self.partition, inquiry);
+            let responses = self.responses.clone();
             actix_rt::spawn(async move {
                 // The owner lives as long as the process.
-                let _ = heard.send(asking.await);
+                let _ = responses.send(asking.await);
             });
         }
         self.log_overdraft();
@@ -187,26 +190,26 @@
         self.overdraft_use = present;
     }
 
-    fn hand_on_replies(&mut self) {
+    fn send_replies(&mut self) {
         for (ticket, reply) in self.owner.take_replies() {
-            if let Some(waiting) = self.waiting.remove(&ticket) {
-                // Whoever asked may have given up.
-                let _ = waiting.reply.send(reply);
+            if let Some(request) = self.pending.remove(&ticket) {
+                // The requester may no longer wait for the reply.
+                let _ = request.reply.send(reply);
             }
         }
     }
 
-    /// Carries an action out, and takes requests meanwhile.
-    async fn carry_out(&mut self, action: Action, inbox: &mut Inbox) {
+    /// Executes an action while accepting further requests.
+    async fn execute(&mut self, action: Action, inbox: &mut Inbox) {
         match action {
             Action::Read { from } => {
                 let mut reads = self.reads.take().expect("one call at a time");
-                // Whoever catches up does so without a pause.
+                // Catch-up reads are not paced.
                 if !reads.is_behind() {
                     self.pace.note(self.gateway.now());
                 }
                 let reading = reads.read(self.owner.last_call(), from);
-                let (call, outcome) = self.attend_until(reading, inbox).await;
+                let (call, outcome) = self.serve_during(reading, inbox).await;
                 self.reads = Some(reads);
                 let now = self.gateway.now();
                 self.owner.on_answered_read(now, call, outcome);
@@ -215,20 +218,20 @@
                 let gateway = self.gateway.clone();
                 self.pace.note(gateway.now());
                 let appending = append(&gateway, self.partition, at, &records);
-                let outcome = self.attend_until(appending, inbox).await;
+                let outcome = self.serve_during(appending, inbox).await;
                 self.owner.on_append(self.gateway.now(), outcome);
             }
             Action::Wait { .. } => {}
         }
         let conflicts = self.owner.conflicts();
-        let new = conflicts - self.conflicts_counted;
+        let new = conflicts - self.counted_conflicts;
         self.gateway.metrics.ledger_conflicts.inc_by(new);
-        self.conflicts_counted = conflicts;
+        self.counted_conflicts = conflicts;
     }
 
-    /// Waits for a call to the log; requests that come meanwhile are taken, and answered if that
-    /// needs no call.
-    async fn attend_until<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
+    /// Waits for a call to the log. Requests that arrive during the call are accepted, and answered
+    /// if that needs no further call.
+    async fn serve_during<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
         let mut call = std::pin::pin!(call);
         let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL));
         let mut is_slow = false;
@@ -237,18 +240,19 @@
                 biased;
                 outcome = &mut call => return outcome,
                 Some(job) = inbox.jobs.recv() => self.submit(job),
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
                 () = &mut slow, if !is_slow => {
                     is_slow = true;
                     self.owner.note_slow_call(self.gateway.now());
                 }
             }
-            self.hand_on();
+            self.dispatch_output();
         }
     }
 
-    /// Drops what is no longer kept; the first candidate writes anew what the log would lose.
-    async fn keep_up(&mut self, inbox: &mut Inbox) {
+    /// Drops expired accounts and turns. On the first candidate, also rewrites live records that the
+    /// log is about to drop.
+    async fn run_upkeep(&mut self, inbox: &mut Inbox) {
         let now = self.gateway.now();
         self.owner.expire(now, self.retention());
         if !self.is_preferred() {
@@ -258,18 +262,18 @@
             let Some(action) = self.owner.plan_rewrite(now) else {
                 return;
             };
-            self.carry_out(action, inbox).await;
+            self.execute(action, inbox).await;
         }
     }
 
-    /// Whether the other nodes send their requests for the partition here.
+    /// Returns whether this node is the partition's first candidate.
     fn is_preferred(&self) -> bool {
         let candidates = self.gateway.peers.candidates(&self.gateway, self.partition);
         candidates.first() == Some(&self.gateway.settings.node)
     }
 
-    /// Whether the configuration has streams whose turns are not kept. Without a configuration nothing
-    /// is served.
+    /// Returns whether the owner may grant turns without the log: the policy allows it for kept turns,
+    /// or a route has streams whose turns are not kept.
     fn serves_without_log(&self) -> bool {
         if self.gateway.settings.policy.kept_overdrafts {
             return true;
@@ -278,6 +282,7 @@
         config.is_some_and(|config| config.routes.iter().any(Route::is_unkept_stream))
     }
 
+    /// Returns how long accounts and turns are retained: longer than any route keeps its turns.
     fn retention(&self) -> Duration {
         let longest = self.gateway.current_config().and_then(|config| {
             let times = config.routes.iter().map(|route| route.keep_for);
@@ -287,12 +292,16 @@
     }
 }
 
-/// Puts a question to a witness, which may be this node.
-async fn inquire(gateway: Rc<Gateway>, partition: PartitionId, inquiry: Inquiry) -> Heard {
+/// Asks a witness, which may be this node.
+async fn ask_witness(
+    gateway: Rc<Gateway>,
+    partition: PartitionId,
+    inquiry: Inquiry,
+) -> WitnessResponse {
     let Inquiry { witness, question } = inquiry;
     let request = LedgerRequest::Witness(question.clone());
     let reply = if witness.node == gateway.settings.node {
-        super::carry_out(&gateway, partition, request).await
+        super::execute(&gateway, partition, request).await
     } else {
         let asked = gateway
             .peers
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -1,4 +1,4 @@
-//! Watches whether the log answers, and lets turns wait for its return.
+//! Detects outages of the log, and lets turns wait until the log is available again.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use crate::gateway::Gateway;
 use crate::ports::StoreError;
 
-/// What this node knows of the log's silence.
+/// The state of the log as observed by this node and reported by others.
 #[derive(Debug)]
 pub(crate) struct LogOutage {
     watch: RefCell<LogWatch>,
@@ -28,37 +28,38 @@
 }
 
 impl LogOutage {
-    /// What is known now.
+    /// Returns the current state of the log.
     pub(crate) fn state(&self) -> LogState {
         *self.state.borrow()
     }
 
-    /// Hears of changes.
+    /// Returns a receiver that is notified of changes of the state.
     pub(crate) fn changes(&self) -> watch::Receiver<LogState> {
         self.state.subscribe()
     }
 
-    /// Waits until the log is not silent, `longest` at most. Tells whether it is back.
-    pub(crate) async fn until_back(&self, longest: Duration) -> bool {
-        let mut news = self.state.subscribe();
-        let back = news.wait_for(|state| !state.is_silent());
-        actix_rt::time::timeout(longest, back).await.is_ok()
+    /// Waits up to `max_wait` until the log is not silent. Returns whether it answers again.
+    pub(crate) async fn until_back(&self, max_wait: Duration) -> bool {
+        let mut changes = self.state.subscribe();
+        let back = changes.wait_for(|state| !state.is_silent());
+        actix_rt::time::timeout(max_wait, back).await.is_ok()
     }
 
-    /// What this node tells others.
-    pub(crate) fn word(&self, gateway: &Gateway) -> LogWord {
+    /// Returns the report that this node sends to others.
+    pub(crate) fn own_report(&self, gateway: &Gateway) -> LogWord {
         self.watch.borrow().word(gateway.now())
     }
 
-    /// Takes another node's word; tells whether it is to be told that the log has answered since.
-    pub(crate) fn take(&self, gateway: &Gateway, node: NodeId, word: LogWord) -> bool {
+    /// Applies another node's report. Returns whether the log has answered this node since, which is then
+    /// to be reported back.
+    pub(crate) fn apply_report(&self, gateway: &Gateway, node: NodeId, word: LogWord) -> bool {
         let is_refuted = self.watch.borrow_mut().take(gateway.now(), node, word);
         self.publish(gateway);
         is_refuted
     }
 
-    /// Drops what is too old.
-    pub(crate) fn look(&self, gateway: &Gateway) {
+    /// Updates the state with the passage of time and the number of other nodes.
+    pub(crate) fn poll(&self, gateway: &Gateway) {
         let mut watch = self.watch.borrow_mut();
         watch.set_others(gateway.peers.count_others());
         watch.look(gateway.now());
@@ -66,7 +67,7 @@
         self.publish(gateway);
     }
 
-    /// Runs a call to the log, and looks how long it takes.
+    /// Runs a call to the log and observes how long it takes.
     pub(crate) async fn observe<T>(
         &self,
         gateway: &Gateway,
@@ -76,40 +77,41 @@
             return call.await;
         }
         let number = gateway.next_sequence();
-        let began = Instant::now();
+        let started = Instant::now();
         self.watch.borrow_mut().begin(gateway.now(), number);
         let mut call = std::pin::pin!(call);
-        let ended = loop {
+        let result = loop {
             tokio::select! {
                 biased;
-                ended = &mut call => break ended,
-                () = actix_rt::time::sleep(LOOK_INTERVAL) => self.look(gateway),
+                result = &mut call => break result,
+                () = actix_rt::time::sleep(LOOK_INTERVAL) => self.poll(gateway),
             }
         };
-        // A refusal or a failure leaves open whether others are served.
-        if let Ok(_) | Err(StoreError::Conflict { .. } | StoreError::Gone { .. }) = &ended {
+        // A refusal or a failure doesn't show whether the log answers other nodes.
+        if let Ok(_) | Err(StoreError::Conflict { .. } | StoreError::Gone { .. }) = &result {
             let mut watch = self.watch.borrow_mut();
-            watch.answered(gateway.now(), number, began.elapsed());
+            watch.answered(gateway.now(), number, started.elapsed());
             drop(watch);
             self.publish(gateway);
         }
-        ended
+        result
     }
 
+    /// Publishes the state if it has changed, and logs the start and the end of an outage.
     fn publish(&self, gateway: &Gateway) {
-        let present = self.watch.borrow().state();
+        let current = self.watch.borrow().state();
         let before = self.state();
-        if present == before {
+        if current == before {
             return;
         }
-        self.state.send_replace(present);
-        if present.is_silent() == before.is_silent() {
+        self.state.send_replace(current);
+        if current.is_silent() == before.is_silent() {
             return;
         }
-        let since = before.since().or(present.since());
+        let since = before.since().or(current.since());
         let lasts = since.map(|since| gateway.now().since(since));
-        gateway.metrics.note_log_silence(present.is_silent());
-        match present.is_silent() {
+        gateway.metrics.note_log_silence(current.is_silent());
+        match current.is_silent() {
             true => log::warn!(for_ms = millis(lasts); "the log is silent"),
             false => log::info!(for_ms = millis(lasts); "the log is no longer silent"),
         }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,4 +1,4 @@
-//! The memory that this node holds for callers, workers and peers, all together.
+//! Accounting of the memory that this node holds for callers, workers and peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,44 +11,50 @@
 
 use crate::metrics::Metrics;
 
-/// Counts what is held; cheap to clone.
+/// Tracks the bytes held by this node; cheap to clone.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory(Rc<Account>);
+pub(crate) struct Memory(Rc<Inner>);
 
 #[derive(Debug)]
-struct Account {
+struct Inner {
     marks: Marks,
-    kinds: Vec<Kind>,
+    kinds: Vec<KindUsage>,
+    /// Bytes held for all kinds.
     total: Cell<usize>,
+    /// Maximum of `total` so far.
     peak: Cell<usize>,
     peak_gauge: Gauge,
-    /// Wakes those who wait for room.
+    /// Wakes tasks that wait for capacity.
     relieved: Notify,
     streams: RefCell<BTreeMap<u64, RunningStream>>,
     next_stream: Cell<u64>,
 }
 
+/// The bytes held for one purpose.
 #[derive(Debug)]
-struct Kind {
+struct KindUsage {
     bytes: Cell<usize>,
     gauge: Gauge,
 }
 
 #[derive(Debug)]
 struct RunningStream {
+    /// Bytes that wait for the caller.
     unsent: usize,
+    /// Since when the caller has read nothing.
     stalled_since: Instant,
-    end: Rc<Notify>,
+    /// Notified when the stream must be aborted.
+    abort: Rc<Notify>,
 }
 
 impl Memory {
-    /// Holds nothing yet. `process_bytes` is the memory at which the process is killed.
+    /// Creates an empty account. `process_bytes` is the memory limit at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
-        let kinds = HeldFor::ALL.map(|kind| Kind {
+        let kinds = HeldFor::ALL.map(|kind| KindUsage {
             bytes: Cell::new(0),
             gauge: metrics.held_bytes(kind),
         });
-        Self(Rc::new(Account {
+        Self(Rc::new(Inner {
             marks: Marks::of(process_bytes),
             kinds: kinds.into(),
             total: Cell::new(0),
@@ -60,7 +66,7 @@
         }))
     }
 
-    /// Room for something that holds nothing yet.
+    /// Returns an empty reservation.
     pub(crate) fn share(&self, kind: HeldFor) -> Share {
         Share {
             memory: self.clone(),
@@ -69,22 +75,22 @@
         }
     }
 
-    /// All that is held, in bytes.
+    /// Returns the bytes held for all purposes.
     pub(crate) fn held(&self) -> usize {
         self.0.total.get()
     }
 
-    /// How short memory is.
+    /// Returns the current memory pressure.
     pub(crate) fn pressure(&self) -> Pressure {
         self.0.marks.pressure(self.held())
     }
 
-    /// Whether another stream may begin.
+    /// Returns whether another stream may start.
     pub(crate) fn takes_stream(&self) -> bool {
         self.0.marks.takes_stream(self.held())
     }
 
-    /// Waits until memory is no longer full.
+    /// Waits until the memory is no longer full.
     pub(crate) async fn relieved(&self) {
         loop {
             let relieved = self.0.relieved.notified();
@@ -95,33 +101,34 @@
         }
     }
 
-    /// A stream begins.
+    /// Registers a stream that starts.
     pub(crate) fn begin_stream(&self) -> StreamEntry {
         let id = self.0.next_stream.get();
         self.0.next_stream.set(id + 1);
-        let end = Rc::new(Notify::new());
+        let abort = Rc::new(Notify::new());
         let stream = RunningStream {
             unsent: 0,
             stalled_since: Instant::now(),
-            end: end.clone(),
+            abort: abort.clone(),
         };
         self.0.streams.borrow_mut().insert(id, stream);
         StreamEntry {
             memory: self.clone(),
             id,
-            end,
+            abort,
         }
     }
 
-    fn kind(&self, kind: HeldFor) -> &Kind {
+    fn usage(&self, kind: HeldFor) -> &KindUsage {
         let index = HeldFor::ALL.iter().position(|known| *known == kind);
         &self.0.kinds[index.expect("every kind is listed")]
     }
 
+    /// Changes the size of a reservation, and aborts a stream if the memory becomes full.
     fn change(&self, kind: HeldFor, from: usize, to: usize) {
-        let counted = self.kind(kind);
-        counted.bytes.set(counted.bytes.get() - from + to);
-        counted.gauge.set(saturating_i64(counted.bytes.get()));
+        let usage = self.usage(kind);
+        usage.bytes.set(usage.bytes.get() - from + to);
+        usage.gauge.set(saturating_i64(usage.bytes.get()));
         let was_full = self.pressure() == Pressure::Full;
         let total = self.held() - from + to;
         self.0.total.set(total);
@@ -130,14 +137,14 @@
             self.0.peak_gauge.set(saturating_i64(total));
         }
         match self.pressure() {
-            Pressure::Full if to > from => self.end_a_stream(),
+            Pressure::Full if to > from => self.abort_one_stream(),
             Pressure::Full => {}
             _ if was_full => self.0.relieved.notify_waiters(),
             _ => {}
         }
     }
 
-    fn end_a_stream(&self) {
+    fn abort_one_stream(&self) {
         let streams = self.0.streams.borrow();
         let now = Instant::now();
         let loads = streams.iter().map(|(id, stream)| StreamLoad {
@@ -146,12 +153,12 @@
             stalled: now.saturating_duration_since(stream.stalled_since),
         });
         if let Some(stream) = stream_to_end(loads).and_then(|id| streams.get(&id)) {
-            stream.end.notify_one();
+            stream.abort.notify_one();
         }
     }
 }
 
-/// What one holder takes; given back when dropped.
+/// The bytes held by one holder; released on drop.
 #[derive(Debug)]
 pub(crate) struct Share {
     memory: Memory,
@@ -160,9 +167,9 @@
 }
 
 impl Share {
-    /// Takes room for more bytes of a body; `false` if there is none left.
+    /// Reserves further bytes for a request body. Returns `false` if there is no capacity left.
     pub(crate) fn grow_body(&mut self, more: usize) -> bool {
-        let bodies = self.memory.kind(HeldFor::Bodies).bytes.get();
+        let bodies = self.memory.usage(HeldFor::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
             return false;
@@ -171,7 +178,7 @@
         true
     }
 
-    /// Notes how many bytes are held now.
+    /// Sets the number of bytes held.
     pub(crate) fn set(&mut self, bytes: usize) {
         if bytes != self.bytes {
             self.memory.change(self.kind, self.bytes, bytes);
@@ -179,7 +186,7 @@
         }
     }
 
-    /// The account that it belongs to.
+    /// Returns the account that the reservation belongs to.
     pub(crate) fn memory(&self) -> &Memory {
         &self.memory
     }
@@ -191,16 +198,16 @@
     }
 }
 
-/// A running stream, as far as memory is concerned.
+/// The registration of a running stream; removed on drop.
 #[derive(Debug)]
 pub(crate) struct StreamEntry {
     memory: Memory,
     id: u64,
-    end: Rc<Notify>,
+    abort: Rc<Notify>,
 }
 
 impl StreamEntry {
-    /// Notes what is held for the caller, and since when it has taken nothing.
+    /// Records how many bytes wait for the caller, and since when it has read nothing.
     pub(crate) fn note(&self, unsent: usize, stalled_since: Instant) {
         if let Some(stream) = self.memory.0.streams.borrow_mut().get_mut(&self.id) {
             stream.unsent = unsent;
@@ -208,9 +215,9 @@
         }
     }
 
-    /// Waits until the stream must end since memory is full.
+    /// Waits until the stream must be aborted because the memory is full.
     pub(crate) async fn must_end(&self) {
-        self.end.notified().await;
+        self.abort.notified().await;
     }
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a gateway, in the usual text form.
+//! The gateway's metrics, exposed in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,123 +14,123 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::far_bytes::FarBytes;
+use crate::far_bytes::CrossZoneBytes;
 use crate::reply::Refusal;
 
-/// Label of answered requests.
+/// Label of answered requests, by status.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct AnswerLabel {
-    /// Status of the answer; 0 if the connection was closed without one.
+    /// HTTP status of the answer; 0 if the connection was closed without one.
     pub(crate) status: u16,
 }
 
 /// Label of calls to the platform's log.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct LogCallLabel {
-    /// What was called.
+    /// Purpose of the call.
     pub(crate) call: &'static str,
-    /// How it ended.
+    /// Outcome of the call.
     pub(crate) outcome: &'static str,
 }
 
-/// Label of answers of the gateway's own.
+/// Label of answers that the gateway produced itself instead of a worker.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct RefusalLabel {
-    /// Whether the answer promises that the request was not run, or leaves that open.
+    /// Whether the answer guarantees that the request was not run, or leaves that open.
     pub(crate) not_run: &'static str,
-    /// Why it was given.
+    /// Reason for the refusal.
     pub(crate) reason: &'static str,
 }
 
-/// Label of turns that have waited for a silent log.
+/// Label of turns that waited during a log outage.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct OutageWaitLabel {
-    /// How the wait ended.
+    /// Outcome of the wait.
     pub(crate) end: &'static str,
 }
 
-/// Label of memory by what it is held for.
+/// Label of memory held, by purpose.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct HeldLabel {
-    /// What.
+    /// Purpose of the memory.
     pub(crate) kind: &'static str,
 }
 
-/// Label of streams that were ended since their caller read nothing.
+/// Label of streams that were aborted because their caller had stopped reading.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct GivenUpLabel {
-    /// What did not allow to wait longer.
+    /// Limit that was reached.
     pub(crate) reason: &'static str,
 }
 
-/// Label of turns sent to engines.
+/// Label of turns sent to engines, by placement.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct PlacementLabel {
-    /// Whether the engine is home to the first part of the prompt.
+    /// Whether the engine is a home of the first part of the prompt.
     pub(crate) engine: &'static str,
 }
 
-/// Label of calls to engines for what they keep.
+/// Label of calls that read which prompt parts an engine has cached.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct EngineReadLabel {
-    /// What was called.
+    /// Kind of the call.
     pub(crate) call: &'static str,
-    /// How it ended.
+    /// Outcome of the call.
     pub(crate) outcome: &'static str,
 }
 
 /// Label of requests refused for their tenant's quota.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct QuotaRefusalLabel {
-    /// What the refusal rests on.
+    /// Source of the decision.
     pub(crate) basis: &'static str,
-    /// Whether room was left to programs that have begun.
+    /// Whether the rest of the quota was reserved for programs that have already started.
     pub(crate) held_back: &'static str,
 }
 
-/// Label of questions to lessors of quotas.
+/// Label of questions to quota lessors.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct QuotaGrantLabel {
-    /// What came of them.
+    /// Outcome of the question.
     pub(crate) outcome: &'static str,
 }
 
-/// Label of figures of one tenant.
+/// Label of per-tenant metrics.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct TenantLabel {
-    /// Its name.
+    /// Name of the tenant.
     pub(crate) tenant: String,
 }
 
-/// Label of runs that ended with their stream.
+/// Label of runs that could not be resumed after their stream broke.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct RunEndLabel {
-    /// Why they did not go on.
+    /// Reason why the run was not resumed.
     pub(crate) reason: &'static str,
 }
 
-/// Label of the steps of a start.
+/// Label of the steps of the startup.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct StepLabel {
-    /// Which step.
+    /// Name of the step.
     pub(crate) step: &'static str,
 }
 
-/// Why a turn was refused that asked for a place at an engine.
+/// The reason why a turn was refused a slot at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionRefusal {
-    /// What goes first takes longer than the turn can wait.
+    /// The turns ahead would take longer than the turn can wait.
     NoPlaceInTime,
-    /// This node can hold no more waiting turns.
+    /// The queue of waiting turns at this node is full.
     QueueFull,
-    /// A more pressing turn took its place in the queue.
+    /// A more urgent turn took its position in the queue.
     Displaced,
-    /// It got no place in the time that it could wait.
+    /// No slot became free within the time that the turn could wait.
     WaitedInVain,
 }
 
 impl AdmissionRefusal {
-    /// For callers, people and logs.
+    /// Returns the reason as shown to callers, in logs and as a metric label.
     pub(crate) fn text(self) -> &'static str {
         match self {
             Self::NoPlaceInTime => "no engine will be free in time",
@@ -141,14 +141,14 @@
     }
 }
 
-/// Label of turns that were refused a place at an engine.
+/// Label of turns that were refused a slot at an engine.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct AdmissionLabel {
-    /// Why.
+    /// Reason for the refusal.
     pub(crate) reason: &'static str,
 }
 
-/// Everything that a gateway counts.
+/// The metrics of a gateway. Fields are documented by the help texts in [`Metrics::register`].
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -175,7 +175,7 @@
     pub(crate) log_is_silent: Gauge,
     pub(crate) outage_waits: Family<OutageWaitLabel, Counter>,
     pub(crate) log_calls: Family<LogCallLabel, Counter>,
-    /// The same for log lines, whatever their outcome.
+    /// Calls to the log by purpose, regardless of outcome; for log lines.
     log_calls_by_cause: RefCell<BTreeMap<&'static str, u64>>,
     pub(crate) start_ms: Family<StepLabel, Gauge>,
     pub(crate) node_recomputations: Counter,
@@ -183,11 +183,9 @@
     pub(crate) workers: Gauge,
     pub(crate) reads_streams: Gauge,
     pub(crate) zones_evacuated: Gauge,
-    /// Times that the workers or the nodes of a zone were suspected together.
     pub(crate) zones_suspected: Counter,
-    /// How many are now.
     pub(crate) zones_suspected_now: Gauge,
-    pub(crate) far_bytes: FarBytes,
+    pub(crate) far_bytes: CrossZoneBytes,
     pub(crate) unreadable_entries: Counter,
     pub(crate) config_version: Gauge,
     pub(crate) proofs_told: Counter,
@@ -212,16 +210,17 @@
     pub(crate) backup_bytes: Counter,
 }
 
-/// Upper bound of the first bucket in seconds; each further one is twice as large.
-const FIRST_BUCKET: f64 = 0.001;
+/// Upper bound of the first histogram bucket in seconds; each further bound is twice as large.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
 
-/// Buckets up to about 16 seconds.
-const BUCKETS: u16 = 15;
+/// Number of histogram buckets; the last bound is about 16 seconds.
+const BUCKET_COUNT: u16 = 15;
 
 impl Metrics {
-    /// Registers everything.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Self {
-        let histogram = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
+        let histogram =
+            || Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT));
         let mut metrics = Self {
             registry: Registry::with_prefix("elderworks_gateway"),
             answers: Family::default(),
@@ -256,7 +255,7 @@
             zones_evacuated: Gauge::default(),
             zones_suspected: Counter::default(),
             zones_suspected_now: Gauge::default(),
-            far_bytes: FarBytes::default(),
+            far_bytes: CrossZoneBytes::default(),
             unreadable_entries: Counter::default(),
             config_version: Gauge::default(),
             proofs_told: Counter::default(),
@@ -284,15 +283,15 @@
         metrics
     }
 
-    /// The text shown to whoever asks.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string is infallible.
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
         text
     }
 
-    /// Notes that the log is taken to be silent, or no longer.
+    /// Records the start or the end of a log outage.
     pub(crate) fn note_log_silence(&self, is_silent: bool) {
         self.log_is_silent.set(i64::from(is_silent));
         if is_silent {
@@ -300,7 +299,7 @@
         }
     }
 
-    /// Counts a turn that has waited for a silent log.
+    /// Counts a turn that waited during a log outage.
     pub(crate) fn note_outage_wait(&self, is_back: bool) {
         let end = if is_back { "begun" } else { "refused" };
         self.outage_waits
@@ -308,20 +307,20 @@
             .inc();
     }
 
-    /// Counts a request refused for its tenant's quota.
+    /// Counts a request refused because of its tenant's quota.
     pub(crate) fn note_quota_refusal(&self, basis: &'static str, is_held_back: bool) {
         let held_back = if is_held_back { "yes" } else { "no" };
         let label = QuotaRefusalLabel { basis, held_back };
         self.quota_refusals.get_or_create(&label).inc();
     }
 
-    /// Counts a question to a lessor of quotas.
+    /// Counts a question to a quota lessor.
     pub(crate) fn note_quota_grant(&self, outcome: &'static str) {
         let label = QuotaGrantLabel { outcome };
         self.quota_grants.get_or_create(&label).inc();
     }
 
-    /// Counts an answer of the gateway's own.
+    /// Counts an answer that the gateway produced itself.
     pub(crate) fn note_refusal(&self, refusal: &Refusal) {
         let label = RefusalLabel {
             not_run: if refusal.is_promise() {
@@ -334,7 +333,7 @@
         self.refusals.get_or_create(&label).inc();
     }
 
-    /// The gauge of memory held for something.
+    /// Returns the gauge of the memory held for a purpose.
     pub(crate) fn held_bytes(&self, kind: HeldFor) -> Gauge {
         let label = HeldLabel { kind: kind.name() };
         self.held_bytes.get_or_create(&label).clone()
@@ -348,31 +347,31 @@
             .inc();
     }
 
-    /// Counts a call to an engine for what it keeps.
+    /// Counts a call that reads which prompt parts an engine has cached.
     pub(crate) fn note_engine_read(&self, call: &'static str, outcome: &'static str) {
         let label = EngineReadLabel { call, outcome };
         self.engine_reads.get_or_create(&label).inc();
     }
 
-    /// Shows how many engines this node reads.
+    /// Sets the number of engines that this node reads.
     pub(crate) fn note_engines_read(&self, engines: usize) {
-        self.engines_read.set(gauge_of(engines));
+        self.engines_read.set(saturating_i64(engines));
     }
 
-    /// Shows how many parts are believed to be kept, and the age of the oldest belief.
+    /// Sets the number of cached prompt parts known, and the age of the oldest knowledge of an engine.
     pub(crate) fn note_memories(&self, parts: usize, oldest: Option<Duration>) {
-        self.parts_known.set(gauge_of(parts));
+        self.parts_known.set(saturating_i64(parts));
         let age = oldest.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
         self.belief_age_ms.set(age);
     }
 
-    /// Counts a part that an engine was told to take from another one.
+    /// Counts a prompt part that an engine was asked to fetch from another engine.
     pub(crate) fn note_prompt_fetch(&self, bytes: u64) {
         self.prompt_fetches.inc();
         self.prompt_fetched_bytes.inc_by(bytes);
     }
 
-    /// Counts a turn that was refused a place at an engine.
+    /// Counts a turn that was refused a slot at an engine.
     pub(crate) fn note_admission_refusal(&self, refusal: AdmissionRefusal) {
         let label = AdmissionLabel {
             reason: refusal.text(),
@@ -380,7 +379,7 @@
         self.admission_refusals.get_or_create(&label).inc();
     }
 
-    /// Counts a read of a stream that is followed.
+    /// Counts a read of a followed stream.
     pub(crate) fn note_stream_read(&self, stream: Stream, outcome: &'static str) {
         let call = match stream {
             Stream::Configuration => "follow_configuration",
@@ -391,7 +390,7 @@
         self.count_log_call(call, outcome);
     }
 
-    /// Counts another call to the log.
+    /// Counts a call to the log other than a read of a followed stream.
     pub(crate) fn note_log_call(&self, cause: LogCause, outcome: &'static str) {
         self.count_log_call(cause.name(), outcome);
     }
@@ -406,7 +405,7 @@
             .or_default() += 1;
     }
 
-    /// How many calls to the log were made so far, by what for.
+    /// Returns the number of calls to the log so far, by purpose.
     pub(crate) fn log_calls_by_cause(&self) -> BTreeMap<&'static str, u64> {
         self.log_calls_by_cause.borrow().clone()
     }
@@ -689,6 +688,6 @@
     }
 }
 
-fn gauge_of(count: usize) -> i64 {
+fn saturating_i64(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,7 +1,7 @@
-//! The other nodes: who seems alive, and connections to ask them for what they own.
+//! The other nodes of the fleet: which of them are alive, and the connections to them.
 
+mod cross_zone;
 mod demand;
-mod far;
 mod gossip;
 mod lessors;
 mod link;
@@ -35,112 +35,112 @@
 
 use crate::gateway::Gateway;
 use crate::settings::GatewaySettings;
-use far::FarZones;
+use cross_zone::RemoteZones;
 use link::Link;
 
-pub(crate) use far::send;
+pub(crate) use cross_zone::send;
 pub(crate) use gossip::probe_nodes;
 pub(crate) use lessors::{Lessor, LessorDesk};
 pub(crate) use link::NoReply;
 pub(crate) use serve::accept_peers;
-pub(crate) use zones::{reports as zone_reports, take as take_zone_reports};
+pub(crate) use zones::{receive as receive_zone_reports, reports as zone_reports};
 
 /// Interval of the failure detector's probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A probe unanswered for this long is sent round by others.
+/// Timeout of a direct probe, after which other nodes are asked to probe the node.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A suspect that has not refuted for this long is dead.
+/// Time after which a suspect that hasn't refuted the suspicion is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A node that shows no sign of life is not asked for this long: each try costs a time-out.
+/// How long a node is avoided after it didn't respond: each further attempt would cost a timeout.
 const SILENT_PAUSE: Duration = Duration::from_secs(1);
 
-/// A node whose connection is refused or ends is not asked for this long: a try costs little.
+/// How long a node is avoided after its connection was refused or closed: attempts fail quickly.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(250);
 
-/// Most nodes that are told of a failing worker.
-const MOST_TOLD: usize = 16;
+/// Maximum number of nodes that are notified of an ejected worker.
+const MAX_NOTIFIED_NODES: usize = 16;
 
-/// The other nodes.
+/// The other nodes of the fleet, as far as this node knows them.
 #[derive(Debug)]
 pub(crate) struct Peers {
     own: NodeId,
     own_zone: ZoneId,
     membership: RefCell<Option<Membership>>,
-    /// When this node joined, while nodes that are listed count as alive though gossip has not told
-    /// of them yet: a node that has just started knows nobody, and alone it would act for every
-    /// partition.
-    presumes_since: Cell<Option<Instant>>,
-    /// Listed nodes that have not answered meanwhile.
+    /// When this node joined, as long as nodes that gossip hasn't mentioned yet are presumed alive if
+    /// they are listed. Otherwise a node that has just started would act for every partition.
+    presuming_since: Cell<Option<Instant>>,
+    /// Listed nodes that are no longer presumed alive because they didn't answer.
     not_presumed: RefCell<BTreeSet<NodeId>>,
     /// Nodes that answer probes and are not leaving, this one included.
     alive: RefCell<BTreeSet<NodeId>>,
-    /// Whether something other than who is alive has changed since [`Self::recompute`].
+    /// Whether anything other than the set of living nodes has changed since [`Self::recompute`].
     is_stale: Cell<bool>,
-    /// Changes of states that have not been logged yet.
-    news: RefCell<BTreeMap<NodeId, MemberState>>,
-    /// What [`Self::ranking`] has worked out since the last change.
+    /// State changes that have not been logged yet.
+    unlogged_changes: RefCell<BTreeMap<NodeId, MemberState>>,
+    /// Cache of [`Self::ranking`], cleared by [`Self::recompute`].
     rankings: RefCell<HashMap<PartitionId, Rc<[NodeId]>>>,
-    /// The same for [`Self::witnesses`].
+    /// Cache of [`Self::witnesses`], cleared by [`Self::recompute`].
     witnesses: RefCell<HashMap<PartitionId, Rc<[Witness]>>>,
-    /// Zones of the nodes of other zones.
-    far_zones: RefCell<FarZones>,
+    /// Zones of the nodes in other zones.
+    remote_zones: RefCell<RemoteZones>,
     links: RefCell<HashMap<NodeId, Link>>,
+    /// Nodes that receive no ledger requests, and until when.
     avoided: RefCell<HashMap<NodeId, Instant>>,
-    /// Tells that nodes have come, gone or changed.
+    /// Notifies of nodes that were added, removed or changed.
     changes: watch::Sender<()>,
 }
 
 impl Peers {
-    /// Knows no other node yet.
+    /// Creates a directory without any other node.
     pub(crate) fn new(settings: &GatewaySettings) -> Self {
         Self {
             own: settings.node.clone(),
             own_zone: settings.zone.clone(),
             membership: RefCell::default(),
-            presumes_since: Cell::default(),
+            presuming_since: Cell::default(),
             not_presumed: RefCell::default(),
             alive: RefCell::default(),
             is_stale: Cell::default(),
-            news: RefCell::default(),
+            unlogged_changes: RefCell::default(),
             rankings: RefCell::default(),
             witnesses: RefCell::default(),
-            far_zones: RefCell::default(),
+            remote_zones: RefCell::default(),
             links: RefCell::default(),
             avoided: RefCell::default(),
             changes: watch::Sender::new(()),
         }
     }
 
-    /// Whether another node answers probes and is not leaving.
+    /// Returns whether a node answers probes and is not draining.
     pub(crate) fn is_alive(&self, node: &NodeId) -> bool {
         self.alive.borrow().contains(node)
     }
 
-    /// How many other nodes answer probes and are not leaving.
+    /// Returns the number of other nodes that answer probes and are not draining.
     pub(crate) fn count_others(&self) -> usize {
         let alive = self.alive.borrow();
         alive.len() - usize::from(alive.contains(&self.own))
     }
 
-    /// Notes that entries have changed, or what is presumed.
-    pub(crate) fn note_stale(&self) {
+    /// Marks the derived state as outdated because node entries or presumptions have changed.
+    pub(crate) fn mark_stale(&self) {
         self.is_stale.set(true);
     }
 
-    /// Works out anew who is alive. Tells whether anything has changed for others; if not, what was
-    /// worked out before stands.
+    /// Recomputes the set of living nodes. Returns whether anything has changed; if not, derived state
+    /// remains valid.
     pub(crate) fn recompute(&self, nodes: &NodeDirectory) -> bool {
-        self.log_news();
-        let alive = self.count_alive(nodes);
+        self.log_state_changes();
+        let alive = self.living_nodes(nodes);
         let is_same = *self.alive.borrow() == alive;
         if is_same && !self.is_stale.take() {
             return false;
         }
         self.is_stale.set(false);
-        self.note_zones(nodes);
+        self.update_remote_zones(nodes);
         self.rankings.borrow_mut().clear();
         self.witnesses.borrow_mut().clear();
         *self.alive.borrow_mut() = alive;
@@ -148,99 +148,99 @@
         true
     }
 
-    fn count_alive(&self, nodes: &NodeDirectory) -> BTreeSet<NodeId> {
+    fn living_nodes(&self, nodes: &NodeDirectory) -> BTreeSet<NodeId> {
         let membership = self.membership.borrow();
         let members = membership.iter().flat_map(Membership::members);
         let mut alive: BTreeSet<NodeId> = members
             .filter(|member| member.update.state == MemberState::Alive)
             .map(|member| member.update.node.clone())
             .collect();
-        if self.presumes_since.get().is_some() {
-            alive.extend(self.unheard(nodes));
+        if self.presuming_since.get().is_some() {
+            alive.extend(self.presumed_alive(nodes));
         }
         alive
     }
 
-    /// Listed nodes that gossip has not told of, but for those that have not answered.
-    fn unheard(&self, nodes: &NodeDirectory) -> Vec<NodeId> {
+    /// Returns the listed nodes that gossip hasn't mentioned, except those that didn't answer.
+    fn presumed_alive(&self, nodes: &NodeDirectory) -> Vec<NodeId> {
         let membership = self.membership.borrow();
         let members = membership.iter().flat_map(Membership::members);
-        let heard_of: BTreeSet<&NodeId> = members.map(|member| &member.update.node).collect();
+        let known: BTreeSet<&NodeId> = members.map(|member| &member.update.node).collect();
         let not_presumed = self.not_presumed.borrow();
-        let listed = nodes.iter().filter(|(_, known)| !known.record.draining);
+        let listed = nodes.iter().filter(|(_, entry)| !entry.record.draining);
         listed
             .map(|(node, _)| node)
-            .filter(|node| !heard_of.contains(node) && !not_presumed.contains(node))
+            .filter(|node| !known.contains(node) && !not_presumed.contains(node))
             .cloned()
             .collect()
     }
 
-    /// A node has not answered: until gossip tells of it, it does not count as alive.
+    /// Stops presuming that a node which didn't answer is alive, until gossip mentions it.
     pub(crate) fn stop_presuming(&self, gateway: &Gateway, node: &NodeId) {
-        let is_presuming = self.presumes_since.get().is_some();
+        let is_presuming = self.presuming_since.get().is_some();
         if is_presuming && self.not_presumed.borrow_mut().insert(node.clone()) {
             gateway.note_node_changes();
         }
     }
 
-    /// Logs changes of states, those since the last time together.
-    fn log_news(&self) {
-        let news = std::mem::take(&mut *self.news.borrow_mut());
-        if news.is_empty() {
+    /// Logs the state changes since the last call in one line.
+    fn log_state_changes(&self) {
+        let changes = std::mem::take(&mut *self.unlogged_changes.borrow_mut());
+        if changes.is_empty() {
             return;
         }
         let of = |state: MemberState| {
-            let having = news.iter().filter(|(_, other)| **other == state);
-            listing(having.map(|(node, _)| node.as_str()))
+            let matching = changes.iter().filter(|(_, other)| **other == state);
+            join_names(matching.map(|(node, _)| node.as_str()))
         };
         log::info!(
-            count = news.len(), alive = of(MemberState::Alive), suspect = of(MemberState::Suspect),
+            count = changes.len(), alive = of(MemberState::Alive), suspect = of(MemberState::Suspect),
             draining = of(MemberState::Draining), dead = of(MemberState::Dead);
             "peers changed"
         );
     }
 
-    /// Hears when nodes come, go or change.
+    /// Returns a receiver that is notified when nodes are added, removed or changed.
     pub(crate) fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Has the owners of partitions look anew at what they are to do, as after a change of nodes.
+    /// Wakes the owners of partitions, as after a change of nodes.
     pub(crate) fn wake_owners(&self) {
         self.changes.send_replace(());
     }
 
-    /// Whether gossip has had time to spread since this node has joined.
+    /// Returns whether gossip has had time to spread since this node joined.
     pub(crate) fn is_settled(&self) -> bool {
-        self.membership.borrow().is_some() && self.presumes_since.get().is_none()
+        self.membership.borrow().is_some() && self.presuming_since.get().is_none()
     }
 
-    /// Ends the time in which listed nodes are presumed alive, once it is over.
+    /// Stops presuming listed nodes alive once the presumption period is over.
     fn end_presumption(&self, gateway: &Gateway) {
-        let Some(since) = self.presumes_since.get() else {
+        let Some(since) = self.presuming_since.get() else {
             return;
         };
-        let is_wanted = gateway.settings.policy.presumption;
-        let lasts = |has_unheard| is_wanted && presumes_alive(since.elapsed(), has_unheard);
-        // The second look costs work for each node, so it comes after the first.
-        if lasts(false) || lasts(true) && !self.unheard(&gateway.nodes.borrow()).is_empty() {
+        let is_enabled = gateway.settings.policy.presumption;
+        let lasts = |has_presumed| is_enabled && presumes_alive(since.elapsed(), has_presumed);
+        // The second check iterates over all nodes, so the cheap one comes first.
+        if lasts(false) || lasts(true) && !self.presumed_alive(&gateway.nodes.borrow()).is_empty() {
             return;
         }
-        self.presumes_since.set(None);
+        self.presuming_since.set(None);
         self.not_presumed.borrow_mut().clear();
-        self.note_stale();
+        self.mark_stale();
         gateway.note_node_changes();
     }
 
-    /// Asks no ledger requests of a node for a while that depends on why it has not replied.
+    /// Sends no ledger requests to a node for a time that depends on why it didn't reply.
     pub(crate) fn avoid(&self, gateway: &Gateway, node: &NodeId, reason: NoReply) {
         let pause = match reason {
             NoReply::Unreachable => UNREACHABLE_PAUSE,
             NoReply::Silent => SILENT_PAUSE,
-            // It is alive; what is slow is the log.
+            // The node is alive; the log is slow.
             NoReply::TooSlow => return,
         };
-        self.note_silent(gateway, node);
+        self.note_node_failure(gateway, node);
         self.links.borrow_mut().remove(node);
         let until = Instant::now() + pause;
         let mut avoided = self.avoided.borrow_mut();
@@ -248,7 +248,7 @@
         avoided.insert(node.clone(), until);
     }
 
-    /// Asks another node.
+    /// Sends a ledger request to another node and waits for the reply.
     pub(crate) async fn ask(
         &self,
         gateway: &Rc<Gateway>,
@@ -260,7 +260,7 @@
         link.ask(gateway.next_sequence(), partition, request).await
     }
 
-    /// Asks a reader of the log's streams, at the address from which its word came.
+    /// Asks a reader of the log's streams, at the address from which its heartbeat came.
     pub(crate) async fn ask_feed(
         &self,
         gateway: &Rc<Gateway>,
@@ -273,9 +273,9 @@
         link.ask_feed(gateway.next_sequence(), question).await
     }
 
-    /// Tells the nodes that share this zone's callers that a worker fails.
+    /// Notifies the nodes that serve this zone's callers that this node has ejected a worker.
     pub(crate) fn report_worker(&self, gateway: &Gateway, worker: &str) {
-        let news = GatewayFrame::WorkerEjected {
+        let notice = GatewayFrame::WorkerEjected {
             node: self.own.clone(),
             worker: worker.to_owned(),
         };
@@ -286,26 +286,26 @@
             .into_iter()
             .map(|(node, _)| node.clone())
             .filter(|node| *node != self.own)
-            .take(MOST_TOLD)
+            .take(MAX_NOTIFIED_NODES)
             .collect();
         drop(nodes);
         for node in others {
             if let Some(link) = self.link_to(gateway, &node) {
-                link.tell(&news);
+                link.notify(&notice);
             }
         }
     }
 
-    /// Other nodes that answer probes, `most` of them, beginning at a place that `turn` moves on.
-    fn some_alive(&self, turn: usize, most: usize) -> Vec<NodeId> {
+    /// Returns up to `max` other living nodes, starting at position `start`, wrapped around.
+    fn pick_alive(&self, start: usize, max: usize) -> Vec<NodeId> {
         let alive = self.alive.borrow();
         let mut others: Vec<&NodeId> = alive.iter().filter(|node| **node != self.own).collect();
         if others.is_empty() {
             return Vec::new();
         }
-        let start = turn % others.len();
+        let start = start % others.len();
         others.rotate_left(start);
-        others.into_iter().take(most).cloned().collect()
+        others.into_iter().take(max).cloned().collect()
     }
 
     fn link_to(&self, gateway: &Gateway, node: &NodeId) -> Option<Link> {
@@ -319,13 +319,13 @@
     }
 
     fn open_link(&self, gateway: &Gateway, node: &NodeId, address: SocketAddr) -> Link {
-        let far = self.counter_for(gateway, node);
-        let link = Link::open(address, &gateway.memory, far);
+        let counter = self.counter_for(gateway, node);
+        let link = Link::open(address, &gateway.memory, counter);
         self.links.borrow_mut().insert(node.clone(), link.clone());
         link
     }
 
-    /// Begins to probe the others, of which `seeds` are asked first.
+    /// Joins the gossip membership; `seeds` are the first nodes to be contacted.
     pub(crate) fn join(
         &self,
         gateway: &Gateway,
@@ -348,12 +348,12 @@
             seed: rand::random(),
         });
         *self.membership.borrow_mut() = Some(membership);
-        self.presumes_since.set(Some(Instant::now()));
-        self.note_stale();
+        self.presuming_since.set(Some(Instant::now()));
+        self.mark_stale();
         gateway.act_on_node_changes_now();
-        // The probes' next tick may be a whole interval away.
+        // The next regular tick may be a full interval away.
         let effects = self.handle(gateway, Event::Tick);
-        self.carry_out(gateway, socket, effects);
+        self.execute(gateway, socket, effects);
     }
 
     fn handle(&self, gateway: &Gateway, event: Event) -> Vec<Effect> {
@@ -363,17 +363,17 @@
         }
     }
 
-    /// Tells the others that this node is leaving.
+    /// Announces to the other nodes that this node is draining.
     pub(crate) fn drain(&self, gateway: &Gateway, socket: &UdpSocket) {
         let effects = self.handle(gateway, Event::Drain);
-        self.carry_out(gateway, socket, effects);
+        self.execute(gateway, socket, effects);
     }
 
-    fn carry_out(&self, gateway: &Gateway, socket: &UdpSocket, effects: Vec<Effect>) {
+    fn execute(&self, gateway: &Gateway, socket: &UdpSocket, effects: Vec<Effect>) {
         let mut has_changes = false;
         for effect in effects {
             match effect {
-                // Gossip makes up for datagrams that are lost.
+                // Gossip tolerates lost datagrams.
                 Effect::Send { to, datagram } => {
                     let datagram = GatewayDatagram::Gossip(datagram);
                     send(gateway, socket, &datagram, [to]);
@@ -383,10 +383,10 @@
                         self.links.borrow_mut().remove(&node);
                     }
                     if matches!(state, MemberState::Suspect | MemberState::Dead) {
-                        self.note_silent(gateway, &node);
+                        self.note_node_failure(gateway, &node);
                     }
                     if node != self.own {
-                        self.news.borrow_mut().insert(node, state);
+                        self.unlogged_changes.borrow_mut().insert(node, state);
                     }
                     has_changes = true;
                 }
@@ -399,13 +399,13 @@
     }
 }
 
-/// Most names in one line of the log.
-const NAMES_LISTED: usize = 12;
+/// Maximum number of names in one log line.
+const MAX_LISTED_NAMES: usize = 12;
 
-/// Names for a line of the log, and how many more there are.
-pub(crate) fn listing<'a>(names: impl Iterator<Item = &'a str>) -> String {
+/// Joins names for a log line; beyond [`MAX_LISTED_NAMES`], only the number of further names is given.
+pub(crate) fn join_names<'a>(names: impl Iterator<Item = &'a str>) -> String {
     let names: Vec<&str> = names.collect();
-    let shown = names.len().min(NAMES_LISTED);
+    let shown = names.len().min(MAX_LISTED_NAMES);
     let mut text = names[..shown].join(" ");
     if names.len() > shown {
         text.push_str(&format!(" and {} more", names.len() - shown));
--- a/crates/gateway/src/peers/far.rs
+++ b/crates/gateway/src/peers/cross_zone.rs
@@ -1,4 +1,4 @@
-//! The nodes of other zones: what is sent to them, and what they show of their zone.
+//! Traffic with nodes of other zones: counts the bytes sent there and observes the health of zones.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -11,37 +11,42 @@
 use tokio::net::UdpSocket;
 
 use super::Peers;
-use crate::far_bytes::{FarBytes, FarKind};
+use crate::far_bytes::{CrossZoneBytes, FarKind};
 use crate::gateway::Gateway;
 
 impl Peers {
-    /// Works out which addresses are of other zones.
-    pub(super) fn note_zones(&self, nodes: &NodeDirectory) {
+    /// Updates the addresses that belong to other zones.
+    pub(super) fn update_remote_zones(&self, nodes: &NodeDirectory) {
         let records = nodes.iter().map(|(_, known)| &known.record);
-        let far = records.filter(|record| record.zone != self.own_zone.as_str());
-        let zones = far.map(|record| (record.peer_address, record.zone.clone()));
-        *self.far_zones.borrow_mut() = zones.collect();
+        let remote = records.filter(|record| record.zone != self.own_zone.as_str());
+        let zones = remote.map(|record| (record.peer_address, record.zone.clone()));
+        *self.remote_zones.borrow_mut() = zones.collect();
     }
 
-    /// Counts what is sent to a node, if that is in another zone.
-    pub(super) fn counter_for(&self, gateway: &Gateway, node: &NodeId) -> Option<FarBytes> {
-        let is_far = is_far(gateway, node);
-        is_far.then(|| gateway.metrics.far_bytes.clone())
+    /// Returns the counter for bytes sent to a node, if the node is in another zone.
+    pub(super) fn counter_for(&self, gateway: &Gateway, node: &NodeId) -> Option<CrossZoneBytes> {
+        let is_remote = is_in_other_zone(gateway, node);
+        is_remote.then(|| gateway.metrics.far_bytes.clone())
     }
 
-    /// The same for a node that has connected.
-    pub(super) fn counter_for_address(&self, gateway: &Gateway, ip: IpAddr) -> Option<FarBytes> {
-        let far = self.far_zones.borrow();
-        let is_far = far.keys().any(|address| address.ip() == ip);
-        is_far.then(|| gateway.metrics.far_bytes.clone())
+    /// Returns the counter for bytes sent to a node that has connected from `ip`, if it is in another
+    /// zone.
+    pub(super) fn counter_for_address(
+        &self,
+        gateway: &Gateway,
+        ip: IpAddr,
+    ) -> Option<CrossZoneBytes> {
+        let remote = self.remote_zones.borrow();
+        let is_remote = remote.keys().any(|address| address.ip() == ip);
+        is_remote.then(|| gateway.metrics.far_bytes.clone())
     }
 
-    /// Notes that a datagram has come from a node.
-    pub(super) fn note_heard_from(&self, gateway: &Gateway, address: SocketAddr) {
+    /// Records a datagram from a node as evidence that the nodes of its zone answer.
+    pub(super) fn note_received_from(&self, gateway: &Gateway, address: SocketAddr) {
         if !gateway.settings.policy.zone_suspicion {
             return;
         }
-        if let Some(zone) = self.far_zones.borrow().get(&address) {
+        if let Some(zone) = self.remote_zones.borrow().get(&address) {
             let now = gateway.now();
             let mut workers = gateway.workers.borrow_mut();
             let zones = workers.zone_health_mut();
@@ -49,8 +54,8 @@
         }
     }
 
-    /// Notes that a node does not answer, or is held to be gone.
-    pub(super) fn note_silent(&self, gateway: &Gateway, node: &NodeId) {
+    /// Records that a node doesn't answer or is suspected to be dead.
+    pub(super) fn note_node_failure(&self, gateway: &Gateway, node: &NodeId) {
         if !gateway.settings.policy.zone_suspicion {
             return;
         }
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Whether the nodes of this node's zone seem lost together.
+    /// Returns whether the nodes of a node's zone are suspected as a group.
     pub(crate) fn is_zone_suspected(&self, gateway: &Gateway, node: &NodeId) -> bool {
         let nodes = gateway.nodes.borrow();
         let Some(known) = nodes.get(node) else {
@@ -75,7 +80,7 @@
     }
 }
 
-fn is_far(gateway: &Gateway, node: &NodeId) -> bool {
+fn is_in_other_zone(gateway: &Gateway, node: &NodeId) -> bool {
     let nodes = gateway.nodes.borrow();
     let own = gateway.settings.zone.as_str();
     nodes
@@ -83,10 +88,10 @@
         .is_some_and(|known| known.record.zone != own)
 }
 
-/// Zones of the nodes of other zones, by the address at which they hear others.
-pub(super) type FarZones = HashMap<SocketAddr, String>;
+/// Zones of the nodes in other zones, keyed by peer address.
+pub(super) type RemoteZones = HashMap<SocketAddr, String>;
 
-/// Sends a datagram, and counts it if it goes to another zone.
+/// Sends a datagram to each address and counts the bytes that go to other zones.
 pub(crate) fn send(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -96,16 +101,16 @@
     let bytes = encode(datagram);
     let kind = FarKind::of_datagram(datagram);
     for address in to {
-        if gateway.peers.far_zones.borrow().contains_key(&address) {
+        if gateway.peers.remote_zones.borrow().contains_key(&address) {
             gateway.metrics.far_bytes.note(kind, bytes.len());
         }
-        // Datagrams may be lost anyway; whoever sends one makes up for that.
+        // Callers tolerate lost datagrams.
         let _ = socket.try_send_to(&bytes, address);
     }
 }
 
-/// Logs what has changed of zones as a whole.
-pub(super) fn tell_zone_changes(gateway: &Gateway) {
+/// Logs and counts zones that have become suspected or are no longer suspected.
+pub(super) fn report_zone_changes(gateway: &Gateway) {
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
     let changes = workers.zone_health_mut().changes(now);
@@ -127,7 +132,7 @@
     let count = i64::try_from(suspected.iter().sum::<usize>()).unwrap_or(i64::MAX);
     gateway.metrics.zones_suspected_now.set(count);
     drop(workers);
-    // Partitions of nodes that seem lost pass to others at once.
-    gateway.peers.note_stale();
+    // Partitions of the suspected nodes move to other nodes immediately.
+    gateway.peers.mark_stale();
     gateway.note_node_changes();
 }
--- a/crates/gateway/src/peers/demand.rs
+++ b/crates/gateway/src/peers/demand.rs
@@ -1,4 +1,4 @@
-//! Nodes tell each other what waits at them for places at engines.
+//! Exchange of admission demand: nodes report the turns that wait for engine slots at them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,20 +10,22 @@
 
 use crate::gateway::Gateway;
 
-/// Most nodes that are told at a time; with more, they take turns.
-const MOST_TOLD: usize = 32;
+/// Maximum number of recipients per report; if there are more nodes, they take turns.
+const MAX_RECIPIENTS: usize = 32;
 
-/// Whether there is something to take back, and whose turn is next.
+/// Sends the demand of this node to the other nodes.
 #[derive(Debug, Default)]
-pub(super) struct DemandTeller {
-    /// Nodes that have yet to be told that nothing waits any more.
-    to_take_back: usize,
+pub(super) struct DemandSender {
+    /// Number of nodes that still have to be sent an empty report, since no turn waits any more.
+    pending_clears: usize,
+    /// Position of the next recipient if there are more nodes than [`MAX_RECIPIENTS`].
     next: usize,
 }
 
-impl DemandTeller {
-    /// Tells the other nodes that take callers what waits here, while anything does.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+impl DemandSender {
+    /// Sends the demand to the other serving nodes as long as any turn waits here, and once more when
+    /// none does.
+    pub(super) fn send(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         if gateway.settings.policy.admission != AdmissionMode::ToldDemand {
             return;
         }
@@ -33,31 +35,32 @@
             core.drop_old(now);
             core.demand(now)
         };
-        if demand.waiting.is_empty() && self.to_take_back == 0 {
+        if demand.waiting.is_empty() && self.pending_clears == 0 {
             return;
         }
         let others = others(gateway);
-        let told = others.len().min(MOST_TOLD);
-        self.to_take_back = match demand.waiting.is_empty() {
-            true => self.to_take_back.saturating_sub(told.max(1)),
+        let recipients = others.len().min(MAX_RECIPIENTS);
+        self.pending_clears = match demand.waiting.is_empty() {
+            true => self.pending_clears.saturating_sub(recipients.max(1)),
             false => others.len(),
         };
         let report = GatewayDatagram::Demand(report_of(gateway, demand));
-        super::send(gateway, socket, &report, self.take_turns(others));
+        super::send(gateway, socket, &report, self.rotate(others));
     }
 
-    fn take_turns(&mut self, mut all: Vec<SocketAddr>) -> Vec<SocketAddr> {
-        if all.len() > MOST_TOLD {
+    /// Returns the next [`MAX_RECIPIENTS`] addresses.
+    fn rotate(&mut self, mut all: Vec<SocketAddr>) -> Vec<SocketAddr> {
+        if all.len() > MAX_RECIPIENTS {
             let start = self.next % all.len();
             all.rotate_left(start);
-            all.truncate(MOST_TOLD);
-            self.next = self.next.wrapping_add(MOST_TOLD);
+            all.truncate(MAX_RECIPIENTS);
+            self.next = self.next.wrapping_add(MAX_RECIPIENTS);
         }
         all
     }
 }
 
-/// Only nodes that take callers have turns that wait.
+/// Returns the addresses of the other serving nodes; no other node has waiting turns.
 fn others(gateway: &Gateway) -> Vec<SocketAddr> {
     let nodes = gateway.nodes.borrow();
     let serving = gateway.serving.borrow();
@@ -87,12 +90,12 @@
     levels.filter(|(_, count)| *count > 0).collect()
 }
 
-/// Takes another node's report.
-pub(super) fn take(gateway: &Gateway, report: DemandReport) {
+/// Applies another node's report.
+pub(super) fn receive(gateway: &Gateway, report: DemandReport) {
     let waiting: BTreeMap<ServiceKey, Waiting> = report
         .services
         .into_iter()
-        .map(|told| (ServiceKey(told.service), waiting_of(&told.waiting)))
+        .map(|reported| (ServiceKey(reported.service), waiting_of(&reported.waiting)))
         .collect();
     let served = report.served.into_iter();
     let demand = Demand {
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -1,4 +1,4 @@
-//! The loop that probes other nodes, tells them this node's reports and takes theirs.
+//! The UDP loop: probes other nodes, sends this node's reports and handles received datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,36 +9,36 @@
 use elderworks_protocol::{DecodeError, decode};
 use tokio::net::UdpSocket;
 
-use super::demand::{self, DemandTeller};
+use super::demand::{self, DemandSender};
 use super::loads::{self, LOAD_INTERVAL, LoadSender};
 use super::memories::{self, MemorySender};
-use super::outages::{self, OutageTeller};
-use super::parts::{self, PartTeller};
-use super::proofs::{self, ProofAsker};
-use super::quotas::{self, QuotaTeller};
-use super::{PROBE_INTERVAL, far, zones};
+use super::outages::{self, OutageReporter};
+use super::parts::{self, PartDemandSender};
+use super::proofs::{self, ProofRequester};
+use super::quotas::{self, QuotaSender};
+use super::{PROBE_INTERVAL, cross_zone, zones};
 use crate::feed;
 use crate::gateway::Gateway;
 
-/// Largest datagram that UDP carries.
+/// Size of the receive buffer: the maximum size of a UDP datagram.
 const DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Pause after a failed receive.
 const RECEIVE_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Probes the others until the process ends.
+/// Runs the UDP loop until the process ends.
 pub(crate) async fn probe_nodes(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    gateway.lessors.open(&socket);
+    gateway.lessors.set_socket(&socket);
     let mut buffer = vec![0; DATAGRAM_BYTES];
     let mut ticks = actix_rt::time::interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut sender = LoadSender::default();
-    let mut part_teller = PartTeller::default();
+    let mut load_sender = LoadSender::default();
+    let mut part_sender = PartDemandSender::default();
     let mut memory_sender = MemorySender::default();
-    let mut quota_teller = QuotaTeller::default();
-    let mut demand_teller = DemandTeller::default();
-    let mut proof_asker = ProofAsker::default();
-    let mut outage_teller = OutageTeller::default();
+    let mut quota_sender = QuotaSender::default();
+    let mut demand_sender = DemandSender::default();
+    let mut proof_requester = ProofRequester::default();
+    let mut outage_reporter = OutageReporter::default();
     let mut log_changes = gateway.log_outage.changes();
     let mut load_ticks = actix_rt::time::interval(LOAD_INTERVAL);
     load_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -47,96 +47,96 @@
             _ = ticks.tick() => Event::Tick,
             // The sender lives as long as the gateway.
             _ = log_changes.changed() => {
-                outage_teller.tell(&gateway, &socket);
+                outage_reporter.send_if_due(&gateway, &socket);
                 continue;
             }
             _ = load_ticks.tick() => {
                 gateway.act_on_node_changes();
-                gateway.log_outage.look(&gateway);
-                outage_teller.tell(&gateway, &socket);
-                sender.tell(&gateway, &socket);
-                proof_asker.ask(&gateway, &socket);
-                quota_teller.tell(&gateway, &socket);
+                gateway.log_outage.poll(&gateway);
+                outage_reporter.send_if_due(&gateway, &socket);
+                load_sender.send_changes(&gateway, &socket);
+                proof_requester.send_if_due(&gateway, &socket);
+                quota_sender.send_if_due(&gateway, &socket);
                 gateway.lessors.introduce(&gateway);
-                demand_teller.tell(&gateway, &socket);
-                part_teller.tell(&gateway, &socket);
-                memory_sender.tell(&gateway, &socket);
+                demand_sender.send(&gateway, &socket);
+                part_sender.send_if_due(&gateway, &socket);
+                memory_sender.send_changes(&gateway, &socket);
                 feed::tick(&gateway, &socket);
-                far::tell_zone_changes(&gateway);
+                cross_zone::report_zone_changes(&gateway);
                 continue;
             }
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => match heard(&gateway, &buffer[..length], from) {
+                Ok((length, from)) => match decode_received(&gateway, &buffer[..length], from) {
                     Ok(GatewayDatagram::Gossip(datagram)) => Event::Received { from, datagram },
                     Ok(GatewayDatagram::Load(report)) => {
-                        // Its own word may come back to it, and would count its requests twice.
+                        // A node's own report may come back and would count its requests twice.
                         if report.node != gateway.settings.node {
-                            loads::take(&gateway, report);
+                            loads::receive(&gateway, report);
                         }
                         continue;
                     }
                     Ok(GatewayDatagram::Quota(report)) => {
-                        quotas::take(&gateway, report);
+                        quotas::receive(&gateway, report);
                         continue;
                     }
                     Ok(GatewayDatagram::Lessor(message)) => {
-                        gateway.lessors.take(&gateway, from, message);
+                        gateway.lessors.receive(&gateway, from, message);
                         continue;
                     }
                     Ok(GatewayDatagram::Parts(report)) => {
-                        parts::take(&gateway, report);
+                        parts::receive(&gateway, report);
                         continue;
                     }
                     Ok(GatewayDatagram::Demand(report)) => {
-                        demand::take(&gateway, report);
+                        demand::receive(&gateway, report);
                         continue;
                     }
                     Ok(GatewayDatagram::ProofAsked(question)) => {
-                        proofs::tell(&gateway, &socket, from, question);
+                        proofs::answer(&gateway, &socket, from, question);
                         continue;
                     }
                     Ok(GatewayDatagram::Beat(beat)) => {
-                        feed::take_beat(&gateway, from, &beat);
+                        feed::receive_heartbeat(&gateway, from, &beat);
                         continue;
                     }
                     Ok(GatewayDatagram::Memory(report)) => {
-                        memories::take(&gateway, report);
+                        memories::receive(&gateway, report);
                         continue;
                     }
                     Ok(GatewayDatagram::Log(report)) => {
-                        outages::take(&gateway, &socket, from, report);
+                        outages::receive(&gateway, &socket, from, report);
                         continue;
                     }
                     Ok(GatewayDatagram::Zones(reports)) => {
-                        zones::take(&gateway, &reports);
+                        zones::receive(&gateway, &reports);
                         continue;
                     }
                     Ok(GatewayDatagram::ProofTold(answer)) => {
-                        proof_asker.take(&gateway, from, &answer);
+                        proof_requester.receive(&gateway, from, &answer);
                         continue;
                     }
                     Err(_) => continue,
                 },
                 Err(_) => {
-                    // An earlier datagram was answered by "port unreachable", for example.
+                    // For example, an ICMP "port unreachable" for an earlier datagram.
                     actix_rt::time::sleep(RECEIVE_BACKOFF).await;
                     continue;
                 }
             },
         };
         let effects = gateway.peers.handle(&gateway, event);
-        gateway.peers.carry_out(&gateway, &socket, effects);
+        gateway.peers.execute(&gateway, &socket, effects);
         gateway.peers.end_presumption(&gateway);
         gateway.act_on_node_changes();
     }
 }
 
-/// Decodes a datagram, which is a sign of life of the sender's zone.
-fn heard(
+/// Decodes a datagram and records that the sender's zone is reachable.
+fn decode_received(
     gateway: &Gateway,
     bytes: &[u8],
     from: SocketAddr,
 ) -> Result<GatewayDatagram, DecodeError> {
-    gateway.peers.note_heard_from(gateway, from);
+    gateway.peers.note_received_from(gateway, from);
     decode(bytes)
 }
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants with a quota are granted by one node a tenant, over datagrams.
+//! Quota grants: each tenant with a quota has one lessor node that grants its requests, over UDP.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -17,64 +17,65 @@
 
 use crate::gateway::Gateway;
 
-/// Wait for the answer to a question, which needs one way to another zone and back.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
+/// Timeout for the answer to a question; covers one round trip to another zone.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Times that a lessor is asked: datagrams are lost.
-const ASKING_TRIES: u32 = 2;
+/// Maximum number of attempts to ask a lessor, since datagrams can be lost.
+const MAX_ASK_ATTEMPTS: u32 = 2;
 
-/// A lessor that has not answered is not asked for this long.
+/// How long a lessor is avoided after it didn't answer.
 const SILENT_PAUSE: Duration = Duration::from_millis(500);
 
-/// A node that has not said that it grants is told of this one again after this time.
-const INTRODUCTION_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which the introduction to a node is repeated until that node has introduced itself.
+const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most nodes that are told of this one at a time.
-const MOST_INTRODUCED: usize = 32;
+/// Maximum number of introductions sent at a time.
+const MAX_INTRODUCTIONS: usize = 32;
 
-/// What this node knows of the others as lessors, and its open questions.
+/// The state of quota grants at this node, both as a lessor and as a client of other lessors.
 #[derive(Debug, Default)]
 pub(crate) struct LessorDesk {
     socket: OnceCell<Rc<UdpSocket>>,
-    /// Nodes that have said that they grant, with the boot number of the process that has.
+    /// Nodes that have introduced themselves as lessors, with the boot number of their process.
     granting: RefCell<BTreeMap<NodeId, u64>>,
-    /// When nodes were told of this one.
+    /// When this node last introduced itself to each node.
     introduced: RefCell<BTreeMap<NodeId, Timestamp>>,
-    open: RefCell<HashMap<u64, oneshot::Sender<GrantVerdict>>>,
-    /// Nodes that have not answered, and when.
+    /// Senders for the answers to unanswered questions, by question number.
+    pending: RefCell<HashMap<u64, oneshot::Sender<GrantVerdict>>>,
+    /// Nodes that didn't answer, and when.
     silent: RefCell<BTreeMap<NodeId, Timestamp>>,
 }
 
-/// Who grants a tenant's requests.
+/// The node that grants a tenant's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Lessor {
-    /// This node.
+    /// This node is the lessor.
     Own,
-    /// Another one.
+    /// Another node is the lessor.
     Other(NodeId),
-    /// None: not all nodes grant, or the one that should has not answered lately.
+    /// No lessor: not all serving nodes take part, or the lessor didn't answer recently.
     Absent,
 }
 
 impl LessorDesk {
-    /// Questions are sent from this socket.
-    pub(super) fn open(&self, socket: &Rc<UdpSocket>) {
-        // Set once, by the loop that receives the answers.
+    /// Sets the socket that questions are sent from.
+    pub(super) fn set_socket(&self, socket: &Rc<UdpSocket>) {
+        // Called only once, by the loop that receives the answers.
         let _ = self.socket.set(socket.clone());
     }
 
-    /// Tells the nodes that take callers that this one grants, until they have said the same.
+    /// Introduces this node as a lessor to the serving nodes that have not introduced themselves.
     pub(super) fn introduce(&self, gateway: &Gateway) {
-        if !is_wanted(gateway) {
+        if !uses_lessors(gateway) {
             return;
         }
         let now = gateway.now();
         let mut introduced = self.introduced.borrow_mut();
-        introduced.retain(|_, at| now.since(*at) < INTRODUCTION_PAUSE);
+        introduced.retain(|_, at| now.since(*at) < INTRODUCTION_INTERVAL);
         let serving = gateway.serving.borrow();
         let unknown = serving.iter().filter(|node| !self.grants(gateway, node));
         let due = unknown.filter(|node| !introduced.contains_key(*node));
-        let due: Vec<NodeId> = due.take(MOST_INTRODUCED).cloned().collect();
+        let due: Vec<NodeId> = due.take(MAX_INTRODUCTIONS).cloned().collect();
         for node in due {
             if let Some(to) = address_of(gateway, &node) {
                 self.send(to, introduction(gateway, false));
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Who grants a tenant's requests now.
+    /// Returns the node that currently grants a tenant's requests.
     pub(crate) fn lessor(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
         if !gateway.settings.policy.quota_lessors {
             return Lessor::Absent;
@@ -109,7 +110,7 @@
         Lessor::Other(lessor.clone())
     }
 
-    /// Asks another node to grant a request. No answer counts as one that it cannot tell.
+    /// Asks another node to grant a request. Returns [`GrantVerdict::Unready`] if it doesn't answer.
     pub(crate) async fn ask(
         &self,
         gateway: &Gateway,
@@ -119,12 +120,12 @@
     ) -> GrantVerdict {
         let question = gateway.next_sequence();
         let (sender, mut receiver) = oneshot::channel();
-        self.open.borrow_mut().insert(question, sender);
-        let _closing = Closing {
-            desk: self,
+        self.pending.borrow_mut().insert(question, sender);
+        let _guard = PendingGuard {
+            lessors: self,
             question,
         };
-        for _ in 0..ASKING_TRIES {
+        for _ in 0..MAX_ASK_ATTEMPTS {
             let Some(to) = address_of(gateway, lessor) else {
                 break;
             };
@@ -135,20 +136,20 @@
                 begins: order == Order::First,
             };
             self.send(to, asked);
-            if let Ok(Ok(verdict)) = tokio::time::timeout(ANSWER_TIME, &mut receiver).await {
+            if let Ok(Ok(verdict)) = tokio::time::timeout(ANSWER_TIMEOUT, &mut receiver).await {
                 self.silent.borrow_mut().remove(lessor);
                 return verdict;
             }
         }
-        log::info!(lessor = lessor.as_str(); "a lessor of quotas does not answer");
+        log::info!(lessor = lessor.as_str(); "quota lessor did not answer");
         gateway.metrics.note_quota_grant("silent");
         let now = gateway.now();
         self.silent.borrow_mut().insert(lessor.clone(), now);
         GrantVerdict::Unready
     }
 
-    /// Takes another node's message.
-    pub(super) fn take(&self, gateway: &Gateway, from: SocketAddr, message: LessorMessage) {
+    /// Handles another node's message.
+    pub(super) fn receive(&self, gateway: &Gateway, from: SocketAddr, message: LessorMessage) {
         match message {
             LessorMessage::Introduction {
                 node,
@@ -174,16 +175,16 @@
                 self.send(from, LessorMessage::Told { question, verdict });
             }
             LessorMessage::Told { question, verdict } => {
-                let Some(waiting) = self.open.borrow_mut().remove(&question) else {
+                let Some(waiting) = self.pending.borrow_mut().remove(&question) else {
                     return;
                 };
-                // Nobody waits for it if the time of the request is over.
+                // The request may have timed out and no longer wait for the verdict.
                 let _ = waiting.send(verdict);
             }
         }
     }
 
-    /// Whether the process of a node that is known now has said that it grants.
+    /// Returns whether the current process of a node has introduced itself as a lessor.
     fn grants(&self, gateway: &Gateway, node: &NodeId) -> bool {
         if *node == gateway.settings.node {
             return true;
@@ -198,24 +199,24 @@
             return;
         };
         let datagram = encode(&GatewayDatagram::Lessor(message));
-        // What is lost is asked or told again, or decided without.
+        // Lost messages are repeated or time out.
         let _ = socket.try_send_to(&datagram, to);
     }
 }
 
-/// Ends a question, also of a request whose time is over.
-struct Closing<'a> {
-    desk: &'a LessorDesk,
+/// Removes a question on drop, including when the request is cancelled.
+struct PendingGuard<'a> {
+    lessors: &'a LessorDesk,
     question: u64,
 }
 
-impl Drop for Closing<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.desk.open.borrow_mut().remove(&self.question);
+        self.lessors.pending.borrow_mut().remove(&self.question);
     }
 }
 
-/// Decides as lessor, by the limits of the configuration that is in force here.
+/// Decides a request as the tenant's lessor, by the quota in this node's current configuration.
 fn decide(gateway: &Gateway, tenant: TenantKey, to: &NodeId, order: Order) -> GrantVerdict {
     let config = gateway.current_config();
     let known = config
@@ -236,8 +237,8 @@
     }
 }
 
-/// Whether any tenant has a quota, and quotas are granted.
-fn is_wanted(gateway: &Gateway) -> bool {
+/// Returns whether lessors are enabled and any tenant has a quota.
+fn uses_lessors(gateway: &Gateway) -> bool {
     let has_quotas = |config: &ServingConfig| config.tenants.iter().any(|one| one.quota.is_some());
     let config = gateway.current_config();
     gateway.settings.policy.quota_lessors && config.is_some_and(|config| has_quotas(&config))
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! A connection to another node and the requests that wait for its replies.
+//! Connections to other nodes, with the requests that wait for replies.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,70 +13,75 @@
 use elderworks_types::PartitionId;
 use tokio::sync::mpsc;
 
-use super::queue::{NotQueued, Outgoing, Queue};
+use super::queue::{FrameReceiver, FrameSender, PushError};
 use crate::buffered::{self, Receiver};
-use crate::far_bytes::FarBytes;
+use crate::far_bytes::CrossZoneBytes;
 use crate::memory::Memory;
 use crate::socket;
 
-/// Longest wait for a sign that a request has arrived. A node that shows none is taken for gone.
+/// Timeout for the acknowledgement of a request, after which the node counts as unresponsive.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest wait for the reply to a request that has arrived: the log may be slow.
+/// Timeout for the reply to an acknowledged request, which may have to wait for a slow log.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for news of a reader: at a start, hundreds of nodes ask for some hundred kilobytes each,
-/// and the next heartbeat of a reader makes up for an answer that is lost.
+/// Timeout for the answer of a reader. At a start of the fleet, hundreds of nodes ask for some hundred
+/// kilobytes each; a node that gets no answer asks again after the reader's next heartbeat.
 const FEED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a node has not replied.
+/// The reason why a node didn't reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoReply {
-    /// The connection cannot be made or has ended: its process may be starting.
+    /// The connection can't be established or was closed; the process may be starting.
     Unreachable,
-    /// It shows no sign of life.
+    /// The node didn't acknowledge the request.
     Silent,
-    /// The request has arrived, and its reply takes too long.
+    /// The node acknowledged the request but didn't reply in time.
     TooSlow,
 }
 
-/// What is heard of a request.
-enum News {
-    Arrived,
+/// A response to a request.
+enum Response {
+    Acknowledged,
     Replied(LedgerReply),
-    Told(FeedAnswer),
+    Feed(FeedAnswer),
 }
 
-type Pending = Rc<RefCell<HashMap<u64, mpsc::UnboundedSender<News>>>>;
+/// Senders for the responses to unanswered requests, by request id.
+type Pending = Rc<RefCell<HashMap<u64, mpsc::UnboundedSender<Response>>>>;
 
-/// A connection to another node with the requests that wait for its replies.
+/// A connection to another node.
 #[derive(Clone, Debug)]
 pub(super) struct Link {
-    frames: Outgoing,
+    frames: FrameSender,
     pending: Pending,
 }
 
 impl Link {
-    /// Begins to connect.
-    pub(super) fn open(address: SocketAddr, memory: &Memory, far: Option<FarBytes>) -> Self {
-        let (frames, outgoing) = Outgoing::new(memory, far);
+    /// Starts to connect. `counter` counts the bytes sent, if the node is in another zone.
+    pub(super) fn open(
+        address: SocketAddr,
+        memory: &Memory,
+        counter: Option<CrossZoneBytes>,
+    ) -> Self {
+        let (frames, outgoing) = FrameSender::new(memory, counter);
         let pending = Pending::default();
         actix_rt::spawn(run_link(address, outgoing, pending.clone()));
         Self { frames, pending }
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection is closed.
     pub(super) fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 
-    /// Sends news that asks for no reply.
-    pub(super) fn tell(&self, news: &GatewayFrame) {
-        // Who cannot be reached learns it from its own failures.
-        let _ = self.frames.push(news);
+    /// Sends a message that has no reply.
+    pub(super) fn notify(&self, message: &GatewayFrame) {
+        // Notifications are best effort: a node that misses one finds out by other means.
+        let _ = self.frames.push(message);
     }
 
-    /// Makes a request; `id` must differ from those of other requests.
+    /// Sends a ledger request and waits for the reply. `id` must be unique among all requests.
     pub(super) async fn ask(
         &self,
         id: u64,
@@ -88,65 +93,69 @@
             partition,
             request,
         };
-        let mut news = self.send(id, &message)?;
-        let replied = await_reply(&mut news).await;
+        let mut responses = self.send(id, &message)?;
+        let replied = await_reply(&mut responses).await;
         self.pending.borrow_mut().remove(&id);
         replied
     }
 
-    /// Asks for what a reader of the log's streams knows; `id` must differ from those of other
+    /// Asks a reader of the log's streams and waits for the answer. `id` must be unique among all
     /// requests.
     pub(super) async fn ask_feed(
         &self,
         id: u64,
         question: FeedQuestion,
     ) -> Result<FeedAnswer, NoReply> {
-        let mut news = self.send(id, &GatewayFrame::FeedAsked { id, question })?;
-        let told = await_told(&mut news).await;
+        let mut responses = self.send(id, &GatewayFrame::FeedAsked { id, question })?;
+        let answered = await_feed_answer(&mut responses).await;
         self.pending.borrow_mut().remove(&id);
-        told
+        answered
     }
 
     fn send(
         &self,
         id: u64,
         message: &GatewayFrame,
-    ) -> Result<mpsc::UnboundedReceiver<News>, NoReply> {
+    ) -> Result<mpsc::UnboundedReceiver<Response>, NoReply> {
         self.frames.push(message).map_err(|error| match error {
-            NotQueued::Closed => NoReply::Unreachable,
-            NotQueued::Full => NoReply::Silent,
+            PushError::Closed => NoReply::Unreachable,
+            PushError::Full => NoReply::Silent,
         })?;
-        let (sender, news) = mpsc::unbounded_channel();
+        let (sender, responses) = mpsc::unbounded_channel();
         self.pending.borrow_mut().insert(id, sender);
-        Ok(news)
+        Ok(responses)
     }
 }
 
-async fn await_told(news: &mut mpsc::UnboundedReceiver<News>) -> Result<FeedAnswer, NoReply> {
-    match actix_rt::time::timeout(FEED_TIMEOUT, news.recv()).await {
-        Ok(Some(News::Told(answer))) => Ok(answer),
+async fn await_feed_answer(
+    responses: &mut mpsc::UnboundedReceiver<Response>,
+) -> Result<FeedAnswer, NoReply> {
+    match actix_rt::time::timeout(FEED_TIMEOUT, responses.recv()).await {
+        Ok(Some(Response::Feed(answer))) => Ok(answer),
         Ok(_) => Err(NoReply::Unreachable),
         Err(_) => Err(NoReply::TooSlow),
     }
 }
 
-async fn await_reply(news: &mut mpsc::UnboundedReceiver<News>) -> Result<LedgerReply, NoReply> {
-    let first = actix_rt::time::timeout(ARRIVAL_TIMEOUT, news.recv()).await;
+async fn await_reply(
+    responses: &mut mpsc::UnboundedReceiver<Response>,
+) -> Result<LedgerReply, NoReply> {
+    let first = actix_rt::time::timeout(ARRIVAL_TIMEOUT, responses.recv()).await;
     match first {
-        Ok(Some(News::Replied(reply))) => return Ok(reply),
-        Ok(Some(News::Arrived)) => {}
-        Ok(Some(News::Told(_)) | None) => return Err(NoReply::Unreachable),
+        Ok(Some(Response::Replied(reply))) => return Ok(reply),
+        Ok(Some(Response::Acknowledged)) => {}
+        Ok(Some(Response::Feed(_)) | None) => return Err(NoReply::Unreachable),
         Err(_) => return Err(NoReply::Silent),
     }
-    match actix_rt::time::timeout(REPLY_TIMEOUT, news.recv()).await {
-        Ok(Some(News::Replied(reply))) => Ok(reply),
-        Ok(Some(News::Told(_)) | None) => Err(NoReply::Unreachable),
-        Ok(Some(News::Arrived)) | Err(_) => Err(NoReply::TooSlow),
+    match actix_rt::time::timeout(REPLY_TIMEOUT, responses.recv()).await {
+        Ok(Some(Response::Replied(reply))) => Ok(reply),
+        Ok(Some(Response::Feed(_)) | None) => Err(NoReply::Unreachable),
+        Ok(Some(Response::Acknowledged)) | Err(_) => Err(NoReply::TooSlow),
     }
 }
 
-/// Sends requests over one connection and hands replies to those who wait.
-async fn run_link(address: SocketAddr, mut outgoing: Queue, pending: Pending) {
+/// Runs a connection: sends frames and passes responses to the pending requests.
+async fn run_link(address: SocketAddr, mut outgoing: FrameReceiver, pending: Pending) {
     let Ok(stream) = socket::connect(address).await else {
         outgoing.close();
         pending.borrow_mut().clear();
@@ -156,19 +165,19 @@
     let sending = outgoing.send_to(&mut sender);
     let receiving = async {
         while let Some(message) = next_frame(&mut receiver).await {
-            let (id, news) = match message {
-                GatewayFrame::Arrived { id } => (id, News::Arrived),
-                GatewayFrame::Reply { id, reply } => (id, News::Replied(reply)),
-                GatewayFrame::FeedTold { id, answer } => (id, News::Told(answer)),
+            let (id, response) = match message {
+                GatewayFrame::Arrived { id } => (id, Response::Acknowledged),
+                GatewayFrame::Reply { id, reply } => (id, Response::Replied(reply)),
+                GatewayFrame::FeedTold { id, answer } => (id, Response::Feed(answer)),
                 GatewayFrame::Request { .. }
                 | GatewayFrame::FeedAsked { .. }
                 | GatewayFrame::WorkerEjected { .. }
                 | GatewayFrame::ConfigurationAsked { .. }
                 | GatewayFrame::Configuration { .. } => break,
             };
-            if let Some(waiting) = pending.borrow().get(&id) {
-                // Whoever asked may have given up.
-                let _ = waiting.send(news);
+            if let Some(requester) = pending.borrow().get(&id) {
+                // The requester may no longer wait for the response.
+                let _ = requester.send(response);
             }
         }
     };
@@ -180,7 +189,7 @@
     pending.borrow_mut().clear();
 }
 
-/// The next frame; `None` at the end of the connection or of its sense.
+/// Receives the next frame; `None` if the connection is closed or the bytes can't be decoded.
 pub(super) async fn next_frame(receiver: &mut Receiver) -> Option<GatewayFrame> {
     loop {
         match split_frame::<GatewayFrame>(&mut receiver.buffer) {
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -1,4 +1,4 @@
-//! Nodes tell each other what they have under way at workers.
+//! Exchange of loads: nodes report to each other how many requests they have in flight at each worker.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,34 +11,36 @@
 
 use crate::gateway::Gateway;
 
-/// Interval at which the nodes that share this zone's callers are told.
+/// Interval of the reports to nodes of this zone.
 pub(super) const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Nodes of other zones are told at each so many intervals: they use the same workers only under
-/// load.
-const FAR_INTERVALS: u32 = 3;
+/// Number of intervals between reports to nodes of other zones, which use the same workers only under
+/// high load.
+const CROSS_ZONE_INTERVALS: u32 = 3;
 
-/// A load that has not changed is told again after this long.
+/// Interval at which an unchanged load is reported again, so that it doesn't expire.
 const REPEAT_INTERVAL: Duration = REPORT_LIFETIME.checked_div(3).expect("three is not zero");
 
-/// Most nodes of this zone that are told at a time; with more, they take turns.
-const MOST_TOLD: usize = 16;
+/// Maximum number of recipients in this zone per report; if there are more nodes, they take turns.
+const MAX_RECIPIENTS: usize = 16;
 
-/// The same for other zones: up to 128 nodes there hear within the lifetime of a report.
-const MOST_FAR_TOLD: usize = 32;
+/// Maximum number of recipients in other zones per report. Up to 128 nodes receive a report within the
+/// lifetime of the previous one.
+const MAX_CROSS_ZONE_RECIPIENTS: usize = 32;
 
-/// What was told last, and whose turn is next.
+/// Sends the load of this node to other nodes.
 #[derive(Debug, Default)]
 pub(super) struct LoadSender {
-    told: Option<(Instant, BTreeMap<WorkerKey, u32>)>,
+    /// The last report and when it was sent.
+    reported: Option<(Instant, BTreeMap<WorkerKey, u32>)>,
     intervals: u32,
-    near: Rota,
-    far: Rota,
+    own_zone: Rota,
+    other_zones: Rota,
 }
 
 impl LoadSender {
-    /// Tells other nodes of this one's load, unless they know it.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+    /// Sends the load if it has changed or the last report is about to expire.
+    pub(super) fn send_changes(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         if !gateway.settings.policy.shared_load {
             return;
         }
@@ -48,19 +50,22 @@
             workers.drop_old_loads(gateway.now());
             workers.own_load()
         };
-        let is_known = |(at, told): &(Instant, BTreeMap<WorkerKey, u32>)| {
-            *told == counts && at.elapsed() < REPEAT_INTERVAL
+        let is_current = |(at, reported): &(Instant, BTreeMap<WorkerKey, u32>)| {
+            *reported == counts && at.elapsed() < REPEAT_INTERVAL
         };
-        if self.told.as_ref().is_some_and(is_known) {
+        if self.reported.as_ref().is_some_and(is_current) {
             return;
         }
-        let was_idle = self.told.as_ref().is_none_or(|(_, told)| told.is_empty());
+        let was_idle = self
+            .reported
+            .as_ref()
+            .is_none_or(|(_, reported)| reported.is_empty());
         let is_idle = counts.is_empty();
         let report = LoadReport {
             node: gateway.settings.node.clone(),
             counts: counts.iter().map(|(key, count)| (key.0, *count)).collect(),
         };
-        self.told = Some((Instant::now(), counts));
+        self.reported = Some((Instant::now(), counts));
         if is_idle && was_idle {
             return;
         }
@@ -71,7 +76,7 @@
     fn recipients(&mut self, gateway: &Gateway) -> Vec<SocketAddr> {
         let own_zone = gateway.settings.zone.as_str();
         let nodes = gateway.nodes.borrow();
-        let is_far_turn = self.intervals.is_multiple_of(FAR_INTERVALS);
+        let includes_other_zones = self.intervals.is_multiple_of(CROSS_ZONE_INTERVALS);
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for (node, known) in nodes.iter() {
             let is_other = *node != gateway.settings.node;
@@ -81,42 +86,43 @@
             let address = known.record.peer_address;
             if known.record.zone == own_zone {
                 near.push((node, address));
-            } else if is_far_turn {
+            } else if includes_other_zones {
                 far.push((node, address));
             }
         }
         let readers = gateway.feed.readers(gateway);
-        let mut told = self
-            .near
-            .pick(serving_if_many(gateway, near, MOST_TOLD), MOST_TOLD);
-        let far = serving_if_many(gateway, far, MOST_FAR_TOLD);
-        told.extend(self.far.pick(far, MOST_FAR_TOLD));
-        told.extend(
+        let mut recipients = self.own_zone.pick(
+            serving_if_many(gateway, near, MAX_RECIPIENTS),
+            MAX_RECIPIENTS,
+        );
+        let far = serving_if_many(gateway, far, MAX_CROSS_ZONE_RECIPIENTS);
+        recipients.extend(self.other_zones.pick(far, MAX_CROSS_ZONE_RECIPIENTS));
+        recipients.extend(
             readers
                 .iter()
                 .filter_map(|node| Some(nodes.get(node)?.record.peer_address)),
         );
-        told
+        recipients
     }
 }
 
-/// Where more nodes would have to be told than at a time, only those that callers are sent to are: the
-/// others send hardly anything to workers.
+/// Returns the addresses of the nodes, or only of the serving ones if there are more than `max`: other
+/// nodes send hardly any requests to workers.
 pub(super) fn serving_if_many(
     gateway: &Gateway,
     nodes: Vec<(&NodeId, SocketAddr)>,
-    most: usize,
+    max: usize,
 ) -> Vec<SocketAddr> {
     let serving = gateway.serving.borrow();
-    let is_many = nodes.len() > most;
-    let told = nodes
+    let is_many = nodes.len() > max;
+    let recipients = nodes
         .into_iter()
         .filter(|(node, _)| !is_many || serving.contains(*node));
-    told.map(|(_, address)| address).collect()
+    recipients.map(|(_, address)| address).collect()
 }
 
-/// Takes another node's report.
-pub(super) fn take(gateway: &Gateway, report: LoadReport) {
+/// Applies another node's report.
+pub(super) fn receive(gateway: &Gateway, report: LoadReport) {
     if report.node == gateway.settings.node {
         return;
     }
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -1,4 +1,5 @@
-//! Readers of engines tell the nodes that take callers what those keep of prompts.
+//! Exchange of engine memories: nodes that read engines report to the serving nodes which prompt parts
+//! each engine has cached.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,39 +15,39 @@
 
 use crate::gateway::Gateway;
 
-/// Most nodes that are told at a time; with more, they take turns.
-const MOST_TOLD: usize = 64;
+/// Maximum number of recipients per report; if there are more nodes, they take turns.
+const MAX_RECIPIENTS: usize = 64;
 
-/// What was told last, and whose turn is next.
+/// Sends reports on the engines that this node reads.
 #[derive(Debug, Default)]
 pub(super) struct MemorySender {
-    teller: MemoryTeller,
-    rota: Rota,
+    reporter: MemoryTeller,
+    rotation: Rota,
 }
 
 impl MemorySender {
-    /// Takes what this node has read, and tells it to the others where it is news.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+    /// Applies what this node has read from engines, and reports what has changed to other nodes.
+    pub(super) fn send_changes(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         if !gateway.settings.policy.engine_reading {
             return;
         }
         let now = gateway.now();
         let present = gateway.engines.beliefs(gateway);
-        note_beliefs(gateway, now, &present);
-        let due = self.teller.due(now, present);
+        apply_beliefs(gateway, now, &present);
+        let due = self.reporter.due(now, present);
         if due.is_empty() {
             return;
         }
         let engines = due
             .into_iter()
-            .map(|(engine, belief)| told(now, engine, belief));
+            .map(|(engine, belief)| engine_report(now, engine, belief));
         let report = MemoryReport {
             node: gateway.settings.node.clone(),
             engines: engines.collect(),
         };
         let datagram = encode(&GatewayDatagram::Memory(report));
         for to in self.recipients(gateway) {
-            // The next report makes up for one that is lost.
+            // A lost report is superseded by the next one.
             let _ = socket.try_send_to(&datagram, to);
         }
     }
@@ -58,11 +59,12 @@
             .iter()
             .filter(|node| **node != gateway.settings.node)
             .filter_map(|node| Some(nodes.get(node)?.record.peer_address));
-        self.rota.pick(others.collect(), MOST_TOLD)
+        self.rotation.pick(others.collect(), MAX_RECIPIENTS)
     }
 }
 
-fn note_beliefs<'a>(
+/// Updates placement and the metrics with what is currently known of the engines.
+fn apply_beliefs<'a>(
     gateway: &Gateway,
     now: Timestamp,
     present: impl IntoIterator<Item = (&'a WorkerKey, &'a Belief)>,
@@ -78,7 +80,7 @@
         .note_memories(memories.parts_held(), memories.oldest(now));
 }
 
-fn told(now: Timestamp, engine: WorkerKey, belief: Belief) -> EngineMemoryReport {
+fn engine_report(now: Timestamp, engine: WorkerKey, belief: Belief) -> EngineMemoryReport {
     let age = now.since(belief.heard).as_millis();
     let parts = belief.parts.into_iter();
     EngineMemoryReport {
@@ -89,22 +91,22 @@
     }
 }
 
-/// Takes another node's report.
-pub(super) fn take(gateway: &Gateway, report: MemoryReport) {
+/// Applies another node's report.
+pub(super) fn receive(gateway: &Gateway, report: MemoryReport) {
     if report.node == gateway.settings.node || !gateway.settings.policy.engine_reading {
         return;
     }
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
-    for told in report.engines {
-        let parts = told.parts.into_iter().take(MOST_PARTS_TOLD);
+    for reported in report.engines {
+        let parts = reported.parts.into_iter().take(MOST_PARTS_TOLD);
         let belief = Belief {
-            born: told.born,
-            heard: now - Duration::from_millis(u64::from(told.age_ms)),
+            born: reported.born,
+            heard: now - Duration::from_millis(u64::from(reported.age_ms)),
             parts: parts
                 .map(|(part, tokens)| (PartKey(part), tokens))
                 .collect(),
         };
-        workers.take_memory(WorkerKey(told.engine), belief);
+        workers.take_memory(WorkerKey(reported.engine), belief);
     }
 }
--- a/crates/gateway/src/peers/outages.rs
+++ b/crates/gateway/src/peers/outages.rs
@@ -1,4 +1,4 @@
-//! Nodes tell each other whether the log answers them.
+//! Exchange of log outage reports: nodes report to each other whether the log answers their calls.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,51 +13,51 @@
 
 use crate::gateway::Gateway;
 
-/// Owners that are asked whether the log answers them.
-const MOST_ASKED: usize = 16;
+/// Maximum number of partition owners that are asked whether the log answers them.
+const MAX_OWNERS_ASKED: usize = 16;
 
-/// Most nodes that are told at a time; with more, they take turns.
-const MOST_TOLD: usize = 64;
+/// Maximum number of recipients per report; if there are more nodes, they take turns.
+const MAX_RECIPIENTS: usize = 64;
 
-/// Pause between two questions while the log is late.
-const ASKING_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which owners are asked while the log is late.
+const ASK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Interval at which a silence is told again.
-const TELLING_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which an ongoing outage is reported.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What was told last, and whose turn is next.
+/// Sends reports on the state of the log to the other nodes.
 #[derive(Debug, Default)]
-pub(super) struct OutageTeller {
-    asked: Option<Timestamp>,
-    told: Option<Timestamp>,
+pub(super) struct OutageReporter {
+    asked_at: Option<Timestamp>,
+    reported_at: Option<Timestamp>,
     was_silent: bool,
-    rota: Rota,
+    rotation: Rota,
 }
 
-impl OutageTeller {
-    /// Asks owners while the log is late here, and tells the others of a silence and its end. Says only
-    /// what this node's own calls have shown.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+impl OutageReporter {
+    /// Asks owners while the log is late at this node, and reports the start and the end of an outage.
+    /// Reports contain only what this node's own calls have shown.
+    pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         let now = gateway.now();
-        let word = gateway.log_outage.word(gateway);
+        let word = gateway.log_outage.own_report(gateway);
         let is_due = |last: Option<Timestamp>, pause| last.is_none_or(|at| now.since(at) >= pause);
         match gateway.log_outage.state() {
-            LogState::Late { .. } if is_due(self.asked, ASKING_PAUSE) => {
-                self.asked = Some(now);
+            LogState::Late { .. } if is_due(self.asked_at, ASK_INTERVAL) => {
+                self.asked_at = Some(now);
                 send(gateway, socket, word, owners(gateway));
             }
             LogState::Silent { .. }
                 if word.waits.is_some()
-                    && (!self.was_silent || is_due(self.told, TELLING_INTERVAL)) =>
+                    && (!self.was_silent || is_due(self.reported_at, REPORT_INTERVAL)) =>
             {
                 self.was_silent = true;
-                self.told = Some(now);
-                let others = self.rota.pick(others(gateway), MOST_TOLD);
+                self.reported_at = Some(now);
+                let others = self.rotation.pick(others(gateway), MAX_RECIPIENTS);
                 send(gateway, socket, word, others);
             }
             LogState::Usual if self.was_silent => {
                 self.was_silent = false;
-                let others = self.rota.pick(others(gateway), MOST_TOLD);
+                let others = self.rotation.pick(others(gateway), MAX_RECIPIENTS);
                 send(gateway, socket, word, others);
             }
             _ => {}
@@ -65,8 +65,8 @@
     }
 }
 
-/// Takes another node's report, and answers it if the log has answered since.
-pub(super) fn take(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, report: LogReport) {
+/// Applies another node's report, and replies if the log has answered this node since.
+pub(super) fn receive(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, report: LogReport) {
     if report.node == gateway.settings.node || !gateway.settings.policy.silence_watch {
         return;
     }
@@ -75,8 +75,8 @@
         answered: report.answered_us.map(Duration::from_micros),
         is_silent: report.is_silent,
     };
-    if gateway.log_outage.take(gateway, report.node, word) {
-        let word = gateway.log_outage.word(gateway);
+    if gateway.log_outage.apply_report(gateway, report.node, word) {
+        let word = gateway.log_outage.own_report(gateway);
         send(gateway, socket, word, vec![from]);
     }
 }
@@ -91,24 +91,25 @@
     };
     let datagram = encode(&GatewayDatagram::Log(report));
     for to in to {
-        // What is lost is told again, or asked for.
+        // Lost reports are repeated or asked for.
         let _ = socket.try_send_to(&datagram, to);
     }
 }
 
-/// Addresses of the nodes that call the log for partitions.
+/// Returns the addresses of the first candidates of all partitions, which are the nodes that call the
+/// log.
 fn owners(gateway: &Gateway) -> Vec<SocketAddr> {
     let partitions = (0..gateway.settings.partitions).map(PartitionId);
-    let foremost = partitions.filter_map(|partition| {
+    let first_candidates = partitions.filter_map(|partition| {
         let candidates = gateway.peers.candidates(gateway, partition);
         candidates.into_iter().next()
     });
-    let mut owners: BTreeSet<NodeId> = foremost.collect();
+    let mut owners: BTreeSet<NodeId> = first_candidates.collect();
     owners.remove(&gateway.settings.node);
-    addresses(gateway, owners.iter().take(MOST_ASKED))
+    addresses(gateway, owners.iter().take(MAX_OWNERS_ASKED))
 }
 
-/// Addresses of all other nodes that are alive.
+/// Returns the addresses of all other living nodes.
 fn others(gateway: &Gateway) -> Vec<SocketAddr> {
     let alive = gateway.peers.alive.borrow();
     let own = &gateway.settings.node;
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -1,4 +1,4 @@
-//! Which of the living nodes should act for a partition, and which can remember something for it.
+//! Ranks the living nodes as candidates for a partition and chooses its witnesses.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,57 +15,59 @@
 use super::Peers;
 use crate::gateway::Gateway;
 
-/// Candidates that are asked before a node acts itself: of these, one is of another zone than the
-/// others if there is any.
-const ASKED_FIRST: usize = 3;
+/// Number of leading candidates that must span more than one zone, if possible. A node asks this many
+/// before it acts for a partition itself.
+const SPREAD_CANDIDATES: usize = 3;
 
-/// Most nodes that are told as candidates for a partition: the first that answers is enough.
-const MOST_CANDIDATES: usize = 4;
+/// Maximum number of candidates for a partition; the first one that answers is enough.
+const MAX_CANDIDATES: usize = 4;
 
 impl Peers {
-    /// Nodes that should act for a partition, the foremost first, without those that left a
-    /// request unanswered a moment ago. Nodes of a zone that seems lost come last.
+    /// Returns the nodes that should act for a partition, in order of preference. Avoided nodes are left
+    /// out, and nodes of suspected zones come last.
     pub(crate) fn candidates(&self, gateway: &Gateway, partition: PartitionId) -> Vec<NodeId> {
         let avoided = self.avoided.borrow();
         let now = Instant::now();
         let is_avoided = |node: &NodeId| avoided.get(node).is_some_and(|until| *until > now);
         let ranking = self.ranking(gateway, partition);
-        let asked = ranking.iter().filter(|node| !is_avoided(node));
+        let available = ranking.iter().filter(|node| !is_avoided(node));
         let nodes = gateway.nodes.borrow();
-        let mut placed: Vec<Placed<'_>> = asked.map(|node| (node, zone_of(&nodes, node))).collect();
+        let mut placed: Vec<Placed<'_>> = available
+            .map(|node| (node, zone_of(&nodes, node)))
+            .collect();
         let suspected = suspected_zones(gateway);
         if !suspected.is_empty() {
             placed.sort_by_key(|(_, zone)| suspected.contains(*zone));
         }
         let placed = placed.into_iter();
         let candidates = match gateway.settings.policy.zone_spread {
-            true => spread_candidates(placed, ASKED_FIRST, MOST_CANDIDATES),
-            false => placed.map(|(node, _)| node).take(MOST_CANDIDATES).collect(),
+            true => spread_candidates(placed, SPREAD_CANDIDATES, MAX_CANDIDATES),
+            false => placed.map(|(node, _)| node).take(MAX_CANDIDATES).collect(),
         };
         candidates.into_iter().cloned().collect()
     }
 
-    /// Whether this node is the first that should act for a partition, of those that have not left a
-    /// request unanswered a moment ago and whose zones do not seem lost.
-    pub(crate) fn is_foremost(&self, gateway: &Gateway, partition: PartitionId) -> bool {
+    /// Returns whether this node is the preferred owner of a partition among the nodes that are neither
+    /// avoided nor in a suspected zone.
+    pub(crate) fn is_first_candidate(&self, gateway: &Gateway, partition: PartitionId) -> bool {
         let avoided = self.avoided.borrow();
         let now = Instant::now();
         let is_avoided = |node: &NodeId| avoided.get(node).is_some_and(|until| *until > now);
         let nodes = gateway.nodes.borrow();
         let capacity = |node: &NodeId| nodes.get(node).map_or(0, |known| known.record.millicores);
         let suspected = suspected_zones(gateway);
-        let is_lost =
+        let is_suspected =
             |node: &NodeId| !suspected.is_empty() && suspected.contains(zone_of(&nodes, node));
         let alive = self.alive.borrow();
-        let asked = alive
+        let available = alive
             .iter()
-            .filter(|node| !is_avoided(node) && !is_lost(node));
-        let foremost = foremost_owner(partition, asked.map(|node| (node, capacity(node))));
-        foremost == Some(&self.own)
+            .filter(|node| !is_avoided(node) && !is_suspected(node));
+        let first = foremost_owner(partition, available.map(|node| (node, capacity(node))));
+        first == Some(&self.own)
     }
 
-    /// Nodes that can remember something of a partition for this one, the foremost candidates first as
-    /// far as zones allow.
+    /// Returns the witnesses for a partition owned by this node: the best-ranked other nodes, spread
+    /// across zones.
     pub(crate) fn witnesses(&self, gateway: &Gateway, partition: PartitionId) -> Rc<[Witness]> {
         if let Some(known) = self.witnesses.borrow().get(&partition) {
             return known.clone();
@@ -82,8 +84,8 @@
         let nodes = gateway.nodes.borrow();
         let others = ranking.iter().filter(|node| **node != self.own);
         let listed = others.filter_map(|node| Some((node, &nodes.get(node)?.record)));
-        let staying = listed.filter(|(_, record)| !record.draining);
-        let placed = staying.map(|(node, record)| (node, record.zone.as_str()));
+        let remaining = listed.filter(|(_, record)| !record.draining);
+        let placed = remaining.map(|(node, record)| (node, record.zone.as_str()));
         let own_zone = gateway.settings.zone.as_str();
         let chosen = match gateway.settings.policy.zone_spread {
             true => spread_witnesses(&placed.collect::<Vec<_>>(), own_zone, MOST_WITNESSES),
@@ -97,7 +99,7 @@
         known.collect()
     }
 
-    /// The living nodes in the order in which they should act for a partition.
+    /// Returns the living nodes in the order in which they should act for a partition.
     fn ranking(&self, gateway: &Gateway, partition: PartitionId) -> Rc<[NodeId]> {
         if let Some(known) = self.rankings.borrow().get(&partition) {
             return known.clone();
@@ -114,7 +116,7 @@
     }
 }
 
-/// Zones whose nodes seem lost together.
+/// Returns the zones whose nodes are suspected as a group.
 fn suspected_zones(gateway: &Gateway) -> BTreeSet<String> {
     let workers = gateway.workers.borrow();
     let zones = workers.zone_health();
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -1,5 +1,5 @@
-//! Nodes tell each other how much their callers ask for first parts of prompts, so that all count
-//! the same homes for them.
+//! Exchange of the demand for first prompt parts, so that all nodes of a zone compute the same homes
+//! for them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use super::loads;
 use crate::gateway::Gateway;
 
-/// Demand is told at this interval; it changes slowly.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of the reports; demand changes slowly.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Most nodes that are told at a time; with more, they take turns.
-const MOST_TOLD: usize = 16;
+/// Maximum number of recipients per report; if there are more nodes, they take turns.
+const MAX_RECIPIENTS: usize = 16;
 
-/// When was told last, and whose turn is next.
+/// Sends the demand at this node to the other nodes of its zone.
 #[derive(Debug, Default)]
-pub(super) struct PartTeller {
-    told_at: Option<Timestamp>,
-    near: Rota,
+pub(super) struct PartDemandSender {
+    sent_at: Option<Timestamp>,
+    rotation: Rota,
 }
 
-impl PartTeller {
-    /// Tells the other nodes of this zone of the demand here, if it is time. Demand of other zones
-    /// has the same shape, and bytes between zones are dear.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+impl PartDemandSender {
+    /// Sends a report if one is due. Other zones receive none: their demand is similar, and traffic
+    /// between zones is expensive.
+    pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         let now = gateway.now();
         let policy = &gateway.settings.policy;
-        let is_early = |at: Timestamp| now.since(at) < TELL_INTERVAL;
-        if !policy.part_homes || self.told_at.is_some_and(is_early) {
+        let is_early = |at: Timestamp| now.since(at) < REPORT_INTERVAL;
+        if !policy.part_homes || self.sent_at.is_some_and(is_early) {
             return;
         }
-        self.told_at = Some(now);
+        self.sent_at = Some(now);
         let recipients = self.recipients(gateway);
         let workers = gateway.workers.borrow();
         for (service, uses) in workers.own_demand() {
@@ -47,11 +47,14 @@
             let report = PartReport {
                 node: gateway.settings.node.clone(),
                 service: service.to_owned(),
-                uses: uses.iter().map(|(part, used)| told(*part, used)).collect(),
+                uses: uses
+                    .iter()
+                    .map(|(part, used)| use_report(*part, used))
+                    .collect(),
             };
             let datagram = encode(&GatewayDatagram::Parts(report));
             for to in &recipients {
-                // The next report makes up for one that is lost.
+                // A lost report is superseded by the next one.
                 let _ = socket.try_send_to(&datagram, *to);
             }
         }
@@ -67,12 +70,12 @@
                 && gateway.peers.is_alive(node)
         });
         let near = near.map(|(node, known)| (node, known.record.peer_address));
-        let near = loads::serving_if_many(gateway, near.collect(), MOST_TOLD);
-        self.near.pick(near, MOST_TOLD)
+        let near = loads::serving_if_many(gateway, near.collect(), MAX_RECIPIENTS);
+        self.rotation.pick(near, MAX_RECIPIENTS)
     }
 }
 
-fn told(part: PartKey, used: &PartUse) -> PartUseReport {
+fn use_report(part: PartKey, used: &PartUse) -> PartUseReport {
     PartUseReport {
         part: part.0,
         tokens: used.tokens,
@@ -80,17 +83,17 @@
     }
 }
 
-/// Takes another node's report.
-pub(super) fn take(gateway: &Gateway, report: PartReport) {
+/// Applies another node's report.
+pub(super) fn receive(gateway: &Gateway, report: PartReport) {
     if report.node == gateway.settings.node {
         return;
     }
-    let uses = report.uses.iter().map(|told| {
+    let uses = report.uses.iter().map(|reported| {
         let used = PartUse {
-            tokens: told.tokens,
-            turns: f64::from(told.turn_tenths) / 10.0,
+            tokens: reported.tokens,
+            turns: f64::from(reported.turn_tenths) / 10.0,
         };
-        (PartKey(told.part), used)
+        (PartKey(reported.part), used)
     });
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
