--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -1,4 +1,5 @@
-//! Nodes that cannot read the log prove their configuration through others, and get a newer one.
+//! Exchange of configuration proofs: a node that can't read the log asks others whether its
+//! configuration is the newest one, and obtains a newer one from them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,43 +17,44 @@
 use crate::ports::StreamRecord;
 use crate::watch;
 
-/// Nodes asked in one round: one of them is likely to have a way to the log.
-const ASKED_AT_ONCE: usize = 3;
+/// Number of nodes asked in one round, so that at least one of them is likely to reach the log.
+const NODES_PER_ROUND: usize = 3;
 
-/// Answers to older questions are not waited for: the proof that they bring is no younger.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Time after which a question is dropped: a later answer would not make the proof any younger.
+const QUESTION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A newer configuration is asked for this often at most: it may be large.
-const CONFIGURATION_PAUSE: Duration = Duration::from_millis(500);
+/// Minimum interval between requests for a newer configuration, which may be large.
+const CONFIGURATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions that are not answered yet, and whose turn it is.
+/// Requests proofs from other nodes.
 #[derive(Debug, Default)]
-pub(super) struct ProofAsker {
+pub(super) struct ProofRequester {
     asking: ProofAsking,
-    /// When each open question was asked.
-    open: BTreeMap<u64, Timestamp>,
-    turn: usize,
-    configuration_asked: Option<Timestamp>,
+    /// When each unanswered question was sent.
+    pending: BTreeMap<u64, Timestamp>,
+    /// Position of the next node to ask.
+    next: usize,
+    configuration_asked_at: Option<Timestamp>,
 }
 
-impl ProofAsker {
-    /// Asks other nodes for a proof if the own one grows old.
-    pub(super) fn ask(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+impl ProofRequester {
+    /// Asks other nodes for a proof if this node's own proof is about to expire.
+    pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         if !gateway.settings.policy.peer_proofs {
             return;
         }
         let now = gateway.now();
-        self.open
-            .retain(|_, asked| now.since(*asked) < LONGEST_WAIT);
+        self.pending
+            .retain(|_, asked| now.since(*asked) < QUESTION_TIMEOUT);
         let proof = *gateway.config_proof.borrow();
         if !self.asking.is_due(&proof, now, gateway.asking_age()) {
             return;
         }
         let mut nodes = gateway.feed.readers(gateway);
-        nodes.truncate(ASKED_AT_ONCE);
+        nodes.truncate(NODES_PER_ROUND);
         if nodes.is_empty() || gateway.feed.reads() {
-            nodes = gateway.peers.some_alive(self.turn, ASKED_AT_ONCE);
-            self.turn = self.turn.wrapping_add(ASKED_AT_ONCE);
+            nodes = gateway.peers.pick_alive(self.next, NODES_PER_ROUND);
+            self.next = self.next.wrapping_add(NODES_PER_ROUND);
         }
         for node in nodes {
             let known = gateway.nodes.borrow();
@@ -60,16 +62,21 @@
                 continue;
             };
             let question = gateway.next_sequence();
-            self.open.insert(question, now);
+            self.pending.insert(question, now);
             let datagram = encode(&GatewayDatagram::ProofAsked(question));
-            // The next round makes up for a datagram that is lost.
+            // A lost question is repeated in the next round.
             let _ = socket.try_send_to(&datagram, address);
         }
     }
 
-    /// Takes another node's answer.
-    pub(super) fn take(&mut self, gateway: &Gateway, from: SocketAddr, answer: &ConfigProofAnswer) {
-        let Some(asked) = self.open.remove(&answer.question) else {
+    /// Handles another node's answer.
+    pub(super) fn receive(
+        &mut self,
+        gateway: &Gateway,
+        from: SocketAddr,
+        answer: &ConfigProofAnswer,
+    ) {
+        let Some(asked) = self.pending.remove(&answer.question) else {
             return;
         };
         gateway.proof_answered.set(Some(gateway.now()));
@@ -80,26 +87,26 @@
                 gateway.metrics.proofs_told.inc();
             }
             Told::Older => {}
-            Told::Newer => self.ask_for_configuration(gateway, from, answer.version),
+            Told::Newer => self.request_configuration(gateway, from, answer.version),
         }
     }
 
-    fn ask_for_configuration(&mut self, gateway: &Gateway, from: SocketAddr, version: u64) {
+    fn request_configuration(&mut self, gateway: &Gateway, from: SocketAddr, version: u64) {
         let now = gateway.now();
-        let is_paused = |asked: Timestamp| now.since(asked) < CONFIGURATION_PAUSE;
-        if self.configuration_asked.is_some_and(is_paused) {
+        let is_early = |asked: Timestamp| now.since(asked) < CONFIGURATION_INTERVAL;
+        if self.configuration_asked_at.is_some_and(is_early) {
             return;
         }
         let Some(node) = node_at(gateway, from) else {
             return;
         };
-        self.configuration_asked = Some(now);
-        log::info!(node = node.as_str(), version = version; "another node has a newer configuration; asking for it");
+        self.configuration_asked_at = Some(now);
+        log::info!(node = node.as_str(), version = version; "requesting a newer configuration from another node");
         let question = GatewayFrame::ConfigurationAsked {
             node: gateway.settings.node.clone(),
         };
         if let Some(link) = gateway.peers.link_to(gateway, &node) {
-            link.tell(&question);
+            link.notify(&question);
         }
     }
 }
@@ -113,7 +120,7 @@
 }
 
 /// Answers a question for this node's proof, if it has one.
-pub(super) fn tell(gateway: &Gateway, socket: &UdpSocket, to: SocketAddr, question: u64) {
+pub(super) fn answer(gateway: &Gateway, socket: &UdpSocket, to: SocketAddr, question: u64) {
     let proof = *gateway.config_proof.borrow();
     let Some(age) = proof.age(gateway.now()) else {
         return;
@@ -124,7 +131,7 @@
         age_us: u64::try_from(age.as_micros()).unwrap_or(u64::MAX),
     };
     let datagram = encode(&GatewayDatagram::ProofTold(answer));
-    // Whoever asked asks again, here and below.
+    // The asking node repeats its question if the answer is lost.
     let _ = socket.try_send_to(&datagram, to);
     let zones = zones::reports(gateway);
     if !zones.is_empty() {
@@ -132,19 +139,19 @@
     }
 }
 
-/// Tells another node this one's configuration.
-pub(super) fn tell_configuration(gateway: &Gateway, node: &NodeId) {
+/// Sends the current configuration to another node.
+pub(super) fn send_configuration(gateway: &Gateway, node: &NodeId) {
     let Some(record) = gateway.config_record.borrow().clone() else {
         return;
     };
     let StreamRecord { offset, key, value } = record;
     if let Some(link) = gateway.peers.link_to(gateway, node) {
-        log::info!(node = node.as_str(), offset = offset.0; "telling another node the configuration");
-        link.tell(&GatewayFrame::Configuration { offset, key, value });
+        log::info!(node = node.as_str(), offset = offset.0; "sending the configuration to another node");
+        link.notify(&GatewayFrame::Configuration { offset, key, value });
     }
 }
 
-/// Takes the configuration of another node, unless this one has it or a newer one.
-pub(super) fn take_configuration(gateway: &Gateway, record: &StreamRecord) {
-    watch::take_publication(gateway, record);
+/// Applies a configuration from another node, unless this node has the same or a newer one.
+pub(super) fn receive_configuration(gateway: &Gateway, record: &StreamRecord) {
+    watch::apply_publication(gateway, record);
 }
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for a connection to another node, bounded in bytes.
+//! A queue of frames to be sent over a connection to another node, bounded in bytes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,110 +10,112 @@
 use tokio::sync::mpsc;
 
 use crate::buffered::Sender;
-use crate::far_bytes::{FarBytes, FarKind};
+use crate::far_bytes::{CrossZoneBytes, FarKind};
 use crate::memory::{Memory, Share};
 
-/// Most bytes that wait for one connection. The slowest machines send 22 Mbit/s: what is behind
-/// this much is late for everybody who waits for it.
-const MOST_QUEUED: usize = 2 * 1024 * 1024;
+/// Maximum size of a queue in bytes. Sending this much takes almost a second at 22 Mbit/s, so frames
+/// queued behind it would arrive too late to be useful.
+const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 
-/// Why a frame is not sent.
+/// The reason why a frame was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NotQueued {
-    /// The connection has ended.
+pub(super) enum PushError {
+    /// The connection is closed.
     Closed,
-    /// The other side does not read.
+    /// The peer doesn't read fast enough.
     Full,
 }
 
+/// The size of a queue, accounted for in the memory of the node.
 #[derive(Debug)]
-struct Held {
+struct QueuedBytes {
     bytes: Cell<usize>,
-    share: RefCell<Share>,
+    reservation: RefCell<Share>,
 }
 
-impl Held {
+impl QueuedBytes {
     fn set(&self, bytes: usize) {
         self.bytes.set(bytes);
-        self.share.borrow_mut().set(bytes);
+        self.reservation.borrow_mut().set(bytes);
     }
 }
 
-/// The end of the queue at which frames are put in.
+/// The sending half of a frame queue.
 #[derive(Clone, Debug)]
-pub(super) struct Outgoing {
+pub(super) struct FrameSender {
     frames: mpsc::UnboundedSender<Bytes>,
-    held: Rc<Held>,
-    /// Counts the bytes, if the other side is in another zone.
-    far: Option<FarBytes>,
+    queued: Rc<QueuedBytes>,
+    /// Counter for the bytes, if the peer is in another zone.
+    counter: Option<CrossZoneBytes>,
 }
 
-/// The end of the queue at which frames are sent.
+/// The receiving half of a frame queue, which writes frames to the connection.
 #[derive(Debug)]
-pub(super) struct Queue {
+pub(super) struct FrameReceiver {
     frames: mpsc::UnboundedReceiver<Bytes>,
-    held: Rc<Held>,
+    queued: Rc<QueuedBytes>,
 }
 
-impl Outgoing {
-    /// An empty queue, counted in `memory`.
-    pub(super) fn new(memory: &Memory, far: Option<FarBytes>) -> (Self, Queue) {
+impl FrameSender {
+    /// Creates an empty queue whose size is accounted for in `memory`.
+    pub(super) fn new(memory: &Memory, counter: Option<CrossZoneBytes>) -> (Self, FrameReceiver) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let held = Rc::new(Held {
+        let queued = Rc::new(QueuedBytes {
             bytes: Cell::new(0),
-            share: RefCell::new(memory.share(HeldFor::Peers)),
+            reservation: RefCell::new(memory.share(HeldFor::Peers)),
         });
-        let outgoing = Self {
+        let frame_sender = Self {
             frames: sender,
-            held: held.clone(),
-            far,
+            queued: queued.clone(),
+            counter,
         };
         let frames = receiver;
-        (outgoing, Queue { frames, held })
+        (frame_sender, FrameReceiver { frames, queued })
     }
 
-    /// Puts a frame in.
-    pub(super) fn push(&self, message: &GatewayFrame) -> Result<(), NotQueued> {
+    /// Adds a frame to the queue.
+    pub(super) fn push(&self, message: &GatewayFrame) -> Result<(), PushError> {
         let frame = frame(message);
-        let held = self.held.bytes.get();
-        if held > 0 && held + frame.len() > MOST_QUEUED {
-            return Err(NotQueued::Full);
+        let queued = self.queued.bytes.get();
+        if queued > 0 && queued + frame.len() > MAX_QUEUED_BYTES {
+            return Err(PushError::Full);
         }
         let length = frame.len();
-        self.frames.send(frame).map_err(|_| NotQueued::Closed)?;
-        self.held.set(held + length);
-        if let Some(far) = &self.far {
-            far.note(FarKind::of_frame(message), length);
+        self.frames.send(frame).map_err(|_| PushError::Closed)?;
+        self.queued.set(queued + length);
+        if let Some(counter) = &self.counter {
+            counter.note(FarKind::of_frame(message), length);
         }
         Ok(())
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection is closed.
     pub(super) fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 }
 
-impl Queue {
-    /// Sends frames until the connection or the queue ends.
+impl FrameReceiver {
+    /// Writes frames to the connection until the connection or the queue is closed.
     pub(super) async fn send_to(&mut self, sender: &mut Sender) {
         while let Some(frame) = self.frames.recv().await {
             sender.buffer.extend_from_slice(&frame);
             while let Ok(frame) = self.frames.try_recv() {
                 sender.buffer.extend_from_slice(&frame);
             }
-            let taken = sender.buffer.len();
+            let written = sender.buffer.len();
             if sender.flush().await.is_err() {
                 return;
             }
-            self.held.set(self.held.bytes.get().saturating_sub(taken));
+            self.queued
+                .set(self.queued.bytes.get().saturating_sub(written));
         }
     }
 
-    /// Takes no more frames and forgets those that wait.
+    /// Closes the queue and drops the frames in it.
     pub(super) fn close(&mut self) {
         self.frames.close();
         while self.frames.try_recv().is_ok() {}
-        self.held.set(0);
+        self.queued.set(0);
     }
 }
--- a/crates/gateway/src/peers/quotas.rs
+++ b/crates/gateway/src/peers/quotas.rs
@@ -1,4 +1,5 @@
-//! Nodes tell each other what they have sent on for tenants that have a quota.
+//! Exchange of quota use: nodes report to each other the requests they have sent for tenants with a
+//! quota.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,31 +12,32 @@
 
 use crate::gateway::Gateway;
 
-/// When was told last, and whose turn is next.
+/// Sends the quota use at this node to other nodes.
 #[derive(Debug, Default)]
-pub(super) struct QuotaTeller {
-    told_at: Option<Timestamp>,
-    has_told: bool,
-    turns: ReportTurns,
+pub(super) struct QuotaSender {
+    sent_at: Option<Timestamp>,
+    /// Whether the last report was not empty.
+    has_reported: bool,
+    rotation: ReportTurns,
 }
 
-impl QuotaTeller {
-    /// Tells the others what was sent on here, if it is time and there is anything to tell.
-    pub(super) fn tell(&mut self, gateway: &Gateway, socket: &UdpSocket) {
+impl QuotaSender {
+    /// Sends a report if one is due and not empty, or the first empty one after that.
+    pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         let now = gateway.now();
         if self
-            .told_at
+            .sent_at
             .is_some_and(|at| now.since(at) < REPORT_INTERVAL)
         {
             return;
         }
-        self.told_at = Some(now);
+        self.sent_at = Some(now);
         let uses = gateway.quotas.borrow_mut().report(now, gateway.fleet());
-        // An empty report is told once: it takes back the one before.
-        if uses.is_empty() && !self.has_told {
+        // A single empty report clears the previous one.
+        if uses.is_empty() && !self.has_reported {
             return;
         }
-        self.has_told = !uses.is_empty();
+        self.has_reported = !uses.is_empty();
         let uses = uses.into_iter().map(|(tenant, used)| TenantUseReport {
             tenant: tenant.0,
             sent: used.sent,
@@ -49,30 +51,30 @@
         super::send(gateway, socket, &GatewayDatagram::Quota(report), recipients);
     }
 
-    /// The nodes that callers are sent to, and those that have told of requests nevertheless.
+    /// Returns the addresses of the serving nodes and of others that have reported requests.
     fn recipients(&mut self, gateway: &Gateway) -> Vec<SocketAddr> {
         let nodes = gateway.nodes.borrow();
         let quotas = gateway.quotas.borrow();
-        let mut told: BTreeSet<&NodeId> = quotas.tellers().collect();
+        let mut recipients: BTreeSet<&NodeId> = quotas.tellers().collect();
         let serving = gateway.serving_nodes(&nodes);
-        told.extend(serving);
-        told.remove(&gateway.settings.node);
-        let addresses = told
+        recipients.extend(serving);
+        recipients.remove(&gateway.settings.node);
+        let addresses = recipients
             .into_iter()
             .filter_map(|node| Some(nodes.get(node)?.record.peer_address))
             .collect();
-        self.turns.take(addresses)
+        self.rotation.take(addresses)
     }
 }
 
-/// Takes another node's report.
-pub(super) fn take(gateway: &Gateway, report: QuotaReport) {
-    let uses = report.uses.into_iter().map(|told| {
+/// Applies another node's report.
+pub(super) fn receive(gateway: &Gateway, report: QuotaReport) {
+    let uses = report.uses.into_iter().map(|reported| {
         let used = TenantUse {
-            sent: told.sent,
-            asked: told.asked,
+            sent: reported.sent,
+            asked: reported.asked,
         };
-        (TenantKey(told.tenant), used)
+        (TenantKey(reported.tenant), used)
     });
     let now = gateway.now();
     let mut quotas = gateway.quotas.borrow_mut();
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of other nodes for partitions that this one acts for.
+//! Serves connections from other nodes: ledger requests, reader questions and notifications.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::link::next_frame;
 use super::proofs;
-use super::queue::Outgoing;
+use super::queue::FrameSender;
 use crate::gateway::Gateway;
 use crate::ports::StreamRecord;
 use crate::{buffered, feed, ledger, socket};
@@ -17,10 +17,10 @@
 /// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A request that is not replied to within this time is said to have arrived.
-const SAY_ARRIVED_AFTER: Duration = Duration::from_millis(40);
+/// Time after which a request that is still being executed is acknowledged.
+const ACKNOWLEDGE_AFTER: Duration = Duration::from_millis(40);
 
-/// Accepts other nodes until the process ends.
+/// Accepts connections from other nodes until the process ends.
 pub(crate) async fn accept_peers(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -34,12 +34,12 @@
 
 async fn serve_peer(gateway: Rc<Gateway>, stream: TcpStream) {
     socket::prepare(&stream);
-    let far = stream.peer_addr().ok().and_then(|address| {
+    let counter = stream.peer_addr().ok().and_then(|address| {
         let peers = &gateway.peers;
         peers.counter_for_address(&gateway, address.ip())
     });
     let (mut receiver, mut sender) = buffered::split(stream);
-    let (replies, mut outgoing) = Outgoing::new(&gateway.memory, far);
+    let (replies, mut outgoing) = FrameSender::new(&gateway.memory, counter);
     let receiving = async {
         while let Some(message) = next_frame(&mut receiver).await {
             let (id, partition, request) = match message {
@@ -49,20 +49,20 @@
                     request,
                 } => (id, partition, request),
                 GatewayFrame::WorkerEjected { node, worker } => {
-                    take_report(&gateway, node, &worker);
+                    receive_ejection(&gateway, node, &worker);
                     continue;
                 }
                 GatewayFrame::ConfigurationAsked { node } => {
-                    proofs::tell_configuration(&gateway, &node);
+                    proofs::send_configuration(&gateway, &node);
                     continue;
                 }
                 GatewayFrame::Configuration { offset, key, value } => {
-                    proofs::take_configuration(&gateway, &StreamRecord { offset, key, value });
+                    proofs::receive_configuration(&gateway, &StreamRecord { offset, key, value });
                     continue;
                 }
                 GatewayFrame::FeedAsked { id, question } => {
                     let answer = feed::answer(&gateway, &question);
-                    // The peer may have left; else it asks again after the next heartbeat.
+                    // The peer may have disconnected; otherwise, it asks again after the next heartbeat.
                     let _ = replies.push(&GatewayFrame::FeedTold { id, answer });
                     continue;
                 }
@@ -73,15 +73,14 @@
             let gateway = gateway.clone();
             let replies = replies.clone();
             actix_rt::spawn(async move {
-                let mut carrying_out =
-                    std::pin::pin!(ledger::carry_out(&gateway, partition, request));
-                let soon = actix_rt::time::timeout(SAY_ARRIVED_AFTER, &mut carrying_out).await;
-                let reply = match soon {
+                let mut executing = std::pin::pin!(ledger::execute(&gateway, partition, request));
+                let fast = actix_rt::time::timeout(ACKNOWLEDGE_AFTER, &mut executing).await;
+                let reply = match fast {
                     Ok(reply) => reply,
                     Err(_) => {
-                        // The peer may have left, here and below.
+                        // The peer may have disconnected, here and below.
                         let _ = replies.push(&GatewayFrame::Arrived { id });
-                        carrying_out.await
+                        executing.await
                     }
                 };
                 let _ = replies.push(&GatewayFrame::Reply { id, reply });
@@ -94,7 +93,8 @@
     }
 }
 
-fn take_report(gateway: &Gateway, node: NodeId, worker: &str) {
+/// Records another node's report that it has ejected a worker.
+fn receive_ejection(gateway: &Gateway, node: NodeId, worker: &str) {
     let now = gateway.now();
     log::info!(worker = worker, node = node.as_str(); "another node has ejected a worker");
     let ejected = gateway.workers.borrow_mut().note_report(worker, now, node);
--- a/crates/gateway/src/peers/zones.rs
+++ b/crates/gateway/src/peers/zones.rs
@@ -1,5 +1,5 @@
-//! Nodes tell each other which zones' workers are to get nothing more: the log may turn some nodes away
-//! while it serves others and the operator.
+//! Exchange of zone evacuations, for nodes that the log refuses while it serves other nodes and the
+//! operator.
 
 use elderworks_gateway_core::evacuations::ZoneWish;
 use elderworks_protocol::gateway::ZoneReport;
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::watch;
 
-/// What this node knows, for another one.
+/// Returns the evacuations known to this node.
 pub(crate) fn reports(gateway: &Gateway) -> Vec<ZoneReport> {
     let evacuations = gateway.evacuations.borrow();
     let wishes = evacuations.wishes().map(|(zone, wish)| ZoneReport {
@@ -18,13 +18,13 @@
     wishes.collect()
 }
 
-/// Takes what another node knows.
-pub(crate) fn take(gateway: &Gateway, reports: &[ZoneReport]) {
+/// Applies the evacuations known to another node.
+pub(crate) fn receive(gateway: &Gateway, reports: &[ZoneReport]) {
     for report in reports {
         let wish = ZoneWish {
             offset: report.offset,
             is_on: report.is_on,
         };
-        watch::take_zone_wish(gateway, &report.zone, wish, "node");
+        watch::apply_zone_wish(gateway, &report.zone, wish, "node");
     }
 }
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -1,4 +1,4 @@
-//! The stream of what the operator publishes: configurations, and zones that are to get no work.
+//! Follows the stream of the operator's publications: configurations and zone evacuations.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 use crate::gateway::Gateway;
 use crate::ports::{Publication, StreamRecord};
 
-/// Follows the operator's configurations until the process ends.
+/// Follows the operator's publications until the process ends.
 pub(crate) async fn follow_configuration(gateway: Rc<Gateway>) {
     follow::<ConfigurationFollower>(gateway, None).await;
 }
 
-/// Proves now and then, by reads that don't wait for news, that the configuration is the newest: a
-/// read that waits proves it only for the time at which it was sent. Nodes that don't read just then
-/// ask those that did.
+/// Regularly proves that the configuration is the newest one by reads that don't wait for new records; a
+/// waiting read proves that only for the time at which it was sent. Between its own reads, a node asks
+/// other nodes for younger proofs.
 pub(crate) async fn prove_configuration(gateway: Rc<Gateway>) {
     loop {
         let asks_others = gateway.settings.policy.peer_proofs && !gateway.feed.reads_for_others();
@@ -31,9 +31,9 @@
             true => gateway.nodes.borrow().count(),
             false => 1,
         };
-        // Exponentially distributed pauses: nodes that start together soon read at any time.
-        let share = -(1.0 - rand::random::<f64>()).ln();
-        actix_rt::time::sleep(proving_pause(nodes).mul_f64(share)).await;
+        // Exponentially distributed pauses desynchronize nodes that start at the same time.
+        let factor = -(1.0 - rand::random::<f64>()).ln();
+        actix_rt::time::sleep(proving_pause(nodes).mul_f64(factor)).await;
         let Some(from) = gateway
             .config_end
             .get()
@@ -43,14 +43,14 @@
         };
         let sent = gateway.now();
         let limits = limits(ReadTimes::at_once(PROOF_TIMEOUT));
-        // Failures are told by the follower of the configuration.
+        // Failures are logged by the follower of the configuration.
         let read = read_more::<ConfigurationFollower>(&gateway, from, limits).await;
         let outcome = if read.is_ok() { "ok" } else { "failed" };
         gateway.metrics.note_log_call(LogCause::Prove, outcome);
         if let Ok(progress) = read
             && progress.is_complete
         {
-            ConfigurationFollower::note_current(&gateway, sent, progress.next);
+            ConfigurationFollower::on_current(&gateway, sent, progress.next);
         }
     }
 }
@@ -60,12 +60,12 @@
 impl Follower for ConfigurationFollower {
     const STREAM: Stream = Stream::Configuration;
 
-    fn note_current(gateway: &Gateway, sent: Timestamp, end: Offset) {
+    fn on_current(gateway: &Gateway, sent: Timestamp, end: Offset) {
         gateway.config_proof.borrow_mut().note_read(sent);
         gateway.config_end.set(Some(end));
     }
 
-    fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
+    fn replace_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
         let zones: BTreeSet<String> = records
             .iter()
             .filter_map(|record| evacuated_zone(gateway, record))
@@ -73,22 +73,22 @@
         let zones = zones.iter().map(String::as_str).collect();
         let lifted = gateway.evacuations.borrow_mut().lift_all_but(&zones, end);
         for zone in &lifted {
-            log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone takes work again");
+            log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone evacuation lifted");
         }
         if !lifted.is_empty() {
             gateway.act_on_evacuations();
         }
-        Self::take_more(gateway, records);
+        Self::apply(gateway, records);
     }
 
-    fn take_more(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
+    fn apply(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
         for record in records {
-            take_publication(gateway, record);
+            apply_publication(gateway, record);
         }
     }
 }
 
-/// The zone that a record asks to empty, if it asks for that.
+/// Returns the zone that a record evacuates, if any.
 fn evacuated_zone(gateway: &Gateway, record: &StreamRecord) -> Option<String> {
     match gateway.platform.publication(record) {
         Ok(Publication::Evacuation { zone, is_on: true }) => Some(zone),
@@ -96,38 +96,39 @@
     }
 }
 
-/// Takes what the operator has published.
-pub(crate) fn take_publication(gateway: &Gateway, record: &StreamRecord) {
+/// Applies a publication of the operator.
+pub(crate) fn apply_publication(gateway: &Gateway, record: &StreamRecord) {
     match gateway.platform.publication(record) {
-        Ok(Publication::Configuration(config)) => take_configuration(gateway, record, config),
+        Ok(Publication::Configuration(config)) => apply_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
-            take_zone_wish(gateway, &zone, ZoneWish { offset, is_on }, "log");
+            apply_zone_wish(gateway, &zone, ZoneWish { offset, is_on }, "log");
         }
         Ok(Publication::Other) => {}
         Err(error) => {
-            log::error!(offset = record.offset.0, error = error.to_string().as_str(); "configuration cannot be read");
+            log::error!(offset = record.offset.0, error = error.to_string().as_str(); "cannot decode a configuration");
             gateway.config_proof.borrow_mut().obscure();
         }
     }
 }
 
-/// Takes the operator's wish for a zone, whoever has told it, unless it is older than what is known.
-pub(crate) fn take_zone_wish(gateway: &Gateway, zone: &str, wish: ZoneWish, by: &str) {
+/// Applies an evacuation request, from the log or from another node, unless a newer one for the zone is
+/// known. `by` names the origin in the log.
+pub(crate) fn apply_zone_wish(gateway: &Gateway, zone: &str, wish: ZoneWish, by: &str) {
     if !gateway.evacuations.borrow_mut().note(zone, wish) {
         return;
     }
-    let news = match wish.is_on {
-        true => "zone gets no more work",
-        false => "zone takes work again",
+    let message = match wish.is_on {
+        true => "zone evacuated: it receives no new requests",
+        false => "zone evacuation lifted",
     };
-    log::info!(zone = zone, offset = wish.offset.0, by = by; "{news}");
+    log::info!(zone = zone, offset = wish.offset.0, by = by; "{message}");
     gateway.act_on_evacuations();
 }
 
-/// Takes a configuration into force, from the log or from another node, unless one of the same or a
-/// later version is.
-fn take_configuration(gateway: &Gateway, record: &StreamRecord, config: ServingConfig) {
+/// Activates a configuration from the log or from another node, unless the active one is at least as
+/// new.
+fn apply_configuration(gateway: &Gateway, record: &StreamRecord, config: ServingConfig) {
     let version = config.version;
     let routes = config.routes.len();
     let tenants = config.tenants.len();
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's streams of configurations, workers and nodes, while this node reads them.
+//! Follows the log's streams of configurations, workers and nodes while this node is a reader.
 
 mod configuration;
 mod nodes;
@@ -16,76 +16,76 @@
 use crate::ports::{NewestPage, ReadLimits, StoreError, StreamRecord};
 
 pub(crate) use configuration::{
-    follow_configuration, prove_configuration, take_publication, take_zone_wish,
+    apply_publication, apply_zone_wish, follow_configuration, prove_configuration,
 };
-pub(crate) use nodes::{follow_nodes, read_nodes, take_nodes};
+pub(crate) use nodes::{apply_nodes, follow_nodes, read_nodes};
 pub(crate) use workers::follow_workers;
 
-/// Longest wait for the answer to a read that asks only for what there is: reads of the followers
-/// bound how late news are, this one how old a proof may be, or what a start sees.
+/// Timeout of a read that doesn't wait for new records, used for proofs of the configuration and at the
+/// start of a node.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Failures of reads in a row after which a node that reads for others says so: one answer may be lost.
-const FAILURES_TOLD: u32 = 2;
+/// Number of consecutive failures after which a reader reports to its listeners that its reads fail. A
+/// single failure may be a lost answer.
+const REPORTED_FAILURES: u32 = 2;
 
-/// Tries of one page of the newest records: what the pages before it have brought is not read again.
-const PAGE_TRIES: u32 = 4;
+/// Maximum number of attempts to read a page of the newest records. Earlier pages are not read again.
+const MAX_PAGE_ATTEMPTS: u32 = 4;
 
-/// Pause between two of them.
-const PAGE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two attempts to read a page.
+const PAGE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// One stream to follow and what to do with its records.
+/// A stream to be followed and the handling of its records.
 trait Follower {
-    /// Which stream.
+    /// The stream to be followed.
     const STREAM: Stream;
 
-    /// Takes the newest record of every key, of a stream that ended at `end`.
-    fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset);
+    /// Replaces all state with the newest record of every key, in a stream that ended at `end`.
+    fn replace_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset);
 
-    /// Takes further records, of one read.
-    fn take_more(gateway: &Rc<Gateway>, records: &[StreamRecord]);
+    /// Applies the further records of one read.
+    fn apply(gateway: &Rc<Gateway>, records: &[StreamRecord]);
 
-    /// Called after a read has shown everything that the stream held when the read was sent; it
-    /// ended at `end`.
-    fn note_current(_gateway: &Gateway, _sent: Timestamp, _end: Offset) {}
+    /// Called after a read that was sent at `sent` reached the end of the stream, `end`.
+    fn on_current(_gateway: &Gateway, _sent: Timestamp, _end: Offset) {}
 
     /// Called after each read.
     fn after_read(_gateway: &Gateway) {}
 
-    /// Where to go on after other nodes have read the stream for a while; `None` to read the newest
+    /// Returns the offset to resume at when this node becomes a reader again; `None` to read the newest
     /// record of every key.
     fn resume_at(_gateway: &Gateway) -> Option<Offset> {
         None
     }
 
-    /// Whether this node reads on where the newest records take several pages; if not, it hears of
-    /// them from others.
-    async fn reads_on(_gateway: &Gateway) -> bool {
+    /// Returns whether this node continues if the newest records take several pages. If not, it
+    /// receives them from other readers.
+    async fn continues_reading(_gateway: &Gateway) -> bool {
         true
     }
 }
 
-/// How far a read has come.
+/// The position reached by a read.
 struct Progress {
-    /// Where the next read begins.
+    /// Offset at which the next read starts.
     next: Offset,
-    /// Whether it reached the end that the stream had.
+    /// Whether the read reached the end of the stream.
     is_complete: bool,
 }
 
-/// Follows a stream from an offset on, or else from the newest record of every key on, while this node
-/// reads the streams.
+/// Follows a stream whenever this node is a reader. Starts at an offset, or with the newest record of
+/// every key if there is none.
 async fn follow<F: Follower>(gateway: Rc<Gateway>, from: Option<Offset>) {
     let mut next = from;
     let mut reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
-    let mut known = gateway.now();
+    let mut last_success = gateway.now();
     let mut term = None;
     loop {
-        let present = gateway.feed.until_reading().await;
-        if term.replace(present) != Some(present) {
+        let current_term = gateway.feed.until_reading().await;
+        if term.replace(current_term) != Some(current_term) {
             next = F::resume_at(&gateway).or(from);
             reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
-            known = gateway.now();
+            last_success = gateway.now();
         }
         let sent = gateway.now();
         let read = match next {
@@ -99,21 +99,21 @@
         match read {
             Ok(progress) => {
                 let failures = reads.note_answer();
-                note_answer::<F>(&gateway, failures, sent.since(known), progress.next);
-                known = sent;
+                record_success::<F>(&gateway, failures, sent.since(last_success), progress.next);
+                last_success = sent;
                 next = Some(progress.next);
                 if progress.is_complete {
-                    F::note_current(&gateway, sent, progress.next);
+                    F::on_current(&gateway, sent, progress.next);
                 }
             }
             Err(StoreError::Gone { first }) => {
-                log::info!(stream:? = F::STREAM, first = first.0; "history is gone; reading anew");
+                log::info!(stream:? = F::STREAM, first = first.0; "records were deleted; reading the newest record of every key");
                 next = None;
                 continue;
             }
             Err(error) => {
                 let failures = reads.note_failure();
-                note_failure::<F>(&gateway, failures, sent, known, &error);
+                record_failure::<F>(&gateway, failures, sent, last_success, &error);
             }
         }
         F::after_read(&gateway);
@@ -121,11 +121,11 @@
     }
 }
 
-/// Counts a read that was answered; `dark` is how long nothing was known before it was sent.
-fn note_answer<F: Follower>(gateway: &Gateway, failures: u32, dark: Duration, end: Offset) {
+/// Records a successful read. `dark` is the time between the previous successful read and this one.
+fn record_success<F: Follower>(gateway: &Gateway, failures: u32, dark: Duration, end: Offset) {
     gateway.metrics.note_stream_read(F::STREAM, "ok");
     gateway.log_reach.borrow_mut().note_answer();
-    gateway.feed.note_reads(gateway, F::STREAM, false);
+    gateway.feed.set_failing(gateway, F::STREAM, false);
     if failures == 0 {
         return;
     }
@@ -134,9 +134,9 @@
     log::info!(stream:? = F::STREAM, end = end.0, failures = failures, dark_ms = millis(Some(dark)); "stream can be read again");
 }
 
-/// Counts a read that failed. The first of a row is told, with how long it had hung and how long ago
-/// the last one that was answered had been sent.
-fn note_failure<F: Follower>(
+/// Records a failed read that was sent at `sent`; `known` is when the last successful one was sent. Only
+/// the first of several consecutive failures is logged.
+fn record_failure<F: Follower>(
     gateway: &Gateway,
     failures: u32,
     sent: Timestamp,
@@ -148,7 +148,7 @@
     gateway.log_reach.borrow_mut().note_failure();
     gateway
         .feed
-        .note_reads(gateway, F::STREAM, failures >= FAILURES_TOLD);
+        .set_failing(gateway, F::STREAM, failures >= REPORTED_FAILURES);
     if failures == 1 {
         let error = error.to_string();
         log::warn!(
@@ -158,27 +158,27 @@
     }
 }
 
-/// Reads the newest record of every key; `None` if that is left to other nodes.
+/// Reads and applies the newest record of every key; `None` if that is left to other readers.
 async fn read_all<F: Follower>(gateway: &Rc<Gateway>) -> Result<Option<Progress>, StoreError> {
     let Some((records, end)) = read_newest::<F>(gateway).await? else {
         return Ok(None);
     };
-    F::take_all(gateway, &records, end);
+    F::replace_all(gateway, &records, end);
     Ok(Some(Progress {
         next: end,
         is_complete: true,
     }))
 }
 
-/// All pages of the newest records, and where the stream ended before them: later pages are newer, and
-/// what changes meanwhile lies behind the first page's end.
+/// Reads all pages of the newest records. Returns them with the end of the stream before the first page;
+/// changes made while the pages are read are behind that offset.
 async fn read_newest<F: Follower>(
     gateway: &Rc<Gateway>,
 ) -> Result<Option<(Vec<StreamRecord>, Offset)>, StoreError> {
     let mut page = gateway.platform.newest(F::STREAM, None).await?;
     let end = page.end;
     let mut records = std::mem::take(&mut page.records);
-    if page.next_after.is_some() && !F::reads_on(gateway).await {
+    if page.next_after.is_some() && !F::continues_reading(gateway).await {
         return Ok(None);
     }
     while let Some(after) = page.next_after.take() {
@@ -188,21 +188,22 @@
     Ok(Some((records, end)))
 }
 
+/// Reads the page of the newest records behind the key `after`, with retries.
 async fn read_page<F: Follower>(
     gateway: &Rc<Gateway>,
     after: &str,
 ) -> Result<NewestPage, StoreError> {
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         let page = gateway.platform.newest(F::STREAM, Some(after)).await;
         gateway
             .metrics
             .note_stream_read(F::STREAM, if page.is_ok() { "page" } else { "failed" });
-        if page.is_ok() || tries == PAGE_TRIES {
+        if page.is_ok() || attempts == MAX_PAGE_ATTEMPTS {
             return page;
         }
-        tries += 1;
-        actix_rt::time::sleep(PAGE_PAUSE).await;
+        attempts += 1;
+        actix_rt::time::sleep(PAGE_RETRY_PAUSE).await;
     }
 }
 
@@ -214,13 +215,14 @@
     }
 }
 
+/// Reads and applies the records from an offset on.
 async fn read_more<F: Follower>(
     gateway: &Rc<Gateway>,
     from: Offset,
     limits: ReadLimits,
 ) -> Result<Progress, StoreError> {
     let batch = gateway.platform.read(F::STREAM, from, limits).await?;
-    F::take_more(gateway, &batch.records);
+    F::apply(gateway, &batch.records);
     let last = batch.records.last().map(|record| record.offset.next());
     let next = last.unwrap_or(from);
     Ok(Progress {
--- a/crates/gateway/src/watch/nodes.rs
+++ b/crates/gateway/src/watch/nodes.rs
@@ -1,4 +1,4 @@
-//! The stream of the nodes' entries.
+//! Follows the stream of node entries.
 
 use std::rc::Rc;
 
@@ -13,8 +13,8 @@
 use crate::ports::{StoreError, StreamRecord};
 use crate::{peers, process};
 
-/// Reads the nodes' entries once, from an offset on or else the newest of each, and tells where they
-/// end.
+/// Reads the node entries once, from an offset or, if there is none, the newest entry of each node.
+/// Returns the end of the stream.
 pub(crate) async fn read_nodes(
     gateway: &Rc<Gateway>,
     from: Option<Offset>,
@@ -23,7 +23,7 @@
         let (records, end) = read_newest::<NodeFollower>(gateway)
             .await?
             .unwrap_or_default();
-        NodeFollower::take_all(gateway, &records, end);
+        NodeFollower::replace_all(gateway, &records, end);
         gateway.feed.note_nodes_end(end);
         return Ok(end);
     };
@@ -38,7 +38,7 @@
     }
 }
 
-/// Follows the nodes' entries from an offset on until the process ends.
+/// Follows the node entries from an offset until the process ends.
 pub(crate) async fn follow_nodes(gateway: Rc<Gateway>, from: Offset) {
     follow::<NodeFollower>(gateway, Some(from)).await;
 }
@@ -48,15 +48,15 @@
 impl Follower for NodeFollower {
     const STREAM: Stream = Stream::Nodes;
 
-    fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], _end: Offset) {
-        take_nodes(gateway, records);
+    fn replace_all(gateway: &Rc<Gateway>, records: &[StreamRecord], _end: Offset) {
+        apply_nodes(gateway, records);
     }
 
-    fn take_more(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
-        take_nodes(gateway, records);
+    fn apply(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
+        apply_nodes(gateway, records);
     }
 
-    fn note_current(gateway: &Gateway, _sent: Timestamp, end: Offset) {
+    fn on_current(gateway: &Gateway, _sent: Timestamp, end: Offset) {
         gateway.feed.note_nodes_end(end);
     }
 
@@ -65,24 +65,24 @@
     }
 }
 
-/// Takes entries of nodes. However many have changed, what follows from them is worked out once.
-pub(crate) fn take_nodes(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
-    let changed = records.iter().filter(|record| take_node(gateway, record));
+/// Applies node entries. Derived state is recomputed once, however many entries have changed.
+pub(crate) fn apply_nodes(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
+    let changed = records.iter().filter(|record| apply_node(gateway, record));
     let changed: Vec<&StreamRecord> = changed.collect();
     let Some(last) = changed.last() else {
         return;
     };
     let names = changed.iter().filter_map(|record| record.key.as_deref());
     log::info!(
-        count = changed.len(), nodes = peers::listing(names), offset = last.offset.0;
-        "nodes' entries changed"
+        count = changed.len(), nodes = peers::join_names(names), offset = last.offset.0;
+        "node entries changed"
     );
-    gateway.peers.note_stale();
+    gateway.peers.mark_stale();
     gateway.note_node_changes();
 }
 
-/// Takes the entry of a node; tells whether anything has changed.
-fn take_node(gateway: &Rc<Gateway>, record: &StreamRecord) -> bool {
+/// Applies the entry of a node. Returns whether anything has changed.
+fn apply_node(gateway: &Rc<Gateway>, record: &StreamRecord) -> bool {
     let Some(name) = record.key.as_deref() else {
         return false;
     };
@@ -97,13 +97,13 @@
             nodes.upsert(node, incarnation, content)
         }
         Err(error) => {
-            log::error!(node = name, error = error.to_string().as_str(); "node's entry cannot be read");
+            log::error!(node = name, error = error.to_string().as_str(); "cannot decode a node's entry");
             false
         }
     }
 }
 
-/// The entry of a node was dropped; tells whether that changes anything.
+/// Handles the deletion of a node's entry. Returns whether anything has changed.
 fn drop_node(gateway: &Rc<Gateway>, node: &NodeId, offset: Offset) -> bool {
     if *node == gateway.settings.node {
         log::warn!(offset = offset.0; "this node's entry was dropped; writing it again");
--- a/crates/gateway/src/watch/workers.rs
+++ b/crates/gateway/src/watch/workers.rs
@@ -1,4 +1,4 @@
-//! The stream of the workers' entries.
+//! Follows the stream of worker entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::gateway::Gateway;
 use crate::ports::StreamRecord;
 
-/// Longest wait of a node that has just started for its place among the readers.
-const LONGEST_PLACING: Duration = Duration::from_secs(1);
+/// Maximum time that a starting node waits to join before it decides whether to continue reading.
+const MAX_JOIN_WAIT: Duration = Duration::from_secs(1);
 
-/// Pause between two looks whether it is known.
-const PLACING_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a starting node checks whether it has joined.
+const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Follows the workers' entries until the process ends.
+/// Follows the worker entries until the process ends.
 pub(crate) async fn follow_workers(gateway: Rc<Gateway>) {
     follow::<WorkerFollower>(gateway, None).await;
 }
@@ -29,24 +29,26 @@
 impl Follower for WorkerFollower {
     const STREAM: Stream = Stream::Workers;
 
-    fn take_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
+    fn replace_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
         let listed = records.iter().filter(|record| !record.value.is_empty());
-        let workers = listed.filter_map(|record| read_worker(gateway, record));
-        gateway.feed.take_workers(gateway, workers.collect(), end);
+        let workers = listed.filter_map(|record| decode_worker(gateway, record));
+        gateway
+            .feed
+            .replace_workers(gateway, workers.collect(), end);
         gateway.reach(Milestone::Workers);
     }
 
-    fn take_more(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
+    fn apply(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
         let Some(last) = records.last() else {
             return;
         };
         for record in records {
-            take_worker(gateway, record);
+            apply_worker(gateway, record);
         }
         feed::apply(gateway, last.offset);
     }
 
-    fn note_current(gateway: &Gateway, sent: Timestamp, _end: Offset) {
+    fn on_current(gateway: &Gateway, sent: Timestamp, _end: Offset) {
         gateway.feed.note_workers_read(sent);
     }
 
@@ -55,43 +57,42 @@
         gateway.count_serving_nodes();
     }
 
-    async fn reads_on(gateway: &Gateway) -> bool {
+    async fn continues_reading(gateway: &Gateway) -> bool {
         let started = gateway.now();
-        while !gateway.start.has(Milestone::Joined)
-            && gateway.now().since(started) < LONGEST_PLACING
+        while !gateway.start.has(Milestone::Joined) && gateway.now().since(started) < MAX_JOIN_WAIT
         {
-            actix_rt::time::sleep(PLACING_LOOK).await;
+            actix_rt::time::sleep(JOIN_POLL_INTERVAL).await;
         }
-        gateway.feed.reads_on(gateway)
+        gateway.feed.continues_reading(gateway)
     }
 }
 
-/// Takes the entry of a worker.
-fn take_worker(gateway: &Gateway, record: &StreamRecord) {
+/// Applies the entry of a worker.
+fn apply_worker(gateway: &Gateway, record: &StreamRecord) {
     let Some(id) = record.key.as_deref() else {
         return;
     };
     if record.value.is_empty() {
         gateway.feed.remove_worker(id);
-    } else if let Some(worker) = read_worker(gateway, record) {
+    } else if let Some(worker) = decode_worker(gateway, record) {
         gateway.feed.upsert_worker(worker);
     }
 }
 
-/// The worker that an entry names; `None` if it cannot be read, and nobody uses the worker any more.
-fn read_worker(gateway: &Gateway, record: &StreamRecord) -> Option<WorkerRecord> {
+/// Decodes the entry of a worker. If that fails, the worker is removed and `None` returned.
+fn decode_worker(gateway: &Gateway, record: &StreamRecord) -> Option<WorkerRecord> {
     let id = record.key.as_deref()?;
     match gateway.platform.worker(record) {
         Ok(worker) => Some(worker),
         Err(error) => {
             gateway.metrics.unreadable_entries.inc();
             if gateway.unreadable_entries.borrow_mut().note(id) {
-                log::error!(worker = id, offset = record.offset.0, error = error.to_string().as_str(); "worker's entry cannot be read");
+                log::error!(worker = id, offset = record.offset.0, error = error.to_string().as_str(); "cannot decode a worker's entry");
             }
             gateway.feed.remove_worker(id);
             let now = gateway.now();
             if gateway.workers.borrow_mut().mark_unreadable(id, now) {
-                log::warn!(worker = id, offset = record.offset.0; "worker is not used: its entry was overwritten");
+                log::warn!(worker = id, offset = record.offset.0; "worker is no longer used: its new entry cannot be decoded");
             }
             None
         }
