--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -100,6 +100,7 @@
     is_catching_up: Cell<bool>,
     /// Whether this node has received node entries from a reader.
     nodes_received: watch::Sender<bool>,
+    /// When the role was last decided.
     decided_at: Cell<Option<Timestamp>>,
     beat_sent_at: Cell<Option<Timestamp>>,
     upkeep_at: Cell<Option<Timestamp>>,
--- a/crates/gateway/src/ledger/log_calls.rs
+++ b/crates/gateway/src/ledger/log_calls.rs
@@ -285,6 +285,7 @@
     }
 }
 
+/// Records a failed call, which counts against the reachability of the log.
 fn record_failure(gateway: &Gateway, error: &StoreError) {
     match error {
         StoreError::Conflict { .. } | StoreError::Gone { .. } => {}
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -27,6 +27,7 @@
 /// The partitions for which this node runs an owner, and its memory as a witness.
 #[derive(Debug)]
 pub(crate) struct Ledger {
+    /// Number of partitions.
     partitions: u32,
     tasks: RefCell<HashMap<PartitionId, mpsc::UnboundedSender<Job>>>,
     /// What this node remembers as a witness for owners on other nodes.
@@ -226,7 +227,7 @@
     }
 }
 
-/// Asks another node.
+/// Sends a request to another node, which is avoided for a while if it doesn't reply.
 async fn ask_peer(
     gateway: &Rc<Gateway>,
     node: &NodeId,
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -73,6 +73,7 @@
     urgency: Urgency,
 }
 
+/// The owner of one partition with the I/O that it needs.
 struct Driver {
     gateway: Rc<Gateway>,
     partition: PartitionId,
@@ -91,6 +92,7 @@
 }
 
 impl Driver {
+    /// Runs the owner until its request queue is closed.
     async fn run(mut self, mut inbox: Inbox) {
         let mut upkeep = actix_rt::time::interval(UPKEEP_INTERVAL);
         let mut peers = self.gateway.peers.changes();
@@ -137,6 +139,7 @@
         }
     }
 
+    /// Returns the highest urgency of the pending requests.
     fn urgency(&self) -> Urgency {
         let mut pending = self.pending.values();
         match pending.any(|request| request.urgency == Urgency::Leave) {
@@ -272,8 +275,8 @@
         candidates.first() == Some(&self.gateway.settings.node)
     }
 
-    /// Returns whether the owner may grant turns without the log: the policy allows it for kept turns,
-    /// or a route has streams whose turns are not kept.
+    /// Returns whether any turn can finish while the log is unavailable: every turn if the policy has
+    /// overdrafts for kept turns, otherwise only streams whose turns are not kept.
     fn serves_without_log(&self) -> bool {
         if self.gateway.settings.policy.kept_overdrafts {
             return true;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -74,7 +74,7 @@
     presuming_since: Cell<Option<Instant>>,
     /// Listed nodes that are no longer presumed alive because they didn't answer.
     not_presumed: RefCell<BTreeSet<NodeId>>,
-    /// Nodes that answer probes and are not leaving, this one included.
+    /// Nodes that answer probes and are not draining, including this one.
     alive: RefCell<BTreeSet<NodeId>>,
     /// Whether anything other than the set of living nodes has changed since [`Self::recompute`].
     is_stale: Cell<bool>,
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -20,7 +20,7 @@
 use crate::socket;
 
 /// Timeout for the acknowledgement of a request, after which the node counts as unresponsive.
-const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(400);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Timeout for the reply to an acknowledged request, which may have to wait for a slow log.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -140,7 +140,7 @@
 async fn await_reply(
     responses: &mut mpsc::UnboundedReceiver<Response>,
 ) -> Result<LedgerReply, NoReply> {
-    let first = actix_rt::time::timeout(ARRIVAL_TIMEOUT, responses.recv()).await;
+    let first = actix_rt::time::timeout(ACKNOWLEDGE_TIMEOUT, responses.recv()).await;
     match first {
         Ok(Some(Response::Replied(reply))) => return Ok(reply),
         Ok(Some(Response::Acknowledged)) => {}
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -111,6 +111,7 @@
     }
 }
 
+/// Returns the node with a peer address.
 fn node_at(gateway: &Gateway, address: SocketAddr) -> Option<NodeId> {
     let nodes = gateway.nodes.borrow();
     let mut found = nodes
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -13,8 +13,8 @@
 use crate::far_bytes::{CrossZoneBytes, FarKind};
 use crate::memory::{Memory, Share};
 
-/// Maximum size of a queue in bytes. Sending this much takes almost a second at 22 Mbit/s, so frames
-/// queued behind it would arrive too late to be useful.
+/// Maximum size of a queue in bytes. The slowest machines send 22 Mbit/s, so frames queued behind this
+/// much data would arrive too late to be useful.
 const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 
 /// The reason why a frame was not queued.
