--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -156,8 +156,8 @@
         !self.reads() || !self.failing.borrow().is_empty()
     }
 
-    /// Waits until this node is a reader. Returns the number of its current term; anything read in an
-    /// earlier term is outdated.
+    /// Waits until this node is a reader. Returns the number of its current term; what was read in an
+    /// earlier term has been discarded.
     pub(crate) async fn until_reading(&self) -> u64 {
         let mut role = self.role.subscribe();
         // The sender lives as long as the gateway.
