--- a/crates/gateway/src/far_bytes.rs
+++ b/crates/gateway/src/cross_zone_bytes.rs
@@ -33,7 +33,7 @@
     Others,
 }
 
-impl FarKind {
+impl TrafficKind {
     const ALL: [Self; 10] = [
         Self::Requests,
         Self::Answers,
@@ -112,7 +112,7 @@
 
     /// Returns the nonzero totals by purpose.
     pub(crate) fn totals(&self) -> BTreeMap<&'static str, u64> {
-        let totals = FarKind::ALL.map(|kind| (kind.name(), self.counter(kind).get()));
+        let totals = TrafficKind::ALL.map(|kind| (kind.name(), self.counter(kind).get()));
         totals.into_iter().filter(|(_, bytes)| *bytes > 0).collect()
     }
 
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -8,12 +8,12 @@
 
 use actix_rt::task::JoinHandle;
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::engine_memory::beliefs::Belief;
 use elderworks_gateway_core::engine_memory::log::LogChange;
 use elderworks_gateway_core::engine_memory::readers::reader_of;
 use elderworks_gateway_core::engine_memory::reading::{
     EVENT_WAIT, EngineReader, ReadOutcome, Step,
 };
+use elderworks_gateway_core::engine_memory::snapshots::MemorySnapshot;
 use elderworks_gateway_core::peer_loads::WorkerKey;
 use elderworks_types::{NodeId, Timestamp};
 
@@ -115,7 +115,7 @@
         let engine = config
             .service(service)
             .and_then(|known| known.engine.as_ref());
-        engine.is_some_and(|engine| engine.memory_moves.most_event_calls > 0)
+        engine.is_some_and(|engine| engine.memory_moves.max_event_calls > 0)
     };
     let workers = gateway.workers.borrow();
     let engines = workers
@@ -207,6 +207,6 @@
         Some(LogChange::Gap) => {
             log::info!(worker = start.worker.as_str(); "missed events of an engine's memory; reading the full list");
         }
-        Some(LogChange::Went) | None => {}
+        Some(LogChange::Applied) | None => {}
     }
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -6,14 +6,14 @@
 use actix_http::StatusCode;
 use actix_http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::caller::Caller;
 use crate::clock::millis;
 use crate::gateway::{Gateway, Stage};
 use crate::metrics::TenantLabel;
-use crate::ports::EntryCall;
+use crate::ports::EndpointRequest;
 use crate::server::{CallerRequest, RequestReader};
 use crate::socket;
 
@@ -42,7 +42,7 @@
 }
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, entry: Entry) {
-    socket::prepare(&stream);
+    socket::set_options(&stream);
     let mut reader = RequestReader::new(&gateway, stream);
     while let Ok(request) = reader.next(&gateway).await {
         let answer = match entry {
@@ -50,7 +50,7 @@
             Entry::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
-        let share = gateway.memory.share(HeldFor::Callers);
+        let share = gateway.memory.reservation(BufferKind::Callers);
         let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
         let sent = caller
             .send_whole(answer.status, &answer.headers(), &answer.body)
@@ -79,12 +79,12 @@
 fn answer(gateway: &Gateway, request: &CallerRequest) -> EntryAnswer {
     let call = gateway
         .platform
-        .entry_call(&request.head.method, &request.head.uri);
+        .parse_endpoint_request(&request.head.method, &request.head.uri);
     match call {
-        EntryCall::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
-        EntryCall::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        EntryCall::Resolve { zone } => resolve(gateway, zone.as_deref()),
-        EntryCall::Unknown => text(StatusCode::NOT_FOUND, "no such call"),
+        EndpointRequest::Ready if gateway.is_ready() => text(StatusCode::OK, "ready"),
+        EndpointRequest::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        EndpointRequest::Resolve { zone } => resolve(gateway, zone.as_deref()),
+        EndpointRequest::Unknown => text(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
@@ -104,7 +104,7 @@
     EntryAnswer {
         status: StatusCode::OK,
         media_type: "application/json",
-        body: gateway.platform.resolve_answer(&addresses, ttl),
+        body: gateway.platform.resolve_response(&addresses, ttl),
     }
 }
 
@@ -115,7 +115,7 @@
 fn refresh(gateway: &Gateway) {
     let (now, proof) = (gateway.now(), *gateway.config_proof.borrow());
     gateway.metrics.proof_age_ms.set(millis(proof.age(now)));
-    let read_age = millis(proof.own_age(now));
+    let read_age = millis(proof.last_read_age(now));
     gateway.metrics.config_read_age_ms.set(read_age);
     let shown = &gateway.metrics.quota_used_percent;
     shown.clear();
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -109,7 +109,7 @@
     let source = source_of(beat, update.revision);
     workers::apply_update(gateway, update);
     *gateway.feed.source.borrow_mut() = Some(source);
-    gateway.reach(Milestone::Workers);
+    gateway.reach_milestone(Milestone::Workers);
 }
 
 /// Answers a listener's question.
--- a/crates/gateway/src/feed/heartbeats.rs
+++ b/crates/gateway/src/feed/heartbeats.rs
@@ -51,7 +51,7 @@
         return None;
     }
     let now = gateway.now();
-    let config_age = gateway.config_proof.borrow().own_age(now)?;
+    let config_age = gateway.config_proof.borrow().last_read_age(now)?;
     let workers_age = now.since(feed.workers_read.get()?);
     let age = config_age.max(workers_age);
     Some(FeedBeat {
@@ -114,6 +114,6 @@
 fn record_age(gateway: &Gateway, beat: &FeedBeat, age: Duration) {
     let mut proof = gateway.config_proof.borrow_mut();
     if proof.version() == beat.config_version {
-        proof.note_heard(gateway.now(), age);
+        proof.record_heartbeat(gateway.now(), age);
     }
 }
--- a/crates/gateway/src/forward/observations.rs
+++ b/crates/gateway/src/forward/observations.rs
@@ -39,7 +39,9 @@
         if ejected {
             log::warn!(worker = worker; "worker ejected after failures");
             if self.gateway.settings.policy.ejection_reports {
-                self.gateway.peers.report_worker(self.gateway, worker);
+                self.gateway
+                    .peers
+                    .report_ejected_worker(self.gateway, worker);
             }
         }
     }
@@ -77,7 +79,7 @@
     pub(super) fn note_refusal(&self, worker: &str, status: StatusCode) {
         let now = self.gateway.now();
         if status == StatusCode::MISDIRECTED_REQUEST {
-            self.gateway.pool.forget(worker);
+            self.gateway.pool.discard_connections(worker);
             self.note_worker_failure(worker);
         } else {
             self.gateway.workers.borrow_mut().note_full(worker, now);
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::acting::{PassedOver, Standing};
 use elderworks_gateway_core::ledger::WitnessMemory;
+use elderworks_gateway_core::partition_failover::{SkipReason, StartupGrace};
 use elderworks_gateway_core::start::Milestone;
 use elderworks_protocol::ledger::{LedgerReply, LedgerRequest};
 use elderworks_types::{NodeId, PartitionId};
@@ -95,7 +95,7 @@
     partition: PartitionId,
     request: LedgerRequest,
     asked: &AskedNodes,
-) -> Answered {
+) -> LedgerAnswer {
     let own = &gateway.settings.node;
     let mut candidates = gateway.peers.candidates(gateway, partition);
     candidates.truncate(MAX_CANDIDATES_ASKED);
@@ -111,15 +111,15 @@
             // The log is slow, and a second owner of the partition would only add load.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
-                return Answered { reply, by };
+                return LedgerAnswer { reply, by };
             }
         };
         if !may_skip(gateway, reason) {
             let reply = LedgerReply::Unavailable;
-            return Answered { reply, by };
+            return LedgerAnswer { reply, by };
         }
     }
-    let may_act = gateway.log_reach.borrow().may_act(is_candidate) && may_act_alone(gateway);
+    let may_act = gateway.log_reach.borrow().may_serve(is_candidate) && may_act_alone(gateway);
     let reply = if may_act {
         asked.insert(own);
         execute(gateway, partition, request).await
@@ -127,7 +127,7 @@
         LedgerReply::Unavailable
     };
     let by = own.clone();
-    Answered { reply, by }
+    LedgerAnswer { reply, by }
 }
 
 fn acting_state(gateway: &Gateway) -> Standing {
@@ -211,7 +211,7 @@
     wanted: LedgerRequest,
     patience: Duration,
     asked: &AskedNodes,
-) -> Answered {
+) -> LedgerAnswer {
     let started = Instant::now();
     loop {
         let answered = request(gateway, partition, wanted.clone(), asked).await;
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -5,10 +5,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::append_pace::{AppendPace, Paces, Urgency};
+use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_gateway_core::config::Route;
 use elderworks_gateway_core::ledger::{
-    Action, Inquiry, OverdraftUse, PartitionOwner, RETENTION, SLOW_CALL, Ticket,
+    Action, OverdraftStatus, PartitionOwner, SLOW_CALL_THRESHOLD, TURN_RETENTION, Ticket,
+    WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessQuestion};
@@ -46,10 +47,10 @@
     sender
 }
 
-fn paces(policy: &Policy) -> Paces {
-    Paces {
-        leave: Duration::from_millis(policy.leave_pace_ms),
-        ends: Duration::from_millis(policy.end_pace_ms),
+fn paces(policy: &Policy) -> AppendIntervals {
+    AppendIntervals {
+        permits: Duration::from_millis(policy.leave_pace_ms),
+        completions: Duration::from_millis(policy.end_pace_ms),
     }
 }
 
@@ -70,7 +71,7 @@
 /// A request that has not been replied to.
 struct PendingRequest {
     reply: oneshot::Sender<LedgerReply>,
-    urgency: Urgency,
+    urgency: AppendUrgency,
 }
 
 /// The owner of one partition with the I/O that it needs.
@@ -151,8 +152,8 @@
     fn submit(&mut self, (request, reply): Job) {
         let ticket = Ticket(self.gateway.next_sequence());
         let urgency = match &request {
-            LedgerRequest::Finish(_) => Urgency::Ends,
-            _ => Urgency::Leave,
+            LedgerRequest::Finish(_) => AppendUrgency::Completions,
+            _ => AppendUrgency::Permit,
         };
         self.pending
             .insert(ticket, PendingRequest { reply, urgency });
@@ -178,7 +179,7 @@
     }
 
     fn log_overdraft(&mut self) {
-        let present = self.owner.overdraft_use();
+        let present = self.owner.overdraft_status();
         if present == self.overdraft_use {
             return;
         }
@@ -187,7 +188,7 @@
             end = self.owner.end().0;
             "use of the overdraft changed"
         );
-        if present == OverdraftUse::Active {
+        if present == OverdraftStatus::Active {
             self.gateway.metrics.overdrafts_activated.inc();
         }
         self.overdraft_use = present;
@@ -209,7 +210,7 @@
                 let mut reads = self.reads.take().expect("one call at a time");
                 // Catch-up reads are not paced.
                 if !reads.is_behind() {
-                    self.pace.note(self.gateway.now());
+                    self.pace.call_started(self.gateway.now());
                 }
                 let reading = reads.read(self.owner.last_call(), from);
                 let (call, outcome) = self.serve_during(reading, inbox).await;
@@ -219,7 +220,7 @@
             }
             Action::Append { at, records } => {
                 let gateway = self.gateway.clone();
-                self.pace.note(gateway.now());
+                self.pace.call_started(gateway.now());
                 let appending = append(&gateway, self.partition, at, &records);
                 let outcome = self.serve_during(appending, inbox).await;
                 self.owner.on_append(self.gateway.now(), outcome);
@@ -236,7 +237,7 @@
     /// if that needs no further call.
     async fn serve_during<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
         let mut call = std::pin::pin!(call);
-        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL));
+        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL_THRESHOLD));
         let mut is_slow = false;
         loop {
             tokio::select! {
@@ -282,7 +283,7 @@
             return true;
         }
         let config = self.gateway.current_config();
-        config.is_some_and(|config| config.routes.iter().any(Route::is_unkept_stream))
+        config.is_some_and(|config| config.routes.iter().any(Route::is_unrecorded_stream))
     }
 
     /// Returns how long accounts and turns are retained: longer than any route keeps its turns.
@@ -291,7 +292,7 @@
             let times = config.routes.iter().map(|route| route.keep_for);
             times.max()
         });
-        longest.map_or(RETENTION, |time| RETENTION.max(time + time / 4))
+        longest.map_or(TURN_RETENTION, |time| TURN_RETENTION.max(time + time / 4))
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,9 +8,9 @@
 mod buffered;
 mod caller;
 mod clock;
+mod cross_zone_bytes;
 mod engines;
 mod entry;
-mod far_bytes;
 mod feed;
 mod forward;
 mod gateway;
@@ -31,4 +31,4 @@
 mod watch;
 
 pub use log_output::LogOutput;
-pub use process::{Reload, Running, run, start};
+pub use process::{Reload, RunningGateway, run, start};
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::log_outage::{LOOK_INTERVAL, LogState, LogWatch, LogWord};
+use elderworks_gateway_core::log_outage::{LogOutageDetector, LogState, LogStatus, POLL_INTERVAL};
 use elderworks_types::NodeId;
 use tokio::sync::watch;
 
@@ -14,7 +14,7 @@
 /// The state of the log as observed by this node and reported by others.
 #[derive(Debug)]
 pub(crate) struct LogOutage {
-    watch: RefCell<LogWatch>,
+    watch: RefCell<LogOutageDetector>,
     state: watch::Sender<LogState>,
 }
 
@@ -22,7 +22,7 @@
     fn default() -> Self {
         Self {
             watch: RefCell::default(),
-            state: watch::Sender::new(LogState::Usual),
+            state: watch::Sender::new(LogState::Normal),
         }
     }
 }
@@ -61,8 +61,8 @@
     /// Updates the state with the passage of time and the number of other nodes.
     pub(crate) fn poll(&self, gateway: &Gateway) {
         let mut watch = self.watch.borrow_mut();
-        watch.set_others(gateway.peers.count_others());
-        watch.look(gateway.now());
+        watch.set_peer_count(gateway.peers.count_others());
+        watch.poll(gateway.now());
         drop(watch);
         self.publish(gateway);
     }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use elderworks_gateway_core::pressure::{HeldFor, Marks, Pressure, StreamLoad, stream_to_end};
+use elderworks_gateway_core::pressure::{
+    BufferKind, MemoryThresholds, Pressure, StreamLoad, stream_to_abort,
+};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::Notify;
 
@@ -112,7 +114,7 @@
             abort: abort.clone(),
         };
         self.0.streams.borrow_mut().insert(id, stream);
-        StreamEntry {
+        StreamRegistration {
             memory: self.clone(),
             id,
             abort,
@@ -160,9 +162,9 @@
 
 /// The bytes held by one holder; released on drop.
 #[derive(Debug)]
-pub(crate) struct Share {
-    memory: Memory,
-    kind: HeldFor,
+pub(crate) struct MemoryReservation {
+    memory: MemoryTracker,
+    kind: BufferKind,
     bytes: usize,
 }
 
@@ -192,7 +194,7 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.set(0);
     }
@@ -200,8 +202,8 @@
 
 /// The registration of a running stream; removed on drop.
 #[derive(Debug)]
-pub(crate) struct StreamEntry {
-    memory: Memory,
+pub(crate) struct StreamRegistration {
+    memory: MemoryTracker,
     id: u64,
     abort: Rc<Notify>,
 }
@@ -221,7 +223,7 @@
     }
 }
 
-impl Drop for StreamEntry {
+impl Drop for StreamRegistration {
     fn drop(&mut self) {
         self.memory.0.streams.borrow_mut().remove(&self.id);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::log_causes::LogCause;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::pressure::BufferKind;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -136,7 +136,7 @@
             Self::NoPlaceInTime => "no engine will be free in time",
             Self::QueueFull => "no more turns can wait here now",
             Self::Displaced => "a more pressing turn waits in its place",
-            Self::WaitedInVain => "no engine became free in time",
+            Self::WaitTimedOut => "no engine became free in time",
         }
     }
 }
@@ -198,11 +198,11 @@
     held_bytes: Family<HeldLabel, Gauge>,
     pub(crate) held_peak_bytes: Gauge,
     pub(crate) streams_paused: Counter,
-    pub(crate) callers_given_up: Family<GivenUpLabel, Counter>,
+    pub(crate) callers_given_up: Family<StalledCallerLabel, Counter>,
     pub(crate) admission_wait_seconds: Histogram,
     pub(crate) admission_waiting: Gauge,
     pub(crate) admission_refusals: Family<AdmissionLabel, Counter>,
-    pub(crate) runs_gone_on: Counter,
+    pub(crate) runs_resumed: Counter,
     pub(crate) runs_ended: Family<RunEndLabel, Counter>,
     pub(crate) copies_freed: Counter,
     pub(crate) copy_bytes: Counter,
@@ -272,7 +272,7 @@
             admission_wait_seconds: histogram(),
             admission_waiting: Gauge::default(),
             admission_refusals: Family::default(),
-            runs_gone_on: Counter::default(),
+            runs_resumed: Counter::default(),
             runs_ended: Family::default(),
             copies_freed: Counter::default(),
             copy_bytes: Counter::default(),
@@ -323,7 +323,7 @@
     /// Counts an answer that the gateway produced itself.
     pub(crate) fn note_refusal(&self, refusal: &Refusal) {
         let label = RefusalLabel {
-            not_run: if refusal.is_promise() {
+            not_run: if refusal.guarantees_not_run() {
                 "promised"
             } else {
                 "open"
@@ -634,7 +634,7 @@
         registry.register(
             "runs_gone_on",
             "Runs that went on with a copy of their memory after their stream broke off",
-            self.runs_gone_on.clone(),
+            self.runs_resumed.clone(),
         );
         registry.register(
             "runs_ended",
--- a/crates/gateway/src/peers/cross_zone.rs
+++ b/crates/gateway/src/peers/cross_zone.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::zone_health::{Source, ZonePart};
+use elderworks_gateway_core::zone_health::{FailureSource, ZonePart};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::GatewayDatagram;
 use elderworks_types::NodeId;
@@ -64,7 +64,7 @@
             let now = gateway.now();
             let mut workers = gateway.workers.borrow_mut();
             let zones = workers.zone_health_mut();
-            zones.note_failure(now, &known.record.zone, Source::node(node));
+            zones.note_failure(now, &known.record.zone, FailureSource::node(node));
         }
     }
 
@@ -99,7 +99,7 @@
     to: impl IntoIterator<Item = SocketAddr>,
 ) {
     let bytes = encode(datagram);
-    let kind = FarKind::of_datagram(datagram);
+    let kind = TrafficKind::of_datagram(datagram);
     for address in to {
         if gateway.peers.remote_zones.borrow().contains_key(&address) {
             gateway.metrics.far_bytes.note(kind, bytes.len());
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -127,7 +127,7 @@
         let effects = gateway.peers.handle(&gateway, event);
         gateway.peers.execute(&gateway, &socket, effects);
         gateway.peers.end_presumption(&gateway);
-        gateway.act_on_node_changes();
+        gateway.apply_due_node_changes();
     }
 }
 
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -34,7 +34,7 @@
 
 /// The state of quota grants at this node, both as a lessor and as a client of other lessors.
 #[derive(Debug, Default)]
-pub(crate) struct LessorDesk {
+pub(crate) struct Lessors {
     socket: OnceCell<Rc<UdpSocket>>,
     /// Nodes that have introduced themselves as lessors, with the boot number of their process.
     granting: RefCell<BTreeMap<NodeId, u64>>,
@@ -87,17 +87,17 @@
     /// Returns the node that currently grants a tenant's requests.
     pub(crate) fn lessor(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
         if !gateway.settings.policy.quota_lessors {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
         let serving = gateway.serving.borrow();
         if !serving.iter().all(|node| self.grants(gateway, node)) {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
         let Some(lessor) = lessor_of(tenant, serving.iter()) else {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         };
         if *lessor == gateway.settings.node {
-            return Lessor::Own;
+            return Lessor::Local;
         }
         let now = gateway.now();
         let silent = self.silent.borrow();
@@ -105,9 +105,9 @@
             .get(lessor)
             .is_some_and(|at| now.since(*at) < SILENT_PAUSE)
         {
-            return Lessor::Absent;
+            return Lessor::Unavailable;
         }
-        Lessor::Other(lessor.clone())
+        Lessor::Remote(lessor.clone())
     }
 
     /// Asks another node to grant a request. Returns [`GrantVerdict::Unready`] if it doesn't answer.
@@ -133,7 +133,7 @@
                 question,
                 node: gateway.settings.node.clone(),
                 tenant: tenant.0,
-                begins: order == Order::First,
+                begins: order == Order::NewProgram,
             };
             self.send(to, asked);
             if let Ok(Ok(verdict)) = tokio::time::timeout(ANSWER_TIMEOUT, &mut receiver).await {
@@ -170,7 +170,11 @@
                 tenant,
                 begins,
             } => {
-                let order = if begins { Order::First } else { Order::Later };
+                let order = if begins {
+                    Order::NewProgram
+                } else {
+                    Order::Continuation
+                };
                 let verdict = decide(gateway, TenantKey(tenant), &node, order);
                 self.send(from, LessorMessage::Told { question, verdict });
             }
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::engine_memory::beliefs::Belief;
-use elderworks_gateway_core::engine_memory::telling::{MOST_PARTS_TOLD, MemoryTeller};
+use elderworks_gateway_core::engine_memory::reporting::{MAX_REPORTED_PREFIXES, MemoryReporter};
+use elderworks_gateway_core::engine_memory::snapshots::MemorySnapshot;
 use elderworks_gateway_core::peer_loads::{Rota, WorkerKey};
-use elderworks_gateway_core::placement::demand::PartKey;
+use elderworks_gateway_core::placement::demand::PrefixKey;
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{EngineMemoryReport, GatewayDatagram, MemoryReport};
 use elderworks_types::Timestamp;
@@ -67,17 +67,17 @@
 fn apply_beliefs<'a>(
     gateway: &Gateway,
     now: Timestamp,
-    present: impl IntoIterator<Item = (&'a WorkerKey, &'a Belief)>,
+    present: impl IntoIterator<Item = (&'a WorkerKey, &'a MemorySnapshot)>,
 ) {
     let mut workers = gateway.workers.borrow_mut();
     for (engine, belief) in present {
-        workers.take_memory(*engine, belief.clone());
+        workers.apply_memory_snapshot(*engine, belief.clone());
     }
     workers.drop_old_memories(now);
     let memories = workers.memories();
     gateway
         .metrics
-        .note_memories(memories.parts_held(), memories.oldest(now));
+        .note_memories(memories.held_prefixes(), memories.oldest_age(now));
 }
 
 fn engine_report(now: Timestamp, engine: WorkerKey, belief: Belief) -> EngineMemoryReport {
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -6,9 +6,9 @@
 
 use elderworks_gateway_core::ledger::MOST_WITNESSES;
 use elderworks_gateway_core::nodes::NodeDirectory;
-use elderworks_gateway_core::ownership::{foremost_owner, rank_owners};
+use elderworks_gateway_core::ownership::{preferred_owner, rank_owners};
 use elderworks_gateway_core::zone_health::ZonePart;
-use elderworks_gateway_core::zone_spread::{Placed, spread_candidates, spread_witnesses};
+use elderworks_gateway_core::zone_spread::{NodeInZone, spread_candidates, spread_witnesses};
 use elderworks_protocol::ledger::Witness;
 use elderworks_types::{NodeId, PartitionId};
 
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{PartKey, PartUse};
+use elderworks_gateway_core::placement::demand::{PrefixKey, PrefixUsage};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{GatewayDatagram, PartReport, PartUseReport};
 use elderworks_types::Timestamp;
@@ -97,5 +97,5 @@
     });
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
-    workers.take_demand(now, report.node, &report.service, uses.collect());
+    workers.apply_peer_demand(now, report.node, &report.service, uses.collect());
 }
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::config_proof::{ProofAsking, Told};
+use elderworks_gateway_core::config_proof::{PeerProof, ProofRequestTimer};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{ConfigProofAnswer, GatewayDatagram};
 use elderworks_protocol::ledger::GatewayFrame;
@@ -47,7 +47,7 @@
         self.pending
             .retain(|_, asked| now.since(*asked) < QUESTION_TIMEOUT);
         let proof = *gateway.config_proof.borrow();
-        if !self.asking.is_due(&proof, now, gateway.asking_age()) {
+        if !self.asking.is_due(&proof, now, gateway.proof_request_age()) {
             return;
         }
         let mut nodes = gateway.feed.readers(gateway);
@@ -79,11 +79,11 @@
         let Some(asked) = self.pending.remove(&answer.question) else {
             return;
         };
-        gateway.proof_answered.set(Some(gateway.now()));
+        gateway.last_proof_reply.set(Some(gateway.now()));
         let age = Duration::from_micros(answer.age_us);
         let mut proof = gateway.config_proof.borrow_mut();
-        match proof.note_told(answer.version, asked, age) {
-            Told::Counts => {
+        match proof.record_peer_proof(answer.version, asked, age) {
+            PeerProof::Counts => {
                 gateway.metrics.proofs_told.inc();
             }
             Told::Older => {}
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use elderworks_gateway_core::pressure::HeldFor;
+use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_protocol::frame;
 use elderworks_protocol::ledger::GatewayFrame;
 use tokio::sync::mpsc;
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use elderworks_gateway_core::config::ServingConfig;
-use elderworks_gateway_core::config_proof::proving_pause;
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::evacuations::ZoneWish;
-use elderworks_gateway_core::log_causes::LogCause;
+use elderworks_gateway_core::config_proof::proof_interval;
+use elderworks_gateway_core::evacuations::EvacuationOrder;
+use elderworks_gateway_core::log_call_purpose::LogCallPurpose;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::start::Milestone;
-use elderworks_gateway_core::stream_reads::ReadTimes;
+use elderworks_gateway_core::stream_reads::ReadTimeouts;
 use elderworks_types::{Offset, Timestamp};
 
 use super::{Follower, PROOF_TIMEOUT, follow, limits, read_more};
@@ -35,7 +35,7 @@
         let factor = -(1.0 - rand::random::<f64>()).ln();
         actix_rt::time::sleep(proving_pause(nodes).mul_f64(factor)).await;
         let Some(from) = gateway
-            .config_end
+            .config_stream_end
             .get()
             .filter(|_| gateway.key_lease().is_some() || gateway.feed.reads_for_others())
         else {
@@ -46,7 +46,9 @@
         // Failures are logged by the follower of the configuration.
         let read = read_more::<ConfigurationFollower>(&gateway, from, limits).await;
         let outcome = if read.is_ok() { "ok" } else { "failed" };
-        gateway.metrics.note_log_call(LogCause::Prove, outcome);
+        gateway
+            .metrics
+            .note_log_call(LogCallPurpose::Prove, outcome);
         if let Ok(progress) = read
             && progress.is_complete
         {
@@ -62,7 +64,7 @@
 
     fn on_current(gateway: &Gateway, sent: Timestamp, end: Offset) {
         gateway.config_proof.borrow_mut().note_read(sent);
-        gateway.config_end.set(Some(end));
+        gateway.config_stream_end.set(Some(end));
     }
 
     fn replace_all(gateway: &Rc<Gateway>, records: &[StreamRecord], end: Offset) {
@@ -71,12 +73,12 @@
             .filter_map(|record| evacuated_zone(gateway, record))
             .collect();
         let zones = zones.iter().map(String::as_str).collect();
-        let lifted = gateway.evacuations.borrow_mut().lift_all_but(&zones, end);
+        let lifted = gateway.evacuations.borrow_mut().lift_unlisted(&zones, end);
         for zone in &lifted {
             log::info!(zone = zone.as_str(), offset = end.0, by = "log"; "zone evacuation lifted");
         }
         if !lifted.is_empty() {
-            gateway.act_on_evacuations();
+            gateway.apply_evacuations();
         }
         Self::apply(gateway, records);
     }
@@ -90,7 +92,7 @@
 
 /// Returns the zone that a record evacuates, if any.
 fn evacuated_zone(gateway: &Gateway, record: &StreamRecord) -> Option<String> {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Evacuation { zone, is_on: true }) => Some(zone),
         _ => None,
     }
@@ -141,7 +143,7 @@
     gateway.config_proof.borrow_mut().replace(version);
     *gateway.config_record.borrow_mut() = Some(record.clone());
     log::info!(version = version, routes = routes, tenants = tenants, offset = record.offset.0; "configuration in force");
-    gateway.reach(Milestone::Configuration);
+    gateway.reach_milestone(Milestone::Configuration);
     gateway.peers.wake_owners();
     let version = i64::try_from(version).unwrap_or(i64::MAX);
     gateway.metrics.config_version.set(version);
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
-use elderworks_gateway_core::stream_reads::{ReadTimes, StreamReads};
+use elderworks_gateway_core::log_streams::Stream;
+use elderworks_gateway_core::stream_reads::{ReadTimeouts, StreamReadSchedule};
 use elderworks_types::{Offset, Timestamp};
 
 use crate::clock::millis;
@@ -175,7 +175,7 @@
 async fn read_newest<F: Follower>(
     gateway: &Rc<Gateway>,
 ) -> Result<Option<(Vec<StreamRecord>, Offset)>, StoreError> {
-    let mut page = gateway.platform.newest(F::STREAM, None).await?;
+    let mut page = gateway.platform.read_newest(F::STREAM, None).await?;
     let end = page.end;
     let mut records = std::mem::take(&mut page.records);
     if page.next_after.is_some() && !F::continues_reading(gateway).await {
@@ -195,7 +195,7 @@
 ) -> Result<NewestPage, StoreError> {
     let mut attempts = 1;
     loop {
-        let page = gateway.platform.newest(F::STREAM, Some(after)).await;
+        let page = gateway.platform.read_newest(F::STREAM, Some(after)).await;
         gateway
             .metrics
             .note_stream_read(F::STREAM, if page.is_ok() { "page" } else { "failed" });
@@ -207,7 +207,7 @@
     }
 }
 
-fn limits(times: ReadTimes) -> ReadLimits {
+fn limits(times: ReadTimeouts) -> ReadLimits {
     ReadLimits {
         wait: times.wait,
         timeout: times.answer,
--- a/crates/gateway/src/watch/workers.rs
+++ b/crates/gateway/src/watch/workers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::directory::Stream;
+use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::start::Milestone;
 use elderworks_gateway_core::workers::WorkerRecord;
 use elderworks_types::{Offset, Timestamp};
@@ -54,7 +54,7 @@
 
     fn after_read(gateway: &Gateway) {
         feed::upkeep(gateway);
-        gateway.count_serving_nodes();
+        gateway.update_serving_nodes();
     }
 
     async fn continues_reading(gateway: &Gateway) -> bool {
@@ -82,7 +82,7 @@
 /// Decodes the entry of a worker. If that fails, the worker is removed and `None` returned.
 fn decode_worker(gateway: &Gateway, record: &StreamRecord) -> Option<WorkerRecord> {
     let id = record.key.as_deref()?;
-    match gateway.platform.worker(record) {
+    match gateway.platform.parse_worker(record) {
         Ok(worker) => Some(worker),
         Err(error) => {
             gateway.metrics.unreadable_entries.inc();
