--- a/crates/gateway/src/cross_zone_bytes.rs
+++ b/crates/gateway/src/cross_zone_bytes.rs
@@ -10,7 +10,7 @@
 
 /// The purpose of bytes sent between zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FarKind {
+pub(crate) enum TrafficKind {
     /// Requests to workers, including headers.
     Requests,
     /// Response bodies of workers.
@@ -106,7 +106,7 @@
 
 impl CrossZoneBytes {
     /// Adds bytes to a counter.
-    pub(crate) fn note(&self, kind: FarKind, bytes: usize) {
+    pub(crate) fn note(&self, kind: TrafficKind, bytes: usize) {
         self.counter(kind).inc_by(bytes as u64);
     }
 
@@ -116,7 +116,7 @@
         totals.into_iter().filter(|(_, bytes)| *bytes > 0).collect()
     }
 
-    fn counter(&self, kind: FarKind) -> Counter {
+    fn counter(&self, kind: TrafficKind) -> Counter {
         let label = CrossZoneLabel { kind: kind.name() };
         self.family.get_or_create(&label).clone()
     }
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -71,13 +71,13 @@
     }
 
     /// Returns what this node currently knows of the memory of the engines that it reads.
-    pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, Belief> {
+    pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, MemorySnapshot> {
         let workers = gateway.workers.borrow();
         let readings = self.readings.borrow();
         let known = readings.iter().filter_map(|(start, reading)| {
             let worker = workers.get(&start.worker)?;
-            let read_at = reading.reader.heard()?;
-            let belief = workers.belief_of(worker, read_at, reading.reader.log());
+            let read_at = reading.reader.observed_at()?;
+            let belief = workers.snapshot_of(worker, read_at, reading.reader.log());
             Some((worker.key(), belief))
         });
         known.collect()
--- a/crates/gateway/src/feed/heartbeats.rs
+++ b/crates/gateway/src/feed/heartbeats.rs
@@ -25,7 +25,7 @@
         return;
     };
     let now = gateway.now();
-    let is_early = |at| now.since(at) < feed.times.beat;
+    let is_early = |at| now.since(at) < feed.times.heartbeat_interval;
     let has_changed = feed
         .last_beat
         .borrow()
@@ -86,7 +86,7 @@
     let age = Duration::from_micros(beat.age_us);
     feed.roles
         .borrow_mut()
-        .note_heard(now, &beat.node, age, beat.reads);
+        .record_heartbeat(now, &beat.node, age, beat.reads);
     peers::receive_zone_reports(gateway, &beat.zones);
     if !feed.depends_on_others() || !feed.roles.borrow().is_working(now, &beat.node) {
         return;
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// Waits until this node has received node entries from a reader.
-    pub(crate) async fn until_nodes_heard(&self) {
+    pub(crate) async fn until_nodes_received(&self) {
         let mut received = self.nodes_received.subscribe();
         let _ = received.wait_for(|is_received| *is_received).await;
     }
@@ -354,7 +354,7 @@
     fn update_role(&self, gateway: &Gateway) {
         let now = gateway.now();
         if !self.has_entry.get() {
-            if gateway.age() >= MAX_ROLE_DELAY && !self.reads() {
+            if gateway.uptime() >= MAX_ROLE_DELAY && !self.reads() {
                 self.become_reader();
             }
             return;
--- a/crates/gateway/src/ledger/log_calls.rs
+++ b/crates/gateway/src/ledger/log_calls.rs
@@ -125,7 +125,7 @@
             let read = gateway.platform.read(stream, from, limits);
             let read = match cause {
                 // The duration of a page depends on its size and says nothing about an outage.
-                LogCause::CatchUp => read.await,
+                LogCallPurpose::CatchUp => read.await,
                 _ => gateway.log_outage.observe(&gateway, read).await,
             };
             gateway.metrics.note_log_call(cause, outcome_label(&read));
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -68,7 +68,7 @@
 
 /// A reply and the node that sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Answered {
+pub(crate) struct LedgerAnswer {
     /// The ledger's reply.
     pub(crate) reply: LedgerReply,
     /// The node that replied, or at which the request failed.
@@ -105,9 +105,9 @@
         asked.insert(&by);
         let reason = match ask_peer(gateway, &by, partition, request.clone()).await {
             // The log may refuse only that node.
-            Ok(LedgerReply::Unavailable) => PassedOver::Unavailable,
-            Ok(reply) => return Answered { reply, by },
-            Err(NoReply::Unreachable | NoReply::Silent) => PassedOver::Absent,
+            Ok(LedgerReply::Unavailable) => SkipReason::Unavailable,
+            Ok(reply) => return LedgerAnswer { reply, by },
+            Err(NoReply::Unreachable | NoReply::Silent) => SkipReason::Absent,
             // The log is slow, and a second owner of the partition would only add load.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
@@ -130,25 +130,27 @@
     LedgerAnswer { reply, by }
 }
 
-fn acting_state(gateway: &Gateway) -> Standing {
-    Standing { age: gateway.age() }
+fn acting_state(gateway: &Gateway) -> StartupGrace {
+    StartupGrace {
+        age: gateway.uptime(),
+    }
 }
 
 /// Returns whether the next candidate may be asked after one that failed. Shortly after the start,
 /// failed candidates are not skipped.
-fn may_skip(gateway: &Gateway, reason: PassedOver) -> bool {
-    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_pass_over(reason)
+fn may_skip(gateway: &Gateway, reason: SkipReason) -> bool {
+    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_skip(reason)
 }
 
 /// Returns whether this node may act for a partition although no candidate could.
 fn may_act_alone(gateway: &Gateway) -> bool {
-    let has_joined = gateway.start.has(Milestone::Joined);
-    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_act_alone(has_joined)
+    let has_joined = gateway.start.has_reached(Milestone::Joined);
+    !gateway.settings.policy.starting_restraint || acting_state(gateway).may_serve_alone(has_joined)
 }
 
 /// Sends a request that waits for the end of a log outage to the partition's first candidate. That
 /// node executes it as soon as the log is available, or replies after a timeout that it still isn't.
-pub(crate) async fn request_on_return(
+pub(crate) async fn request_when_log_returns(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
     request: LedgerRequest,
@@ -165,7 +167,7 @@
 
 /// Sends a request to the node that granted a turn, or to the partition's candidates if that node
 /// can't execute it.
-pub(crate) async fn request_of(
+pub(crate) async fn request_from_granter(
     gateway: &Rc<Gateway>,
     granter: &NodeId,
     partition: PartitionId,
@@ -205,7 +207,7 @@
 
 /// Like [`request`], but retries for up to `patience` while no node can execute the request: a log
 /// outage may end in time, and other owners may settle their budget reservations.
-pub(crate) async fn request_patiently(
+pub(crate) async fn request_with_retries(
     gateway: &Rc<Gateway>,
     partition: PartitionId,
     wanted: LedgerRequest,
@@ -242,7 +244,7 @@
             "peer did not answer for a partition"
         );
         // Avoiding a candidate makes the next attempt skip it.
-        if may_skip(gateway, PassedOver::Absent) {
+        if may_skip(gateway, SkipReason::Absent) {
             gateway.peers.avoid(gateway, node, *reason);
             gateway.peers.stop_presuming(gateway, node);
         }
@@ -316,7 +318,7 @@
     });
     let mut answers: FuturesUnordered<_> = requests.collect();
     let mut is_certain = true;
-    while let Some(Answered { reply, .. }) = answers.next().await {
+    while let Some(LedgerAnswer { reply, .. }) = answers.next().await {
         match reply {
             LedgerReply::Conversation { .. } => return reply,
             LedgerReply::UnknownTurn => {}
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -39,9 +39,9 @@
         pending: HashMap::new(),
         counted_conflicts: 0,
         reads: Some(PartitionReads::new(gateway, partition)),
-        overdraft_use: OverdraftUse::None,
+        overdraft_use: OverdraftStatus::None,
         responses,
-        pace: AppendPace::new(paces(&gateway.settings.policy)),
+        pace: AppendPacer::new(paces(&gateway.settings.policy)),
     };
     actix_rt::spawn(driver.run(Inbox { jobs, answers }));
     sender
@@ -85,11 +85,11 @@
     /// `None` while a read is in flight.
     reads: Option<PartitionReads>,
     /// The use of the overdraft as last logged.
-    overdraft_use: OverdraftUse,
+    overdraft_use: OverdraftStatus,
     /// Sends the responses of witnesses to [`Inbox::answers`].
     responses: mpsc::UnboundedSender<WitnessResponse>,
     /// Decides when the next append may start.
-    pace: AppendPace,
+    pace: AppendPacer,
 }
 
 impl Driver {
@@ -141,11 +141,11 @@
     }
 
     /// Returns the highest urgency of the pending requests.
-    fn urgency(&self) -> Urgency {
+    fn urgency(&self) -> AppendUrgency {
         let mut pending = self.pending.values();
-        match pending.any(|request| request.urgency == Urgency::Leave) {
-            true => Urgency::Leave,
-            false => Urgency::Ends,
+        match pending.any(|request| request.urgency == AppendUrgency::Permit) {
+            true => AppendUrgency::Permit,
+            false => AppendUrgency::Completions,
         }
     }
 
@@ -161,13 +161,14 @@
     }
 
     fn take_response(&mut self, (question, answer): &WitnessResponse) {
-        self.owner.on_inquiry(self.gateway.now(), question, *answer);
+        self.owner
+            .on_witness_answer(self.gateway.now(), question, *answer);
     }
 
     /// Sends the owner's replies and its questions to witnesses.
     fn dispatch_output(&mut self) {
         self.send_replies();
-        for inquiry in self.owner.take_inquiries() {
+        for inquiry in self.owner.take_witness_queries() {
             let asking = ask_witness(self.gateway.clone(), self.partition, inquiry);
             let responses = self.responses.clone();
             actix_rt::spawn(async move {
@@ -300,9 +301,9 @@
 async fn ask_witness(
     gateway: Rc<Gateway>,
     partition: PartitionId,
-    inquiry: Inquiry,
+    inquiry: WitnessQuery,
 ) -> WitnessResponse {
-    let Inquiry { witness, question } = inquiry;
+    let WitnessQuery { witness, question } = inquiry;
     let request = LedgerRequest::Witness(question.clone());
     let reply = if witness.node == gateway.settings.node {
         super::execute(&gateway, partition, request).await
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -39,21 +39,24 @@
     }
 
     /// Waits up to `max_wait` until the log is not silent. Returns whether it answers again.
-    pub(crate) async fn until_back(&self, max_wait: Duration) -> bool {
+    pub(crate) async fn wait_until_available(&self, max_wait: Duration) -> bool {
         let mut changes = self.state.subscribe();
         let back = changes.wait_for(|state| !state.is_silent());
         actix_rt::time::timeout(max_wait, back).await.is_ok()
     }
 
     /// Returns the report that this node sends to others.
-    pub(crate) fn own_report(&self, gateway: &Gateway) -> LogWord {
-        self.watch.borrow().word(gateway.now())
+    pub(crate) fn own_report(&self, gateway: &Gateway) -> LogStatus {
+        self.watch.borrow().status(gateway.now())
     }
 
     /// Applies another node's report. Returns whether the log has answered this node since, which is then
     /// to be reported back.
-    pub(crate) fn apply_report(&self, gateway: &Gateway, node: NodeId, word: LogWord) -> bool {
-        let is_refuted = self.watch.borrow_mut().take(gateway.now(), node, word);
+    pub(crate) fn apply_report(&self, gateway: &Gateway, node: NodeId, word: LogStatus) -> bool {
+        let is_refuted = self
+            .watch
+            .borrow_mut()
+            .on_peer_status(gateway.now(), node, word);
         self.publish(gateway);
         is_refuted
     }
@@ -78,19 +81,19 @@
         }
         let number = gateway.next_sequence();
         let started = Instant::now();
-        self.watch.borrow_mut().begin(gateway.now(), number);
+        self.watch.borrow_mut().call_started(gateway.now(), number);
         let mut call = std::pin::pin!(call);
         let result = loop {
             tokio::select! {
                 biased;
                 result = &mut call => break result,
-                () = actix_rt::time::sleep(LOOK_INTERVAL) => self.poll(gateway),
+                () = actix_rt::time::sleep(POLL_INTERVAL) => self.poll(gateway),
             }
         };
         // A refusal or a failure doesn't show whether the log answers other nodes.
         if let Ok(_) | Err(StoreError::Conflict { .. } | StoreError::Gone { .. }) = &result {
             let mut watch = self.watch.borrow_mut();
-            watch.answered(gateway.now(), number, started.elapsed());
+            watch.call_answered(gateway.now(), number, started.elapsed());
             drop(watch);
             self.publish(gateway);
         }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -15,11 +15,11 @@
 
 /// Tracks the bytes held by this node; cheap to clone.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory(Rc<Inner>);
+pub(crate) struct MemoryTracker(Rc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
-    marks: Marks,
+    marks: MemoryThresholds,
     kinds: Vec<KindUsage>,
     /// Bytes held for all kinds.
     total: Cell<usize>,
@@ -49,15 +49,15 @@
     abort: Rc<Notify>,
 }
 
-impl Memory {
+impl MemoryTracker {
     /// Creates an empty account. `process_bytes` is the memory limit at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
-        let kinds = HeldFor::ALL.map(|kind| KindUsage {
+        let kinds = BufferKind::ALL.map(|kind| KindUsage {
             bytes: Cell::new(0),
             gauge: metrics.held_bytes(kind),
         });
         Self(Rc::new(Inner {
-            marks: Marks::of(process_bytes),
+            marks: MemoryThresholds::of(process_bytes),
             kinds: kinds.into(),
             total: Cell::new(0),
             peak: Cell::new(0),
@@ -69,8 +69,8 @@
     }
 
     /// Returns an empty reservation.
-    pub(crate) fn share(&self, kind: HeldFor) -> Share {
-        Share {
+    pub(crate) fn reservation(&self, kind: BufferKind) -> MemoryReservation {
+        MemoryReservation {
             memory: self.clone(),
             kind,
             bytes: 0,
@@ -88,12 +88,12 @@
     }
 
     /// Returns whether another stream may start.
-    pub(crate) fn takes_stream(&self) -> bool {
+    pub(crate) fn accepts_stream(&self) -> bool {
         self.0.marks.takes_stream(self.held())
     }
 
     /// Waits until the memory is no longer full.
-    pub(crate) async fn relieved(&self) {
+    pub(crate) async fn wait_for_capacity(&self) {
         loop {
             let relieved = self.0.relieved.notified();
             if self.pressure() < Pressure::Full {
@@ -104,7 +104,7 @@
     }
 
     /// Registers a stream that starts.
-    pub(crate) fn begin_stream(&self) -> StreamEntry {
+    pub(crate) fn register_stream(&self) -> StreamRegistration {
         let id = self.0.next_stream.get();
         self.0.next_stream.set(id + 1);
         let abort = Rc::new(Notify::new());
@@ -121,13 +121,13 @@
         }
     }
 
-    fn usage(&self, kind: HeldFor) -> &KindUsage {
-        let index = HeldFor::ALL.iter().position(|known| *known == kind);
+    fn usage(&self, kind: BufferKind) -> &KindUsage {
+        let index = BufferKind::ALL.iter().position(|known| *known == kind);
         &self.0.kinds[index.expect("every kind is listed")]
     }
 
     /// Changes the size of a reservation, and aborts a stream if the memory becomes full.
-    fn change(&self, kind: HeldFor, from: usize, to: usize) {
+    fn change(&self, kind: BufferKind, from: usize, to: usize) {
         let usage = self.usage(kind);
         usage.bytes.set(usage.bytes.get() - from + to);
         usage.gauge.set(saturating_i64(usage.bytes.get()));
@@ -154,7 +154,7 @@
             unsent: stream.unsent,
             stalled: now.saturating_duration_since(stream.stalled_since),
         });
-        if let Some(stream) = stream_to_end(loads).and_then(|id| streams.get(&id)) {
+        if let Some(stream) = stream_to_abort(loads).and_then(|id| streams.get(&id)) {
             stream.abort.notify_one();
         }
     }
@@ -168,10 +168,10 @@
     bytes: usize,
 }
 
-impl Share {
+impl MemoryReservation {
     /// Reserves further bytes for a request body. Returns `false` if there is no capacity left.
-    pub(crate) fn grow_body(&mut self, more: usize) -> bool {
-        let bodies = self.memory.usage(HeldFor::Bodies).bytes.get();
+    pub(crate) fn try_grow_body(&mut self, more: usize) -> bool {
+        let bodies = self.memory.usage(BufferKind::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
             return false;
@@ -189,7 +189,7 @@
     }
 
     /// Returns the account that the reservation belongs to.
-    pub(crate) fn memory(&self) -> &Memory {
+    pub(crate) fn memory(&self) -> &MemoryTracker {
         &self.memory
     }
 }
@@ -208,7 +208,7 @@
     abort: Rc<Notify>,
 }
 
-impl StreamEntry {
+impl StreamRegistration {
     /// Records how many bytes wait for the caller, and since when it has read nothing.
     pub(crate) fn note(&self, unsent: usize, stalled_since: Instant) {
         if let Some(stream) = self.memory.0.streams.borrow_mut().get_mut(&self.id) {
@@ -218,7 +218,7 @@
     }
 
     /// Waits until the stream must be aborted because the memory is full.
-    pub(crate) async fn must_end(&self) {
+    pub(crate) async fn wait_for_abort(&self) {
         self.abort.notified().await;
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::far_bytes::CrossZoneBytes;
+use crate::cross_zone_bytes::CrossZoneBytes;
 use crate::reply::Refusal;
 
 /// Label of answered requests, by status.
@@ -58,7 +58,7 @@
 
 /// Label of streams that were aborted because their caller had stopped reading.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct GivenUpLabel {
+pub(crate) struct StalledCallerLabel {
     /// Limit that was reached.
     pub(crate) reason: &'static str,
 }
@@ -126,7 +126,7 @@
     /// A more urgent turn took its position in the queue.
     Displaced,
     /// No slot became free within the time that the turn could wait.
-    WaitedInVain,
+    WaitTimedOut,
 }
 
 impl AdmissionRefusal {
@@ -334,7 +334,7 @@
     }
 
     /// Returns the gauge of the memory held for a purpose.
-    pub(crate) fn held_bytes(&self, kind: HeldFor) -> Gauge {
+    pub(crate) fn held_bytes(&self, kind: BufferKind) -> Gauge {
         let label = HeldLabel { kind: kind.name() };
         self.held_bytes.get_or_create(&label).clone()
     }
@@ -391,7 +391,7 @@
     }
 
     /// Counts a call to the log other than a read of a followed stream.
-    pub(crate) fn note_log_call(&self, cause: LogCause, outcome: &'static str) {
+    pub(crate) fn note_log_call(&self, cause: LogCallPurpose, outcome: &'static str) {
         self.count_log_call(cause.name(), outcome);
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -39,8 +39,8 @@
 use link::Link;
 
 pub(crate) use cross_zone::send;
-pub(crate) use gossip::probe_nodes;
-pub(crate) use lessors::{Lessor, LessorDesk};
+pub(crate) use gossip::run_gossip;
+pub(crate) use lessors::{Lessor, Lessors};
 pub(crate) use link::NoReply;
 pub(crate) use serve::accept_peers;
 pub(crate) use zones::{receive as receive_zone_reports, reports as zone_reports};
@@ -274,7 +274,7 @@
     }
 
     /// Notifies the nodes that serve this zone's callers that this node has ejected a worker.
-    pub(crate) fn report_worker(&self, gateway: &Gateway, worker: &str) {
+    pub(crate) fn report_ejected_worker(&self, gateway: &Gateway, worker: &str) {
         let notice = GatewayFrame::WorkerEjected {
             node: self.own.clone(),
             worker: worker.to_owned(),
@@ -350,7 +350,7 @@
         *self.membership.borrow_mut() = Some(membership);
         self.presuming_since.set(Some(Instant::now()));
         self.mark_stale();
-        gateway.act_on_node_changes_now();
+        gateway.apply_node_changes_now();
         // The next regular tick may be a full interval away.
         let effects = self.handle(gateway, Event::Tick);
         self.execute(gateway, socket, effects);
--- a/crates/gateway/src/peers/cross_zone.rs
+++ b/crates/gateway/src/peers/cross_zone.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 
 use super::Peers;
-use crate::far_bytes::{CrossZoneBytes, FarKind};
+use crate::cross_zone_bytes::{CrossZoneBytes, TrafficKind};
 use crate::gateway::Gateway;
 
 impl Peers {
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether the nodes of a node's zone are suspected as a group.
-    pub(crate) fn is_zone_suspected(&self, gateway: &Gateway, node: &NodeId) -> bool {
+    pub(crate) fn is_in_suspected_zone(&self, gateway: &Gateway, node: &NodeId) -> bool {
         let nodes = gateway.nodes.borrow();
         let Some(known) = nodes.get(node) else {
             return false;
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -27,7 +27,7 @@
 const RECEIVE_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Runs the UDP loop until the process ends.
-pub(crate) async fn probe_nodes(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub(crate) async fn run_gossip(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     gateway.lessors.set_socket(&socket);
     let mut buffer = vec![0; DATAGRAM_BYTES];
     let mut ticks = actix_rt::time::interval(PROBE_INTERVAL);
@@ -51,7 +51,7 @@
                 continue;
             }
             _ = load_ticks.tick() => {
-                gateway.act_on_node_changes();
+                gateway.apply_due_node_changes();
                 gateway.log_outage.poll(&gateway);
                 outage_reporter.send_if_due(&gateway, &socket);
                 load_sender.send_changes(&gateway, &socket);
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -50,14 +50,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Lessor {
     /// This node is the lessor.
-    Own,
+    Local,
     /// Another node is the lessor.
-    Other(NodeId),
+    Remote(NodeId),
     /// No lessor: not all serving nodes take part, or the lessor didn't answer recently.
-    Absent,
+    Unavailable,
 }
 
-impl LessorDesk {
+impl Lessors {
     /// Sets the socket that questions are sent from.
     pub(super) fn set_socket(&self, socket: &Rc<UdpSocket>) {
         // Called only once, by the loop that receives the answers.
@@ -85,7 +85,7 @@
     }
 
     /// Returns the node that currently grants a tenant's requests.
-    pub(crate) fn lessor(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
+    pub(crate) fn lessor_for(&self, gateway: &Gateway, tenant: TenantKey) -> Lessor {
         if !gateway.settings.policy.quota_lessors {
             return Lessor::Unavailable;
         }
@@ -210,7 +210,7 @@
 
 /// Removes a question on drop, including when the request is cancelled.
 struct PendingGuard<'a> {
-    lessors: &'a LessorDesk,
+    lessors: &'a Lessors,
     question: u64,
 }
 
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -15,8 +15,8 @@
 
 use super::queue::{FrameReceiver, FrameSender, PushError};
 use crate::buffered::{self, Receiver};
-use crate::far_bytes::CrossZoneBytes;
-use crate::memory::Memory;
+use crate::cross_zone_bytes::CrossZoneBytes;
+use crate::memory::MemoryTracker;
 use crate::socket;
 
 /// Timeout for the acknowledgement of a request, after which the node counts as unresponsive.
@@ -61,7 +61,7 @@
     /// Starts to connect. `counter` counts the bytes sent, if the node is in another zone.
     pub(super) fn open(
         address: SocketAddr,
-        memory: &Memory,
+        memory: &MemoryTracker,
         counter: Option<CrossZoneBytes>,
     ) -> Self {
         let (frames, outgoing) = FrameSender::new(memory, counter);
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -21,7 +21,7 @@
 /// Sends reports on the engines that this node reads.
 #[derive(Debug, Default)]
 pub(super) struct MemorySender {
-    reporter: MemoryTeller,
+    reporter: MemoryReporter,
     rotation: Rota,
 }
 
@@ -80,9 +80,9 @@
         .note_memories(memories.held_prefixes(), memories.oldest_age(now));
 }
 
-fn engine_report(now: Timestamp, engine: WorkerKey, belief: Belief) -> EngineMemoryReport {
-    let age = now.since(belief.heard).as_millis();
-    let parts = belief.parts.into_iter();
+fn engine_report(now: Timestamp, engine: WorkerKey, belief: MemorySnapshot) -> EngineMemoryReport {
+    let age = now.since(belief.observed_at).as_millis();
+    let parts = belief.prefixes.into_iter();
     EngineMemoryReport {
         engine: engine.0,
         born: belief.born,
@@ -99,14 +99,14 @@
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
     for reported in report.engines {
-        let parts = reported.parts.into_iter().take(MOST_PARTS_TOLD);
-        let belief = Belief {
+        let parts = reported.parts.into_iter().take(MAX_REPORTED_PREFIXES);
+        let belief = MemorySnapshot {
             born: reported.born,
-            heard: now - Duration::from_millis(u64::from(reported.age_ms)),
-            parts: parts
-                .map(|(part, tokens)| (PartKey(part), tokens))
+            observed_at: now - Duration::from_millis(u64::from(reported.age_ms)),
+            prefixes: parts
+                .map(|(part, tokens)| (PrefixKey(part), tokens))
                 .collect(),
         };
-        workers.take_memory(WorkerKey(reported.engine), belief);
+        workers.apply_memory_snapshot(WorkerKey(reported.engine), belief);
     }
 }
--- a/crates/gateway/src/peers/outages.rs
+++ b/crates/gateway/src/peers/outages.rs
@@ -47,7 +47,7 @@
                 send(gateway, socket, word, owners(gateway));
             }
             LogState::Silent { .. }
-                if word.waits.is_some()
+                if word.oldest_wait.is_some()
                     && (!self.was_silent || is_due(self.reported_at, REPORT_INTERVAL)) =>
             {
                 self.was_silent = true;
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -32,7 +32,7 @@
         let ranking = self.ranking(gateway, partition);
         let available = ranking.iter().filter(|node| !is_avoided(node));
         let nodes = gateway.nodes.borrow();
-        let mut placed: Vec<Placed<'_>> = available
+        let mut placed: Vec<NodeInZone<'_>> = available
             .map(|node| (node, zone_of(&nodes, node)))
             .collect();
         let suspected = suspected_zones(gateway);
@@ -62,7 +62,7 @@
         let available = alive
             .iter()
             .filter(|node| !is_avoided(node) && !is_suspected(node));
-        let first = foremost_owner(partition, available.map(|node| (node, capacity(node))));
+        let first = preferred_owner(partition, available.map(|node| (node, capacity(node))));
         first == Some(&self.own)
     }
 
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -75,7 +75,7 @@
     }
 }
 
-fn use_report(part: PartKey, used: &PartUse) -> PartUseReport {
+fn use_report(part: PrefixKey, used: &PrefixUsage) -> PartUseReport {
     PartUseReport {
         part: part.0,
         tokens: used.tokens,
@@ -89,11 +89,11 @@
         return;
     }
     let uses = report.uses.iter().map(|reported| {
-        let used = PartUse {
+        let used = PrefixUsage {
             tokens: reported.tokens,
             turns: f64::from(reported.turn_tenths) / 10.0,
         };
-        (PartKey(reported.part), used)
+        (PrefixKey(reported.part), used)
     });
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -29,7 +29,7 @@
 /// Requests proofs from other nodes.
 #[derive(Debug, Default)]
 pub(super) struct ProofRequester {
-    asking: ProofAsking,
+    asking: ProofRequestTimer,
     /// When each unanswered question was sent.
     pending: BTreeMap<u64, Timestamp>,
     /// Position of the next node to ask.
@@ -86,8 +86,8 @@
             PeerProof::Counts => {
                 gateway.metrics.proofs_told.inc();
             }
-            Told::Older => {}
-            Told::Newer => self.request_configuration(gateway, from, answer.version),
+            PeerProof::Older => {}
+            PeerProof::Newer => self.request_configuration(gateway, from, answer.version),
         }
     }
 
--- a/crates/gateway/src/peers/queue.rs
+++ b/crates/gateway/src/peers/queue.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 
 use crate::buffered::Sender;
-use crate::far_bytes::{CrossZoneBytes, FarKind};
-use crate::memory::{Memory, Share};
+use crate::cross_zone_bytes::{CrossZoneBytes, TrafficKind};
+use crate::memory::{MemoryReservation, MemoryTracker};
 
 /// Maximum size of a queue in bytes. The slowest machines send 22 Mbit/s, so frames queued behind this
 /// much data would arrive too late to be useful.
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct QueuedBytes {
     bytes: Cell<usize>,
-    reservation: RefCell<Share>,
+    reservation: RefCell<MemoryReservation>,
 }
 
 impl QueuedBytes {
@@ -58,11 +58,14 @@
 
 impl FrameSender {
     /// Creates an empty queue whose size is accounted for in `memory`.
-    pub(super) fn new(memory: &Memory, counter: Option<CrossZoneBytes>) -> (Self, FrameReceiver) {
+    pub(super) fn new(
+        memory: &MemoryTracker,
+        counter: Option<CrossZoneBytes>,
+    ) -> (Self, FrameReceiver) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let queued = Rc::new(QueuedBytes {
             bytes: Cell::new(0),
-            reservation: RefCell::new(memory.share(HeldFor::Peers)),
+            reservation: RefCell::new(memory.reservation(BufferKind::Peers)),
         });
         let frame_sender = Self {
             frames: sender,
@@ -84,7 +87,7 @@
         self.frames.send(frame).map_err(|_| PushError::Closed)?;
         self.queued.set(queued + length);
         if let Some(counter) = &self.counter {
-            counter.note(FarKind::of_frame(message), length);
+            counter.note(TrafficKind::of_frame(message), length);
         }
         Ok(())
     }
--- a/crates/gateway/src/peers/quotas.rs
+++ b/crates/gateway/src/peers/quotas.rs
@@ -55,7 +55,7 @@
     fn recipients(&mut self, gateway: &Gateway) -> Vec<SocketAddr> {
         let nodes = gateway.nodes.borrow();
         let quotas = gateway.quotas.borrow();
-        let mut recipients: BTreeSet<&NodeId> = quotas.tellers().collect();
+        let mut recipients: BTreeSet<&NodeId> = quotas.reporting_nodes().collect();
         let serving = gateway.serving_nodes(&nodes);
         recipients.extend(serving);
         recipients.remove(&gateway.settings.node);
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -33,7 +33,7 @@
 }
 
 async fn serve_peer(gateway: Rc<Gateway>, stream: TcpStream) {
-    socket::prepare(&stream);
+    socket::set_options(&stream);
     let counter = stream.peer_addr().ok().and_then(|address| {
         let peers = &gateway.peers;
         peers.counter_for_address(&gateway, address.ip())
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -33,7 +33,7 @@
         };
         // Exponentially distributed pauses desynchronize nodes that start at the same time.
         let factor = -(1.0 - rand::random::<f64>()).ln();
-        actix_rt::time::sleep(proving_pause(nodes).mul_f64(factor)).await;
+        actix_rt::time::sleep(proof_interval(nodes).mul_f64(factor)).await;
         let Some(from) = gateway
             .config_stream_end
             .get()
@@ -42,7 +42,7 @@
             continue;
         };
         let sent = gateway.now();
-        let limits = limits(ReadTimes::at_once(PROOF_TIMEOUT));
+        let limits = limits(ReadTimeouts::immediate(PROOF_TIMEOUT));
         // Failures are logged by the follower of the configuration.
         let read = read_more::<ConfigurationFollower>(&gateway, from, limits).await;
         let outcome = if read.is_ok() { "ok" } else { "failed" };
@@ -100,23 +100,23 @@
 
 /// Applies a publication of the operator.
 pub(crate) fn apply_publication(gateway: &Gateway, record: &StreamRecord) {
-    match gateway.platform.publication(record) {
+    match gateway.platform.parse_publication(record) {
         Ok(Publication::Configuration(config)) => apply_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
-            apply_zone_wish(gateway, &zone, ZoneWish { offset, is_on }, "log");
+            apply_zone_wish(gateway, &zone, EvacuationOrder { offset, is_on }, "log");
         }
         Ok(Publication::Other) => {}
         Err(error) => {
             log::error!(offset = record.offset.0, error = error.to_string().as_str(); "cannot decode a configuration");
-            gateway.config_proof.borrow_mut().obscure();
+            gateway.config_proof.borrow_mut().note_unreadable();
         }
     }
 }
 
 /// Applies an evacuation request, from the log or from another node, unless a newer one for the zone is
 /// known. `by` names the origin in the log.
-pub(crate) fn apply_zone_wish(gateway: &Gateway, zone: &str, wish: ZoneWish, by: &str) {
+pub(crate) fn apply_zone_wish(gateway: &Gateway, zone: &str, wish: EvacuationOrder, by: &str) {
     if !gateway.evacuations.borrow_mut().note(zone, wish) {
         return;
     }
@@ -125,7 +125,7 @@
         false => "zone evacuation lifted",
     };
     log::info!(zone = zone, offset = wish.offset.0, by = by; "{message}");
-    gateway.act_on_evacuations();
+    gateway.apply_evacuations();
 }
 
 /// Activates a configuration from the log or from another node, unless the active one is at least as
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -77,14 +77,14 @@
 /// every key if there is none.
 async fn follow<F: Follower>(gateway: Rc<Gateway>, from: Option<Offset>) {
     let mut next = from;
-    let mut reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+    let mut reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
     let mut last_success = gateway.now();
     let mut term = None;
     loop {
         let current_term = gateway.feed.until_reading().await;
         if term.replace(current_term) != Some(current_term) {
             next = F::resume_at(&gateway).or(from);
-            reads = StreamReads::new(F::STREAM, &gateway.settings.news_deadlines());
+            reads = StreamReadSchedule::new(F::STREAM, &gateway.settings.news_deadlines());
             last_success = gateway.now();
         }
         let sent = gateway.now();
--- a/crates/gateway/src/watch/workers.rs
+++ b/crates/gateway/src/watch/workers.rs
@@ -35,7 +35,7 @@
         gateway
             .feed
             .replace_workers(gateway, workers.collect(), end);
-        gateway.reach(Milestone::Workers);
+        gateway.reach_milestone(Milestone::Workers);
     }
 
     fn apply(gateway: &Rc<Gateway>, records: &[StreamRecord]) {
@@ -59,7 +59,8 @@
 
     async fn continues_reading(gateway: &Gateway) -> bool {
         let started = gateway.now();
-        while !gateway.start.has(Milestone::Joined) && gateway.now().since(started) < MAX_JOIN_WAIT
+        while !gateway.start.has_reached(Milestone::Joined)
+            && gateway.now().since(started) < MAX_JOIN_WAIT
         {
             actix_rt::time::sleep(JOIN_POLL_INTERVAL).await;
         }
