--- a/crates/gateway-core/src/ledger/overdraft.rs
+++ b/crates/gateway-core/src/ledger/overdraft.rs
@@ -17,7 +17,7 @@
 use super::state::OVERDRAFT_RETENTION;
 
 /// Maximum number of witnesses of one overdraft.
-pub const MOST_WITNESSES: usize = 5;
+pub const MAX_WITNESSES: usize = 5;
 
 /// Minimum number of witnesses of one overdraft. With fewer, the loss of a single witness would
 /// leave it undecided whether the overdraft was used.
--- a/crates/gateway-core/src/peer_loads.rs
+++ b/crates/gateway-core/src/peer_loads.rs
@@ -91,11 +91,11 @@
 
 /// Selects recipients in rotation if there are too many for one round.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rota {
+pub struct RoundRobin {
     next: usize,
 }
 
-impl Rota {
+impl RoundRobin {
     /// Returns up to `max` elements, starting after those of the previous call.
     pub fn pick<T>(&mut self, mut all: Vec<T>, max: usize) -> Vec<T> {
         if all.len() > max {
--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose, is_at_home};
-use elderworks_gateway_core::peer_loads::Rota;
+use elderworks_gateway_core::peer_loads::RoundRobin;
 use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixDemand, PrefixKey};
 use elderworks_gateway_core::placement::homes::{
     PrefixLoad, home_count, home_fractions, rendezvous_rank,
@@ -297,7 +297,7 @@
 #[test]
 fn round_robin_reaches_all_in_the_minimum_number_of_rounds() {
     for (all, max) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
-        let mut round_robin = Rota::default();
+        let mut round_robin = RoundRobin::default();
         let turns = usize::div_ceil(all, max);
         for round in 0..5 {
             let picked = (0..turns).flat_map(|_| round_robin.pick((0..all).collect(), max));
--- a/crates/gateway/src/peers/loads.rs
+++ b/crates/gateway/src/peers/loads.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use elderworks_gateway_core::peer_loads::{REPORT_LIFETIME, Rota, WorkerKey};
+use elderworks_gateway_core::peer_loads::{REPORT_LIFETIME, RoundRobin, WorkerKey};
 use elderworks_protocol::gateway::{GatewayDatagram, LoadReport};
 use elderworks_types::NodeId;
 use tokio::net::UdpSocket;
@@ -34,8 +34,8 @@
     /// The last report and when it was sent.
     reported: Option<(Instant, BTreeMap<WorkerKey, u32>)>,
     intervals: u32,
-    own_zone: Rota,
-    other_zones: Rota,
+    own_zone: RoundRobin,
+    other_zones: RoundRobin,
 }
 
 impl LoadSender {
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -6,7 +6,7 @@
 
 use elderworks_gateway_core::engine_memory::reporting::{MAX_REPORTED_PREFIXES, MemoryReporter};
 use elderworks_gateway_core::engine_memory::snapshots::MemorySnapshot;
-use elderworks_gateway_core::peer_loads::{Rota, WorkerKey};
+use elderworks_gateway_core::peer_loads::{RoundRobin, WorkerKey};
 use elderworks_gateway_core::placement::demand::PrefixKey;
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{EngineMemoryReport, GatewayDatagram, MemoryReport};
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(super) struct MemorySender {
     reporter: MemoryReporter,
-    rotation: Rota,
+    rotation: RoundRobin,
 }
 
 impl MemorySender {
--- a/crates/gateway/src/peers/outages.rs
+++ b/crates/gateway/src/peers/outages.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::log_outage::{LogState, LogStatus};
-use elderworks_gateway_core::peer_loads::Rota;
+use elderworks_gateway_core::peer_loads::RoundRobin;
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{GatewayDatagram, LogReport};
 use elderworks_types::{NodeId, PartitionId, Timestamp};
@@ -31,7 +31,7 @@
     asked_at: Option<Timestamp>,
     reported_at: Option<Timestamp>,
     was_silent: bool,
-    rotation: Rota,
+    rotation: RoundRobin,
 }
 
 impl OutageReporter {
--- a/crates/gateway/src/peers/owners.rs
+++ b/crates/gateway/src/peers/owners.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use elderworks_gateway_core::ledger::MOST_WITNESSES;
+use elderworks_gateway_core::ledger::MAX_WITNESSES;
 use elderworks_gateway_core::nodes::NodeDirectory;
 use elderworks_gateway_core::ownership::{preferred_owner, rank_owners};
 use elderworks_gateway_core::zone_health::ZonePart;
@@ -88,8 +88,8 @@
         let placed = remaining.map(|(node, record)| (node, record.zone.as_str()));
         let own_zone = gateway.settings.zone.as_str();
         let chosen = match gateway.settings.policy.zone_spread {
-            true => spread_witnesses(&placed.collect::<Vec<_>>(), own_zone, MOST_WITNESSES),
-            false => placed.map(|(node, _)| node).take(MOST_WITNESSES).collect(),
+            true => spread_witnesses(&placed.collect::<Vec<_>>(), own_zone, MAX_WITNESSES),
+            false => placed.map(|(node, _)| node).take(MAX_WITNESSES).collect(),
         };
         let known = chosen.into_iter().filter_map(|node| {
             let boot = nodes.get(node)?.record.boot;
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use elderworks_gateway_core::peer_loads::Rota;
+use elderworks_gateway_core::peer_loads::RoundRobin;
 use elderworks_gateway_core::placement::demand::{PrefixKey, PrefixUsage};
 use elderworks_protocol::encode;
 use elderworks_protocol::gateway::{GatewayDatagram, PartReport, PartUseReport};
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PartDemandSender {
     sent_at: Option<Timestamp>,
-    rotation: Rota,
+    rotation: RoundRobin,
 }
 
 impl PartDemandSender {
