--- a/crates/backend/src/engine/answer.rs
+++ b/crates/backend/src/engine/answer.rs
@@ -7,7 +7,7 @@
 use actix_http::error::PayloadError;
 use actix_rt::time::Instant;
 use bytes::Bytes;
-use elderworks_platform_api::engine::{ChatChunk, DONE};
+use elderworks_platform_api::engine::{ChatChunk, DONE_MARKER};
 use elderworks_types::{Tokens, Usage, text};
 use eventsource_stream::{Event, EventStreamError, Eventsource};
 use futures_util::stream::{LocalBoxStream, try_unfold};
@@ -152,7 +152,7 @@
 }
 
 fn decode_event(event: &Event, expected_index: u32) -> Result<Decoded, BackendError> {
-    if event.data == DONE {
+    if event.data == DONE_MARKER {
         return Err(malformed("the stream ended without a finish reason"));
     }
     check_index(event, expected_index)?;
--- a/crates/execution/src/partition/intake.rs
+++ b/crates/execution/src/partition/intake.rs
@@ -135,7 +135,7 @@
             return self.refuse(
                 request.connection,
                 id,
-                request.submission.doubtful(),
+                request.submission.id_if_resubmitted(),
                 refusal,
             );
         }
@@ -144,7 +144,7 @@
             return self.refuse(
                 request.connection,
                 id,
-                request.submission.doubtful(),
+                request.submission.id_if_resubmitted(),
                 refusal,
             );
         }
@@ -159,7 +159,7 @@
             Err(refusal) => self.refuse(
                 request.connection,
                 id,
-                request.submission.doubtful(),
+                request.submission.id_if_resubmitted(),
                 refusal,
             ),
         }
@@ -182,7 +182,7 @@
             self.refuse(
                 request.connection,
                 id,
-                request.submission.doubtful(),
+                request.submission.id_if_resubmitted(),
                 refusal,
             );
             return true;
--- a/crates/execution/src/partition/refusals.rs
+++ b/crates/execution/src/partition/refusals.rs
@@ -85,7 +85,7 @@
     fn may_bar(&self, id: CallId, reason: RefusalReason) -> bool {
         let run = self.journal.runs.get(&id.run);
         let has_place = run.is_some_and(|run| run.barred.len() < MAX_BARRED_PER_RUN);
-        has_place && !reason.may_pass() && reason != RefusalReason::RunNotFound
+        has_place && !reason.is_transient() && reason != RefusalReason::RunNotFound
     }
 
     /// Journals a refusal; it is told once it is read back. While the log does not answer the
--- a/crates/execution/src/soft/callers.rs
+++ b/crates/execution/src/soft/callers.rs
@@ -29,7 +29,7 @@
 
     /// Notes which submission a connection waits for.
     pub fn tag(&mut self, connection: Connection, submission: SubmissionTag) {
-        if let Some(id) = submission.doubtful() {
+        if let Some(id) = submission.id_if_resubmitted() {
             self.resubmitted.insert(connection, id);
         }
     }
--- a/crates/gateway-core/src/ledger/calls.rs
+++ b/crates/gateway-core/src/ledger/calls.rs
@@ -1,6 +1,6 @@
 //! Types exchanged between a [`PartitionOwner`](super::PartitionOwner) and its driver.
 
-use elderworks_protocol::ledger::{LedgerRecord, Witness, WitnessQuestion};
+use elderworks_protocol::ledger::{LedgerRecord, Witness, WitnessRequest};
 use elderworks_types::{Offset, Timestamp};
 
 /// Identifies a request submitted to the owner.
@@ -82,5 +82,5 @@
     /// The witness to ask.
     pub witness: Witness,
     /// The question to send.
-    pub question: WitnessQuestion,
+    pub question: WitnessRequest,
 }
--- a/crates/gateway-core/src/ledger/owner/overdrafts.rs
+++ b/crates/gateway-core/src/ledger/owner/overdrafts.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use elderworks_protocol::ledger::{
-    LedgerRecord, Witness, WitnessAnswer, WitnessQuestion, WitnessWish,
+    LedgerRecord, Witness, WitnessAction, WitnessAnswer, WitnessRequest,
 };
 use elderworks_types::Timestamp;
 
@@ -31,7 +31,7 @@
         }
         let witnesses = self.own_witnesses();
         if let Some(name) = self.overdraft.activate(now, &witnesses) {
-            self.ask_witnesses(&name, &witnesses, WitnessWish::Activate);
+            self.ask_witnesses(&name, &witnesses, WitnessAction::Activate);
         }
     }
 
@@ -47,9 +47,9 @@
         own.map_or_else(Vec::new, |overdraft| overdraft.witnesses.clone())
     }
 
-    fn ask_witnesses(&mut self, overdraft: &str, witnesses: &[Witness], wish: WitnessWish) {
+    fn ask_witnesses(&mut self, overdraft: &str, witnesses: &[Witness], wish: WitnessAction) {
         for witness in witnesses {
-            let question = WitnessQuestion {
+            let question = WitnessRequest {
                 overdraft: overdraft.to_owned(),
                 boot: witness.boot,
                 wish,
@@ -68,17 +68,17 @@
     pub fn on_witness_answer(
         &mut self,
         now: Timestamp,
-        question: &WitnessQuestion,
+        question: &WitnessRequest,
         answer: Option<WitnessAnswer>,
     ) {
         let overdraft = question.overdraft.as_str();
         match question.wish {
-            WitnessWish::Fence => {
+            WitnessAction::Fence => {
                 if let Some(answer) = answer {
                     self.fencing.on_answer(overdraft, question.boot, answer);
                 }
             }
-            WitnessWish::Activate => {
+            WitnessAction::Activate => {
                 let is_complete = self
                     .overdraft
                     .on_answer(now, overdraft, question.boot, answer);
@@ -251,7 +251,7 @@
                 continue;
             };
             let witnesses = overdraft.witnesses.clone();
-            self.ask_witnesses(&name, &witnesses, WitnessWish::Fence);
+            self.ask_witnesses(&name, &witnesses, WitnessAction::Fence);
         }
     }
 
--- a/crates/gateway-core/src/ledger/pieces.rs
+++ b/crates/gateway-core/src/ledger/pieces.rs
@@ -4,7 +4,7 @@
 //! and the others have derived names, so that the conversation reads the same.
 
 use bytes::Bytes;
-use elderworks_protocol::ledger::{KeptTurn, LedgerRecord};
+use elderworks_protocol::ledger::{LedgerRecord, StoredTurn};
 
 /// Maximum content of one record, in bytes. Platforms accept records of at least 256 KB; the rest
 /// is reserved for names and encoding.
@@ -33,7 +33,7 @@
 }
 
 /// Returns the records that store a turn, in the order in which they must be appended.
-pub fn kept_records(turn: &str, content: KeptTurn) -> Vec<LedgerRecord> {
+pub fn kept_records(turn: &str, content: StoredTurn) -> Vec<LedgerRecord> {
     let whole = content.input.len() + content.output.len();
     if whole <= MAX_CONTENT_BYTES {
         let turn = turn.to_owned();
@@ -50,7 +50,7 @@
         } else {
             format!("{turn}/piece-{number}")
         };
-        let content = KeptTurn {
+        let content = StoredTurn {
             previous: previous.replace(name.clone()),
             input,
             output: Bytes::new(),
--- a/crates/gateway-core/src/ledger/plan.rs
+++ b/crates/gateway-core/src/ledger/plan.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use elderworks_protocol::ledger::{
-    BeginTurn, FinishTurn, KeptTurn, LedgerRecord, LedgerReply, LedgerRequest,
+    BeginTurn, FinishTurn, LedgerRecord, LedgerReply, LedgerRequest, StoredTurn,
 };
 use elderworks_types::Timestamp;
 
@@ -375,7 +375,7 @@
         });
     }
 
-    fn keep(&mut self, turn: &str, content: KeptTurn) {
+    fn keep(&mut self, turn: &str, content: StoredTurn) {
         self.records.extend(kept_records(turn, content));
     }
 
@@ -424,7 +424,7 @@
 }
 
 /// Name and content of a turn to import from another partition.
-type Import = Option<(String, KeptTurn)>;
+type Import = Option<(String, StoredTurn)>;
 
 /// Returns the conversation that a turn continues, and the turn to store here if the conversation
 /// was imported; `None` if this partition lacks a part of it.
@@ -436,7 +436,7 @@
         return Some((conversation, None));
     }
     let imported = begin.imported.clone()?;
-    let content = KeptTurn {
+    let content = StoredTurn {
         previous: None,
         input: imported.clone(),
         output: Bytes::new(),
--- a/crates/gateway-core/src/ledger/state.rs
+++ b/crates/gateway-core/src/ledger/state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use elderworks_protocol::ledger::{KeptTurn, LedgerRecord, Witness};
+use elderworks_protocol::ledger::{LedgerRecord, StoredTurn, Witness};
 use elderworks_types::Timestamp;
 
 use super::Account;
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub struct LedgerState {
     accounts: BTreeMap<String, AccountEntry>,
-    turns: BTreeMap<String, Timestamped<KeptTurn>>,
+    turns: BTreeMap<String, Timestamped<StoredTurn>>,
     overdrafts: BTreeMap<String, Timestamped<OpenOverdraft>>,
 }
 
@@ -313,7 +313,7 @@
 
     fn turns_with_ancestors(
         &self,
-        is_recent: impl Fn(&Timestamped<KeptTurn>) -> bool,
+        is_recent: impl Fn(&Timestamped<StoredTurn>) -> bool,
     ) -> BTreeSet<String> {
         let mut kept: BTreeSet<String> = BTreeSet::new();
         for (turn, entry) in &self.turns {
--- a/crates/gateway-core/src/ledger/witness.rs
+++ b/crates/gateway-core/src/ledger/witness.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use elderworks_protocol::ledger::{WitnessAnswer, WitnessQuestion, WitnessWish};
+use elderworks_protocol::ledger::{WitnessAction, WitnessAnswer, WitnessRequest};
 use elderworks_types::Timestamp;
 
 use super::state::OVERDRAFT_RETENTION;
@@ -51,7 +51,7 @@
     }
 
     /// Answers a question. The first question about an overdraft determines its mark.
-    pub fn answer(&mut self, now: Timestamp, question: &WitnessQuestion) -> WitnessAnswer {
+    pub fn answer(&mut self, now: Timestamp, question: &WitnessRequest) -> WitnessAnswer {
         self.marks
             .retain(|_, (_, since)| now.since(*since) < MARK_RETENTION);
         if question.boot != self.boot || self.has_overflowed {
@@ -65,8 +65,8 @@
             return WitnessAnswer::Unknown;
         }
         let mark = match question.wish {
-            WitnessWish::Activate => Mark::Activated,
-            WitnessWish::Fence => Mark::Fenced,
+            WitnessAction::Activate => Mark::Activated,
+            WitnessAction::Fence => Mark::Fenced,
         };
         self.marks.insert(question.overdraft.clone(), (mark, now));
         (&mark).into()
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -168,7 +168,8 @@
                 return UpsertOutcome::Outdated;
             }
             if record.born == known.record.born {
-                let is_unchanged = known.record.is_alike(&record) && known.missing_until.is_none();
+                let is_unchanged =
+                    known.record.eq_ignoring_cold_left(&record) && known.missing_until.is_none();
                 known.record = record;
                 known.missing_until = None;
                 known.cold_until = cold_until;
--- a/crates/gateway-core/tests/ledger/fixtures.rs
+++ b/crates/gateway-core/tests/ledger/fixtures.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use elderworks_gateway_core::ledger::{Action, AppendOutcome, PartitionOwner, ReadOutcome, Ticket};
-use elderworks_protocol::ledger::{BeginTurn, FinishTurn, KeptTurn, LedgerReply, LedgerRequest};
+use elderworks_protocol::ledger::{BeginTurn, FinishTurn, LedgerReply, LedgerRequest, StoredTurn};
 use elderworks_types::{Offset, Timestamp};
 
 pub const START: Timestamp = Timestamp(1_000_000);
@@ -33,7 +33,7 @@
     })
 }
 
-pub fn finish(turn: &str, used: u64, kept: Option<KeptTurn>) -> LedgerRequest {
+pub fn finish(turn: &str, used: u64, kept: Option<StoredTurn>) -> LedgerRequest {
     LedgerRequest::Finish(FinishTurn {
         program: "p".to_owned(),
         turn: turn.to_owned(),
@@ -44,7 +44,7 @@
 }
 
 /// Returns a completion report that is held while the log is down.
-pub fn finish_waiting(turn: &str, kept: KeptTurn) -> LedgerRequest {
+pub fn finish_waiting(turn: &str, kept: StoredTurn) -> LedgerRequest {
     LedgerRequest::Finish(FinishTurn {
         program: "p".to_owned(),
         turn: turn.to_owned(),
@@ -54,8 +54,8 @@
     })
 }
 
-pub fn kept(previous: Option<&str>, input: &'static [u8], output: &'static [u8]) -> KeptTurn {
-    KeptTurn {
+pub fn kept(previous: Option<&str>, input: &'static [u8], output: &'static [u8]) -> StoredTurn {
+    StoredTurn {
         previous: previous.map(str::to_owned),
         input: Bytes::from_static(input),
         output: Bytes::from_static(output),
--- a/crates/gateway-core/tests/ledger/overdrafts.rs
+++ b/crates/gateway-core/tests/ledger/overdrafts.rs
@@ -8,7 +8,7 @@
 };
 use elderworks_gateway_core::policy::Policy;
 use elderworks_protocol::ledger::{
-    LedgerRecord, LedgerReply, Witness, WitnessAnswer, WitnessQuestion, WitnessWish,
+    LedgerRecord, LedgerReply, Witness, WitnessAction, WitnessAnswer, WitnessRequest,
 };
 use elderworks_types::{NodeId, Offset, Timestamp};
 
@@ -293,7 +293,7 @@
     assert!(
         inquiries
             .iter()
-            .all(|inquiry| inquiry.question.wish == WitnessWish::Fence)
+            .all(|inquiry| inquiry.question.wish == WitnessAction::Fence)
     );
     for inquiry in &inquiries[..2] {
         answer(&mut owner, START, inquiry, WitnessAnswer::Fenced);
@@ -419,23 +419,23 @@
 fn a_witness_decides_once_and_answers_only_for_its_own_start() {
     struct Case {
         name: &'static str,
-        questions: &'static [(u64, WitnessWish)],
+        questions: &'static [(u64, WitnessAction)],
         answers: &'static [WitnessAnswer],
     }
     let cases = [
         Case {
             name: "activated first",
-            questions: &[(7, WitnessWish::Activate), (7, WitnessWish::Fence)],
+            questions: &[(7, WitnessAction::Activate), (7, WitnessAction::Fence)],
             answers: &[WitnessAnswer::Activated, WitnessAnswer::Activated],
         },
         Case {
             name: "fenced first",
-            questions: &[(7, WitnessWish::Fence), (7, WitnessWish::Activate)],
+            questions: &[(7, WitnessAction::Fence), (7, WitnessAction::Activate)],
             answers: &[WitnessAnswer::Fenced, WitnessAnswer::Fenced],
         },
         Case {
             name: "question for an earlier start",
-            questions: &[(6, WitnessWish::Fence), (7, WitnessWish::Activate)],
+            questions: &[(6, WitnessAction::Fence), (7, WitnessAction::Activate)],
             answers: &[WitnessAnswer::Unknown, WitnessAnswer::Activated],
         },
     ];
@@ -445,7 +445,7 @@
             .questions
             .iter()
             .map(|(boot, wish)| {
-                let question = WitnessQuestion {
+                let question = WitnessRequest {
                     overdraft: "o/1".to_owned(),
                     boot: *boot,
                     wish: *wish,
--- a/crates/gateway-core/tests/ledger/turns.rs
+++ b/crates/gateway-core/tests/ledger/turns.rs
@@ -7,7 +7,7 @@
     ACCOUNT_RETENTION, Action, AppendOutcome, LedgerState, MAX_CONTENT_BYTES, Ticket,
     approximate_bytes, kept_records,
 };
-use elderworks_protocol::ledger::{KeptTurn, LedgerRecord, LedgerReply};
+use elderworks_protocol::ledger::{LedgerRecord, LedgerReply, StoredTurn};
 
 use crate::fixtures::{START, begin, begin_after, carry_out, finish, kept, synced_owner};
 
@@ -138,7 +138,7 @@
         (2 * MAX_CONTENT_BYTES + 1, 10, 4),
     ];
     for (input, output, expected) in cases {
-        let content = KeptTurn {
+        let content = StoredTurn {
             previous: Some("before".to_owned()),
             input: Bytes::from(vec![b'i'; input]),
             output: Bytes::from(vec![b'o'; output]),
@@ -161,7 +161,7 @@
     let mut owner = synced_owner();
     let turns = 30;
     for number in 0..turns {
-        let content = KeptTurn {
+        let content = StoredTurn {
             previous: None,
             input: Bytes::from(vec![b'i'; 100_000]),
             output: Bytes::new(),
--- a/crates/gateway-core/tests/ledger_model.rs
+++ b/crates/gateway-core/tests/ledger_model.rs
@@ -13,7 +13,7 @@
     Ticket, WitnessMemory, WitnessQuery,
 };
 use elderworks_protocol::ledger::{
-    BeginTurn, FinishTurn, KeptTurn, LedgerRecord, LedgerReply, LedgerRequest, Witness,
+    BeginTurn, FinishTurn, LedgerRecord, LedgerReply, LedgerRequest, StoredTurn, Witness,
 };
 use elderworks_types::{NodeId, Offset, Timestamp};
 use proptest::prelude::*;
@@ -392,7 +392,7 @@
         *self.seen.used.entry(program).or_default() += used;
         let ticket = self.next_ticket();
         let input = Bytes::from(format!("input of {turn}"));
-        let content = kept.then(|| KeptTurn {
+        let content = kept.then(|| StoredTurn {
             previous: None,
             input: input.clone(),
             output: Bytes::new(),
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use elderworks_protocol::encode;
-use elderworks_protocol::feed::{FeedAnswer, FeedBeat, FeedQuestion, RecordCopy};
+use elderworks_protocol::feed::{FeedHeartbeat, FeedRequest, FeedResponse, RecordCopy};
 use elderworks_types::Offset;
 
 use super::{Source, workers};
@@ -16,7 +16,7 @@
 
 /// Starts to catch up if a reader's heartbeat shows that this node has missed changes, unless a
 /// catch-up is already in progress.
-pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedBeat) {
+pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedHeartbeat) {
     let feed = &gateway.feed;
     if feed.is_catching_up.get() || !is_behind(gateway, beat) {
         return;
@@ -31,19 +31,19 @@
     });
 }
 
-fn is_behind(gateway: &Gateway, beat: &FeedBeat) -> bool {
+fn is_behind(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
     let feed = &gateway.feed;
     has_newer_configuration(gateway, beat)
         || feed.nodes_end.get().is_none_or(|end| end < beat.nodes_end)
         || *feed.source.borrow() != Some(source_of(beat, beat.workers_revision))
 }
 
-fn has_newer_configuration(gateway: &Gateway, beat: &FeedBeat) -> bool {
+fn has_newer_configuration(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
     gateway.config_proof.borrow().version() < beat.config_version
 }
 
 /// Returns the reader and the revision of its workers that a heartbeat names.
-fn source_of(beat: &FeedBeat, revision: u64) -> Source {
+fn source_of(beat: &FeedHeartbeat, revision: u64) -> Source {
     Source {
         node: beat.node.clone(),
         boot: beat.boot,
@@ -54,7 +54,7 @@
 async fn catch_up(
     gateway: &Rc<Gateway>,
     address: SocketAddr,
-    beat: &FeedBeat,
+    beat: &FeedHeartbeat,
 ) -> Result<(), NoReply> {
     let ask = |question| {
         gateway
@@ -62,19 +62,19 @@
             .ask_feed(gateway, &beat.node, address, question)
     };
     if has_newer_configuration(gateway, beat)
-        && let FeedAnswer::Configuration(copy) = ask(FeedQuestion::Configuration).await?
+        && let FeedResponse::Configuration(copy) = ask(FeedRequest::Configuration).await?
     {
         watch::apply_publication(gateway, &record_of(copy));
     }
     let since = gateway.feed.nodes_end.get().unwrap_or_default();
     if gateway.feed.nodes_end.get().is_none() || since < beat.nodes_end {
-        apply_nodes(gateway, ask(FeedQuestion::Nodes { since }).await?);
+        apply_nodes(gateway, ask(FeedRequest::Nodes { since }).await?);
     }
     let known = gateway.feed.source.borrow().clone();
     let known = known.filter(|known| (&known.node, known.boot) == (&beat.node, beat.boot));
     let since = known.map(|known| known.revision);
     if since != Some(beat.workers_revision) {
-        let answer = ask(FeedQuestion::Workers { since }).await?;
+        let answer = ask(FeedRequest::Workers { since }).await?;
         apply_workers(gateway, beat, answer);
     }
     Ok(())
@@ -88,8 +88,8 @@
     }
 }
 
-fn apply_nodes(gateway: &Rc<Gateway>, answer: FeedAnswer) {
-    let FeedAnswer::Nodes { end, entries } = answer else {
+fn apply_nodes(gateway: &Rc<Gateway>, answer: FeedResponse) {
+    let FeedResponse::Nodes { end, entries } = answer else {
         return;
     };
     let records: Vec<StreamRecord> = entries.into_iter().map(record_of).collect();
@@ -98,8 +98,8 @@
     gateway.feed.nodes_received.send_replace(true);
 }
 
-fn apply_workers(gateway: &Rc<Gateway>, beat: &FeedBeat, answer: FeedAnswer) {
-    let FeedAnswer::Workers(update) = answer else {
+fn apply_workers(gateway: &Rc<Gateway>, beat: &FeedHeartbeat, answer: FeedResponse) {
+    let FeedResponse::Workers(update) = answer else {
         return;
     };
     if !gateway.feed.depends_on_others() {
@@ -113,31 +113,31 @@
 }
 
 /// Answers a listener's question.
-pub(crate) fn answer(gateway: &Gateway, question: &FeedQuestion) -> FeedAnswer {
+pub(crate) fn answer(gateway: &Gateway, question: &FeedRequest) -> FeedResponse {
     match question {
-        FeedQuestion::Configuration => {
+        FeedRequest::Configuration => {
             let record = gateway.config_record.borrow().clone();
-            record.map_or(FeedAnswer::Nothing, |record| {
-                FeedAnswer::Configuration(RecordCopy {
+            record.map_or(FeedResponse::Nothing, |record| {
+                FeedResponse::Configuration(RecordCopy {
                     offset: record.offset,
                     key: record.key,
                     value: record.value,
                 })
             })
         }
-        FeedQuestion::Nodes { since } => nodes_since(gateway, *since),
-        FeedQuestion::Workers { since } if gateway.feed.is_loaded.get() => {
+        FeedRequest::Nodes { since } => nodes_since(gateway, *since),
+        FeedRequest::Workers { since } if gateway.feed.is_loaded.get() => {
             let offset = gateway.feed.workers_offset.get();
-            FeedAnswer::Workers(gateway.feed.published.borrow().since(*since, offset))
+            FeedResponse::Workers(gateway.feed.published.borrow().since(*since, offset))
         }
-        FeedQuestion::Workers { .. } => FeedAnswer::Nothing,
+        FeedRequest::Workers { .. } => FeedResponse::Nothing,
     }
 }
 
 /// Returns the node entries written or dropped since an offset.
-fn nodes_since(gateway: &Gateway, since: Offset) -> FeedAnswer {
+fn nodes_since(gateway: &Gateway, since: Offset) -> FeedResponse {
     let Some(end) = gateway.feed.nodes_end.get() else {
-        return FeedAnswer::Nothing;
+        return FeedResponse::Nothing;
     };
     let nodes = gateway.nodes.borrow();
     let listed = nodes
@@ -153,7 +153,7 @@
         key: Some(node.as_str().to_owned()),
         value: bytes::Bytes::new(),
     });
-    FeedAnswer::Nodes {
+    FeedResponse::Nodes {
         end,
         entries: listed.chain(dropped).collect(),
     }
--- a/crates/gateway/src/feed/heartbeats.rs
+++ b/crates/gateway/src/feed/heartbeats.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use elderworks_protocol::encode;
-use elderworks_protocol::feed::FeedBeat;
+use elderworks_protocol::feed::FeedHeartbeat;
 use elderworks_protocol::gateway::GatewayDatagram;
 use elderworks_types::NodeId;
 use tokio::net::UdpSocket;
@@ -45,7 +45,7 @@
 }
 
 /// Returns this node's heartbeat; `None` before it has read all streams.
-fn current_heartbeat(gateway: &Gateway) -> Option<FeedBeat> {
+fn current_heartbeat(gateway: &Gateway) -> Option<FeedHeartbeat> {
     let feed = &gateway.feed;
     if !gateway.start.is_complete() {
         return None;
@@ -54,7 +54,7 @@
     let config_age = gateway.config_proof.borrow().last_read_age(now)?;
     let workers_age = now.since(feed.workers_read.get()?);
     let age = config_age.max(workers_age);
-    Some(FeedBeat {
+    Some(FeedHeartbeat {
         node: gateway.settings.node.clone(),
         boot: gateway.ledger.boot(),
         reads: feed.failing.borrow().is_empty(),
@@ -68,8 +68,8 @@
 }
 
 /// Returns whether two heartbeats differ in anything but their age.
-fn differs(last: &FeedBeat, beat: &FeedBeat) -> bool {
-    let same_age = FeedBeat {
+fn differs(last: &FeedHeartbeat, beat: &FeedHeartbeat) -> bool {
+    let same_age = FeedHeartbeat {
         age_us: last.age_us,
         ..beat.clone()
     };
@@ -77,7 +77,7 @@
 }
 
 /// Handles a reader's heartbeat.
-pub(crate) fn receive(gateway: &Rc<Gateway>, from: SocketAddr, beat: &FeedBeat) {
+pub(crate) fn receive(gateway: &Rc<Gateway>, from: SocketAddr, beat: &FeedHeartbeat) {
     let feed = &gateway.feed;
     if beat.node == gateway.settings.node {
         return;
@@ -111,7 +111,7 @@
 }
 
 /// Counts a heartbeat like a read of the configuration by this node, as old as the reader's own read.
-fn record_age(gateway: &Gateway, beat: &FeedBeat, age: Duration) {
+fn record_age(gateway: &Gateway, beat: &FeedHeartbeat, age: Duration) {
     let mut proof = gateway.config_proof.borrow_mut();
     if proof.version() == beat.config_version {
         proof.record_heartbeat(gateway.now(), age);
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -19,7 +19,7 @@
 use elderworks_gateway_core::feed::roles::{FeedTimes, FleetSize, Role, Roles, ranking};
 use elderworks_gateway_core::log_streams::Stream;
 use elderworks_gateway_core::workers::WorkerRecord;
-use elderworks_protocol::feed::FeedBeat;
+use elderworks_protocol::feed::FeedHeartbeat;
 use elderworks_types::{NodeId, Offset, Timestamp};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
@@ -105,7 +105,7 @@
     beat_sent_at: Cell<Option<Timestamp>>,
     upkeep_at: Cell<Option<Timestamp>>,
     /// The last heartbeat that this node sent.
-    last_beat: RefCell<Option<FeedBeat>>,
+    last_beat: RefCell<Option<FeedHeartbeat>>,
 }
 
 impl Feed {
--- a/crates/gateway/src/forward/quota.rs
+++ b/crates/gateway/src/forward/quota.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::attempt::NotRun;
 use elderworks_gateway_core::quota::{Basis, Order, OverQuota, Ticket};
 use elderworks_gateway_core::tenants::{Quota, TenantKey};
-use elderworks_protocol::gateway::GrantVerdict;
+use elderworks_protocol::gateway::GrantDecision;
 
 use super::attempts::Call;
 use crate::gateway::Gateway;
@@ -159,10 +159,10 @@
 }
 
 /// Converts a lessor's verdict; `None` if the lessor can't decide yet.
-fn grant_result(verdict: GrantVerdict) -> Option<Result<(), OverQuota>> {
+fn grant_result(verdict: GrantDecision) -> Option<Result<(), OverQuota>> {
     match verdict {
-        GrantVerdict::Granted => Some(Ok(())),
-        GrantVerdict::Refused {
+        GrantDecision::Granted => Some(Ok(())),
+        GrantDecision::Refused {
             pause_ms,
             is_held_back,
         } => Some(Err(OverQuota {
@@ -170,6 +170,6 @@
             basis: Basis::Lessor,
             is_held_back,
         })),
-        GrantVerdict::Unready => None,
+        GrantDecision::Unready => None,
     }
 }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -6,7 +6,7 @@
 use elderworks_gateway_core::events::EventSplitter;
 use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::run_moves::Engine;
-use elderworks_protocol::ledger::KeptTurn;
+use elderworks_protocol::ledger::StoredTurn;
 
 use super::attempts::Call;
 use super::flow::{FlowStep, StreamFlow};
@@ -166,7 +166,7 @@
     ) -> Result<(), CallError> {
         let previous = self.previous_turn();
         if let Some(permit) = &mut self.permit {
-            let kept = self.route.keeps_turns.then(|| KeptTurn {
+            let kept = self.route.keeps_turns.then(|| StoredTurn {
                 previous,
                 input: permit.input(),
                 output: forwarded.output.freeze(),
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -9,7 +9,7 @@
 use elderworks_gateway_core::outage_wait::{RETRY_AFTER, outage_wait};
 use elderworks_gateway_core::pressure::BufferKind;
 use elderworks_gateway_core::tenants::scoped;
-use elderworks_protocol::ledger::{BeginTurn, FinishTurn, KeptTurn, LedgerReply, LedgerRequest};
+use elderworks_protocol::ledger::{BeginTurn, FinishTurn, LedgerReply, LedgerRequest, StoredTurn};
 use elderworks_types::{NodeId, PartitionId};
 
 use super::attempts::Call;
@@ -80,7 +80,7 @@
 
     /// Reports the end of a complete turn. For a turn that is stored, waits until it is durable and
     /// returns whether it is.
-    pub(super) async fn finish(&mut self, kept: Option<KeptTurn>) -> bool {
+    pub(super) async fn finish(&mut self, kept: Option<StoredTurn>) -> bool {
         let Some(content) = kept else {
             return true;
         };
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -12,7 +12,7 @@
     WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
-use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessQuestion};
+use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessRequest};
 use elderworks_types::{PartitionId, Timestamp};
 use tokio::sync::{mpsc, oneshot};
 
@@ -55,7 +55,7 @@
 }
 
 /// A question to a witness and its answer, `None` if there was none.
-type WitnessResponse = (WitnessQuestion, Option<WitnessAnswer>);
+type WitnessResponse = (WitnessRequest, Option<WitnessAnswer>);
 
 /// The inputs of an owner.
 struct Inbox {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -25,7 +25,7 @@
 use elderworks_gateway_core::nodes::NodeDirectory;
 use elderworks_gateway_core::start::presumes_alive;
 use elderworks_membership::{Effect, Event, Membership, MembershipSettings};
-use elderworks_protocol::feed::{FeedAnswer, FeedQuestion};
+use elderworks_protocol::feed::{FeedRequest, FeedResponse};
 use elderworks_protocol::gateway::GatewayDatagram;
 use elderworks_protocol::gossip::MemberState;
 use elderworks_protocol::ledger::{GatewayFrame, LedgerReply, LedgerRequest, Witness};
@@ -266,8 +266,8 @@
         gateway: &Rc<Gateway>,
         node: &NodeId,
         address: SocketAddr,
-        question: FeedQuestion,
-    ) -> Result<FeedAnswer, NoReply> {
+        question: FeedRequest,
+    ) -> Result<FeedResponse, NoReply> {
         let link = self.link_to(gateway, node);
         let link = link.unwrap_or_else(|| self.open_link(gateway, node, address));
         link.ask_feed(gateway.next_sequence(), question).await
--- a/crates/gateway/src/peers/lessors.rs
+++ b/crates/gateway/src/peers/lessors.rs
@@ -10,7 +10,7 @@
 use elderworks_gateway_core::quota::{Order, lessor_of};
 use elderworks_gateway_core::tenants::TenantKey;
 use elderworks_protocol::encode;
-use elderworks_protocol::gateway::{GatewayDatagram, GrantVerdict, LessorMessage};
+use elderworks_protocol::gateway::{GatewayDatagram, GrantDecision, LessorMessage};
 use elderworks_types::{NodeId, Timestamp};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
@@ -41,7 +41,7 @@
     /// When this node last introduced itself to each node.
     introduced: RefCell<BTreeMap<NodeId, Timestamp>>,
     /// Senders for the answers to unanswered questions, by question number.
-    pending: RefCell<HashMap<u64, oneshot::Sender<GrantVerdict>>>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<GrantDecision>>>,
     /// Nodes that didn't answer, and when.
     silent: RefCell<BTreeMap<NodeId, Timestamp>>,
 }
@@ -110,14 +110,14 @@
         Lessor::Remote(lessor.clone())
     }
 
-    /// Asks another node to grant a request. Returns [`GrantVerdict::Unready`] if it doesn't answer.
+    /// Asks another node to grant a request. Returns [`GrantDecision::Unready`] if it doesn't answer.
     pub(crate) async fn ask(
         &self,
         gateway: &Gateway,
         lessor: &NodeId,
         tenant: TenantKey,
         order: Order,
-    ) -> GrantVerdict {
+    ) -> GrantDecision {
         let question = gateway.next_sequence();
         let (sender, mut receiver) = oneshot::channel();
         self.pending.borrow_mut().insert(question, sender);
@@ -145,7 +145,7 @@
         gateway.metrics.note_quota_grant("silent");
         let now = gateway.now();
         self.silent.borrow_mut().insert(lessor.clone(), now);
-        GrantVerdict::Unready
+        GrantDecision::Unready
     }
 
     /// Handles another node's message.
@@ -221,20 +221,20 @@
 }
 
 /// Decides a request as the tenant's lessor, by the quota in this node's current configuration.
-fn decide(gateway: &Gateway, tenant: TenantKey, to: &NodeId, order: Order) -> GrantVerdict {
+fn decide(gateway: &Gateway, tenant: TenantKey, to: &NodeId, order: Order) -> GrantDecision {
     let config = gateway.current_config();
     let known = config
         .as_ref()
         .and_then(|config| config.tenants.find(tenant));
     let Some(quota) = known.and_then(|tenant| tenant.quota) else {
-        return GrantVerdict::Unready;
+        return GrantDecision::Unready;
     };
     let now = gateway.now();
     let mut quotas = gateway.quotas.borrow_mut();
     match quotas.grant(now, tenant, quota, gateway.fleet(), Some(to), order) {
-        None => GrantVerdict::Unready,
-        Some(Ok(())) => GrantVerdict::Granted,
-        Some(Err(over)) => GrantVerdict::Refused {
+        None => GrantDecision::Unready,
+        Some(Ok(())) => GrantDecision::Granted,
+        Some(Err(over)) => GrantDecision::Refused {
             pause_ms: u32::try_from(over.retry_after.as_millis()).unwrap_or(u32::MAX),
             is_held_back: over.is_held_back,
         },
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use elderworks_protocol::feed::{FeedAnswer, FeedQuestion};
+use elderworks_protocol::feed::{FeedRequest, FeedResponse};
 use elderworks_protocol::ledger::{GatewayFrame, LedgerReply, LedgerRequest};
 use elderworks_protocol::split_frame;
 use elderworks_types::PartitionId;
@@ -44,7 +44,7 @@
 enum Response {
     Acknowledged,
     Replied(LedgerReply),
-    Feed(FeedAnswer),
+    Feed(FeedResponse),
 }
 
 /// Senders for the responses to unanswered requests, by request id.
@@ -104,8 +104,8 @@
     pub(super) async fn ask_feed(
         &self,
         id: u64,
-        question: FeedQuestion,
-    ) -> Result<FeedAnswer, NoReply> {
+        question: FeedRequest,
+    ) -> Result<FeedResponse, NoReply> {
         let mut responses = self.send(id, &GatewayFrame::FeedAsked { id, question })?;
         let answered = await_feed_answer(&mut responses).await;
         self.pending.borrow_mut().remove(&id);
@@ -129,7 +129,7 @@
 
 async fn await_feed_answer(
     responses: &mut mpsc::UnboundedReceiver<Response>,
-) -> Result<FeedAnswer, NoReply> {
+) -> Result<FeedResponse, NoReply> {
     match actix_rt::time::timeout(FEED_TIMEOUT, responses.recv()).await {
         Ok(Some(Response::Feed(answer))) => Ok(answer),
         Ok(_) => Err(NoReply::Unreachable),
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/parts.rs
@@ -7,7 +7,7 @@
 use elderworks_gateway_core::peer_loads::RoundRobin;
 use elderworks_gateway_core::placement::demand::{PrefixKey, PrefixUsage};
 use elderworks_protocol::encode;
-use elderworks_protocol::gateway::{GatewayDatagram, PartReport, PartUseReport};
+use elderworks_protocol::gateway::{GatewayDatagram, PrefixReport, PrefixUsageReport};
 use elderworks_types::Timestamp;
 use tokio::net::UdpSocket;
 
@@ -44,7 +44,7 @@
             if uses.is_empty() {
                 continue;
             }
-            let report = PartReport {
+            let report = PrefixReport {
                 node: gateway.settings.node.clone(),
                 service: service.to_owned(),
                 uses: uses
@@ -75,8 +75,8 @@
     }
 }
 
-fn use_report(part: PrefixKey, used: &PrefixUsage) -> PartUseReport {
-    PartUseReport {
+fn use_report(part: PrefixKey, used: &PrefixUsage) -> PrefixUsageReport {
+    PrefixUsageReport {
         part: part.0,
         tokens: used.tokens,
         turn_tenths: (used.turns * 10.0) as u32,
@@ -84,7 +84,7 @@
 }
 
 /// Applies another node's report.
-pub(super) fn receive(gateway: &Gateway, report: PartReport) {
+pub(super) fn receive(gateway: &Gateway, report: PrefixReport) {
     if report.node == gateway.settings.node {
         return;
     }
--- a/crates/logstream/src/stream.rs
+++ b/crates/logstream/src/stream.rs
@@ -51,7 +51,7 @@
     /// unreachable.
     pub unreachable_after: Duration,
     /// Whether to give each batch's bytes beside its records, to be relayed to other readers.
-    pub give_batches: bool,
+    pub emit_batches: bool,
 }
 
 impl Default for StreamSettings {
@@ -62,7 +62,7 @@
             retry_backoff: Duration::from_millis(50),
             max_group_bytes: 256 * 1024,
             unreachable_after: Duration::from_secs(3),
-            give_batches: false,
+            emit_batches: false,
         }
     }
 }
@@ -194,7 +194,7 @@
 
     /// Calls in question what is known of the stream's end, as after a pause of the process:
     /// [`Self::caught_up`] is false until a read that is opened from now on is answered.
-    pub fn doubt(&mut self, now: Timestamp) {
+    pub fn mark_end_stale(&mut self, now: Timestamp) {
         self.reader.doubt(now);
     }
 
@@ -286,7 +286,7 @@
     /// every reader alike and only move the position.
     fn deliver(&mut self, offset: Offset, bytes: &[u8], effects: &mut Vec<Effect<B>>) {
         self.reader.advance();
-        if self.settings.give_batches {
+        if self.settings.emit_batches {
             let bytes = bytes.to_vec();
             effects.push(Effect::Batch { offset, bytes });
         }
--- a/crates/logstream/tests/relayed.rs
+++ b/crates/logstream/tests/relayed.rs
@@ -14,7 +14,7 @@
 
 fn stream() -> LogStream<u32> {
     let settings = StreamSettings {
-        give_batches: true,
+        emit_batches: true,
         ..StreamSettings::default()
     };
     LogStream::new(writer(), Sequence(1), Offset(0), Timestamp(0), settings)
--- a/crates/node-core/src/core.rs
+++ b/crates/node-core/src/core.rs
@@ -172,7 +172,7 @@
             return;
         }
         for stream in self.streams.partitions.values_mut() {
-            stream.doubt(now);
+            stream.mark_end_stale(now);
         }
     }
 
--- a/crates/node-core/src/streams.rs
+++ b/crates/node-core/src/streams.rs
@@ -34,7 +34,7 @@
     now: Timestamp,
 ) -> LogStream<ControlBody> {
     let settings = StreamSettings {
-        give_batches: true,
+        emit_batches: true,
         ..StreamSettings::default()
     };
     LogStream::new(writer, Sequence(1), start, now, settings)
--- a/crates/platform-api/src/engine/chat.rs
+++ b/crates/platform-api/src/engine/chat.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Data of the event that ends a stream.
-pub const DONE: &str = "[DONE]";
+pub const DONE_MARKER: &str = "[DONE]";
 
 /// How long an engine goes on with a request that nobody reads, in milliseconds.
 pub const RESUME_GRACE_MS: u64 = 5_000;
--- a/crates/platform-api/src/engine/mod.rs
+++ b/crates/platform-api/src/engine/mod.rs
@@ -13,7 +13,8 @@
 
 pub use chat::{
     CancelResponse, ChatChunk, ChatCompletion, ChatRequest, ChatUsage, ChunkChoice,
-    CompletionChoice, DONE, Delta, FinishReason, PromptTokensDetails, RESUME_GRACE_MS, ResumeQuery,
+    CompletionChoice, DONE_MARKER, Delta, FinishReason, PromptTokensDetails, RESUME_GRACE_MS,
+    ResumeQuery,
 };
 pub use command::{Command, CommandResponse, EngineRole, EngineState, FencedCommand, ServingState};
 pub use memory::{
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -12,7 +12,7 @@
 /// A reader's heartbeat: how far it has read and how lately. Whoever is behind asks
 /// for the rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedBeat {
+pub struct FeedHeartbeat {
     /// The reader.
     pub node: NodeId,
     /// Names its start: numbers of an earlier one mean nothing any more.
@@ -35,7 +35,7 @@
 
 /// What a listener asks a reader for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FeedQuestion {
+pub enum FeedRequest {
     /// The configuration in force.
     Configuration,
     /// The nodes' entries from an offset on.
@@ -52,7 +52,7 @@
 
 /// A reader's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FeedAnswer {
+pub enum FeedResponse {
     /// The record of the configuration in force.
     Configuration(RecordCopy),
     /// Entries of nodes that have changed.
@@ -118,7 +118,7 @@
 
 impl WorkerRecord {
     /// Whether two entries say the same of a worker, but for how long it stays cold.
-    pub fn is_alike(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_cold_left(&self, other: &Self) -> bool {
         let mut other = other.clone();
         other.cold_left = self.cold_left;
         *self == other
--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -3,7 +3,7 @@
 use elderworks_types::{NodeId, Offset};
 use serde::{Deserialize, Serialize};
 
-use crate::feed::FeedBeat;
+use crate::feed::FeedHeartbeat;
 use crate::gossip::Datagram;
 
 /// A datagram between gateways.
@@ -20,7 +20,7 @@
     /// What the sender has sent on for tenants.
     Quota(QuotaReport),
     /// How much the sender's callers ask for first parts of prompts.
-    Parts(PartReport),
+    Parts(PrefixReport),
     /// What waits at the sender.
     Demand(DemandReport),
     /// Which zones' workers are to get nothing more, as far as the sender knows. Nodes of versions
@@ -28,7 +28,7 @@
     Zones(Vec<ZoneReport>),
     /// How far a reader of the log's streams has read. Passed over by earlier versions as well, which
     /// so are never asked for news.
-    Beat(FeedBeat),
+    Beat(FeedHeartbeat),
     /// What engines that the sender reads keep of prompts. Passed over by earlier versions.
     Memory(MemoryReport),
     /// Whether the log answers the sender. Passed over by earlier versions.
@@ -105,13 +105,13 @@
         /// From the question.
         question: u64,
         /// What the lessor has decided.
-        verdict: GrantVerdict,
+        verdict: GrantDecision,
     },
 }
 
 /// What a lessor has decided on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GrantVerdict {
+pub enum GrantDecision {
     /// It may be sent on, and counts.
     Granted,
     /// The quota holds no more now.
@@ -180,18 +180,18 @@
 /// How much one node's callers ask for first parts of prompts. It takes the place of the node's
 /// earlier reports on that service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartReport {
+pub struct PrefixReport {
     /// The sender.
     pub node: NodeId,
     /// The service.
     pub service: String,
     /// By part; those with little demand are left out.
-    pub uses: Vec<PartUseReport>,
+    pub uses: Vec<PrefixUsageReport>,
 }
 
 /// How much one part is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartUseReport {
+pub struct PrefixUsageReport {
     /// Stands for the part's name.
     pub part: u32,
     /// Its length in tokens.
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -4,11 +4,11 @@
 use elderworks_types::{NodeId, Offset, PartitionId};
 use serde::{Deserialize, Serialize};
 
-use crate::feed::{FeedAnswer, FeedQuestion};
+use crate::feed::{FeedRequest, FeedResponse};
 
 /// A turn of a conversation as it is kept: what it added, not what came before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptTurn {
+pub struct StoredTurn {
     /// The turn that it goes on from.
     pub previous: Option<String>,
     /// Its own input.
@@ -43,7 +43,7 @@
         /// The turn.
         turn: String,
         /// What it added.
-        content: KeptTurn,
+        content: StoredTurn,
     },
     /// A program's account, written anew before its earlier records leave the log's history.
     Account {
@@ -102,7 +102,7 @@
 
 /// What a witness is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WitnessWish {
+pub enum WitnessAction {
     /// Remember that the overdraft is used.
     Activate,
     /// Let it not be activated any more.
@@ -111,13 +111,13 @@
 
 /// A question to a witness of an overdraft.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessQuestion {
+pub struct WitnessRequest {
     /// The overdraft.
     pub overdraft: String,
     /// The start of the node that is asked.
     pub boot: u64,
     /// What it is asked for.
-    pub wish: WitnessWish,
+    pub wish: WitnessAction,
 }
 
 /// What a witness knows of an overdraft after a question.
@@ -144,7 +144,7 @@
         turn: String,
     },
     /// A question to the node as a witness; it need not act for the partition.
-    Witness(WitnessQuestion),
+    Witness(WitnessRequest),
 }
 
 /// Asks for leave to run a turn.
@@ -174,7 +174,7 @@
     /// Tokens that it generated.
     pub used: u64,
     /// Set if the turn ended whole and is to be kept.
-    pub kept: Option<KeptTurn>,
+    pub kept: Option<StoredTurn>,
     /// Whether the owner should let the report wait for a while if the log is down, in place of
     /// answering at once that it is.
     pub waits: bool,
@@ -258,18 +258,18 @@
         value: Bytes,
     },
     /// Asks a reader of the log's streams for what the sender has missed. Only to nodes that have
-    /// told a [`FeedBeat`](crate::feed::FeedBeat): earlier versions close the connection on it.
+    /// told a [`FeedHeartbeat`](crate::feed::FeedHeartbeat): earlier versions close the connection on it.
     FeedAsked {
         /// Returned in the answer.
         id: u64,
         /// What is asked.
-        question: FeedQuestion,
+        question: FeedRequest,
     },
     /// The answer.
     FeedTold {
         /// From the question.
         id: u64,
         /// What is told.
-        answer: FeedAnswer,
+        answer: FeedResponse,
     },
 }
--- a/crates/protocol/src/sidecar.rs
+++ b/crates/protocol/src/sidecar.rs
@@ -82,7 +82,7 @@
 
 impl SubmissionTag {
     /// The submission, if a refusal of it must bind every owner.
-    pub fn doubtful(self) -> Option<SubmissionId> {
+    pub fn id_if_resubmitted(self) -> Option<SubmissionId> {
         self.resubmitted.then_some(self.id)
     }
 }
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -1,9 +1,9 @@
 //! During an upgrade, nodes of this version and of the one before run side by side: what one writes the
 //! other must read. The bytes here are those of the version before.
 
-use elderworks_protocol::feed::FeedBeat;
+use elderworks_protocol::feed::FeedHeartbeat;
 use elderworks_protocol::gateway::{
-    ConfigProofAnswer, EngineMemoryReport, GatewayDatagram, GrantVerdict, LessorMessage,
+    ConfigProofAnswer, EngineMemoryReport, GatewayDatagram, GrantDecision, LessorMessage,
     LoadReport, LogReport, MemoryReport,
 };
 use elderworks_protocol::ledger::{GatewayFrame, LedgerRecord, LedgerReply, LedgerRequest};
@@ -90,7 +90,7 @@
 /// would end the connection, so it goes only to nodes that have sent such a datagram.
 #[test]
 fn new_messages_have_kinds_that_the_version_before_does_not_know() {
-    let beat = FeedBeat {
+    let beat = FeedHeartbeat {
         node: NodeId::new("n1"),
         boot: 1,
         reads: true,
@@ -123,12 +123,12 @@
         GatewayDatagram::Log(log),
         GatewayDatagram::Lessor(LessorMessage::Told {
             question: 1,
-            verdict: GrantVerdict::Granted,
+            verdict: GrantDecision::Granted,
         }),
     ] {
         assert!(kind(&encode(&datagram)) > LAST_KNOWN_DATAGRAM);
     }
-    let question = elderworks_protocol::feed::FeedQuestion::Configuration;
+    let question = elderworks_protocol::feed::FeedRequest::Configuration;
     let asked = GatewayFrame::FeedAsked { id: 1, question };
     assert!(kind(&encode(&asked)) > LAST_KNOWN_FRAME);
 }
--- a/crates/sidecar-core/src/core.rs
+++ b/crates/sidecar-core/src/core.rs
@@ -349,13 +349,13 @@
 }
 
 fn refusal(reason: RefusalReason) -> Refusal {
-    let may_pass = matches!(
+    let is_transient = matches!(
         reason,
         RefusalReason::Overloaded | RefusalReason::NoNodeReachable
     );
     Refusal {
         reason,
-        retry_after: may_pass.then_some(RETRY_AFTER),
+        retry_after: is_transient.then_some(RETRY_AFTER),
     }
 }
 
--- a/crates/sidecar-core/src/messages.rs
+++ b/crates/sidecar-core/src/messages.rs
@@ -243,7 +243,7 @@
         let Some(request) = self.open.get_mut(&RequestKey::Call(call)) else {
             return;
         };
-        if refusal.reason.may_pass() {
+        if refusal.reason.is_transient() {
             request.failures += 1;
             let delay = backoff::delay(request.failures, &mut self.random);
             let wait = refusal.retry_after.unwrap_or(Duration::ZERO).max(delay);
@@ -337,7 +337,7 @@
         return RefusedStart::NotTaken;
     }
     // A refusal for good may be one answer to several copies that the node had taken together.
-    match refusal.reason.may_pass() {
+    match refusal.reason.is_transient() {
         true => RefusedStart::AwaitsCopies,
         false => RefusedStart::Open,
     }
--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use elderworks_engine_model::{Completion, NumberedChunk, RequestId, Resumed};
 use elderworks_platform_api::engine::{
-    ChatChunk, ChatCompletion, ChatUsage, ChunkChoice, CompletionChoice, DONE, Delta,
+    ChatChunk, ChatCompletion, ChatUsage, ChunkChoice, CompletionChoice, DONE_MARKER, Delta,
 };
 use elderworks_types::{Message, Role};
 use futures_util::Stream;
@@ -88,7 +88,7 @@
         }
         if let Some(completion) = &news.completion {
             push_event(&mut events, self.next, &self.last_chunk(completion));
-            events.push_str(&format!("data: {DONE}\n\n"));
+            events.push_str(&format!("data: {DONE_MARKER}\n\n"));
         }
         Bytes::from(events)
     }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -75,7 +75,7 @@
 
 impl RefusalReason {
     /// Whether a refusal for this reason may turn into an answer if the same call is made later.
-    pub fn may_pass(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(
             self,
             Self::LogUnavailable
