--- a/crates/cli/tests/gateway_logs.rs
+++ b/crates/cli/tests/gateway_logs.rs
@@ -11,7 +11,7 @@
 
 use standin::caller::{Connection, Request};
 use standin::platform::{
-    Deployment, OwnAddress, SETTINGS_VARIABLE, answers_ready, settings_text_at,
+    Deployment, NodeEndpoints, SETTINGS_VARIABLE, reports_ready, settings_text_at,
 };
 use standin::worker::Behaviour;
 
@@ -22,9 +22,9 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// Ports at an address that no other test process of this machine has.
-fn own_address() -> OwnAddress {
+fn own_address() -> NodeEndpoints {
     let process = std::process::id().to_be_bytes();
-    OwnAddress {
+    NodeEndpoints {
         ip: Ipv4Addr::new(127, process[2] | 1, process[3], 77),
         callers: 7_301,
         readiness: 7_302,
@@ -45,7 +45,7 @@
     }
 }
 
-fn start(deployment: &Deployment, own: OwnAddress) -> Gateway {
+fn start(deployment: &Deployment, own: NodeEndpoints) -> Gateway {
     let text = settings_text_at("n1", deployment.store.address, own);
     let name = format!("elderworks-logs-{}.json", std::process::id());
     let settings = std::env::temp_dir().join(name);
@@ -79,7 +79,7 @@
     let worker = deployment.worker("tools", "w1", &[Behaviour::Echo]);
     let own = own_address();
     let mut gateway = start(&deployment, own);
-    while !answers_ready(SocketAddr::from((own.ip, own.readiness))).await {
+    while !reports_ready(SocketAddr::from((own.ip, own.readiness))).await {
         actix_rt::time::sleep(LOOK).await;
     }
     let callers = SocketAddr::from((own.ip, own.callers));
--- a/crates/cli/tests/soak/callers.rs
+++ b/crates/cli/tests/soak/callers.rs
@@ -256,7 +256,7 @@
 async fn leave_unread(request: &Request, node: SocketAddr, unread: Duration) -> Option<Answer> {
     let bytes = PADDING_BYTES.to_string();
     let request = request.clone().header(PADDING_HEADER, &bytes);
-    let answer = request.try_send_unread(node, unread, PATIENCE).await;
+    let answer = request.try_send_delayed_read(node, unread, PATIENCE).await;
     answer.map(|answer| Answer {
         body: answer.body.replace(&padding(PADDING_BYTES), ""),
         ..answer
--- a/crates/cli/tests/soak/faults.rs
+++ b/crates/cli/tests/soak/faults.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Fleet;
 use crate::proxy::Disturbance;
 use crate::standin::platform::configuration;
-use crate::standin::store::Trouble;
+use crate::standin::store::StoreFault;
 use crate::standin::worker::Behaviour;
 
 /// One fault in force.
@@ -32,9 +32,9 @@
     /// The same for the connections to a worker.
     ForgetWorkerLink { worker: usize },
     /// The store misbehaves for everyone.
-    Store(Trouble),
+    Store(StoreFault),
     /// The store misbehaves for one partition of the ledger.
-    StorePartition { partition: u64, trouble: Trouble },
+    StorePartition { partition: u64, trouble: StoreFault },
     /// The connections of one process to the store are disturbed.
     StoreLink {
         node: usize,
@@ -103,16 +103,16 @@
     (fault, random.random_range(SHORTEST..LONGEST))
 }
 
-fn draw_trouble(random: &mut ChaCha8Rng) -> Trouble {
+fn draw_trouble(random: &mut ChaCha8Rng) -> StoreFault {
     match random.random_range(0..8) {
-        0 => Trouble::Busy,
-        1 => Trouble::Throttled,
-        2 => Trouble::Full,
-        3 => Trouble::Silent,
-        4 => Trouble::Reset,
-        5 => Trouble::AnswersLost,
-        6 => Trouble::DoneLate(random.random_range(200..3_000)),
-        _ => Trouble::Slow(random.random_range(20..600)),
+        0 => StoreFault::Busy,
+        1 => StoreFault::Throttled,
+        2 => StoreFault::Full,
+        3 => StoreFault::Silent,
+        4 => StoreFault::Reset,
+        5 => StoreFault::AnswersLost,
+        6 => StoreFault::DoneLate(random.random_range(200..3_000)),
+        _ => StoreFault::Slow(random.random_range(20..600)),
     }
 }
 
@@ -170,7 +170,7 @@
         Fault::KillAll => fleet.nodes.iter_mut().for_each(|node| node.kill()),
         Fault::ForgetStoreLink { node } => fleet.nodes[*node].store_link.forget(),
         Fault::ForgetWorkerLink { worker } => fleet.workers[*worker].link.forget(),
-        Fault::Store(trouble) => fleet.deployment.store.set_trouble(*trouble),
+        Fault::Store(trouble) => fleet.deployment.store.set_fault(*trouble),
         Fault::StorePartition { partition, trouble } => {
             let store = &fleet.deployment.store;
             store.set_partition_trouble(*partition, *trouble);
@@ -209,10 +209,10 @@
             }
         }
         Fault::KillAll => fleet.nodes.iter_mut().for_each(|node| node.start()),
-        Fault::Store(_) => fleet.deployment.store.set_trouble(Trouble::None),
+        Fault::Store(_) => fleet.deployment.store.set_fault(StoreFault::None),
         Fault::StorePartition { partition, .. } => {
             let store = &fleet.deployment.store;
-            store.set_partition_trouble(*partition, Trouble::None);
+            store.set_partition_trouble(*partition, StoreFault::None);
         }
         Fault::StoreLink { node, .. } => fleet.nodes[*node].store_link.disturb(Disturbance::None),
         Fault::WorkerLink { worker, .. } => {
--- a/crates/cli/tests/soak/fleet.rs
+++ b/crates/cli/tests/soak/fleet.rs
@@ -10,7 +10,7 @@
 use crate::proxy::Proxy;
 use crate::standin::caller::Request;
 use crate::standin::platform::{
-    Deployment, OwnAddress, SETTINGS_VARIABLE, answers_ready, settings_text_at,
+    Deployment, NodeEndpoints, SETTINGS_VARIABLE, reports_ready, settings_text_at,
 };
 use crate::standin::worker::{Behaviour, Worker};
 
@@ -59,7 +59,7 @@
 /// One gateway process.
 pub struct Node {
     name: String,
-    own: OwnAddress,
+    own: NodeEndpoints,
     folder: PathBuf,
     child: Option<Child>,
     /// Between the process and the store.
@@ -245,7 +245,7 @@
         let host = 2 + self.place * MOST_NODES + number;
         let host = u8::try_from(host).expect("few nodes in few places");
         let ip = Ipv4Addr::new(127, process[2] | 1, process[3], host);
-        let own = OwnAddress {
+        let own = NodeEndpoints {
             ip,
             callers: FIRST_PORT,
             readiness: FIRST_PORT + 1,
@@ -279,7 +279,7 @@
     pub async fn wait_until_ready(&self) {
         for node in &self.nodes {
             let mut looks = 0;
-            while !answers_ready(node.readiness()).await {
+            while !reports_ready(node.readiness()).await {
                 looks += 1;
                 assert!(looks < LOOKS, "{} is never ready", node.name);
                 actix_rt::time::sleep(LOOK).await;
