--- a/crates/execution/src/counters.rs
+++ b/crates/execution/src/counters.rs
@@ -58,7 +58,7 @@
 impl Counters {
     /// The counts alone, for a partition that is no longer held.
     #[must_use]
-    pub fn without_sizes(self) -> Self {
+    pub fn without_gauges(self) -> Self {
         Self {
             runs: 0,
             open_calls: 0,
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -18,5 +18,5 @@
 pub use counters::Counters;
 pub use effect::{BackendRequest, Effect};
 pub use event::{Event, SubmittedCall};
-pub use partition::{Partition, RunSummary, tenant_holder};
+pub use partition::{Partition, RunSummary, tenant_budget_holder};
 pub use settings::{ExecutionSettings, Faults};
--- a/crates/execution/src/partition/attempts.rs
+++ b/crates/execution/src/partition/attempts.rs
@@ -199,7 +199,7 @@
         self.emit(Effect::Cancel { call, attempt });
         let run = call.run;
         if self.owned.is_some()
-            && !self.is_live(run)
+            && !self.is_run_active(run)
             && let Some(engine) = engine
         {
             self.emit(Effect::ReleaseMemory { run, engine });
@@ -271,7 +271,7 @@
             return;
         };
         let streamed = open.answer.text();
-        let content = if self.settings.faults.forget_beginning() {
+        let content = if self.settings.faults.omit_continued_text() {
             content
         } else if streamed.len() > whole.len() {
             streamed
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -68,7 +68,7 @@
             .runs
             .get(&id.run)
             .is_none_or(|work| work.accepting.is_none());
-        if paused && self.is_live(id.run) {
+        if paused && self.is_run_active(id.run) {
             let run = id.run;
             self.emit(Effect::RunPaused {
                 run,
@@ -129,7 +129,7 @@
         phase: RunPhase,
         connection: Option<Connection>,
     ) {
-        if !self.is_live(run) {
+        if !self.is_run_active(run) {
             return;
         }
         let work = self.soft.work(run, now);
--- a/crates/execution/src/partition/view.rs
+++ b/crates/execution/src/partition/view.rs
@@ -26,7 +26,7 @@
 
 impl Partition {
     /// Every run that this node has read, in order of id; for operators.
-    pub fn summaries(&self) -> impl Iterator<Item = RunSummary> {
+    pub fn run_summaries(&self) -> impl Iterator<Item = RunSummary> {
         self.journal.runs.values().map(|state| RunSummary {
             spec: state.spec.clone(),
             phase: state.phase,
--- a/crates/execution/src/settings.rs
+++ b/crates/execution/src/settings.rs
@@ -141,7 +141,7 @@
     /// A tool call is sent as soon as it arrives, whether or not its turn has come.
     dispatch_before_turn,
     /// An answer continued after a lost attempt is reported without its beginning.
-    forget_beginning,
+    omit_continued_text,
     /// A new owner does not take up the open calls that it finds.
     abandon_open_calls,
     /// A refusal does not say when to come back.
--- a/crates/execution/tests/budget.rs
+++ b/crates/execution/tests/budget.rs
@@ -7,7 +7,7 @@
 use common::World;
 use common::build::*;
 use elderworks_execution::event::AttemptFailure;
-use elderworks_execution::{Effect, Event, ExecutionSettings, tenant_holder};
+use elderworks_execution::{Effect, Event, ExecutionSettings, tenant_budget_holder};
 use elderworks_protocol::journal::RunLimits;
 use elderworks_protocol::sidecar::NodeMessage;
 use elderworks_types::{
@@ -250,8 +250,8 @@
 
 #[test]
 fn every_tenant_has_one_holder() {
-    let holder = tenant_holder(&tenant(), 64);
-    assert_eq!(holder, tenant_holder(&tenant(), 64));
+    let holder = tenant_budget_holder(&tenant(), 64);
+    assert_eq!(holder, tenant_budget_holder(&tenant(), 64));
     assert!(holder.0 < 64);
-    assert_eq!(tenant_holder(&TenantId::new("x"), 0), PartitionId(0));
+    assert_eq!(tenant_budget_holder(&TenantId::new("x"), 0), PartitionId(0));
 }
--- a/crates/execution/tests/common/invariants.rs
+++ b/crates/execution/tests/common/invariants.rs
@@ -64,7 +64,10 @@
         }
         let owner = &self.world.nodes[0].partition;
         for run in 0..2 {
-            assert!(!owner.is_live(RunId::root(run)), "run {run} did not end");
+            assert!(
+                !owner.is_run_active(RunId::root(run)),
+                "run {run} did not end"
+            );
         }
         assert_eq!(owner.counters().unreleased_runs, 0);
         let digests = self.world.digests();
--- a/crates/node-core/src/loading.rs
+++ b/crates/node-core/src/loading.rs
@@ -172,7 +172,7 @@
             return;
         };
         let replaced = std::mem::replace(&mut held.machine, machine);
-        self.ownership.retired += replaced.counters().without_sizes();
+        self.ownership.retired += replaced.counters().without_gauges();
         held.start = start;
         self.streams.partitions.insert(partition, stream);
         self.drive_partition_stream(partition, logstream::Event::Tick);
--- a/crates/node-core/src/operator.rs
+++ b/crates/node-core/src/operator.rs
@@ -61,7 +61,9 @@
     fn own_runs(&self) -> Vec<RunSummary> {
         let held = self.ownership.held.values();
         let owned = held.filter(|held| held.epoch.is_some());
-        let mut runs: Vec<RunSummary> = owned.flat_map(|held| held.machine.summaries()).collect();
+        let mut runs: Vec<RunSummary> = owned
+            .flat_map(|held| held.machine.run_summaries())
+            .collect();
         runs.sort_by_key(|run| (Reverse(run.started), run.spec.id));
         runs.truncate(MAX_LISTED_RUNS);
         runs
--- a/crates/node-core/src/ownership.rs
+++ b/crates/node-core/src/ownership.rs
@@ -250,7 +250,7 @@
         self.streams.partitions.remove(&partition);
         self.ownership.searches.remove(&partition);
         if let Some(held) = self.ownership.held.remove(&partition) {
-            self.ownership.retired += held.machine.counters().without_sizes();
+            self.ownership.retired += held.machine.counters().without_gauges();
         }
     }
 
--- a/crates/node-core/src/partitions.rs
+++ b/crates/node-core/src/partitions.rs
@@ -205,7 +205,7 @@
             return false;
         }
         let held = self.ownership.held.get(&partition);
-        held.is_some_and(|held| !held.machine.is_live(run))
+        held.is_some_and(|held| !held.machine.is_run_active(run))
     }
 
     pub(crate) fn program_of(&self, partition: PartitionId, run: RunId) -> Option<ResourceName> {
--- a/crates/node-core/src/peers.rs
+++ b/crates/node-core/src/peers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use elderworks_execution::{self as execution, tenant_holder};
+use elderworks_execution::{self as execution, tenant_budget_holder};
 use elderworks_protocol::peer::{FromNode, PeerMessage};
 use elderworks_types::{Credits, NodeId, PartitionId, Sequence, TenantId};
 
@@ -70,7 +70,7 @@
         request: Sequence,
         amount: Credits,
     ) {
-        let holder = tenant_holder(&tenant, self.settings.partition_count);
+        let holder = tenant_budget_holder(&tenant, self.settings.partition_count);
         if self.ownership.owns(holder) {
             self.allotment_requested(tenant, partition, request, amount);
             return;
@@ -91,7 +91,7 @@
         request: Sequence,
         amount: Credits,
     ) {
-        let holder = tenant_holder(&tenant, self.settings.partition_count);
+        let holder = tenant_budget_holder(&tenant, self.settings.partition_count);
         self.agenda.partition(
             holder,
             execution::Event::AllotmentRequested {
@@ -145,7 +145,7 @@
     /// Tells a partition gained just now the limits of the tenants whose budgets it holds.
     pub(crate) fn announce_tenant_limits(&mut self, partition: PartitionId) {
         for (tenant, limit) in &self.tenant_limits {
-            if tenant_holder(tenant, self.settings.partition_count) == partition {
+            if tenant_budget_holder(tenant, self.settings.partition_count) == partition {
                 let event = execution::Event::TenantLimit {
                     tenant: tenant.clone(),
                     limit: Some(*limit),
@@ -173,7 +173,7 @@
     }
 
     fn announce_tenant_limit(&mut self, tenant: TenantId, limit: Option<Credits>) {
-        let holder = tenant_holder(&tenant, self.settings.partition_count);
+        let holder = tenant_budget_holder(&tenant, self.settings.partition_count);
         if self.ownership.owns(holder) {
             self.agenda
                 .partition(holder, execution::Event::TenantLimit { tenant, limit });
--- a/crates/simulation/src/broken.rs
+++ b/crates/simulation/src/broken.rs
@@ -94,7 +94,7 @@
         Invariant::WholeAnswer,
         &[FaultKind::EngineRestart],
         |faults| {
-            faults.forget_beginning = true;
+            faults.omit_continued_text = true;
         },
     ),
     variant(
