--- a/crates/cli/src/demo/operator.rs
+++ b/crates/cli/src/demo/operator.rs
@@ -48,7 +48,7 @@
 }
 
 async fn put(system: &System, resource: &Resource) -> eyre::Result<()> {
-    let collection = Collection::Written(resource.spec.kind());
+    let collection = Collection::Writable(resource.spec.kind());
     let name = &resource.metadata.name;
     let url = format!("{}{API_PREFIX}/{collection}/{name}", system.operator_url());
     let document = Document::from(resource);
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -108,7 +108,7 @@
     let format: OutputFormat = options.output.unwrap_or_default();
     let text = match (options.subject, &options.id) {
         (Collection::Runs, Some(id)) => explain::run(client, id, format).await?,
-        (Collection::Written(Kind::Configuration), None) => explain::configuration(),
+        (Collection::Writable(Kind::Configuration), None) => explain::configuration(),
         _ => {
             let usage = "expected: explain run ID, or explain configuration";
             return Err(VerbError::Usage(usage.to_owned()));
--- a/crates/cli/src/verbs/apply.rs
+++ b/crates/cli/src/verbs/apply.rs
@@ -92,7 +92,7 @@
 
 async fn apply_once(client: &ApiClient, manifest: &Manifest) -> Result<String, VerbError> {
     let resource = &manifest.resource;
-    let collection = Collection::Written(resource.spec.kind());
+    let collection = Collection::Writable(resource.spec.kind());
     let name = resource.metadata.name.as_str();
     let before = match client.get(collection, name).await {
         Ok(document) => document.metadata.revision,
--- a/crates/cli/src/verbs/explain.rs
+++ b/crates/cli/src/verbs/explain.rs
@@ -112,7 +112,7 @@
             known.key.to_owned(),
             range(&known.unit),
             defaults.value(known),
-            known.meaning.to_owned(),
+            known.description.to_owned(),
         ]
     });
     table::render(&["KEY", "RANGE", "DEFAULT", "MEANING"], rows)
--- a/crates/cli/src/verbs/get.rs
+++ b/crates/cli/src/verbs/get.rs
@@ -48,10 +48,10 @@
     collection: Collection,
     name: &str,
 ) -> Result<Vec<String>, VerbError> {
-    let Collection::Written(Kind::Service | Kind::Budget) = collection else {
+    let Collection::Writable(Kind::Service | Kind::Budget) = collection else {
         return Ok(Vec::new());
     };
-    let programs = client.list(Collection::Written(Kind::Program)).await?;
+    let programs = client.list(Collection::Writable(Kind::Program)).await?;
     let users = programs.items.into_iter();
     Ok(users
         .filter(|program| refers_to(program, collection, name))
@@ -63,7 +63,7 @@
     let Some(spec) = &program.spec else {
         return false;
     };
-    if collection == Collection::Written(Kind::Budget) {
+    if collection == Collection::Writable(Kind::Budget) {
         return spec["budget"] == name;
     }
     let services = spec["services"].as_array();
--- a/crates/cli/src/verbs/table.rs
+++ b/crates/cli/src/verbs/table.rs
@@ -55,10 +55,10 @@
 
 fn columns(collection: Collection) -> &'static [Column] {
     match collection {
-        Collection::Written(Kind::Program) => PROGRAM_COLUMNS,
-        Collection::Written(Kind::Service) => MODEL_COLUMNS,
-        Collection::Written(Kind::Budget) => BUDGET_COLUMNS,
-        Collection::Written(Kind::Configuration) => CONFIGURATION_COLUMNS,
+        Collection::Writable(Kind::Program) => PROGRAM_COLUMNS,
+        Collection::Writable(Kind::Service) => MODEL_COLUMNS,
+        Collection::Writable(Kind::Budget) => BUDGET_COLUMNS,
+        Collection::Writable(Kind::Configuration) => CONFIGURATION_COLUMNS,
         Collection::Runs => RUN_COLUMNS,
         Collection::Nodes => NODE_COLUMNS,
         Collection::Engines => ENGINE_COLUMNS,
@@ -71,7 +71,7 @@
         return format!("no {collection}");
     }
     let columns = columns(collection);
-    let has_revision = matches!(collection, Collection::Written(_));
+    let has_revision = matches!(collection, Collection::Writable(_));
     let mut headings = vec!["NAME"];
     headings.extend(has_revision.then_some("REVISION"));
     headings.extend(columns.iter().map(|(heading, _)| *heading));
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -44,7 +44,7 @@
     ) -> Result<Self, VerbError> {
         let kind = match collection {
             None => None,
-            Some(Collection::Written(kind)) => Some(kind),
+            Some(Collection::Writable(kind)) => Some(kind),
             Some(other) => {
                 return Err(VerbError::Usage(format!("{other} cannot be watched")));
             }
@@ -54,7 +54,7 @@
 
     fn path(&self, after: u64) -> String {
         let collection = match self.kind {
-            Some(kind) => Collection::Written(kind).plural(),
+            Some(kind) => Collection::Writable(kind).plural(),
             None => "changes",
         };
         let name = self.name.iter().map(|name| format!("/{name}"));
@@ -135,7 +135,7 @@
     // With several lists, only what all of them cover is sure to be seen.
     let mut revision = None;
     for kind in target.kinds() {
-        let list = client.list(Collection::Written(kind)).await?;
+        let list = client.list(Collection::Writable(kind)).await?;
         let listed = list.revision.unwrap_or_default();
         revision = Some(revision.map_or(listed, |least: u64| least.min(listed)));
         for document in list.items {
--- a/crates/cli/tests/verbs.rs
+++ b/crates/cli/tests/verbs.rs
@@ -12,7 +12,7 @@
 use elderworks_types::resource::Kind;
 use support::{PATIENCE, Platform, client, sidecar, start_run, url};
 
-const BUDGETS: Collection = Collection::Written(Kind::Budget);
+const BUDGETS: Collection = Collection::Writable(Kind::Budget);
 
 fn budget(name: &str, limit: u64) -> String {
     format!(
@@ -53,7 +53,7 @@
         }
     }
 
-    let programs = Collection::Written(Kind::Program);
+    let programs = Collection::Writable(Kind::Program);
     let table = get::get(&client, programs, None, OutputFormat::Table).await;
     let table = table.expect("programs are listed");
     assert!(
@@ -64,7 +64,7 @@
     let again = from_yaml(&yaml.expect("it exists")).expect("what get prints can be applied");
     assert_eq!(again[0].resource.metadata.name.as_str(), "weekly-menu");
 
-    let services = Collection::Written(Kind::Service);
+    let services = Collection::Writable(Kind::Service);
     let text = get::describe(&client, services, "drafting").await;
     let text = text.expect("it exists");
     assert!(
--- a/crates/control/src/api/collection.rs
+++ b/crates/control/src/api/collection.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Collection {
     /// Written by operators.
-    Written(Kind),
+    Writable(Kind),
     /// Runs, read-only.
     Runs,
     /// Nodes, read-only.
@@ -22,11 +22,11 @@
 
 /// Every collection with its name in paths and the name of its kind.
 const NAMES: [(Collection, &str, &str); 7] = [
-    (Collection::Written(Kind::Program), "programs", "Program"),
-    (Collection::Written(Kind::Service), "services", "Service"),
-    (Collection::Written(Kind::Budget), "budgets", "Budget"),
+    (Collection::Writable(Kind::Program), "programs", "Program"),
+    (Collection::Writable(Kind::Service), "services", "Service"),
+    (Collection::Writable(Kind::Budget), "budgets", "Budget"),
     (
-        Collection::Written(Kind::Configuration),
+        Collection::Writable(Kind::Configuration),
         "configurations",
         "Configuration",
     ),
--- a/crates/control/src/api/error.rs
+++ b/crates/control/src/api/error.rs
@@ -75,7 +75,7 @@
 
     /// The same error, naming a field.
     #[must_use]
-    pub fn at(self, path: impl Into<String>) -> Self {
+    pub fn with_path(self, path: impl Into<String>) -> Self {
         Self {
             path: Some(path.into()),
             ..self
@@ -84,7 +84,7 @@
 
     /// The same error, saying when to come back.
     #[must_use]
-    pub fn retry_after(self, delay: Duration) -> Self {
+    pub fn with_retry_after(self, delay: Duration) -> Self {
         let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         Self {
             retry_after_ms: Some(millis),
@@ -99,12 +99,12 @@
             run: None,
             ..Self::new(ErrorCode::OutcomeUnknown, message)
         }
-        .retry_after(UNAVAILABLE_RETRY_AFTER)
+        .with_retry_after(UNAVAILABLE_RETRY_AFTER)
     }
 
     /// Nothing was changed, and asking again soon may succeed.
     pub fn unavailable(message: impl Into<String>) -> Self {
-        Self::new(ErrorCode::Unavailable, message).retry_after(UNAVAILABLE_RETRY_AFTER)
+        Self::new(ErrorCode::Unavailable, message).with_retry_after(UNAVAILABLE_RETRY_AFTER)
     }
 }
 
@@ -118,7 +118,7 @@
             },
             ControlError::NotFound => Self::new(ErrorCode::NotFound, message),
             ControlError::Invalid { path, problem } => {
-                Self::new(ErrorCode::Invalid, problem).at(path)
+                Self::new(ErrorCode::Invalid, problem).with_path(path)
             }
             ControlError::Unavailable => Self::unavailable(message),
         }
@@ -127,6 +127,6 @@
 
 impl From<ManifestError> for ApiError {
     fn from(error: ManifestError) -> Self {
-        Self::new(ErrorCode::Invalid, error.problem).at(error.path)
+        Self::new(ErrorCode::Invalid, error.problem).with_path(error.path)
     }
 }
--- a/crates/control/src/changes.rs
+++ b/crates/control/src/changes.rs
@@ -7,7 +7,7 @@
 use crate::Change;
 
 /// How many changes are remembered.
-pub const REMEMBERED_CHANGES: usize = 2_048;
+pub const MAX_RETAINED_CHANGES: usize = 2_048;
 
 /// The latest changes, in order of revision.
 #[derive(Clone, Debug, Default)]
@@ -29,7 +29,7 @@
     /// Adds the latest change, dropping the oldest one if there are too many.
     pub(crate) fn push(&mut self, change: Change) {
         self.changes.push_back(change);
-        if self.changes.len() <= REMEMBERED_CHANGES {
+        if self.changes.len() <= MAX_RETAINED_CHANGES {
             return;
         }
         if let Some(oldest) = self.changes.pop_front() {
--- a/crates/control/src/configuration/keys.rs
+++ b/crates/control/src/configuration/keys.rs
@@ -9,7 +9,7 @@
     /// Its name, `group.key`.
     pub key: &'static str,
     /// What it decides.
-    pub meaning: &'static str,
+    pub description: &'static str,
     /// Unit, range and where the value is kept.
     pub unit: Unit,
 }
@@ -47,7 +47,7 @@
 pub const KNOWN_KEYS: &[KnownKey] = &[
     KnownKey {
         key: "admission.maxOpenCalls",
-        meaning: "calls that may be waiting or open in one partition; more are refused",
+        description: "calls that may be waiting or open in one partition; more are refused",
         unit: Unit::Count {
             min: 1,
             max: 1_000_000,
@@ -56,7 +56,7 @@
     },
     KnownKey {
         key: "call.earlierCallWait",
-        meaning: "longest time that a call waits for an earlier one of its run to arrive",
+        description: "longest time that a call waits for an earlier one of its run to arrive",
         unit: Unit::Duration {
             min: Duration::from_millis(100),
             max: Duration::from_secs(60),
@@ -65,7 +65,7 @@
     },
     KnownKey {
         key: "call.maxAttempts",
-        meaning: "attempts of one call, the first included; only repeatable calls get more than one",
+        description: "attempts of one call, the first included; only repeatable calls get more than one",
         unit: Unit::Count {
             min: 1,
             max: 10,
@@ -74,7 +74,7 @@
     },
     KnownKey {
         key: "call.modelTimeout",
-        meaning: "longest time for one attempt of a model call",
+        description: "longest time for one attempt of a model call",
         unit: Unit::Duration {
             min: Duration::from_secs(1),
             max: Duration::from_secs(3_600),
@@ -83,7 +83,7 @@
     },
     KnownKey {
         key: "control.snapshotInterval",
-        meaning: "records of the control stream between two snapshots",
+        description: "records of the control stream between two snapshots",
         unit: Unit::Count {
             min: 64,
             max: 1_000_000,
@@ -92,7 +92,7 @@
     },
     KnownKey {
         key: "engine.silentAfter",
-        meaning: "an engine that has not answered for this long gets no new work",
+        description: "an engine that has not answered for this long gets no new work",
         unit: Unit::Duration {
             min: Duration::from_millis(500),
             max: Duration::from_secs(10),
@@ -101,7 +101,7 @@
     },
     KnownKey {
         key: "retry.budgetPercent",
-        meaning: "retries allowed in percent of first attempts",
+        description: "retries allowed in percent of first attempts",
         unit: Unit::Percent {
             max: 100,
             field: |settings| &mut settings.retry_budget_percent,
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -43,7 +43,7 @@
 impl Watches {
     /// Opens a watch and returns the changes that it has missed so far. Changes at or before
     /// `after` are never sent, also if this node has yet to apply them.
-    pub fn begin(
+    pub fn subscribe(
         &mut self,
         control: &Control,
         request: RequestId,
@@ -61,12 +61,12 @@
     }
 
     /// Closes a watch.
-    pub fn end(&mut self, request: RequestId) {
+    pub fn unsubscribe(&mut self, request: RequestId) {
         self.open.remove(&request);
     }
 
     /// The watches to be told of a change, in order of request.
-    pub fn interested<'a>(
+    pub fn subscribers_of<'a>(
         &'a self,
         change: &'a Change,
     ) -> impl Iterator<Item = RequestId> + use<'a> {
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -134,7 +134,7 @@
 
     /// Whether this node has heard from its cell, or waited long enough to be the first of it.
     /// Until then, what it believes of ownership is worth nothing.
-    pub fn is_settled(&self, now: Timestamp) -> bool {
+    pub fn is_join_complete(&self, now: Timestamp) -> bool {
         let waited = self
             .started
             .is_some_and(|started| now.since(started) >= JOIN_PATIENCE);
--- a/crates/membership/tests/membership/detection.rs
+++ b/crates/membership/tests/membership/detection.rs
@@ -21,7 +21,7 @@
     for count in [1, 2, 3, 8, 20, 60] {
         let mut fleet = joined(count, 1);
         fleet.run_until(BOUND, |fleet| {
-            fleet.running().all(|node| node.is_settled(fleet.now))
+            fleet.running().all(|node| node.is_join_complete(fleet.now))
         });
     }
 }
--- a/crates/node-core/src/control_plane.rs
+++ b/crates/node-core/src/control_plane.rs
@@ -225,7 +225,7 @@
     /// Whether this node knows its peers, or has waited for them long enough.
     fn is_settled(&self) -> bool {
         let membership = self.membership.as_ref();
-        membership.is_some_and(|membership| membership.is_settled(self.now))
+        membership.is_some_and(|membership| membership.is_join_complete(self.now))
     }
 
     /// The highest next offset of the control stream that any peer has told of.
--- a/crates/node-core/src/operator.rs
+++ b/crates/node-core/src/operator.rs
@@ -34,7 +34,7 @@
                 return;
             }
             OperatorRequest::Unwatch { watch } => {
-                self.watches.end(watch);
+                self.watches.unsubscribe(watch);
                 return;
             }
             OperatorRequest::Get { kind, name } => {
@@ -82,7 +82,7 @@
     }
 
     fn open_watch(&mut self, watch: RequestId, kind: Option<Kind>, after: Offset) {
-        let begun = self.watches.begin(&self.control, watch, kind, after);
+        let begun = self.watches.subscribe(&self.control, watch, kind, after);
         let full = begun == Err(WatchError::TooMany);
         self.counters.watch_overflow += u64::from(full);
         let (reply, missed) = match begun {
@@ -100,7 +100,7 @@
 
     /// Tells every watcher that is interested in a change.
     pub(crate) fn tell_watchers(&mut self, change: &Change) {
-        for watch in self.watches.interested(change) {
+        for watch in self.watches.subscribers_of(change) {
             let change = change.clone();
             self.agenda.effect(Effect::WatchEvent { watch, change });
         }
--- a/crates/node/src/operator/respond.rs
+++ b/crates/node/src/operator/respond.rs
@@ -58,16 +58,16 @@
             (Target::Item(collection, name), Method::GET) => {
                 self.get(collection, name, query).await
             }
-            (Target::Item(Collection::Written(kind), name), Method::PUT) => {
+            (Target::Item(Collection::Writable(kind), name), Method::PUT) => {
                 let expected = expected_revision(request.headers())?;
                 let body = read_body(request.take_payload(), self.max_body_bytes).await?;
                 self.put(kind, &name, expected, &body).await
             }
-            (Target::Item(Collection::Written(kind), name), Method::DELETE) => {
+            (Target::Item(Collection::Writable(kind), name), Method::DELETE) => {
                 let expected = expected_revision(request.headers())?;
                 self.delete(kind, &name, expected).await
             }
-            (Target::Item(Collection::Written(_), _), method) => {
+            (Target::Item(Collection::Writable(_), _), method) => {
                 Err(method_not_allowed(&method, "GET, PUT, DELETE"))
             }
             (_, method) => Err(method_not_allowed(&method, "GET")),
@@ -95,7 +95,7 @@
             return self.watch_collection(collection, None, query).await;
         }
         let list = match collection {
-            Collection::Written(kind) => {
+            Collection::Writable(kind) => {
                 let (items, revision) = self.list_written(kind).await?;
                 let items = self.with_status(kind, &items).await?;
                 ListDocument::new(collection, Some(revision.0), items)
@@ -132,7 +132,7 @@
             return self.watch_collection(collection, Some(name), query).await;
         }
         let document = match collection {
-            Collection::Written(kind) => {
+            Collection::Writable(kind) => {
                 let resource = self.get_written(kind, &name).await?;
                 let documents = self.with_status(kind, &[resource]).await?;
                 return Ok(resource_response(&find(documents, &name)?));
@@ -190,7 +190,7 @@
         query: Query,
     ) -> Answer {
         match collection {
-            Collection::Written(kind) => self.watch(Some(kind), name, query).await,
+            Collection::Writable(kind) => self.watch(Some(kind), name, query).await,
             Collection::Runs | Collection::Nodes | Collection::Engines => {
                 let message = format!("{collection} cannot be watched");
                 Err(ApiError::new(ErrorCode::MethodNotAllowed, message))
@@ -223,7 +223,7 @@
         return Ok(());
     }
     let message = format!("the request says {expected:?}, the document {found:?}");
-    Err(ApiError::new(ErrorCode::Invalid, message).at(path))
+    Err(ApiError::new(ErrorCode::Invalid, message).with_path(path))
 }
 
 /// Compares without telling by its duration where the texts differ.
--- a/crates/node/tests/operator_api.rs
+++ b/crates/node/tests/operator_api.rs
@@ -324,7 +324,7 @@
 #[actix_rt::test]
 async fn watch_from_a_forgotten_revision_has_to_list_anew() {
     let server = TestServer::start();
-    for limit in 1..=(elderworks_control::changes::REMEMBERED_CHANGES as u64 + 2) {
+    for limit in 1..=(elderworks_control::changes::MAX_RETAINED_CHANGES as u64 + 2) {
         put_budget(&server, "lublin", limit, None).await;
     }
     let (status, body) = get(&server, "/apis/v1/budgets?watch=true&after=1").await;
--- a/crates/node/tests/operator_support/mod.rs
+++ b/crates/node/tests/operator_support/mod.rs
@@ -114,7 +114,7 @@
     }
 
     fn tell_watchers(&mut self, change: &Change) {
-        for watch in self.watches.interested(change) {
+        for watch in self.watches.subscribers_of(change) {
             self.bridge.change(watch, change.clone());
         }
     }
@@ -146,7 +146,7 @@
     }
 
     fn begin_watch(&mut self, request: RequestId, kind: Option<Kind>, after: Offset) {
-        let missed = self.watches.begin(&self.control, request, kind, after);
+        let missed = self.watches.subscribe(&self.control, request, kind, after);
         let begun = missed.as_ref().map(|_| ()).map_err(|error| *error);
         self.bridge.reply(request, OperatorReply::Watching(begun));
         for change in missed.into_iter().flatten() {
