--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,22 +1,19 @@
-//! Decisions of the callers' gateway.
+//! Decision logic of the callers' gateway.
 //!
-//! Pure state machines and functions without I/O or clock: which route a request takes, which
-//! worker runs it, what becomes of an attempt that failed, whether a program's budget allows a
-//! turn, and which turns a conversation consists of. The driver is `elderworks-gateway`.
+//! Contains pure state machines and functions without I/O or a clock: routing of requests,
+//! selection of workers, handling of failed attempts, budgets of programs, and storage of
+//! conversations. The driver is `elderworks-gateway`.
 
 pub mod access;
-pub mod acting;
 pub mod admission;
 pub mod append_pace;
 pub mod attempt;
 pub mod balancer;
 pub mod call;
-pub mod change_batch;
 pub mod cold;
 pub mod config;
 pub mod config_proof;
 pub mod departures;
-pub mod directory;
 pub mod drain;
 pub mod engine_memory;
 pub mod engines;
@@ -24,17 +21,20 @@
 pub mod events;
 pub mod feed;
 pub mod ledger;
-pub mod log_causes;
+pub mod log_call_purpose;
 pub mod log_outage;
-pub mod log_reach;
+pub mod log_reachability;
+pub mod log_streams;
 pub mod nodes;
 pub mod outage_wait;
 pub mod ownership;
+pub mod partition_failover;
 pub mod peer_loads;
 pub mod placement;
 pub mod policy;
 pub mod pressure;
 pub mod quota;
+pub mod recompute_throttle;
 pub mod response_time;
 pub mod run_moves;
 pub mod split;
--- a/crates/gateway/src/ledger/owner.rs
+++ b/crates/gateway/src/ledger/owner.rs
@@ -1,94 +1,99 @@
-//! Drives one partition's ledger on this node: carries its reads and appends out.
+//! The task that drives a [`PartitionOwner`]: executes its reads and appends, asks witnesses and sends
+//! its replies.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderworks_gateway_core::append_pace::{AppendPace, Paces, Urgency};
+use elderworks_gateway_core::append_pace::{AppendIntervals, AppendPacer, AppendUrgency};
 use elderworks_gateway_core::config::Route;
 use elderworks_gateway_core::ledger::{
-    Action, Inquiry, OverdraftUse, PartitionOwner, RETENTION, SLOW_CALL, Ticket,
+    Action, OverdraftStatus, PartitionOwner, SLOW_CALL_THRESHOLD, TURN_RETENTION, Ticket,
+    WitnessQuery,
 };
 use elderworks_gateway_core::policy::Policy;
-use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessQuestion};
+use elderworks_protocol::ledger::{LedgerReply, LedgerRequest, WitnessAnswer, WitnessRequest};
 use elderworks_types::{PartitionId, Timestamp};
 use tokio::sync::{mpsc, oneshot};
 
 use super::log_calls::{PartitionReads, append};
 use crate::gateway::Gateway;
 
-/// Interval at which old accounts and turns are dropped or written anew.
+/// Interval at which expired accounts and turns are dropped, and live ones rewritten.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Most appends in a row of records that are written anew.
+/// Maximum number of consecutive appends that rewrite old records.
 const MAX_REWRITES: u32 = 16;
 
-/// A request with the way back to whoever made it.
+/// A request and the channel for its reply.
 pub(super) type Job = (LedgerRequest, oneshot::Sender<LedgerReply>);
 
-/// Starts to act for a partition.
+/// Starts the owner of a partition and returns its request queue.
 pub(super) fn spawn(gateway: &Rc<Gateway>, partition: PartitionId) -> mpsc::UnboundedSender<Job> {
     let (sender, jobs) = mpsc::unbounded_channel();
-    let (heard, answers) = mpsc::unbounded_channel();
+    let (responses, answers) = mpsc::unbounded_channel();
     let driver = Driver {
         gateway: gateway.clone(),
         partition,
         owner: PartitionOwner::with_policy(owner_name(gateway), gateway.settings.policy),
-        waiting: HashMap::new(),
-        conflicts_counted: 0,
+        pending: HashMap::new(),
+        counted_conflicts: 0,
         reads: Some(PartitionReads::new(gateway, partition)),
-        overdraft_use: OverdraftUse::None,
-        heard,
-        pace: AppendPace::new(paces(&gateway.settings.policy)),
+        overdraft_use: OverdraftStatus::None,
+        responses,
+        pace: AppendPacer::new(paces(&gateway.settings.policy)),
     };
     actix_rt::spawn(driver.run(Inbox { jobs, answers }));
     sender
 }
 
-fn paces(policy: &Policy) -> Paces {
-    Paces {
-        leave: Duration::from_millis(policy.leave_pace_ms),
-        ends: Duration::from_millis(policy.end_pace_ms),
+fn paces(policy: &Policy) -> AppendIntervals {
+    AppendIntervals {
+        permits: Duration::from_millis(policy.leave_pace_ms),
+        completions: Duration::from_millis(policy.end_pace_ms),
     }
 }
 
-/// What a witness has answered, `None` if nothing came.
-type Heard = (WitnessQuestion, Option<WitnessAnswer>);
+/// A question to a witness and its answer, `None` if there was none.
+type WitnessResponse = (WitnessRequest, Option<WitnessAnswer>);
 
-/// What comes to an owner.
+/// The inputs of an owner.
 struct Inbox {
     jobs: mpsc::UnboundedReceiver<Job>,
-    answers: mpsc::UnboundedReceiver<Heard>,
+    answers: mpsc::UnboundedReceiver<WitnessResponse>,
 }
 
-/// A name that no other start of a node bears.
+/// Returns a name for an owner that is unique across nodes and restarts.
 fn owner_name(gateway: &Gateway) -> String {
     format!("{}#{:016x}", gateway.settings.node, rand::random::<u64>())
 }
 
-/// Who waits for a reply.
-struct Waiting {
+/// A request that has not been replied to.
+struct PendingRequest {
     reply: oneshot::Sender<LedgerReply>,
-    urgency: Urgency,
+    urgency: AppendUrgency,
 }
 
+/// The owner of one partition with the I/O that it needs.
 struct Driver {
     gateway: Rc<Gateway>,
     partition: PartitionId,
     owner: PartitionOwner,
-    waiting: HashMap<Ticket, Waiting>,
-    conflicts_counted: u64,
-    /// Taken while a read is under way.
+    pending: HashMap<Ticket, PendingRequest>,
+    /// Append conflicts already added to the metric.
+    counted_conflicts: u64,
+    /// `None` while a read is in flight.
     reads: Option<PartitionReads>,
-    /// As last logged.
-    overdraft_use: OverdraftUse,
-    /// Where answers of witnesses go.
-    heard: mpsc::UnboundedSender<Heard>,
-    /// When the next append may begin.
-    pace: AppendPace,
+    /// The use of the overdraft as last logged.
+    overdraft_use: OverdraftStatus,
+    /// Sends the responses of witnesses to [`Inbox::answers`].
+    responses: mpsc::UnboundedSender<WitnessResponse>,
+    /// Decides when the next append may start.
+    pace: AppendPacer,
 }
 
 impl Driver {
+    /// Runs the owner until its request queue is closed.
     async fn run(mut self, mut inbox: Inbox) {
         let mut upkeep = actix_rt::time::interval(UPKEEP_INTERVAL);
         let mut peers = self.gateway.peers.changes();
@@ -96,15 +101,15 @@
             while let Ok(job) = inbox.jobs.try_recv() {
                 self.submit(job);
             }
-            self.collect(&mut inbox).await;
+            self.collect_batch(&mut inbox).await;
             self.owner.set_preferred(self.is_preferred());
             self.owner.set_serves_without_log(self.serves_without_log());
             let witnesses = self.gateway.peers.witnesses(&self.gateway, self.partition);
             self.owner.set_witnesses(witnesses);
             let action = self.owner.next_action(self.gateway.now());
-            self.hand_on();
+            self.dispatch_output();
             let Action::Wait { until } = action else {
-                self.carry_out(action, &mut inbox).await;
+                self.execute(action, &mut inbox).await;
                 continue;
             };
             tokio::select! {
@@ -112,67 +117,70 @@
                     Some(job) => self.submit(job),
                     None => return,
                 },
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
                 // The sender lives as long as the gateway.
                 _ = peers.changed() => {}
                 () = sleep_until(&self.gateway, until) => {}
-                _ = upkeep.tick() => self.keep_up(&mut inbox).await,
+                _ = upkeep.tick() => self.run_upkeep(&mut inbox).await,
             }
         }
     }
 
-    /// While calls follow each other, takes what comes for some milliseconds, so that one call
-    /// carries it. What needs no call is answered meanwhile.
-    async fn collect(&mut self, inbox: &mut Inbox) {
+    /// Collects requests for some milliseconds if the previous append was recent, so that a single
+    /// append can write all of them. Requests that need no append are answered immediately.
+    async fn collect_batch(&mut self, inbox: &mut Inbox) {
         while let Some(wait) = self.pace.wait(self.gateway.now(), self.urgency()) {
             tokio::select! {
                 biased;
                 () = actix_rt::time::sleep(wait) => {}
                 Some(job) = inbox.jobs.recv() => self.submit(job),
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
             }
-            self.hand_on();
+            self.dispatch_output();
         }
     }
 
-    fn urgency(&self) -> Urgency {
-        let mut waiting = self.waiting.values();
-        match waiting.any(|waiting| waiting.urgency == Urgency::Leave) {
-            true => Urgency::Leave,
-            false => Urgency::Ends,
+    /// Returns the highest urgency of the pending requests.
+    fn urgency(&self) -> AppendUrgency {
+        let mut pending = self.pending.values();
+        match pending.any(|request| request.urgency == AppendUrgency::Permit) {
+            true => AppendUrgency::Permit,
+            false => AppendUrgency::Completions,
         }
     }
 
     fn submit(&mut self, (request, reply): Job) {
         let ticket = Ticket(self.gateway.next_sequence());
         let urgency = match &request {
-            LedgerRequest::Finish(_) => Urgency::Ends,
-            _ => Urgency::Leave,
+            LedgerRequest::Finish(_) => AppendUrgency::Completions,
+            _ => AppendUrgency::Permit,
         };
-        self.waiting.insert(ticket, Waiting { reply, urgency });
+        self.pending
+            .insert(ticket, PendingRequest { reply, urgency });
         self.owner.submit(self.gateway.now(), ticket, request);
     }
 
-    fn hear(&mut self, (question, answer): &Heard) {
-        self.owner.on_inquiry(self.gateway.now(), question, *answer);
+    fn take_response(&mut self, (question, answer): &WitnessResponse) {
+        self.owner
+            .on_witness_answer(self.gateway.now(), question, *answer);
     }
 
-    /// Hands on what the owner has decided: replies, and questions to witnesses.
-    fn hand_on(&mut self) {
-        self.hand_on_replies();
-        for inquiry in self.owner.take_inquiries() {
-            let asking = inquire(self.gateway.clone(), self.partition, inquiry);
-            let heard = self.heard.clone();
+    /// Sends the owner's replies and its questions to witnesses.
+    fn dispatch_output(&mut self) {
+        self.send_replies();
+        for inquiry in self.owner.take_witness_queries() {
+            let asking = ask_witness(self.gateway.clone(), self.partition, inquiry);
+            let responses = self.responses.clone();
             actix_rt::spawn(async move {
                 // The owner lives as long as the process.
-                let _ = heard.send(asking.await);
+                let _ = responses.send(asking.await);
             });
         }
         self.log_overdraft();
     }
 
     fn log_overdraft(&mut self) {
-        let present = self.owner.overdraft_use();
+        let present = self.owner.overdraft_status();
         if present == self.overdraft_use {
             return;
         }
@@ -181,74 +189,75 @@
             end = self.owner.end().0;
             "use of the overdraft changed"
         );
-        if present == OverdraftUse::Active {
+        if present == OverdraftStatus::Active {
             self.gateway.metrics.overdrafts_activated.inc();
         }
         self.overdraft_use = present;
     }
 
-    fn hand_on_replies(&mut self) {
+    fn send_replies(&mut self) {
         for (ticket, reply) in self.owner.take_replies() {
-            if let Some(waiting) = self.waiting.remove(&ticket) {
-                // Whoever asked may have given up.
-                let _ = waiting.reply.send(reply);
+            if let Some(request) = self.pending.remove(&ticket) {
+                // The requester may no longer wait for the reply.
+                let _ = request.reply.send(reply);
             }
         }
     }
 
-    /// Carries an action out, and takes requests meanwhile.
-    async fn carry_out(&mut self, action: Action, inbox: &mut Inbox) {
+    /// Executes an action while accepting further requests.
+    async fn execute(&mut self, action: Action, inbox: &mut Inbox) {
         match action {
             Action::Read { from } => {
                 let mut reads = self.reads.take().expect("one call at a time");
-                // Whoever catches up does so without a pause.
+                // Catch-up reads are not paced.
                 if !reads.is_behind() {
-                    self.pace.note(self.gateway.now());
+                    self.pace.call_started(self.gateway.now());
                 }
                 let reading = reads.read(self.owner.last_call(), from);
-                let (call, outcome) = self.attend_until(reading, inbox).await;
+                let (call, outcome) = self.serve_during(reading, inbox).await;
                 self.reads = Some(reads);
                 let now = self.gateway.now();
                 self.owner.on_answered_read(now, call, outcome);
             }
             Action::Append { at, records } => {
                 let gateway = self.gateway.clone();
-                self.pace.note(gateway.now());
+                self.pace.call_started(gateway.now());
                 let appending = append(&gateway, self.partition, at, &records);
-                let outcome = self.attend_until(appending, inbox).await;
+                let outcome = self.serve_during(appending, inbox).await;
                 self.owner.on_append(self.gateway.now(), outcome);
             }
             Action::Wait { .. } => {}
         }
         let conflicts = self.owner.conflicts();
-        let new = conflicts - self.conflicts_counted;
+        let new = conflicts - self.counted_conflicts;
         self.gateway.metrics.ledger_conflicts.inc_by(new);
-        self.conflicts_counted = conflicts;
+        self.counted_conflicts = conflicts;
     }
 
-    /// Waits for a call to the log; requests that come meanwhile are taken, and answered if that
-    /// needs no call.
-    async fn attend_until<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
+    /// Waits for a call to the log. Requests that arrive during the call are accepted, and answered
+    /// if that needs no further call.
+    async fn serve_during<T>(&mut self, call: impl Future<Output = T>, inbox: &mut Inbox) -> T {
         let mut call = std::pin::pin!(call);
-        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL));
+        let mut slow = std::pin::pin!(actix_rt::time::sleep(SLOW_CALL_THRESHOLD));
         let mut is_slow = false;
         loop {
             tokio::select! {
                 biased;
                 outcome = &mut call => return outcome,
                 Some(job) = inbox.jobs.recv() => self.submit(job),
-                Some(heard) = inbox.answers.recv() => self.hear(&heard),
+                Some(response) = inbox.answers.recv() => self.take_response(&response),
                 () = &mut slow, if !is_slow => {
                     is_slow = true;
                     self.owner.note_slow_call(self.gateway.now());
                 }
             }
-            self.hand_on();
+            self.dispatch_output();
         }
     }
 
-    /// Drops what is no longer kept; the first candidate writes anew what the log would lose.
-    async fn keep_up(&mut self, inbox: &mut Inbox) {
+    /// Drops expired accounts and turns. On the first candidate, also rewrites live records that the
+    /// log is about to drop.
+    async fn run_upkeep(&mut self, inbox: &mut Inbox) {
         let now = self.gateway.now();
         self.owner.expire(now, self.retention());
         if !self.is_preferred() {
@@ -258,41 +267,46 @@
             let Some(action) = self.owner.plan_rewrite(now) else {
                 return;
             };
-            self.carry_out(action, inbox).await;
+            self.execute(action, inbox).await;
         }
     }
 
-    /// Whether the other nodes send their requests for the partition here.
+    /// Returns whether this node is the partition's first candidate.
     fn is_preferred(&self) -> bool {
         let candidates = self.gateway.peers.candidates(&self.gateway, self.partition);
         candidates.first() == Some(&self.gateway.settings.node)
     }
 
-    /// Whether the configuration has streams whose turns are not kept. Without a configuration nothing
-    /// is served.
+    /// Returns whether any turn can finish while the log is unavailable: every turn if the policy has
+    /// overdrafts for kept turns, otherwise only streams whose turns are not kept.
     fn serves_without_log(&self) -> bool {
         if self.gateway.settings.policy.kept_overdrafts {
             return true;
         }
         let config = self.gateway.current_config();
-        config.is_some_and(|config| config.routes.iter().any(Route::is_unkept_stream))
+        config.is_some_and(|config| config.routes.iter().any(Route::is_unrecorded_stream))
     }
 
+    /// Returns how long accounts and turns are retained: longer than any route keeps its turns.
     fn retention(&self) -> Duration {
         let longest = self.gateway.current_config().and_then(|config| {
             let times = config.routes.iter().map(|route| route.keep_for);
             times.max()
         });
-        longest.map_or(RETENTION, |time| RETENTION.max(time + time / 4))
+        longest.map_or(TURN_RETENTION, |time| TURN_RETENTION.max(time + time / 4))
     }
 }
 
-/// Puts a question to a witness, which may be this node.
-async fn inquire(gateway: Rc<Gateway>, partition: PartitionId, inquiry: Inquiry) -> Heard {
-    let Inquiry { witness, question } = inquiry;
+/// Asks a witness, which may be this node.
+async fn ask_witness(
+    gateway: Rc<Gateway>,
+    partition: PartitionId,
+    inquiry: WitnessQuery,
+) -> WitnessResponse {
+    let WitnessQuery { witness, question } = inquiry;
     let request = LedgerRequest::Witness(question.clone());
     let reply = if witness.node == gateway.settings.node {
-        super::carry_out(&gateway, partition, request).await
+        super::execute(&gateway, partition, request).await
     } else {
         let asked = gateway
             .peers
--- a/crates/logstream/src/stream.rs
+++ b/crates/logstream/src/stream.rs
@@ -64,7 +64,7 @@
             retry_backoff: Duration::from_millis(50),
             max_group_bytes: 256 * 1024,
             unreachable_after: Duration::from_secs(3),
-            give_batches: false,
+            emit_batches: false,
         }
     }
 }
@@ -290,7 +290,7 @@
     /// batch and only advance their position.
     fn deliver(&mut self, offset: Offset, bytes: &[u8], effects: &mut Vec<Effect<B>>) {
         self.reader.advance();
-        if self.settings.give_batches {
+        if self.settings.emit_batches {
             let bytes = bytes.to_vec();
             effects.push(Effect::Batch { offset, bytes });
         }
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -13,7 +13,7 @@
 /// A reader's heartbeat: its position in each stream. A node that is behind requests what it is
 /// missing with a [`FeedQuestion`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedBeat {
+pub struct FeedHeartbeat {
     /// The reader.
     pub node: NodeId,
     /// Identifies the reader's process start; `workers_revision` is only comparable within one start.
--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -6,7 +6,7 @@
 use elderworks_types::{NodeId, Offset};
 use serde::{Deserialize, Serialize};
 
-use crate::feed::FeedBeat;
+use crate::feed::FeedHeartbeat;
 use crate::gossip::Datagram;
 
 /// A datagram between gateways.
@@ -183,7 +183,7 @@
 /// The demand of one node's callers for prompt prefixes. Replaces the node's earlier reports about
 /// the same service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartReport {
+pub struct PrefixReport {
     /// The sender.
     pub node: NodeId,
     /// The service.
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -7,7 +7,7 @@
 use elderworks_types::{NodeId, Offset, PartitionId};
 use serde::{Deserialize, Serialize};
 
-use crate::feed::{FeedAnswer, FeedQuestion};
+use crate::feed::{FeedRequest, FeedResponse};
 
 /// One stored turn of a conversation, without the turns before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -1,9 +1,9 @@
 //! Compatibility with the previous version, which runs side by side with this one during a rolling
 //! upgrade. The expected bytes are those that the previous version writes.
 
-use elderworks_protocol::feed::FeedBeat;
+use elderworks_protocol::feed::FeedHeartbeat;
 use elderworks_protocol::gateway::{
-    ConfigProofAnswer, EngineMemoryReport, GatewayDatagram, GrantVerdict, LessorMessage,
+    ConfigProofAnswer, EngineMemoryReport, GatewayDatagram, GrantDecision, LessorMessage,
     LoadReport, LogReport, MemoryReport,
 };
 use elderworks_protocol::ledger::{GatewayFrame, LedgerRecord, LedgerReply, LedgerRequest};
@@ -123,12 +123,12 @@
         GatewayDatagram::Log(log),
         GatewayDatagram::Lessor(LessorMessage::Told {
             question: 1,
-            verdict: GrantVerdict::Granted,
+            verdict: GrantDecision::Granted,
         }),
     ] {
         assert!(variant_index(&encode(&datagram)) > LAST_DATAGRAM_INDEX);
     }
-    let question = elderworks_protocol::feed::FeedQuestion::Configuration;
+    let question = elderworks_protocol::feed::FeedRequest::Configuration;
     let asked = GatewayFrame::FeedAsked { id: 1, question };
     assert!(variant_index(&encode(&asked)) > LAST_FRAME_INDEX);
 }
