--- a/crates/logstream/src/stream.rs
+++ b/crates/logstream/src/stream.rs
@@ -53,7 +53,7 @@
     /// for longer than this.
     pub unreachable_after: Duration,
     /// Whether to emit [`Effect::Batch`] with each batch's bytes, to be relayed to other readers.
-    pub give_batches: bool,
+    pub emit_batches: bool,
 }
 
 impl Default for StreamSettings {
@@ -197,7 +197,7 @@
 
     /// Marks the known end of the stream as stale, for example after the process was suspended.
     /// [`Self::caught_up`] returns false until a read that starts from now on completes.
-    pub fn doubt(&mut self, now: Timestamp) {
+    pub fn mark_end_stale(&mut self, now: Timestamp) {
         self.reader.mark_end_stale(now);
     }
 
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -11,7 +11,7 @@
 use crate::gateway::ZoneReport;
 
 /// A reader's heartbeat: its position in each stream. A node that is behind requests what it is
-/// missing with a [`FeedQuestion`].
+/// missing with a [`FeedRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedHeartbeat {
     /// The reader.
@@ -37,7 +37,7 @@
 
 /// A request from a node that does not read the log to a reader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FeedQuestion {
+pub enum FeedRequest {
     /// Requests the current configuration.
     Configuration,
     /// Requests the node entries that changed at or after an offset.
@@ -53,9 +53,9 @@
     },
 }
 
-/// A reader's response to a [`FeedQuestion`].
+/// A reader's response to a [`FeedRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FeedAnswer {
+pub enum FeedResponse {
     /// The record of the current configuration.
     Configuration(RecordCopy),
     /// The node entries that have changed.
@@ -121,7 +121,7 @@
 
 impl WorkerRecord {
     /// Returns whether two entries are equal, ignoring [`Self::cold_left`].
-    pub fn is_alike(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_cold_left(&self, other: &Self) -> bool {
         let mut other = other.clone();
         other.cold_left = self.cold_left;
         *self == other
--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -24,14 +24,14 @@
     /// Requests that the sender has forwarded for each tenant.
     Quota(QuotaReport),
     /// The demand of the sender's callers for prompt prefixes.
-    Parts(PartReport),
+    Parts(PrefixReport),
     /// Turns waiting at the sender.
     Demand(DemandReport),
     /// Evacuation state of zones, as known to the sender. Ignored by versions before this variant.
     Zones(Vec<ZoneReport>),
     /// A log reader's heartbeat. Ignored by earlier versions, which send none and therefore never
-    /// receive a [`FeedQuestion`](crate::feed::FeedQuestion).
-    Beat(FeedBeat),
+    /// receive a [`FeedRequest`](crate::feed::FeedRequest).
+    Beat(FeedHeartbeat),
     /// Prompt prefixes held by the engines that the sender polls. Ignored by earlier versions.
     Memory(MemoryReport),
     /// Whether the log responds to the sender. Ignored by earlier versions.
@@ -108,13 +108,13 @@
         /// Correlation id of the request.
         question: u64,
         /// The lessor's decision.
-        verdict: GrantVerdict,
+        verdict: GrantDecision,
     },
 }
 
 /// A lessor's decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GrantVerdict {
+pub enum GrantDecision {
     /// The request may be forwarded and counts towards the quota.
     Granted,
     /// The quota currently has no room for the request.
@@ -189,12 +189,12 @@
     /// The service.
     pub service: String,
     /// One report per prefix; prefixes with little demand are omitted.
-    pub uses: Vec<PartUseReport>,
+    pub uses: Vec<PrefixUsageReport>,
 }
 
 /// Demand for one prompt prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartUseReport {
+pub struct PrefixUsageReport {
     /// Hash of the prefix's name.
     pub part: u32,
     /// Length of the prefix in tokens.
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -11,7 +11,7 @@
 
 /// One stored turn of a conversation, without the turns before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptTurn {
+pub struct StoredTurn {
     /// The preceding turn of the conversation, if any.
     pub previous: Option<String>,
     /// The input that this turn added.
@@ -46,7 +46,7 @@
         /// The turn.
         turn: String,
         /// The turn's input and output.
-        content: KeptTurn,
+        content: StoredTurn,
     },
     /// State of a program's account, rewritten before its earlier records are trimmed from the log.
     Account {
@@ -107,7 +107,7 @@
 
 /// What a witness is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WitnessWish {
+pub enum WitnessAction {
     /// Record that the overdraft is used.
     Activate,
     /// Reject any later activation of the overdraft.
@@ -116,13 +116,13 @@
 
 /// A request to a witness of an overdraft.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessQuestion {
+pub struct WitnessRequest {
     /// Id of the overdraft.
     pub overdraft: String,
     /// The witness's process start for which the request is meant.
     pub boot: u64,
     /// The requested action.
-    pub wish: WitnessWish,
+    pub wish: WitnessAction,
 }
 
 /// State of an overdraft at a witness after a request.
@@ -150,7 +150,7 @@
         turn: String,
     },
     /// A request to the node as a witness, which need not own the partition.
-    Witness(WitnessQuestion),
+    Witness(WitnessRequest),
 }
 
 /// Requests a permit to run a turn.
@@ -180,7 +180,7 @@
     /// Tokens that the turn generated.
     pub used: u64,
     /// The turn's content, if it completed successfully and is to be stored.
-    pub kept: Option<KeptTurn>,
+    pub kept: Option<StoredTurn>,
     /// Whether the owner, if the log is unavailable, holds the report for a while instead of replying
     /// [`LedgerReply::Unavailable`] immediately.
     pub waits: bool,
@@ -264,19 +264,19 @@
         value: Bytes,
     },
     /// Requests missing content of the log's streams from a reader. Sent only to nodes that have sent
-    /// a [`FeedBeat`](crate::feed::FeedBeat), since earlier versions close the connection on this
+    /// a [`FeedHeartbeat`](crate::feed::FeedHeartbeat), since earlier versions close the connection on this
     /// variant.
     FeedAsked {
         /// Correlation id, repeated in the response.
         id: u64,
         /// The request.
-        question: FeedQuestion,
+        question: FeedRequest,
     },
     /// Response to [`Self::FeedAsked`].
     FeedTold {
         /// Correlation id of the request.
         id: u64,
         /// The response.
-        answer: FeedAnswer,
+        answer: FeedResponse,
     },
 }
--- a/crates/protocol/src/sidecar.rs
+++ b/crates/protocol/src/sidecar.rs
@@ -84,7 +84,7 @@
 
 impl SubmissionTag {
     /// Returns the submission's id if it was resubmitted, so that a refusal must bar it in the journal.
-    pub fn doubtful(self) -> Option<SubmissionId> {
+    pub fn id_if_resubmitted(self) -> Option<SubmissionId> {
         self.resubmitted.then_some(self.id)
     }
 }
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -90,7 +90,7 @@
 /// unknown kind. New frames are therefore sent only to nodes that have sent a new datagram.
 #[test]
 fn new_messages_use_variants_unknown_to_the_previous_version() {
-    let beat = FeedBeat {
+    let beat = FeedHeartbeat {
         node: NodeId::new("n1"),
         boot: 1,
         reads: true,
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -76,7 +76,7 @@
 
 impl RefusalReason {
     /// Returns whether the same call may succeed later, after a refusal for this reason.
-    pub fn may_pass(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(
             self,
             Self::LogUnavailable
