--- a/crates/simulation/src/broken.rs
+++ b/crates/simulation/src/broken.rs
@@ -18,7 +18,7 @@
     pub invariant: Invariant,
     /// Faults under which it must notice.
     pub faults: &'static [FaultKind],
-    switch: fn(&mut Faults),
+    enable: fn(&mut Faults),
 }
 
 impl Broken {
@@ -29,7 +29,7 @@
 
     /// Breaks a plan.
     pub fn apply(&self, plan: &mut Plan) {
-        (self.switch)(&mut plan.execution.faults);
+        (self.enable)(&mut plan.execution.faults);
     }
 }
 
@@ -171,12 +171,12 @@
     name: &'static str,
     invariant: Invariant,
     faults: &'static [FaultKind],
-    switch: fn(&mut Faults),
+    enable: fn(&mut Faults),
 ) -> Broken {
     Broken {
         name,
         invariant,
         faults,
-        switch,
+        enable,
     }
 }
--- a/crates/simulation/src/check/budget.rs
+++ b/crates/simulation/src/check/budget.rs
@@ -27,18 +27,18 @@
     }
     let runs = by_run.into_iter().filter_map(|(run, spent)| {
         let budget = specs.get(&run)?.budget;
-        over(&run, spent, budget)
+        overspending(&run, spent, budget)
     });
     let tenants = by_tenant.into_iter().filter_map(|(tenant, spent)| {
         let limit = *observations.tenant_limits.get(&tenant)?;
-        over(&tenant, spent, limit)
+        overspending(&tenant, spent, limit)
     });
     runs.chain(tenants)
         .map(|detail| Violation::new(Invariant::Budget, observations.ended, detail))
         .collect()
 }
 
-fn over(name: &impl std::fmt::Display, spent: Credits, limit: Credits) -> Option<String> {
+fn overspending(name: &impl std::fmt::Display, spent: Credits, limit: Credits) -> Option<String> {
     (spent > limit).then(|| format!("{name} spent {spent} of {limit}"))
 }
 
@@ -48,7 +48,7 @@
     let generations = observations
         .generations
         .iter()
-        .map(move |generation| (generation.ticket.call, prices.of_usage(&generation.usage)));
+        .map(move |generation| (generation.ticket.call, prices.cost_of(&generation.usage)));
     let invocations = observations
         .invocations
         .iter()
--- a/crates/simulation/src/check/configuration.rs
+++ b/crates/simulation/src/check/configuration.rs
@@ -10,10 +10,10 @@
 use crate::observation::{Observations, OperatorChange, OperatorRead};
 
 /// A change is in force on every ready node after this time, where no fault is at work.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
 /// What faults held up is caught up with this long after the last one stopped.
-const CATCH_UP: Duration = Duration::from_secs(15);
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let accepted: Vec<Accepted<'_>> = observations
@@ -73,17 +73,17 @@
 }
 
 fn check_in_force(accepted: &[Accepted<'_>], observations: &Observations) -> Vec<Violation> {
-    let calm = observations.faults_stopped.after(CATCH_UP);
+    let recovered_at = observations.faults_stopped.after(RECOVERY_TIME);
     let mut violations = Vec::new();
     for read in &observations.reads {
-        let undisturbed = !observations.disturbed || read.submitted > calm;
+        let undisturbed = !observations.had_abrupt_fault || read.submitted > recovered_at;
         let due = accepted.iter().filter(|accepted| {
-            undisturbed && accepted.change.at.after(IN_FORCE_WITHIN) < read.submitted
+            undisturbed && accepted.change.at.after(MAX_PROPAGATION_TIME) < read.submitted
         });
-        let wanted = due.map(|accepted| accepted.revision).max();
-        if wanted > Some(revision_of(read)) {
+        let expected = due.map(|accepted| accepted.revision).max();
+        if expected > Some(revision_of(read)) {
             let detail = format!(
-                "node-{} has {} where {wanted:?} was accepted",
+                "node-{} has {} where {expected:?} was accepted",
                 read.node,
                 revision_of(read)
             );
--- a/crates/simulation/src/check/departure.rs
+++ b/crates/simulation/src/check/departure.rs
@@ -6,17 +6,17 @@
 use crate::observation::Observations;
 
 /// News of a departure must have come round by then.
-const NOTICE: Duration = Duration::from_secs(4);
+const NOTICE_PERIOD: Duration = Duration::from_secs(4);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
     for departure in &observations.departures {
-        let from = departure.at.after(NOTICE);
-        let late = observations.generations.iter().find(|generation| {
-            let stays = generation.at > from && generation.at < departure.until;
-            stays && generation.engine == departure.engine
+        let from = departure.at.after(NOTICE_PERIOD);
+        let late_generation = observations.generations.iter().find(|generation| {
+            let is_leaving = generation.at > from && generation.at < departure.until;
+            is_leaving && generation.engine == departure.engine
         });
-        if let Some(generation) = late {
+        if let Some(generation) = late_generation {
             let detail = format!(
                 "{} took {} though leaving since {}",
                 departure.engine, generation.ticket.call, departure.at
--- a/crates/simulation/src/check/history.rs
+++ b/crates/simulation/src/check/history.rs
@@ -11,7 +11,7 @@
     let known = KnownCalls::of(observations);
     let mut violations = Vec::new();
     for generation in &observations.generations {
-        violations.extend(check_mixed(generation));
+        violations.extend(check_foreign_messages(generation));
         violations.extend(check_prompt(generation, &known));
     }
     for read in &observations.run_reads {
@@ -35,7 +35,7 @@
     violations
 }
 
-fn check_mixed(generation: &Generation) -> Option<Violation> {
+fn check_foreign_messages(generation: &Generation) -> Option<Violation> {
     let run = generation.ticket.call.run;
     let other = foreign_run(&generation.messages, run)?;
     let detail = format!(
--- a/crates/simulation/src/check/liveness.rs
+++ b/crates/simulation/src/check/liveness.rs
@@ -8,11 +8,11 @@
 use crate::observation::{CallerOutcome, Observations};
 
 /// A refusal takes no longer than this, where processes and network are whole.
-const PROMPT: Duration = Duration::from_secs(10);
+const MAX_REFUSAL_TIME: Duration = Duration::from_secs(10);
 
 /// A call that waits for something that may yet come (an engine's turn, an earlier call, a node) is
 /// given up after this time.
-const LONGEST_WAIT: Duration = Duration::from_secs(35);
+const MAX_WAIT: Duration = Duration::from_secs(35);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let unfinished = observations.unfinished.iter().map(|(run, waiting)| {
@@ -32,7 +32,7 @@
     let took = ended.at.since(ended.submitted);
     let detail = if is_temporary(refusal.reason) && refusal.retry_after.is_none() {
         format!("{} is not told when to come back: {refusal:?}", ended.call)
-    } else if took > longest(refusal.reason) && !observations.processes_disturbed {
+    } else if took > max_refusal_time(refusal.reason) && !observations.had_process_fault {
         format!("{} was refused after {took:?}: {refusal:?}", ended.call)
     } else {
         return None;
@@ -40,12 +40,12 @@
     Some(Violation::new(Invariant::PromptRefusal, ended.at, detail))
 }
 
-fn longest(reason: RefusalReason) -> Duration {
+fn max_refusal_time(reason: RefusalReason) -> Duration {
     match reason {
         RefusalReason::Overloaded
         | RefusalReason::EarlierCallMissing
-        | RefusalReason::NoNodeReachable => LONGEST_WAIT,
-        _ => PROMPT,
+        | RefusalReason::NoNodeReachable => MAX_WAIT,
+        _ => MAX_REFUSAL_TIME,
     }
 }
 
--- a/crates/simulation/src/check/planned_stop.rs
+++ b/crates/simulation/src/check/planned_stop.rs
@@ -8,7 +8,7 @@
 use crate::observation::Observations;
 
 /// A node asked to stop has exited by then, where nothing else is wrong.
-const DRAIN_LIMIT: Duration = Duration::from_secs(60);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(60);
 
 /// A call cancelled by the end of its run, or of its parent's run, was cut off by its own caller or
 /// limit, not by a stop.
@@ -21,7 +21,7 @@
 }
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
-    if observations.disturbed {
+    if observations.had_abrupt_fault {
         return Vec::new();
     }
     let cut = observations
@@ -36,7 +36,7 @@
         .planned_stops
         .iter()
         .filter(|stop| {
-            let latest = stop.at.after(DRAIN_LIMIT);
+            let latest = stop.at.after(MAX_DRAIN_TIME);
             latest < observations.ended && stop.exited.is_none_or(|exited| exited > latest)
         })
         .map(|stop| {
--- a/crates/simulation/src/check/refusal.rs
+++ b/crates/simulation/src/check/refusal.rs
@@ -15,7 +15,7 @@
         .filter(|ended| matches!(ended.outcome, Outcome::Refused(_)));
     refused
         .filter_map(|ended| {
-            let until = asked_again(ended, observations);
+            let until = covered_until(ended, observations);
             let starts = executions.get(&ended.call)?;
             let ran = starts.iter().find(|start| **start < until)?;
             let detail = format!("{} ran at {ran}, refused {:?}", ended.call, ended.outcome);
@@ -26,8 +26,8 @@
 
 /// Until when the refusal covers the call: the next submission, or the refusal itself where the
 /// caller had hung up on an earlier submission, which may still run.
-fn asked_again(ended: &CallerOutcome, observations: &Observations) -> Instant {
-    if hung_up_before(ended.call, ended.submitted, observations) {
+fn covered_until(ended: &CallerOutcome, observations: &Observations) -> Instant {
+    if has_unanswered_submission(ended.call, ended.submitted, observations) {
         return ended.submitted;
     }
     let submissions = observations.submissions.iter();
@@ -38,7 +38,11 @@
         .map_or(Instant(u64::MAX), |submission| submission.at)
 }
 
-fn hung_up_before(call: CallId, submitted: Instant, observations: &Observations) -> bool {
+fn has_unanswered_submission(
+    call: CallId,
+    submitted: Instant,
+    observations: &Observations,
+) -> bool {
     let submissions = observations.submissions.iter();
     let made = submissions.filter(|made| made.call == call && made.at < submitted);
     let outcomes = observations.outcomes.iter();
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -30,7 +30,7 @@
     NodeLogCut,
     /// Messages from a node to a sidecar are held or lost.
     SidecarCut,
-    /// A node cannot reach an engine.
+    /// A node cannot node_reached an engine.
     EngineCut,
     /// Many datagrams are lost.
     DatagramLoss,
@@ -82,7 +82,7 @@
     }
 
     /// Whether it strikes a process or the network, not the platform or a back end.
-    pub fn strikes_processes(self) -> bool {
+    pub fn affects_processes(self) -> bool {
         matches!(
             self,
             FaultKind::NodeKill
@@ -200,35 +200,39 @@
     }
 }
 
-const MAX_FAULTS: u64 = 4;
-const LATEST_STRIKE: Duration = Duration::from_secs(20);
-const LATEST_COUNT: u64 = 40;
-const SHORTEST: Duration = Duration::from_millis(50);
-const ORDINARY: Duration = Duration::from_secs(4);
-const LONGEST: Duration = Duration::from_secs(20);
+const FAULT_COUNT_END: u64 = 4;
+const MAX_START_DELAY: Duration = Duration::from_secs(20);
+const MAX_POINT_COUNT: u64 = 40;
+const MIN_DURATION: Duration = Duration::from_millis(50);
+const MAX_COMMON_DURATION: Duration = Duration::from_secs(4);
+const MAX_DURATION: Duration = Duration::from_secs(20);
 
 /// Draws a schedule of at most three faults out of `kinds`.
 pub fn draw_schedule(kinds: &[FaultKind], random: &mut Random) -> Vec<Fault> {
     if kinds.is_empty() {
         return Vec::new();
     }
-    let count = random.below(1, MAX_FAULTS);
+    let count = random.in_range(1, FAULT_COUNT_END);
     (0..count).map(|_| draw_fault(kinds, random)).collect()
 }
 
 fn draw_fault(kinds: &[FaultKind], random: &mut Random) -> Fault {
     let kind = kinds[random.index(kinds.len())];
     let when = if random.chance(50) {
-        When::At(random.duration(Duration::ZERO, LATEST_STRIKE))
+        When::At(random.duration(Duration::ZERO, MAX_START_DELAY))
     } else {
         let point = CallPoint::ALL[random.index(CallPoint::ALL.len())];
-        When::Reached(point, random.below(1, LATEST_COUNT) as u32)
+        When::Reached(point, random.in_range(1, MAX_POINT_COUNT) as u32)
+    };
+    let max_duration = if random.chance(70) {
+        MAX_COMMON_DURATION
+    } else {
+        MAX_DURATION
     };
-    let longest = if random.chance(70) { ORDINARY } else { LONGEST };
     Fault {
         kind,
         when,
-        lasts: random.duration(SHORTEST, longest),
-        victim: random.number() as u32,
+        lasts: random.duration(MIN_DURATION, max_duration),
+        victim: random.next_u64() as u32,
     }
 }
--- a/crates/simulation/src/kernel/network.rs
+++ b/crates/simulation/src/kernel/network.rs
@@ -46,7 +46,7 @@
     pub reorder_percent: u32,
 }
 
-const REORDER_DELAY: Duration = Duration::from_millis(200);
+const MAX_REORDER_DELAY: Duration = Duration::from_millis(200);
 
 /// The network.
 #[derive(Debug)]
@@ -117,15 +117,19 @@
     }
 
     fn loses_datagram(&mut self, now: Instant) -> bool {
-        let storm = now < self.extra_loss_until;
-        let extra = if storm { self.extra_loss_percent } else { 0 };
+        let is_extra_loss_active = now < self.extra_loss_until;
+        let extra = if is_extra_loss_active {
+            self.extra_loss_percent
+        } else {
+            0
+        };
         self.random.chance(self.profile.loss_percent + extra)
     }
 
     fn datagram_delay(&mut self, same_zone: bool, direction: Direction) -> Duration {
         let delay = self.delay(same_zone, direction);
         if self.random.chance(self.profile.reorder_percent) {
-            return delay + self.random.duration(Duration::ZERO, REORDER_DELAY);
+            return delay + self.random.duration(Duration::ZERO, MAX_REORDER_DELAY);
         }
         delay
     }
--- a/crates/simulation/src/kernel/process.rs
+++ b/crates/simulation/src/kernel/process.rs
@@ -22,12 +22,12 @@
     }
 }
 
-/// One slot: the decision object while the process lives, and the events held while it is paused.
+/// One slot: the decision object while the process lives, and the events held_events while it is paused.
 pub struct Slot<C, E> {
     core: Option<C>,
     generation: u32,
     paused_until: Option<Instant>,
-    held: VecDeque<E>,
+    held_events: VecDeque<E>,
     /// The process's clock.
     pub clock: Clock,
 }
@@ -39,7 +39,7 @@
             core: Some(core),
             generation: 1,
             paused_until: None,
-            held: VecDeque::new(),
+            held_events: VecDeque::new(),
             clock,
         }
     }
@@ -59,12 +59,12 @@
         self.core.is_some() && self.paused_until.is_none()
     }
 
-    /// Ends the process with all that it held.
+    /// Ends the process with all that it held_events.
     pub fn kill(&mut self) {
         self.core = None;
         self.generation += 1;
         self.paused_until = None;
-        self.held.clear();
+        self.held_events.clear();
     }
 
     /// Starts a process with empty memory; nothing if one lives.
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Ends a pause that is due and returns the events held; empty if it is not due.
+    /// Ends a pause that is due and returns the events held_events; empty if it is not due.
     pub fn resume(&mut self, now: Instant) -> VecDeque<E> {
         match self.paused_until {
             Some(until) if until <= now => {
                 self.paused_until = None;
-                std::mem::take(&mut self.held)
+                std::mem::take(&mut self.held_events)
             }
             _ => VecDeque::new(),
         }
@@ -104,7 +104,7 @@
             return None;
         }
         if self.paused_until.is_some() {
-            self.held.push_back(event);
+            self.held_events.push_back(event);
             return None;
         }
         self.core.as_mut().map(|core| (core, event))
--- a/crates/simulation/src/kernel/random.rs
+++ b/crates/simulation/src/kernel/random.rs
@@ -12,7 +12,7 @@
     Network = 1,
     /// The programs that callers run.
     Workload = 2,
-    /// Which faults strike, when and where.
+    /// Which faults apply_fault, when and where.
     Faults = 3,
     /// Seeds given to processes.
     Processes = 4,
@@ -33,7 +33,7 @@
     }
 
     /// A number from `low` to below `high`; `low` where the range is empty.
-    pub fn below(&mut self, low: u64, high: u64) -> u64 {
+    pub fn in_range(&mut self, low: u64, high: u64) -> u64 {
         if low >= high {
             return low;
         }
@@ -42,19 +42,19 @@
 
     /// An index below `length`; 0 where `length` is 0.
     pub fn index(&mut self, length: usize) -> usize {
-        self.below(0, length as u64) as usize
+        self.in_range(0, length as u64) as usize
     }
 
     /// True in `percent` of cases.
     pub fn chance(&mut self, percent: u32) -> bool {
-        self.below(0, 100) < u64::from(percent)
+        self.in_range(0, 100) < u64::from(percent)
     }
 
     /// A duration from `low` to below `high`.
     pub fn duration(&mut self, low: Duration, high: Duration) -> Duration {
         let low = low.as_micros() as u64;
         let high = high.as_micros() as u64;
-        Duration::from_micros(self.below(low, high))
+        Duration::from_micros(self.in_range(low, high))
     }
 
     /// The generator itself, for models that draw their own numbers.
@@ -63,7 +63,7 @@
     }
 
     /// Any number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
 }
--- a/crates/simulation/src/observation.rs
+++ b/crates/simulation/src/observation.rs
@@ -232,9 +232,9 @@
     /// When the simulation ended.
     pub ended: Instant,
     /// Whether any fault struck that cuts connections or ends processes without notice.
-    pub disturbed: bool,
+    pub had_abrupt_fault: bool,
     /// Whether any fault struck a process or the network, not only the platform.
-    pub processes_disturbed: bool,
+    pub had_process_fault: bool,
     /// Most that each tenant may spend.
     pub tenant_limits: BTreeMap<TenantId, Credits>,
     /// Prices in force: per prompt token, per output token, per invocation.
@@ -254,7 +254,7 @@
 
 impl Prices {
     /// What a generation's consumption costs.
-    pub fn of_usage(&self, usage: &Usage) -> Credits {
+    pub fn cost_of(&self, usage: &Usage) -> Credits {
         let prompt = self.prompt_token.0 * usage.prompt.0;
         let output = self.output_token.0 * usage.output.0;
         Credits(prompt + output)
--- a/crates/simulation/src/platform/engine.rs
+++ b/crates/simulation/src/platform/engine.rs
@@ -68,7 +68,7 @@
     memory: BTreeSet<RunId>,
 }
 
-const MAX_CHUNKS: u64 = 6;
+const CHUNK_COUNT_END: u64 = 6;
 
 impl Engine {
     /// An idle engine.
@@ -253,20 +253,20 @@
     }
 }
 
-/// Chunks that name the call, the engine, the generation and their own place, so that a piece out
-/// of place is seen in the text itself.
+/// Chunks that name the call, the engine, the generation and their own index, so that a piece out
+/// of index is seen in the text itself.
 fn plan_answer(
     engine: &EngineId,
     request: &Generate,
     serial: usize,
     random: &mut Random,
 ) -> Vec<String> {
-    let wanted = 1 + random.below(1, MAX_CHUNKS);
+    let chunk_count = 1 + random.in_range(1, CHUNK_COUNT_END);
     let mut chunks = Vec::new();
     let mut text = String::new();
-    for place in 0..wanted {
+    for index in 0..chunk_count {
         let call = request.ticket.call;
-        let chunk = format!("[{call} {engine} g{serial} {place}/{wanted}]");
+        let chunk = format!("[{call} {engine} g{serial} {index}/{chunk_count}]");
         text.push_str(&chunk);
         if token_count(&text) > request.max_output {
             break;
--- a/crates/simulation/src/platform/log.rs
+++ b/crates/simulation/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The platform's model of the log, with troubles that last until an instant.
+//! The platform's model of the log, with failures that last until an instant.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 const MAX_BYTES_PER_READ: usize = 4 * 1024;
 
 /// How much later, at most, requests take effect while the log is slow.
-const SLOW_DELAY_MS: u64 = 2_500;
+const MAX_SLOW_DELAY_MS: u64 = 2_500;
 
 /// Every answer to an append.
 const ALL_PER_MILLE: u16 = 1_000;
 
 /// What can be wrong with the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LogTrouble {
+pub enum LogFailure {
     /// It answers nothing and appends nothing.
     Down,
     /// Requests take effect late.
@@ -34,18 +34,18 @@
 #[derive(Debug, Default)]
 pub struct Log {
     model: LogModel,
-    troubles: BTreeMap<LogTrouble, Instant>,
+    failures: BTreeMap<LogFailure, Instant>,
 }
 
 impl Log {
-    /// Begins a trouble that lasts until `until`.
-    pub fn trouble(&mut self, trouble: LogTrouble, until: Instant) {
-        let present = self.troubles.entry(trouble).or_insert(until);
+    /// Begins a failure that is_active until `until`.
+    pub fn start_failure(&mut self, failure: LogFailure, until: Instant) {
+        let present = self.failures.entry(failure).or_insert(until);
         *present = (*present).max(until);
     }
 
     /// The longest delay before a request made now takes effect.
-    pub fn longest_delay(&self, now: Instant) -> Duration {
+    pub fn max_delay(&self, now: Instant) -> Duration {
         self.faults(now).delay()
     }
 
@@ -88,21 +88,21 @@
         })
     }
 
-    /// The model's faults for the troubles that last at `now`.
+    /// The model's faults for the failures that last at `now`.
     fn faults(&self, now: Instant) -> LogFaults {
-        let lasts = |trouble| {
-            self.troubles
-                .get(&trouble)
+        let is_active = |failure| {
+            self.failures
+                .get(&failure)
                 .is_some_and(|until| *until > now)
         };
         let mut faults = LogFaults {
-            down: lasts(LogTrouble::Down),
+            down: is_active(LogFailure::Down),
             ..LogFaults::default()
         };
-        if lasts(LogTrouble::Slow) {
-            faults.delay_ms = SLOW_DELAY_MS;
+        if is_active(LogFailure::Slow) {
+            faults.delay_ms = MAX_SLOW_DELAY_MS;
         }
-        if lasts(LogTrouble::LosesAnswers) {
+        if is_active(LogFailure::LosesAnswers) {
             faults.lose_answers_per_mille = ALL_PER_MILLE;
         }
         faults
--- a/crates/simulation/src/platform/mod.rs
+++ b/crates/simulation/src/platform/mod.rs
@@ -5,5 +5,5 @@
 pub mod tool;
 
 pub use engine::{Engine, EngineStep, Subscriber};
-pub use log::{Log, LogTrouble};
+pub use log::{Log, LogFailure};
 pub use tool::{Tool, ToolAnswer};
--- a/crates/simulation/src/platform/tool.rs
+++ b/crates/simulation/src/platform/tool.rs
@@ -78,8 +78,8 @@
 
     /// Whether the answer of the invocation that was just taken is lost.
     pub fn loses_answer(&mut self, now: Instant, random: &mut Random) -> bool {
-        let share = if self.is_hung(now) { ALL_PER_MILLE } else { 0 };
-        self.model.faults.lose_answers_per_mille = share;
+        let lost_per_mille = if self.is_hung(now) { ALL_PER_MILLE } else { 0 };
+        self.model.faults.lose_answers_per_mille = lost_per_mille;
         self.model.loses_answer(random.generator())
     }
 
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -39,7 +39,7 @@
     }
 
     /// A plan with a given schedule.
-    pub fn scheduled(seed: u64, preset: Preset, schedule: Vec<Fault>) -> Self {
+    pub fn with_schedule(seed: u64, preset: Preset, schedule: Vec<Fault>) -> Self {
         Self {
             schedule,
             ..Self::drawn(seed, preset, &[])
@@ -99,7 +99,7 @@
 
 fn observe(plan: &Plan) -> (Observations, crate::trace::Trace) {
     let world = World::new(
-        Scenario::of(plan.preset),
+        Scenario::from_preset(plan.preset),
         plan.seed,
         plan.schedule.clone(),
         &plan.execution,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -54,7 +54,7 @@
 
 impl Scenario {
     /// The deployment of a preset, small enough that thousands can be run.
-    pub fn of(preset: Preset) -> Self {
+    pub fn from_preset(preset: Preset) -> Self {
         match preset {
             Preset::Lublin => Self {
                 zones: 3,
@@ -78,12 +78,12 @@
     }
 }
 
-const WITHIN_ZONE: Duration = Duration::from_micros(200);
+const DELAY_WITHIN_ZONE: Duration = Duration::from_micros(200);
 
 fn network(between_zones: Duration, to_clients: Duration) -> NetworkProfile {
     NetworkProfile {
         between_zones,
-        within_zone: WITHIN_ZONE,
+        within_zone: DELAY_WITHIN_ZONE,
         to_clients,
         loss_percent: 1,
         duplicate_percent: 1,
@@ -118,7 +118,7 @@
 /// Seeded steps of one run: dependent calls, pauses, and one submission. A sub-agent's are fewer.
 pub fn draw_steps(is_child: bool, random: &mut Random) -> Vec<Step> {
     let mut steps = vec![Step::Model];
-    let turns = if is_child { 2 } else { random.below(3, 6) };
+    let turns = if is_child { 2 } else { random.in_range(3, 6) };
     for _ in 0..turns {
         steps.push(draw_step(is_child, random));
     }
@@ -136,7 +136,7 @@
 
 fn draw_step(is_child: bool, random: &mut Random) -> Step {
     let pause = random.duration(Duration::from_millis(100), Duration::from_secs(3));
-    match random.below(0, 10) {
+    match random.in_range(0, 10) {
         0..=3 => Step::Model,
         4 | 5 => Step::Lookup,
         6 => Step::Crossed,
--- a/crates/simulation/src/table.rs
+++ b/crates/simulation/src/table.rs
@@ -7,9 +7,9 @@
 use crate::run::Plan;
 use crate::scenario::Preset;
 
-const SHORT: Duration = Duration::from_millis(500);
-const LONG: Duration = Duration::from_secs(6);
-const LATEST_COUNT: u64 = 20;
+const MIN_DURATION: Duration = Duration::from_millis(500);
+const MAX_DURATION: Duration = Duration::from_secs(6);
+const MAX_POINT_COUNT: u64 = 20;
 
 /// The plans of one seed over the whole table. Each fault strikes at each point of a call's life;
 /// of each pair, the first strikes at a point drawn by the seed and the second soon after.
@@ -19,7 +19,7 @@
     for kind in FaultKind::all() {
         for point in CallPoint::ALL {
             let fault = fault_at(kind, point, &mut random);
-            plans.push(Plan::scheduled(seed, preset, vec![fault]));
+            plans.push(Plan::with_schedule(seed, preset, vec![fault]));
         }
     }
     for (first, second) in pairs() {
@@ -28,7 +28,7 @@
             fault_at(first, point, &mut random),
             fault_at(second, point, &mut random),
         ];
-        plans.push(Plan::scheduled(seed, preset, schedule));
+        plans.push(Plan::with_schedule(seed, preset, schedule));
     }
     plans
 }
@@ -44,8 +44,8 @@
 fn fault_at(kind: FaultKind, point: CallPoint, random: &mut Random) -> Fault {
     Fault {
         kind,
-        when: When::Reached(point, random.below(1, LATEST_COUNT) as u32),
-        lasts: random.duration(SHORT, LONG),
-        victim: random.number() as u32,
+        when: When::Reached(point, random.in_range(1, MAX_POINT_COUNT) as u32),
+        lasts: random.duration(MIN_DURATION, MAX_DURATION),
+        victim: random.next_u64() as u32,
     }
 }
--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -18,7 +18,7 @@
 pub(super) const LOCAL_DELAY: Duration = Duration::from_micros(100);
 
 /// A caller that has no reply hangs up after this time and asks through another sidecar.
-const PATIENCE: Duration = Duration::from_secs(40);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Wait before asking again where there is no better advice.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -34,7 +34,7 @@
 
 /// What a caller asked a sidecar for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
+enum RequestKind {
     Start,
     Call(CallNumber),
     Read,
@@ -46,7 +46,7 @@
 pub(crate) struct CallerRequest {
     /// Whose.
     pub caller: usize,
-    wanted: Wanted,
+    kind: RequestKind,
     sidecar: usize,
     submitted: Instant,
     streamed: Option<String>,
@@ -112,13 +112,13 @@
             CallerEvent::Continue => self.continue_caller(caller),
             CallerEvent::Resubmit { number } => self.submit(caller, number),
             CallerEvent::RetryRequest => self.retry_request(caller),
-            CallerEvent::OutOfPatience { request } => self.on_out_of_patience(request),
+            CallerEvent::ReplyTimeout { request } => self.on_reply_timeout(request),
             CallerEvent::Reply { request, reply } => self.on_caller_reply(request, *reply),
-            CallerEvent::Broken { request } => self.on_broken(request),
+            CallerEvent::Disconnected { request } => self.on_disconnected(request),
         }
     }
 
-    fn wake_caller(&mut self, caller: usize, after: Duration, event: CallerEvent) {
+    fn schedule_caller(&mut self, caller: usize, after: Duration, event: CallerEvent) {
         self.schedule(after, Event::Caller { caller, event });
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Notes callers that the simulation's end found still waiting.
-    pub(super) fn note_unfinished(&mut self) {
+    pub(super) fn record_unfinished(&mut self) {
         for caller in self.callers.iter().filter(|caller| !caller.is_done()) {
             let waiting = format!("{:?}, open calls {:?}", caller.phase, caller.open.keys());
             self.observations.unfinished.push((caller.spec.id, waiting));
--- a/crates/simulation/src/world/callers/replies.rs
+++ b/crates/simulation/src/world/callers/replies.rs
@@ -4,7 +4,7 @@
 use elderworks_sidecar_core::{CallerReply, RequestId};
 use elderworks_types::{CallId, CallNumber, CallRequest, Outcome, Refusal};
 
-use super::{CallerRequest, Phase, RETRY_INTERVAL, Wanted, summary};
+use super::{CallerRequest, Phase, RETRY_INTERVAL, RequestKind, summary};
 use crate::fault::CallPoint;
 use crate::kernel::Instant;
 use crate::observation::{CallerOutcome, RunEnd, RunRead, RunStart};
@@ -26,18 +26,18 @@
             return;
         };
         let index = pending.caller;
-        match (pending.wanted, reply) {
-            (Wanted::Start, CallerReply::RunStarted { .. }) => {
+        match (pending.kind, reply) {
+            (RequestKind::Start, CallerReply::RunStarted { .. }) => {
                 self.on_run_started(index, pending.submitted, Ok(()));
             }
-            (Wanted::Start, CallerReply::RunRefused { refusal }) => {
+            (RequestKind::Start, CallerReply::RunRefused { refusal }) => {
                 self.on_run_started(index, pending.submitted, Err(refusal));
             }
-            (Wanted::Call(number), CallerReply::CallEnded { outcome, .. }) => {
+            (RequestKind::Call(number), CallerReply::CallEnded { outcome, .. }) => {
                 self.on_call_ended(index, number, &pending, outcome);
             }
-            (Wanted::Read, CallerReply::RunView { view }) => self.on_run_view(index, view),
-            (Wanted::End, CallerReply::RunEnded { phase }) => {
+            (RequestKind::Read, CallerReply::RunView { view }) => self.on_run_view(index, view),
+            (RequestKind::End, CallerReply::RunEnded { phase }) => {
                 self.observations.run_ends.push(RunEnd {
                     at: self.now,
                     run: self.callers[index].spec.id,
@@ -45,7 +45,7 @@
                 });
                 self.finish_caller(index);
             }
-            (wanted, _) => self.ask_again(index, wanted, RETRY_INTERVAL),
+            (kind, _) => self.retry_later(index, kind, RETRY_INTERVAL),
         }
     }
 
@@ -65,17 +65,17 @@
                 self.callers[index].refusals = 0;
                 self.continue_caller(index);
             }
-            Err(refusal) => self.on_refused(index, Wanted::Start, &refusal),
+            Err(refusal) => self.on_refused(index, RequestKind::Start, &refusal),
         }
     }
 
-    fn on_refused(&mut self, index: usize, wanted: Wanted, refusal: &Refusal) {
+    fn on_refused(&mut self, index: usize, kind: RequestKind, refusal: &Refusal) {
         self.callers[index].refusals += 1;
         match refusal.retry_after {
             Some(after) if self.callers[index].refusals < MAX_REFUSALS => {
-                self.ask_again(index, wanted, after.max(RETRY_INTERVAL));
+                self.retry_later(index, kind, after.max(RETRY_INTERVAL));
             }
-            _ if wanted == Wanted::Start => self.finish_caller(index),
+            _ if kind == RequestKind::Start => self.finish_caller(index),
             _ => {
                 self.callers[index].open.clear();
                 self.callers[index].phase = Phase::Ending;
@@ -104,20 +104,20 @@
             streamed: pending.streamed.clone(),
             outcome: outcome.clone(),
         });
-        self.reach_sidecar(CallPoint::Delivered, pending.sidecar);
+        self.sidecar_reached(CallPoint::Delivered, pending.sidecar);
         if !self.callers[index].open.contains_key(&number) {
             return;
         }
         if let Outcome::Refused(refusal) = &outcome {
-            self.on_refused(index, Wanted::Call(number), refusal);
+            self.on_refused(index, RequestKind::Call(number), refusal);
             return;
         }
         self.callers[index].refusals = 0;
-        self.remember(index, number, &outcome);
+        self.record_outcome(index, number, &outcome);
         self.continue_caller(index);
     }
 
-    fn remember(&mut self, index: usize, number: CallNumber, outcome: &Outcome) {
+    fn record_outcome(&mut self, index: usize, number: CallNumber, outcome: &Outcome) {
         let caller = &mut self.callers[index];
         let Some(spec) = caller.open.remove(&number) else {
             return;
--- a/crates/simulation/src/world/callers/requests.rs
+++ b/crates/simulation/src/world/callers/requests.rs
@@ -5,58 +5,58 @@
 use elderworks_sidecar_core::{Event as SidecarEvent, RequestId};
 use elderworks_types::CallId;
 
-use super::{CallerRequest, LOCAL_DELAY, PATIENCE, RETRY_INTERVAL, Wanted};
+use super::{CallerRequest, LOCAL_DELAY, REPLY_TIMEOUT, RETRY_INTERVAL, RequestKind};
 use crate::fault::CallPoint;
 use crate::observation::Submission;
 use crate::world::World;
 use crate::world::event::CallerEvent;
 
 impl World {
-    pub(super) fn ask(&mut self, index: usize, wanted: Wanted) {
+    pub(super) fn send_request(&mut self, index: usize, kind: RequestKind) {
         let sidecar = self.callers[index].sidecar;
         if !self.sidecars[sidecar].slot.is_alive() {
             self.change_sidecar(index);
-            self.ask_again(index, wanted, RETRY_INTERVAL);
+            self.retry_later(index, kind, RETRY_INTERVAL);
             return;
         }
         self.requests_made += 1;
         let request = self.requests_made;
-        let event = self.request_event(index, wanted, request);
+        let event = self.request_event(index, kind, request);
         let pending = CallerRequest {
             caller: index,
-            wanted,
+            kind,
             sidecar,
             submitted: self.now,
             streamed: None,
         };
         self.caller_requests.insert(request, pending);
-        self.note_submission(index, wanted, sidecar);
+        self.record_submission(index, kind, sidecar);
         let start = self.sidecar_start(sidecar);
         self.deliver_to_sidecar_later(start, LOCAL_DELAY, event);
-        self.wake_caller(index, PATIENCE, CallerEvent::OutOfPatience { request });
+        self.schedule_caller(index, REPLY_TIMEOUT, CallerEvent::ReplyTimeout { request });
     }
 
-    fn request_event(&self, index: usize, wanted: Wanted, request: RequestId) -> SidecarEvent {
+    fn request_event(&self, index: usize, kind: RequestKind, request: RequestId) -> SidecarEvent {
         let caller = &self.callers[index];
         let run = caller.spec.id;
         let tenant = caller.spec.tenant.clone();
-        match wanted {
-            Wanted::Start => SidecarEvent::StartRun {
+        match kind {
+            RequestKind::Start => SidecarEvent::StartRun {
                 request,
                 spec: caller.spec.clone(),
             },
-            Wanted::Call(number) => SidecarEvent::Call {
+            RequestKind::Call(number) => SidecarEvent::Call {
                 request,
                 tenant,
                 run,
                 spec: caller.open[&number].clone(),
             },
-            Wanted::Read => SidecarEvent::ReadRun {
+            RequestKind::Read => SidecarEvent::ReadRun {
                 request,
                 tenant,
                 run,
             },
-            Wanted::End => SidecarEvent::EndRun {
+            RequestKind::End => SidecarEvent::EndRun {
                 request,
                 tenant,
                 run,
@@ -64,8 +64,8 @@
         }
     }
 
-    fn note_submission(&mut self, index: usize, wanted: Wanted, sidecar: usize) {
-        let Wanted::Call(number) = wanted else {
+    fn record_submission(&mut self, index: usize, kind: RequestKind, sidecar: usize) {
+        let RequestKind::Call(number) = kind else {
             return;
         };
         let caller = &self.callers[index];
@@ -81,44 +81,41 @@
             spec: caller.open[&number].clone(),
             sidecar,
         });
-        self.reach_sidecar(CallPoint::Submitted, sidecar);
+        self.sidecar_reached(CallPoint::Submitted, sidecar);
     }
 
     /// Asks again after a while; for a call only while it is still open.
-    pub(super) fn ask_again(&mut self, index: usize, wanted: Wanted, after: Duration) {
-        let event = match wanted {
-            Wanted::Call(number) => CallerEvent::Resubmit { number },
-            Wanted::Start | Wanted::Read | Wanted::End => CallerEvent::RetryRequest,
+    pub(super) fn retry_later(&mut self, index: usize, kind: RequestKind, after: Duration) {
+        let event = match kind {
+            RequestKind::Call(number) => CallerEvent::Resubmit { number },
+            RequestKind::Start | RequestKind::Read | RequestKind::End => CallerEvent::RetryRequest,
         };
-        self.wake_caller(index, after, event);
+        self.schedule_caller(index, after, event);
     }
 
-    pub(super) fn on_out_of_patience(&mut self, request: RequestId) {
+    pub(super) fn on_reply_timeout(&mut self, request: RequestId) {
         let Some(pending) = self.caller_requests.remove(&request) else {
             return;
         };
         self.trace.line(
             self.now,
-            format_args!(
-                "caller {}: no reply for {:?}",
-                pending.caller, pending.wanted
-            ),
+            format_args!("caller {}: no reply for {:?}", pending.caller, pending.kind),
         );
         let start = self.sidecar_start(pending.sidecar);
         self.deliver_to_sidecar_later(start, LOCAL_DELAY, SidecarEvent::CallerGone { request });
         self.change_sidecar(pending.caller);
-        self.ask_again(pending.caller, pending.wanted, LOCAL_DELAY);
+        self.retry_later(pending.caller, pending.kind, LOCAL_DELAY);
     }
 
-    pub(super) fn on_broken(&mut self, request: RequestId) {
+    pub(super) fn on_disconnected(&mut self, request: RequestId) {
         if let Some(pending) = self.caller_requests.remove(&request) {
             self.change_sidecar(pending.caller);
-            self.ask_again(pending.caller, pending.wanted, RETRY_INTERVAL);
+            self.retry_later(pending.caller, pending.kind, RETRY_INTERVAL);
         }
     }
 
     /// The sidecar's process died: its callers see their requests break off.
-    pub(in crate::world) fn break_caller_requests(&mut self, sidecar: usize) {
+    pub(in crate::world) fn disconnect_callers(&mut self, sidecar: usize) {
         let broken: Vec<(RequestId, usize)> = self
             .caller_requests
             .iter()
@@ -126,7 +123,7 @@
             .map(|(request, pending)| (*request, pending.caller))
             .collect();
         for (request, caller) in broken {
-            self.wake_caller(caller, LOCAL_DELAY, CallerEvent::Broken { request });
+            self.schedule_caller(caller, LOCAL_DELAY, CallerEvent::Disconnected { request });
         }
     }
 }
--- a/crates/simulation/src/world/callers/steps.rs
+++ b/crates/simulation/src/world/callers/steps.rs
@@ -2,7 +2,7 @@
 
 use elderworks_types::{CallNumber, CallRequest};
 
-use super::{LOCAL_DELAY, Phase, RETRY_INTERVAL, Wanted};
+use super::{LOCAL_DELAY, Phase, RETRY_INTERVAL, RequestKind};
 use crate::scenario::Step;
 use crate::world::World;
 use crate::world::event::CallerEvent;
@@ -12,7 +12,7 @@
     /// Does the next thing that the caller's phase asks for.
     pub(super) fn continue_caller(&mut self, index: usize) {
         match self.callers[index].phase {
-            Phase::Starting => self.ask(index, Wanted::Start),
+            Phase::Starting => self.send_request(index, RequestKind::Start),
             Phase::Running if self.callers[index].open.is_empty() => self.take_step(index),
             Phase::Running | Phase::Done => {}
             Phase::Ending => self.end_or_wait(index),
@@ -25,9 +25,9 @@
             .iter()
             .filter(|caller| caller.parent == Some(index));
         if children.any(|child| !child.is_done()) {
-            self.wake_caller(index, RETRY_INTERVAL, CallerEvent::Continue);
+            self.schedule_caller(index, RETRY_INTERVAL, CallerEvent::Continue);
         } else {
-            self.ask(index, Wanted::End);
+            self.send_request(index, RequestKind::End);
         }
     }
 
@@ -47,9 +47,9 @@
             Step::Submit { keyed: true } => self.make_tool_call(index, "registry", false),
             Step::Submit { keyed: false } => self.make_tool_call(index, "mailbox", false),
             Step::Crossed => self.make_crossed_calls(index),
-            Step::Pause(duration) => self.wake_caller(index, duration, CallerEvent::Continue),
+            Step::Pause(duration) => self.schedule_caller(index, duration, CallerEvent::Continue),
             Step::Spawn => self.spawn(index),
-            Step::Read => self.ask(index, Wanted::Read),
+            Step::Read => self.send_request(index, RequestKind::Read),
         }
     }
 
@@ -89,7 +89,7 @@
         let later = self.prepare_tool_call(index, "cadastre", true);
         self.submit(index, later);
         self.change_sidecar(index);
-        self.wake_caller(
+        self.schedule_caller(
             index,
             LOCAL_DELAY,
             CallerEvent::Resubmit { number: earlier },
@@ -100,8 +100,8 @@
         let child = self.draw_child(parent);
         self.callers.push(child);
         let index = self.callers.len() - 1;
-        self.wake_caller(index, LOCAL_DELAY, CallerEvent::Continue);
-        self.wake_caller(parent, LOCAL_DELAY, CallerEvent::Continue);
+        self.schedule_caller(index, LOCAL_DELAY, CallerEvent::Continue);
+        self.schedule_caller(parent, LOCAL_DELAY, CallerEvent::Continue);
     }
 
     /// Hands a call over, for the first time or again.
@@ -109,13 +109,15 @@
         if self.callers[index].phase == Phase::Running
             && self.callers[index].open.contains_key(&number)
         {
-            self.ask(index, Wanted::Call(number));
+            self.send_request(index, RequestKind::Call(number));
         }
     }
 
     pub(super) fn retry_request(&mut self, index: usize) {
         match self.callers[index].phase {
-            Phase::Running if self.callers[index].open.is_empty() => self.ask(index, Wanted::Read),
+            Phase::Running if self.callers[index].open.is_empty() => {
+                self.send_request(index, RequestKind::Read)
+            }
             _ => self.continue_caller(index),
         }
     }
--- a/crates/simulation/src/world/connection.rs
+++ b/crates/simulation/src/world/connection.rs
@@ -56,7 +56,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
-    /// A sidecar's attempt to connect arrives at, or fails to reach, a node.
+    /// A sidecar's attempt to connect arrives at, or fails to node_reached, a node.
     pub(super) fn on_connect(&mut self, from: SidecarStart, address: SocketAddr) {
         let Some(node) = self.node_by_address(address) else {
             self.deliver_to_sidecar_later(
@@ -98,7 +98,7 @@
         let hello = ToNode::Hello(Hello::Sidecar {
             sidecar: self.sidecars[from.sidecar].seed,
         });
-        self.carry(connection, Payload::ToNode(Box::new(hello)));
+        self.send_on_connection(connection, Payload::ToNode(Box::new(hello)));
         self.deliver_to_sidecar_later(from, delay, SidecarEvent::Connected { address });
     }
 
@@ -127,7 +127,7 @@
             .copied();
         if let Some(connection) = found {
             let message = ToNode::Sidecar(message);
-            self.carry(connection, Payload::ToNode(Box::new(message)));
+            self.send_on_connection(connection, Payload::ToNode(Box::new(message)));
         }
     }
 
@@ -152,14 +152,14 @@
             self.nodes[from.node].peer_connections.insert(node, id);
             let name = self.nodes[from.node].settings.node.clone();
             let hello = ToNode::Hello(Hello::Peer { node: name });
-            self.carry(id, Payload::ToNode(Box::new(hello)));
+            self.send_on_connection(id, Payload::ToNode(Box::new(hello)));
             id
         });
-        self.carry(connection, Payload::ToNode(Box::new(ToNode::Peer(message))));
+        self.send_on_connection(connection, Payload::ToNode(Box::new(ToNode::Peer(message))));
     }
 
     /// Puts a message on a connection: in order, held while the way is cut, lost once it breaks.
-    pub(super) fn carry(&mut self, id: ConnectionId, payload: Payload) {
+    pub(super) fn send_on_connection(&mut self, id: ConnectionId, payload: Payload) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
@@ -191,7 +191,7 @@
         };
         let at = start.after(delay).max(last.after(Duration::from_micros(1)));
         *last = at;
-        let event = Event::Carry {
+        let event = Event::MessageArrival {
             connection: id,
             payload,
         };
@@ -199,7 +199,7 @@
     }
 
     /// A message reaches the end of its connection.
-    pub(super) fn on_carry(&mut self, id: ConnectionId, payload: Payload) {
+    pub(super) fn on_message_arrival(&mut self, id: ConnectionId, payload: Payload) {
         let Some(connection) = self.connections.get(&id).cloned() else {
             return;
         };
@@ -209,7 +209,7 @@
                     connection: id,
                     message: *message,
                 };
-                self.note_received(&input, connection.acceptor.node);
+                self.record_received(&input, connection.acceptor.node);
                 self.deliver_to_node(connection.acceptor, input);
             }
             Payload::FromNode(message) => self.deliver_from_node(&connection, *message),
@@ -264,10 +264,10 @@
             return;
         };
         self.deliver_to_node(connection.acceptor, NodeEvent::Closed { connection: id });
-        self.tell_opener(&connection, id);
+        self.notify_opener(&connection, id);
     }
 
-    fn tell_opener(&mut self, connection: &Connection, id: ConnectionId) {
+    fn notify_opener(&mut self, connection: &Connection, id: ConnectionId) {
         if let Opener::Sidecar(start) = connection.opener {
             let address = self.nodes[connection.acceptor.node].settings.address;
             let present = self.sidecars[start.sidecar].connections.get(&address);
--- a/crates/simulation/src/world/engine_service/lifecycle.rs
+++ b/crates/simulation/src/world/engine_service/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::world::World;
 use crate::world::event::{Event, NodeStart};
 
-const LEAVE_GRACE: Duration = Duration::from_secs(12);
+const DEPARTURE_GRACE: Duration = Duration::from_secs(12);
 
 impl World {
     /// An engine's process dies; its readers see their streams break.
@@ -36,14 +36,14 @@
     }
 
     /// An engine says that it is leaving; once idle, or after its grace period, it is replaced.
-    pub(in crate::world) fn leave_engine(&mut self, engine: usize) {
+    pub(in crate::world) fn start_departure(&mut self, engine: usize) {
         if self.engines[engine].leaving || !self.engines[engine].up {
             return;
         }
         self.engines[engine].leaving = true;
         self.observations.departures.push(Departure {
             at: self.now,
-            until: self.now.after(LEAVE_GRACE),
+            until: self.now.after(DEPARTURE_GRACE),
             engine: self.engines[engine].id.clone(),
         });
     }
@@ -58,7 +58,7 @@
     }
 
     /// How long a leaving engine stays to finish its streams.
-    pub(in crate::world) fn leave_grace() -> Duration {
-        LEAVE_GRACE
+    pub(in crate::world) fn departure_grace() -> Duration {
+        DEPARTURE_GRACE
     }
 }
--- a/crates/simulation/src/world/engine_service/streams.rs
+++ b/crates/simulation/src/world/engine_service/streams.rs
@@ -49,7 +49,7 @@
             &mut self.observations.generations,
         );
         self.schedule_step(engine, ticket, FIRST_CHUNK_DELAY);
-        self.reach(CallPoint::Taken, from.node);
+        self.node_reached(CallPoint::Taken, from.node);
     }
 
     pub(super) fn resume_generation(
@@ -63,7 +63,7 @@
         match resumed {
             Some(missed) => {
                 for step in missed {
-                    self.give_step(engine, subscriber_of(from), ticket, step);
+                    self.deliver_step(engine, subscriber_of(from), ticket, step);
                 }
             }
             None => {
@@ -109,20 +109,20 @@
         };
         let is_chunk = matches!(step, EngineStep::Chunk { .. });
         if let Some(subscriber) = subscriber {
-            self.give_step(engine, subscriber, ticket, step);
+            self.deliver_step(engine, subscriber, ticket, step);
             let point = if is_chunk {
                 CallPoint::Chunk
             } else {
                 CallPoint::Answered
             };
-            self.reach(point, subscriber.node);
+            self.node_reached(point, subscriber.node);
         }
         if is_chunk {
             self.schedule_step(engine, ticket, CHUNK_INTERVAL);
         }
     }
 
-    fn give_step(&mut self, engine: usize, to: Subscriber, ticket: Ticket, step: EngineStep) {
+    fn deliver_step(&mut self, engine: usize, to: Subscriber, ticket: Ticket, step: EngineStep) {
         let start = NodeStart {
             node: to.node,
             generation: to.generation,
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -76,14 +76,14 @@
     /// Time to start the run, to read it or to end it once more.
     RetryRequest,
     /// The caller has waited long enough for a reply.
-    OutOfPatience { request: RequestId },
+    ReplyTimeout { request: RequestId },
     /// A reply from a sidecar.
     Reply {
         request: RequestId,
         reply: Box<CallerReply>,
     },
     /// The connection to the sidecar broke.
-    Broken { request: RequestId },
+    Disconnected { request: RequestId },
 }
 
 /// Something for an operator.
@@ -115,7 +115,7 @@
     SidecarTick(SidecarStart),
     Resume(ProcessId),
     Start(ProcessId),
-    Carry {
+    MessageArrival {
         connection: ConnectionId,
         payload: Payload,
     },
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults strike: at their time, or when a call reaches their point.
+//! Faults apply_fault: at their time, or when a call reaches their point.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 
 use super::World;
 use super::event::{Event, NodeStart};
-use super::setup::pick;
+use super::setup::pick_process;
 use crate::fault::{CallPoint, Fault, FaultKind, When};
 use crate::kernel::{Direction, Endpoint, Instant, ProcessId};
 use crate::observation::PlannedStop;
-use crate::platform::LogTrouble;
+use crate::platform::LogFailure;
 
-const STORM_LOSS_PERCENT: u32 = 40;
+const EXTRA_LOSS_PERCENT: u32 = 40;
 const MACHINE_LIST_INTERVAL: Duration = Duration::from_secs(1);
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(3);
 
 impl World {
     /// A node received a message; a call in it counts as a point of the call's life.
-    pub(super) fn note_received(&mut self, input: &NodeEvent, node: usize) {
+    pub(super) fn record_received(&mut self, input: &NodeEvent, node: usize) {
         use elderworks_protocol::peer::ToNode;
         use elderworks_protocol::sidecar::SidecarMessage;
         if let NodeEvent::Received { message, .. } = input
             && matches!(message, ToNode::Sidecar(SidecarMessage::SubmitCall { .. }))
         {
-            self.reach(CallPoint::Received, node);
+            self.node_reached(CallPoint::Received, node);
         }
     }
 
     /// A call reaches a point at which a node is acting.
-    pub(super) fn reach(&mut self, point: CallPoint, node: usize) {
-        self.reach_by(point, ProcessId::Node(node));
+    pub(super) fn node_reached(&mut self, point: CallPoint, node: usize) {
+        self.point_reached(point, ProcessId::Node(node));
     }
 
     /// A call reaches a point at which a sidecar is acting.
-    pub(super) fn reach_sidecar(&mut self, point: CallPoint, sidecar: usize) {
-        self.reach_by(point, ProcessId::Sidecar(sidecar));
+    pub(super) fn sidecar_reached(&mut self, point: CallPoint, sidecar: usize) {
+        self.point_reached(point, ProcessId::Sidecar(sidecar));
     }
 
-    fn reach_by(&mut self, point: CallPoint, actor: ProcessId) {
+    fn point_reached(&mut self, point: CallPoint, actor: ProcessId) {
         if self.configured_at.is_none() {
             return;
         }
@@ -50,41 +50,43 @@
             .filter(|index| self.schedule[*index].when == reached)
             .collect();
         for index in due {
-            self.strike(index, Some(actor));
+            self.apply_fault(index, Some(actor));
         }
     }
 
     /// A fault of the schedule strikes; `actor` is the process acting at its point.
-    pub(super) fn strike(&mut self, index: usize, actor: Option<ProcessId>) {
+    pub(super) fn apply_fault(&mut self, index: usize, actor: Option<ProcessId>) {
         let fault = self.schedule[index];
         let until = self.now.after(fault.lasts);
-        self.faults_stop = self.faults_stop.max(until);
-        self.observations.disturbed |= fault.kind.is_abrupt();
-        self.observations.processes_disturbed |= fault.kind.strikes_processes();
+        self.faults_stop_at = self.faults_stop_at.max(until);
+        self.observations.had_abrupt_fault |= fault.kind.is_abrupt();
+        self.observations.had_process_fault |= fault.kind.affects_processes();
         self.trace
             .line(self.now, format_args!("fault: {fault}, acting {actor:?}"));
         match fault.kind {
-            FaultKind::LogDown => self.log.trouble(LogTrouble::Down, until),
-            FaultKind::LogSlow => self.log.trouble(LogTrouble::Slow, until),
-            FaultKind::LogLosesAnswers => self.log.trouble(LogTrouble::LosesAnswers, until),
-            FaultKind::DatagramLoss => self.network.lose_datagrams(STORM_LOSS_PERCENT, until),
+            FaultKind::LogDown => self.log.start_failure(LogFailure::Down, until),
+            FaultKind::LogSlow => self.log.start_failure(LogFailure::Slow, until),
+            FaultKind::LogLosesAnswers => self.log.start_failure(LogFailure::LosesAnswers, until),
+            FaultKind::DatagramLoss => self.network.lose_datagrams(EXTRA_LOSS_PERCENT, until),
             FaultKind::MachineListStale => self.machine_list_stale_until = until,
             FaultKind::ToolHang => self.hang_tool(fault, until),
             FaultKind::EngineRestart | FaultKind::EngineStall | FaultKind::EngineLeave => {
-                self.strike_engine(fault, until);
+                self.apply_engine_fault(fault, until);
             }
             FaultKind::NodeCut
             | FaultKind::NodeLogCut
             | FaultKind::SidecarCut
-            | FaultKind::EngineCut => self.strike_network(fault, actor, until),
+            | FaultKind::EngineCut => self.apply_network_fault(fault, actor, until),
             FaultKind::NodeKill
             | FaultKind::NodeLoss
             | FaultKind::NodePause
             | FaultKind::NodeStop => {
                 let node = self.node_victim(fault, actor);
-                self.strike_node(fault, node);
+                self.apply_node_fault(fault, node);
+            }
+            FaultKind::SidecarKill | FaultKind::SidecarPause => {
+                self.apply_sidecar_fault(fault, actor)
             }
-            FaultKind::SidecarKill | FaultKind::SidecarPause => self.strike_sidecar(fault, actor),
         }
     }
 
@@ -95,7 +97,7 @@
         }
     }
 
-    fn strike_node(&mut self, fault: Fault, node: usize) {
+    fn apply_node_fault(&mut self, fault: Fault, node: usize) {
         let process = ProcessId::Node(node);
         match fault.kind {
             FaultKind::NodePause => self.pause(process, fault.lasts),
@@ -107,13 +109,14 @@
         }
     }
 
-    fn strike_sidecar(&mut self, fault: Fault, actor: Option<ProcessId>) {
+    fn apply_sidecar_fault(&mut self, fault: Fault, actor: Option<ProcessId>) {
         let process = match actor {
             Some(ProcessId::Sidecar(_)) => actor,
             _ => None,
         };
         let count = self.sidecars.len();
-        let process = process.unwrap_or_else(|| pick(ProcessId::Sidecar, fault.victim, count));
+        let process =
+            process.unwrap_or_else(|| pick_process(ProcessId::Sidecar, fault.victim, count));
         if fault.kind == FaultKind::SidecarPause {
             self.pause(process, fault.lasts);
         } else {
@@ -122,7 +125,7 @@
         }
     }
 
-    fn strike_network(&mut self, fault: Fault, actor: Option<ProcessId>, until: Instant) {
+    fn apply_network_fault(&mut self, fault: Fault, actor: Option<ProcessId>, until: Instant) {
         let node = self.node_victim(fault, actor);
         let from = Endpoint::Node(node);
         let other = fault.victim as usize / self.nodes.len();
@@ -139,7 +142,7 @@
         }
     }
 
-    fn strike_engine(&mut self, fault: Fault, until: Instant) {
+    fn apply_engine_fault(&mut self, fault: Fault, until: Instant) {
         let engine = fault.victim as usize % self.engines.len();
         match fault.kind {
             FaultKind::EngineStall => {
@@ -147,14 +150,16 @@
                 self.engines[engine].stalled_until = present.max(until);
             }
             FaultKind::EngineLeave => {
-                self.leave_engine(engine);
+                self.start_departure(engine);
                 let event = Event::EngineGone {
                     engine,
                     generation: self.engines[engine].generation,
                     restart_after: fault.lasts,
                 };
-                self.schedule(Self::leave_grace(), event);
-                self.faults_stop = self.faults_stop.max(until.after(Self::leave_grace()));
+                self.schedule(Self::departure_grace(), event);
+                self.faults_stop_at = self
+                    .faults_stop_at
+                    .max(until.after(Self::departure_grace()));
             }
             _ => self.crash_engine(engine, fault.lasts),
         }
@@ -208,7 +213,7 @@
             .line(self.now, format_args!("node-{node}: drained"));
         self.kill(ProcessId::Node(node), false);
         self.schedule(after, Event::Start(ProcessId::Node(node)));
-        self.faults_stop = self.faults_stop.max(self.now.after(after));
+        self.faults_stop_at = self.faults_stop_at.max(self.now.after(after));
     }
 
     /// The platform publishes its list of machines: what was true a while ago.
--- a/crates/simulation/src/world/log_service.rs
+++ b/crates/simulation/src/world/log_service.rs
@@ -40,7 +40,7 @@
             self.append_unanswered(from, token, CLIENT_TIMEOUT);
             return;
         }
-        let delay = self.delay_to_log(from) + self.log_slowness();
+        let delay = self.delay_to_log(from) + self.draw_log_delay();
         let event = Event::LogAppend {
             from,
             stream,
@@ -86,7 +86,7 @@
             }
         }
         if matches!(stream, StreamName::Partition(_)) {
-            self.reach(CallPoint::Journalled, from.node);
+            self.node_reached(CallPoint::Journalled, from.node);
         }
     }
 
@@ -111,7 +111,7 @@
             self.deliver_to_node_later(from, wait + CLIENT_TIMEOUT, no_answer);
             return;
         }
-        let delay = self.delay_to_log(from) + self.log_slowness();
+        let delay = self.delay_to_log(from) + self.draw_log_delay();
         let event = Event::LogRead {
             from,
             stream,
@@ -178,9 +178,9 @@
         self.deliver_to_node_later(from, delay, read_event(stream, offset, result));
     }
 
-    fn log_slowness(&mut self) -> Duration {
-        let longest = self.log.longest_delay(self.now);
-        self.platform_random.duration(Duration::ZERO, longest)
+    fn draw_log_delay(&mut self) -> Duration {
+        let max_delay = self.log.max_delay(self.now);
+        self.platform_random.duration(Duration::ZERO, max_delay)
     }
 
     fn is_cut_from_log(&self, from: NodeStart) -> bool {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -34,7 +34,7 @@
 use connection::{Connection, ConnectionId};
 use event::{Event, NodeStart, SidecarStart};
 use log_service::Waiter;
-use operators::{Operator, OperatorRequestPending};
+use operators::{Operator, PendingOperatorRequest};
 
 /// An engine that a node's driver polls.
 struct WatchedEngine {
@@ -82,7 +82,7 @@
     callers: Vec<Caller>,
     caller_requests: BTreeMap<RequestId, CallerRequest>,
     operators: Vec<Operator>,
-    operator_requests: BTreeMap<RequestId, OperatorRequestPending>,
+    operator_requests: BTreeMap<RequestId, PendingOperatorRequest>,
     requests_made: RequestId,
     schedule: Vec<Fault>,
     points_reached: BTreeMap<CallPoint, u32>,
@@ -91,7 +91,7 @@
     platform_random: Random,
     workload_random: Random,
     configured_at: Option<Instant>,
-    faults_stop: Instant,
+    faults_stop_at: Instant,
     observations: Observations,
     trace: Trace,
 }
@@ -108,15 +108,15 @@
 impl World {
     /// Runs to the end and gives what was seen and the trace.
     pub fn run(mut self) -> (Observations, Trace) {
-        self.begin();
+        self.start();
         let mut settled_at = None;
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
             if settled_at.is_some_and(|settled| at > settled) || self.is_stuck() {
                 break;
             }
-            self.happen(event);
-            if settled_at.is_none() && self.is_quiet() {
+            self.handle_event(event);
+            if settled_at.is_none() && self.is_done() {
                 self.observations.callers_done = self.now;
                 settled_at = Some(self.now.after(SETTLE_TIME));
             }
@@ -124,23 +124,23 @@
         self.finish()
     }
 
-    fn is_quiet(&self) -> bool {
+    fn is_done(&self) -> bool {
         let all_done = self.callers.iter().all(Caller::is_done);
-        self.configured_at.is_some() && self.now > self.faults_stop && all_done
+        self.configured_at.is_some() && self.now > self.faults_stop_at && all_done
     }
 
     fn is_stuck(&self) -> bool {
         match self.configured_at {
             None => self.now > Instant(0).after(SETUP_LIMIT),
-            Some(_) => self.now > self.faults_stop.after(LIVENESS_BOUND + SETTLE_TIME),
+            Some(_) => self.now > self.faults_stop_at.after(LIVENESS_BOUND + SETTLE_TIME),
         }
     }
 
     fn finish(mut self) -> (Observations, Trace) {
-        self.observations.faults_stopped = self.faults_stop;
+        self.observations.faults_stopped = self.faults_stop_at;
         self.observations.ended = self.now;
-        self.note_unfinished();
-        self.note_holdings();
+        self.record_unfinished();
+        self.record_holdings();
         (self.observations, self.trace)
     }
 
@@ -148,7 +148,7 @@
         self.queue.schedule(self.now.after(delay), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::ToNode { to, input } => self.deliver_to_node(to, *input),
             Event::ToSidecar { to, input } => self.deliver_to_sidecar(to, *input),
@@ -156,10 +156,10 @@
             Event::SidecarTick(start) => self.on_sidecar_tick(start),
             Event::Resume(process) => self.on_resume(process),
             Event::Start(process) => self.on_start(process),
-            Event::Carry {
+            Event::MessageArrival {
                 connection,
                 payload,
-            } => self.on_carry(connection, payload),
+            } => self.on_message_arrival(connection, payload),
             Event::Break(connection) => self.on_break(connection),
             Event::Connect { from, address } => self.on_connect(from, address),
             Event::LogAppend {
@@ -207,7 +207,7 @@
                 request,
                 question,
             } => self.on_operator_request(to, request, *question),
-            Event::Fault(index) => self.strike(index, None),
+            Event::Fault(index) => self.apply_fault(index, None),
         }
     }
 
@@ -248,7 +248,7 @@
         zone.is_some() && zone == self.zone_of(other)
     }
 
-    fn note_holdings(&mut self) {
+    fn record_holdings(&mut self) {
         for engine in &self.engines {
             let engine_id = &engine.id;
             let holdings = engine.holdings().into_iter();
--- a/crates/simulation/src/world/node_effects.rs
+++ b/crates/simulation/src/world/node_effects.rs
@@ -11,7 +11,7 @@
 use crate::fault::CallPoint;
 
 impl World {
-    pub(super) fn carry_out_node(&mut self, from: NodeStart, effect: Effect) {
+    pub(super) fn execute_node_effect(&mut self, from: NodeStart, effect: Effect) {
         if self.nodes[from.node].slot.generation() != from.generation {
             return;
         }
@@ -33,11 +33,11 @@
             Effect::Send {
                 connection,
                 message,
-            } => self.carry(connection, Payload::FromNode(Box::new(message))),
+            } => self.send_on_connection(connection, Payload::FromNode(Box::new(message))),
             Effect::SendPeer { peer, message } => self.send_to_peer(from, &peer, message),
             Effect::WatchEngine { engine, .. } => self.watch_engine(from, &engine),
             Effect::PaceEngine { engine, pace } => self.pace_engine(from, &engine, pace),
-            Effect::ForgetEngine { engine } => self.forget_engine(from, &engine),
+            Effect::ForgetEngine { engine } => self.unwatch_engine(from, &engine),
             Effect::Generate(request) => self.generate(from, *request),
             Effect::ResumeStream {
                 ticket,
@@ -65,7 +65,7 @@
                     timeout,
                 };
                 self.request_tool(from, ticket, tool, request);
-                self.reach(CallPoint::Sent, from.node);
+                self.node_reached(CallPoint::Sent, from.node);
             }
             Effect::QueryTool {
                 ticket,
@@ -103,7 +103,7 @@
             .insert(ticket, Some(engine.clone()));
         self.schedule(timeout, Event::AttemptTimeout { from, ticket });
         self.request_engine(from, &engine, EngineRequest::Generate(Box::new(request)));
-        self.reach(CallPoint::Sent, from.node);
+        self.node_reached(CallPoint::Sent, from.node);
     }
 
     fn resume_stream(
@@ -135,7 +135,7 @@
         self.deliver_to_node(from, NodeEvent::AttemptFailed { ticket, failure });
     }
 
-    fn forget_engine(&mut self, from: NodeStart, engine: &EngineId) {
+    fn unwatch_engine(&mut self, from: NodeStart, engine: &EngineId) {
         if let Some(engine) = self.engine_by_id(engine) {
             self.nodes[from.node].watched.remove(&engine);
         }
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -19,8 +19,8 @@
 const REPLY_DELAY: Duration = Duration::from_millis(2);
 const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
 const SETUP_RETRY: Duration = Duration::from_millis(500);
-const SHORTEST_RACE: Duration = Duration::from_millis(200);
-const LONGEST_RACE: Duration = Duration::from_millis(1_500);
+const MIN_RACE_PAUSE: Duration = Duration::from_millis(200);
+const MAX_RACE_PAUSE: Duration = Duration::from_millis(1_500);
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What an operator is for.
@@ -29,7 +29,7 @@
     /// Creates the resources in order, then is done.
     Setup(VecDeque<Resource>),
     /// Changes the raced configuration, building on what it last saw.
-    Racer { seen: Option<Offset> },
+    Racer { last_revision: Option<Offset> },
     /// Reads the raced configuration from every node in turn.
     Reader,
 }
@@ -45,8 +45,12 @@
     pub(super) fn all() -> Vec<Operator> {
         let roles = [
             Role::Setup(VecDeque::new()),
-            Role::Racer { seen: None },
-            Role::Racer { seen: None },
+            Role::Racer {
+                last_revision: None,
+            },
+            Role::Racer {
+                last_revision: None,
+            },
             Role::Reader,
         ];
         roles.into_iter().map(|role| Operator { role }).collect()
@@ -55,7 +59,7 @@
 
 /// An operator's request that no node has answered.
 #[derive(Clone, Debug)]
-pub(crate) struct OperatorRequestPending {
+pub(crate) struct PendingOperatorRequest {
     operator: usize,
     to: NodeStart,
     submitted: Instant,
@@ -76,7 +80,7 @@
         }
     }
 
-    fn wake_operator(&mut self, operator: usize, after: Duration) {
+    fn schedule_operator(&mut self, operator: usize, after: Duration) {
         let event = OperatorEvent::Continue;
         self.schedule(after, Event::Operator { operator, event });
     }
@@ -85,7 +89,7 @@
         match &self.operators[operator].role {
             Role::Setup(_) => self.continue_setup(operator),
             Role::Racer { .. } => self.continue_race(operator),
-            Role::Reader => self.read_everywhere(operator),
+            Role::Reader => self.read_all_nodes(operator),
         }
     }
 
@@ -94,33 +98,33 @@
             return;
         }
         let initial = self.initial_resources();
-        let Role::Setup(left) = &mut self.operators[operator].role else {
+        let Role::Setup(remaining) = &mut self.operators[operator].role else {
             return;
         };
-        if left.is_empty() {
-            left.extend(initial);
+        if remaining.is_empty() {
+            remaining.extend(initial);
         }
-        let next = left.front().cloned();
+        let next = remaining.front().cloned();
         match (next, self.ready_node()) {
-            (Some(resource), Some(node)) => self.propose(operator, node, resource, None),
-            _ => self.wake_operator(operator, SETUP_RETRY),
+            (Some(resource), Some(node)) => self.send_change(operator, node, resource, None),
+            _ => self.schedule_operator(operator, SETUP_RETRY),
         }
     }
 
     fn continue_race(&mut self, operator: usize) {
         let node = self.ready_node();
         let (Some(node), Some(_)) = (node, self.configured_at) else {
-            self.wake_operator(operator, LONGEST_RACE);
+            self.schedule_operator(operator, MAX_RACE_PAUSE);
             return;
         };
-        let Role::Racer { seen } = self.operators[operator].role else {
+        let Role::Racer { last_revision } = self.operators[operator].role else {
             return;
         };
-        match seen {
+        match last_revision {
             Some(revision) => {
                 let serial = self.requests_made;
                 let resource = raced_configuration(serial);
-                self.propose(operator, node, resource, Some(revision));
+                self.send_change(operator, node, resource, Some(revision));
             }
             None => self.read_raced(operator, node),
         }
@@ -134,7 +138,7 @@
         ready.get(choice).copied()
     }
 
-    fn propose(
+    fn send_change(
         &mut self,
         operator: usize,
         node: usize,
@@ -146,7 +150,7 @@
             expected,
         };
         let question = OperatorRequest::Change(body);
-        self.ask_node(operator, node, question, Some((resource, expected)));
+        self.send_operator_request(operator, node, question, Some((resource, expected)));
     }
 
     fn read_raced(&mut self, operator: usize, node: usize) {
@@ -154,19 +158,19 @@
             kind: Kind::Configuration,
             name: ResourceName::new(RACED_CONFIGURATION),
         };
-        self.ask_node(operator, node, question, None);
+        self.send_operator_request(operator, node, question, None);
     }
 
-    fn read_everywhere(&mut self, operator: usize) {
+    fn read_all_nodes(&mut self, operator: usize) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].ready && self.nodes[node].slot.is_running() {
                 self.read_raced(operator, node);
             }
         }
-        self.wake_operator(operator, READ_INTERVAL);
+        self.schedule_operator(operator, READ_INTERVAL);
     }
 
-    fn ask_node(
+    fn send_operator_request(
         &mut self,
         operator: usize,
         node: usize,
@@ -176,7 +180,7 @@
         self.requests_made += 1;
         let request = self.requests_made;
         let to = self.node_start(node);
-        let pending = OperatorRequestPending {
+        let pending = PendingOperatorRequest {
             operator,
             to,
             submitted: self.now,
@@ -240,26 +244,26 @@
                     expected,
                     result,
                 };
-                self.learn_change(&change);
+                self.apply_change_result(&change);
                 self.observations.changes.push(change);
             }
-            (OperatorReply::Resource(resource), None) => self.learn_resource(&pending, resource),
+            (OperatorReply::Resource(resource), None) => self.record_read(&pending, resource),
             _ => {}
         }
         self.after_reply(pending.operator);
     }
 
-    fn learn_change(&mut self, change: &OperatorChange) {
+    fn apply_change_result(&mut self, change: &OperatorChange) {
         let already_exists = matches!(
             change.result,
             Err(elderworks_control::ControlError::Conflict { .. })
         );
         match &mut self.operators[change.operator].role {
-            Role::Setup(left) if change.result.is_ok() || already_exists => {
-                left.pop_front();
+            Role::Setup(remaining) if change.result.is_ok() || already_exists => {
+                remaining.pop_front();
             }
-            Role::Racer { seen } => {
-                *seen = change
+            Role::Racer { last_revision } => {
+                *last_revision = change
                     .result
                     .as_ref()
                     .ok()
@@ -269,12 +273,12 @@
         }
     }
 
-    fn learn_resource(&mut self, pending: &OperatorRequestPending, resource: Option<Resource>) {
+    fn record_read(&mut self, pending: &PendingOperatorRequest, resource: Option<Resource>) {
         let revision = resource
             .as_ref()
             .map_or(Offset(0), |resource| resource.metadata.revision);
-        if let Role::Racer { seen } = &mut self.operators[pending.operator].role {
-            *seen = Some(revision);
+        if let Role::Racer { last_revision } = &mut self.operators[pending.operator].role {
+            *last_revision = Some(revision);
         }
         self.observations.reads.push(OperatorRead {
             at: self.now,
@@ -289,15 +293,17 @@
 
     fn after_reply(&mut self, operator: usize) {
         match &self.operators[operator].role {
-            Role::Setup(left) if left.is_empty() => {
+            Role::Setup(remaining) if remaining.is_empty() => {
                 if self.configured_at.is_none() {
                     self.on_configured();
                 }
             }
-            Role::Setup(_) => self.wake_operator(operator, REPLY_DELAY),
+            Role::Setup(_) => self.schedule_operator(operator, REPLY_DELAY),
             Role::Racer { .. } => {
-                let pause = self.workload_random.duration(SHORTEST_RACE, LONGEST_RACE);
-                self.wake_operator(operator, pause);
+                let pause = self
+                    .workload_random
+                    .duration(MIN_RACE_PAUSE, MAX_RACE_PAUSE);
+                self.schedule_operator(operator, pause);
             }
             Role::Reader => {}
         }
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -16,12 +16,12 @@
     pub(super) fn deliver_to_node(&mut self, to: NodeStart, input: NodeEvent) {
         let node = &mut self.nodes[to.node];
         if to.generation == node.slot.generation() && node.accepts(&input) {
-            self.hand_to_node(to, input);
+            self.pass_to_core(to, input);
         }
     }
 
     /// Hands over what the driver has passed on, now or before a pause.
-    fn hand_to_node(&mut self, to: NodeStart, input: NodeEvent) {
+    fn pass_to_core(&mut self, to: NodeStart, input: NodeEvent) {
         let node = &mut self.nodes[to.node];
         let time = node.slot.clock.read(self.now);
         let Some((core, input)) = node.slot.deliver(to.generation, input) else {
@@ -29,7 +29,7 @@
         };
         let effects = core.handle(time, input);
         for effect in effects {
-            self.carry_out_node(to, effect);
+            self.execute_node_effect(to, effect);
         }
     }
 
@@ -53,7 +53,7 @@
         };
         let effects = core.handle(time, input);
         for effect in effects {
-            self.carry_out_sidecar(to, effect);
+            self.execute_sidecar_effect(to, effect);
         }
     }
 
@@ -109,7 +109,7 @@
             return;
         }
         slot.slot.kill();
-        slot.forget_driver_state();
+        slot.reset_driver_state();
         slot.vanished = vanished;
         self.trace.line(self.now, format_args!("node-{node}: gone"));
         self.break_connections_of(ProcessId::Node(node), vanished);
@@ -125,7 +125,7 @@
         self.trace
             .line(self.now, format_args!("sidecar-{sidecar}: gone"));
         self.break_connections_of(ProcessId::Sidecar(sidecar), false);
-        self.break_caller_requests(sidecar);
+        self.disconnect_callers(sidecar);
     }
 
     /// Starts a process with empty memory where the last one died.
@@ -137,11 +137,11 @@
     }
 
     fn start_node(&mut self, node: usize) {
-        let seed = self.process_random.number();
+        let seed = self.process_random.next_u64();
         let slot = &mut self.nodes[node];
         slot.settings.seed = seed;
         if slot.slot.start(NodeCore::new(slot.settings.clone())) {
-            slot.forget_driver_state();
+            slot.reset_driver_state();
             self.trace
                 .line(self.now, format_args!("node-{node}: starts"));
             let start = self.node_start(node);
@@ -150,7 +150,7 @@
     }
 
     fn start_sidecar(&mut self, sidecar: usize) {
-        let seed = self.process_random.number();
+        let seed = self.process_random.next_u64();
         let settings = self.sidecar_settings(seed);
         let slot = &mut self.sidecars[sidecar];
         slot.seed = seed;
@@ -183,7 +183,7 @@
             ProcessId::Node(node) => {
                 let start = self.node_start(node);
                 for input in self.nodes[node].slot.resume(self.now) {
-                    self.hand_to_node(start, input);
+                    self.pass_to_core(start, input);
                 }
             }
             ProcessId::Sidecar(sidecar) => {
@@ -197,7 +197,7 @@
 }
 
 impl super::NodeSlot {
-    fn forget_driver_state(&mut self) {
+    fn reset_driver_state(&mut self) {
         self.ready = false;
         self.draining = false;
         self.vanished = false;
--- a/crates/simulation/src/world/setup.rs
+++ b/crates/simulation/src/world/setup.rs
@@ -34,11 +34,11 @@
 const GOSSIP_PORT: u16 = 7_000;
 const MAX_OUTPUT: Tokens = Tokens(120);
 const TOOL_TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_RUNNING: usize = 8;
-const CALLERS_START_WITHIN: Duration = Duration::from_secs(8);
-const LARGEST_DRIFT_PPM: u64 = 200;
-const LARGEST_CLOCK_ERROR: Duration = Duration::from_secs(3);
-const AMPLE_BUDGET: Credits = Credits(1_000_000);
+const MAX_RUNNING_REQUESTS: usize = 8;
+const MAX_CALLER_START_DELAY: Duration = Duration::from_secs(8);
+const MAX_DRIFT_PPM: u64 = 200;
+const MAX_CLOCK_OFFSET: Duration = Duration::from_secs(3);
+const LARGE_BUDGET: Credits = Credits(1_000_000);
 const CHILD_BUDGET: Credits = Credits(20_000);
 const PRICES: Prices = Prices {
     prompt_token: Credits(1),
@@ -59,7 +59,8 @@
         let nodes = (0..scenario.nodes)
             .map(|index| node_slot(&scenario, index, execution, &mut process_random))
             .collect();
-        let engines = (0..scenario.engines).map(|index| Engine::new(engine_id(index), MAX_RUNNING));
+        let engines =
+            (0..scenario.engines).map(|index| Engine::new(engine_id(index), MAX_RUNNING_REQUESTS));
         let observations = Observations {
             prices: PRICES,
             tenant_limits: (0..TENANTS)
@@ -93,7 +94,7 @@
             platform_random: Random::new(seed, Purpose::Platform),
             workload_random: crate::scenario::workload_random(seed),
             configured_at: None,
-            faults_stop: Instant(0),
+            faults_stop_at: Instant(0),
             observations,
             trace: Trace::new(keep_trace),
         };
@@ -104,7 +105,7 @@
 
     fn add_sidecars(&mut self) {
         for _ in 0..self.scenario.sidecars {
-            let seed = self.process_random.number();
+            let seed = self.process_random.next_u64();
             let clock = draw_clock(&mut self.process_random);
             let core = SidecarCore::new(self.sidecar_settings(seed));
             self.sidecars.push(SidecarSlot {
@@ -125,14 +126,14 @@
     }
 
     fn draw_run(&mut self, index: usize) -> RunSpec {
-        let tight = self.workload_random.chance(20);
-        let budget = if tight {
-            Credits(self.workload_random.below(300, 3_000))
+        let has_small_budget = self.workload_random.chance(20);
+        let budget = if has_small_budget {
+            Credits(self.workload_random.in_range(300, 3_000))
         } else {
-            AMPLE_BUDGET
+            LARGE_BUDGET
         };
         RunSpec {
-            id: RunId::root(self.workload_random.number()),
+            id: RunId::root(self.workload_random.next_u64()),
             tenant: tenant(index % TENANTS),
             program: program_name(index % TENANTS),
             parent: None,
@@ -144,7 +145,7 @@
     /// A sub-agent of a caller's run, with a budget carved from it.
     pub(super) fn draw_child(&mut self, parent: usize) -> Caller {
         let steps = draw_steps(true, &mut self.workload_random);
-        let number = self.workload_random.number().max(1);
+        let number = self.workload_random.next_u64().max(1);
         let spec = &self.callers[parent].spec;
         let child = RunSpec {
             id: spec.id.child(number),
@@ -157,7 +158,7 @@
     }
 
     /// Starts processes, the machine list and operators.
-    pub(super) fn begin(&mut self) {
+    pub(super) fn start(&mut self) {
         for node in 0..self.nodes.len() {
             let start = self.node_start(node);
             let stagger = Duration::from_millis(7 * node as u64);
@@ -177,20 +178,20 @@
     /// Every resource is in place: callers begin, and timed faults are due.
     pub(super) fn on_configured(&mut self) {
         self.configured_at = Some(self.now);
-        self.faults_stop = self.now;
+        self.faults_stop_at = self.now;
         self.trace
             .line(self.now, format_args!("resources are in place"));
         for caller in 0..self.callers.len() {
             let after = self
                 .workload_random
-                .duration(Duration::ZERO, CALLERS_START_WITHIN);
+                .duration(Duration::ZERO, MAX_CALLER_START_DELAY);
             let event = CallerEvent::Continue;
             self.schedule(after, Event::Caller { caller, event });
         }
         for index in 0..self.schedule.len() {
             if let When::At(after) = self.schedule[index].when {
                 self.schedule(after, Event::Fault(index));
-                self.faults_stop = self.faults_stop.max(self.now.after(after));
+                self.faults_stop_at = self.faults_stop_at.max(self.now.after(after));
             }
         }
     }
@@ -223,17 +224,17 @@
         address: node_socket(index, NODE_PORT),
         seeds: seeds.collect(),
         partition_count: scenario.partitions,
-        seed: random.number(),
+        seed: random.next_u64(),
         execution: execution.clone(),
     };
     NodeSlot::new(settings, draw_clock(random), zone)
 }
 
 fn draw_clock(random: &mut Random) -> Clock {
-    let drift = random.below(0, 2 * LARGEST_DRIFT_PPM) as i64;
+    let drift = random.in_range(0, 2 * MAX_DRIFT_PPM) as i64;
     Clock {
-        offset: random.duration(Duration::ZERO, LARGEST_CLOCK_ERROR),
-        drift_ppm: drift - LARGEST_DRIFT_PPM as i64,
+        offset: random.duration(Duration::ZERO, MAX_CLOCK_OFFSET),
+        drift_ppm: drift - MAX_DRIFT_PPM as i64,
     }
 }
 
@@ -329,7 +330,7 @@
     let spec = ProgramSpec {
         services: services.iter().map(ResourceName::new).collect(),
         budget: Some(ResourceName::new(format!("budget-{index}"))),
-        run_budget: AMPLE_BUDGET,
+        run_budget: LARGE_BUDGET,
         max_turns: 16,
         max_history: Tokens(20_000),
         max_duration: Duration::from_secs(600),
@@ -391,7 +392,11 @@
     Message::new(role, content)
 }
 
-/// The processes that a fault may strike, by index.
-pub(super) fn pick(process: fn(usize) -> ProcessId, victim: u32, count: usize) -> ProcessId {
+/// The processes that a fault may apply_fault, by index.
+pub(super) fn pick_process(
+    process: fn(usize) -> ProcessId,
+    victim: u32,
+    count: usize,
+) -> ProcessId {
     process(victim as usize % count.max(1))
 }
--- a/crates/simulation/src/world/sidecar_effects.rs
+++ b/crates/simulation/src/world/sidecar_effects.rs
@@ -10,7 +10,7 @@
 use crate::kernel::{Direction, Endpoint};
 
 impl World {
-    pub(super) fn carry_out_sidecar(&mut self, from: SidecarStart, effect: Effect) {
+    pub(super) fn execute_sidecar_effect(&mut self, from: SidecarStart, effect: Effect) {
         match effect {
             Effect::Connect { address } => {
                 let node = self.node_by_address(address).unwrap_or_default();
--- a/crates/simulation/src/world/tool_service.rs
+++ b/crates/simulation/src/world/tool_service.rs
@@ -14,8 +14,8 @@
 use crate::observation::Invocation;
 use crate::platform::ToolAnswer;
 
-const SHORTEST_ANSWER: Duration = Duration::from_millis(30);
-const LONGEST_ANSWER: Duration = Duration::from_millis(400);
+const MIN_ANSWER_DELAY: Duration = Duration::from_millis(30);
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(400);
 
 impl World {
     /// A node sends a request to a tool.
@@ -49,7 +49,7 @@
         request: ToolRequest,
     ) {
         let Some(tool) = self.tools.iter().position(|tool| tool.name == name) else {
-            self.fail_attempt(from, ticket, SHORTEST_ANSWER, AttemptFailure::NotSent);
+            self.fail_attempt(from, ticket, MIN_ANSWER_DELAY, AttemptFailure::NotSent);
             return;
         };
         match request {
@@ -74,33 +74,33 @@
         let answer = self.tools[tool].invoke(self.now, &key, &arguments);
         let content = match answer {
             ToolAnswer::Ran(result) => {
-                self.note_invocation(from, ticket, tool, arguments, key, result.clone());
+                self.record_invocation(from, ticket, tool, arguments, key, result.clone());
                 result
             }
             ToolAnswer::Repeated(result) => result,
             ToolAnswer::NotRun => {
-                self.fail_attempt(from, ticket, SHORTEST_ANSWER, AttemptFailure::NotSent);
+                self.fail_attempt(from, ticket, MIN_ANSWER_DELAY, AttemptFailure::NotSent);
                 return;
             }
         };
-        self.reach(CallPoint::Taken, from.node);
+        self.node_reached(CallPoint::Taken, from.node);
         if self.tools[tool].loses_answer(self.now, &mut self.platform_random) {
             self.fail_attempt(from, ticket, timeout, no_answer());
             return;
         }
         let delay = self
             .platform_random
-            .duration(SHORTEST_ANSWER, LONGEST_ANSWER);
+            .duration(MIN_ANSWER_DELAY, MAX_ANSWER_DELAY);
         let input = NodeEvent::AttemptCompleted {
             ticket,
             content,
             usage: Usage::default(),
         };
         self.deliver_to_node_later(from, delay, input);
-        self.reach(CallPoint::Answered, from.node);
+        self.node_reached(CallPoint::Answered, from.node);
     }
 
-    fn note_invocation(
+    fn record_invocation(
         &mut self,
         from: NodeStart,
         ticket: Ticket,
@@ -129,11 +129,11 @@
 
     fn answer_query(&mut self, from: NodeStart, ticket: Ticket, tool: usize, key: &str) {
         if self.tools[tool].is_hung(self.now) {
-            self.fail_attempt(from, ticket, LONGEST_ANSWER, no_answer());
+            self.fail_attempt(from, ticket, MAX_ANSWER_DELAY, no_answer());
             return;
         }
         let Some(content) = self.tools[tool].query(self.now, key) else {
-            self.fail_attempt(from, ticket, SHORTEST_ANSWER, no_answer());
+            self.fail_attempt(from, ticket, MIN_ANSWER_DELAY, no_answer());
             return;
         };
         let input = NodeEvent::AttemptCompleted {
@@ -141,7 +141,7 @@
             content,
             usage: Usage::default(),
         };
-        self.deliver_to_node_later(from, SHORTEST_ANSWER, input);
+        self.deliver_to_node_later(from, MIN_ANSWER_DELAY, input);
     }
 }
 
--- a/crates/simulation/tests/faults.rs
+++ b/crates/simulation/tests/faults.rs
@@ -32,7 +32,7 @@
 fn without_faults_every_call_is_answered() {
     for preset in [Preset::Lublin, Preset::Ulaanbaatar] {
         for seed in 0..20 {
-            let plan = Plan::scheduled(seed, preset, Vec::new());
+            let plan = Plan::with_schedule(seed, preset, Vec::new());
             assert_holds(&plan);
             let report = run(&plan);
             assert_eq!(report.totals.unknown, 0, "seed {seed}");
--- a/crates/simulation/tests/found.rs
+++ b/crates/simulation/tests/found.rs
@@ -79,7 +79,7 @@
         },
     ];
     for found in table {
-        let plan = Plan::scheduled(found.seed, Preset::Lublin, vec![found.fault]);
+        let plan = Plan::with_schedule(found.seed, Preset::Lublin, vec![found.fault]);
         let report = run(&plan);
         assert!(
             report.violations.is_empty(),
