--- a/crates/simulation/src/broken.rs
+++ b/crates/simulation/src/broken.rs
@@ -1,4 +1,6 @@
-//! Deliberately broken variants, by name. They exist only under the cargo feature `broken`.
+//! Deliberately broken variants, which verify that the checkers detect violations.
+//!
+//! The list of variants is empty unless the cargo feature `broken` is enabled.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,25 +11,25 @@
 use crate::fault::FaultKind;
 use crate::run::Plan;
 
-/// One way to break the system on purpose.
+/// A deliberately broken variant of the system.
 #[derive(Clone, Copy)]
 pub struct Broken {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// The invariant whose checker must notice.
+    /// Invariant whose checker must report a violation.
     pub invariant: Invariant,
-    /// Faults under which it must notice.
+    /// Fault kinds under which the violation must be detected.
     pub faults: &'static [FaultKind],
     enable: fn(&mut Faults),
 }
 
 impl Broken {
-    /// Every variant.
+    /// Returns every variant.
     pub fn all() -> &'static [Broken] {
         VARIANTS
     }
 
-    /// Breaks a plan.
+    /// Enables this variant in a plan.
     pub fn apply(&self, plan: &mut Plan) {
         (self.enable)(&mut plan.execution.faults);
     }
@@ -39,14 +41,14 @@
     }
 }
 
-/// A name that is not a variant's, or a build without them.
+/// Error for a name that matches no [`Broken`] variant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownVariant {
     /// No variant has this name.
-    #[error("no broken variant is called {0:?}")]
+    #[error("unknown broken variant {0:?}")]
     Name(String),
-    /// The build has none.
-    #[error("this build has no broken variants: build with the feature `broken`")]
+    /// The build does not include broken variants.
+    #[error("broken variants are not available: build with the feature `broken`")]
     Build,
 }
 
--- a/crates/simulation/src/check/at_most_once.rs
+++ b/crates/simulation/src/check/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call that must not be repeated runs at most once.
+//! Checks that a non-repeatable call is executed at most once.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
         .filter(|(call, starts)| starts.len() > 1 && repeatable.get(call) == Some(&false));
     doubled
         .map(|(call, starts)| {
-            let detail = format!("{call} ran {} times: {starts:?}", starts.len());
+            let detail = format!("{call} was executed {} times: {starts:?}", starts.len());
             Violation::new(Invariant::AtMostOnce, starts[1], detail)
         })
         .collect()
--- a/crates/simulation/src/check/budget.rs
+++ b/crates/simulation/src/check/budget.rs
@@ -1,4 +1,5 @@
-//! What back ends ran for a run, its sub-agents included, and for a tenant stays within budget.
+//! Checks that the cost of all executions stays within the budgets of runs, including their
+//! sub-agents, and of tenants.
 
 use std::collections::BTreeMap;
 
@@ -38,11 +39,12 @@
         .collect()
 }
 
+/// Returns a description of the violation if `spent` exceeds `limit`.
 fn overspending(name: &impl std::fmt::Display, spent: Credits, limit: Credits) -> Option<String> {
     (spent > limit).then(|| format!("{name} spent {spent} of {limit}"))
 }
 
-/// What each execution of each call cost.
+/// Returns the cost of every execution with its call.
 fn costs(observations: &Observations) -> impl Iterator<Item = (CallId, Credits)> {
     let prices = observations.prices;
     let generations = observations
--- a/crates/simulation/src/check/configuration.rs
+++ b/crates/simulation/src/check/configuration.rs
@@ -1,4 +1,5 @@
-//! Accepted changes are in force everywhere within seconds, never revert, and never both win.
+//! Checks that accepted changes are applied on all nodes within seconds, are never reverted, and
+//! that only one of several changes based on the same revision is accepted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,10 +10,10 @@
 use super::{Invariant, Violation};
 use crate::observation::{Observations, OperatorChange, OperatorRead};
 
-/// A change is in force on every ready node after this time, where no fault is at work.
+/// Maximum time until a change is applied on every ready node in the absence of faults.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
-/// What faults held up is caught up with this long after the last one stopped.
+/// Maximum time after the last fault until nodes have caught up with delayed changes.
 const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
@@ -27,7 +28,7 @@
     violations
 }
 
-/// A change of the raced configuration that its operator was told is accepted.
+/// A change of the raced configuration whose acceptance was reported to its operator.
 struct Accepted<'a> {
     change: &'a OperatorChange,
     revision: Offset,
@@ -64,7 +65,7 @@
         let revision = revision_of(read);
         let latest = seen.entry((read.node, read.generation)).or_default();
         if revision < *latest {
-            let detail = format!("node-{} went back from {latest} to {revision}", read.node);
+            let detail = format!("node-{} reverted from {latest} to {revision}", read.node);
             violations.push(Violation::new(Invariant::Configuration, read.at, detail));
         }
         *latest = revision.max(*latest);
@@ -83,7 +84,7 @@
         let expected = due.map(|accepted| accepted.revision).max();
         if expected > Some(revision_of(read)) {
             let detail = format!(
-                "node-{} has {} where {expected:?} was accepted",
+                "node-{} has {}, but {expected:?} was accepted",
                 read.node,
                 revision_of(read)
             );
--- a/crates/simulation/src/check/departure.rs
+++ b/crates/simulation/src/check/departure.rs
@@ -1,11 +1,12 @@
-//! An engine that has said that it is leaving gets no new work after a few seconds.
+//! Checks that an engine that has announced its departure receives no new requests after a few
+//! seconds.
 
 use std::time::Duration;
 
 use super::{Invariant, Violation};
 use crate::observation::Observations;
 
-/// News of a departure must have come round by then.
+/// Maximum time until all nodes have learned of a departure.
 const NOTICE_PERIOD: Duration = Duration::from_secs(4);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
@@ -18,7 +19,7 @@
         });
         if let Some(generation) = late_generation {
             let detail = format!(
-                "{} took {} though leaving since {}",
+                "{} accepted {} although leaving since {}",
                 departure.engine, generation.ticket.call, departure.at
             );
             violations.push(Violation::new(
--- a/crates/simulation/src/check/executions.rs
+++ b/crates/simulation/src/check/executions.rs
@@ -1,4 +1,4 @@
-//! When back ends ran which call.
+//! Start times of calls at back ends.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,8 @@
 use crate::kernel::Instant;
 use crate::observation::Observations;
 
-/// Start times of every execution of every call, at engines and tools, in order of time.
+/// Returns the start times of all executions of each call, at engines and tools, in chronological
+/// order.
 pub(super) fn executions(observations: &Observations) -> BTreeMap<CallId, Vec<Instant>> {
     let generations = observations.generations.iter();
     let invocations = observations.invocations.iter();
--- a/crates/simulation/src/check/history.rs
+++ b/crates/simulation/src/check/history.rs
@@ -1,4 +1,4 @@
-//! Prompts and reads hold the whole history of their run, and nothing of another.
+//! Checks that prompts and reads contain the full history of their run, and no messages of another.
 
 use std::collections::BTreeMap;
 
@@ -16,19 +16,19 @@
     }
     for read in &observations.run_reads {
         let Some(view) = &read.view else {
-            let detail = format!("{} is not found", read.run);
+            let detail = format!("{} was not found", read.run);
             violations.push(Violation::new(Invariant::HistoryLost, read.at, detail));
             continue;
         };
         if !view.history.starts_with(&read.known) {
             let detail = format!(
-                "{} reads {:?}, of which its caller knows {:?}",
+                "history of {} is {:?}, but its caller knows {:?}",
                 read.run, view.history, read.known
             );
             violations.push(Violation::new(Invariant::HistoryLost, read.at, detail));
         }
         if let Some(other) = foreign_run(&view.history, read.run) {
-            let detail = format!("{} reads messages of {other}", read.run);
+            let detail = format!("history of {} contains messages of {other}", read.run);
             violations.push(Violation::new(Invariant::HistoryMixed, read.at, detail));
         }
     }
@@ -39,7 +39,7 @@
     let run = generation.ticket.call.run;
     let other = foreign_run(&generation.messages, run)?;
     let detail = format!(
-        "prompt of {} holds messages of {other}",
+        "prompt of {} contains messages of {other}",
         generation.ticket.call
     );
     Some(Violation::new(
@@ -65,7 +65,8 @@
     ))
 }
 
-/// Messages name the run that they belong to; the first other run named, if any.
+/// Returns the first run other than `run` that the messages name. Every message of a simulation
+/// names the run that it belongs to.
 fn foreign_run(messages: &[Message], run: RunId) -> Option<RunId> {
     let texts = messages.iter().map(|message| message.content.as_str());
     texts.flat_map(runs_named).find(|named| *named != run)
@@ -77,7 +78,7 @@
     words.filter_map(|word| word.parse().ok()).collect()
 }
 
-/// What callers know of their calls: the request, and the first outcome that is not a refusal.
+/// Calls as known to their callers: the request, and the first outcome that is not a refusal.
 struct KnownCalls<'a> {
     specs: BTreeMap<CallId, &'a CallSpec>,
     outcomes: BTreeMap<CallId, &'a Outcome>,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// The prompt of a model call; `None` where the caller does not know all that came before.
+    /// Returns the expected prompt of a model call, or `None` if the caller does not know all earlier
+    /// outcomes.
     fn prompt(&self, call: CallId) -> Option<Vec<Message>> {
         let CallRequest::Model(request) = &self.specs.get(&call)?.request else {
             return None;
@@ -117,6 +119,7 @@
         Some(history)
     }
 
+    /// Applies a call to the history; returns `None` if its request or outcome is not known.
     fn extend(&self, history: &mut Vec<Message>, call: CallId) -> Option<()> {
         let request = &self.specs.get(&call)?.request;
         let outcome = self.outcomes.get(&call)?;
--- a/crates/simulation/src/check/liveness.rs
+++ b/crates/simulation/src/check/liveness.rs
@@ -1,4 +1,5 @@
-//! Every call ends in bounded time, and a refusal comes at once and says when to come back.
+//! Checks that every call completes in bounded time, and that refusals are prompt and, if temporary,
+//! give a retry delay.
 
 use std::time::Duration;
 
@@ -7,16 +8,16 @@
 use super::{Invariant, Violation};
 use crate::observation::{CallerOutcome, Observations};
 
-/// A refusal takes no longer than this, where processes and network are whole.
+/// Maximum time until a refusal in the absence of process and network faults.
 const MAX_REFUSAL_TIME: Duration = Duration::from_secs(10);
 
-/// A call that waits for something that may yet come (an engine's turn, an earlier call, a node) is
-/// given up after this time.
+/// Maximum time until a refusal for which the call first waits: for engine capacity, an earlier call
+/// or a reachable node.
 const MAX_WAIT: Duration = Duration::from_secs(35);
 
 pub(super) fn check(observations: &Observations) -> Vec<Violation> {
     let unfinished = observations.unfinished.iter().map(|(run, waiting)| {
-        let detail = format!("{run} is not done: {waiting}");
+        let detail = format!("{run} is unfinished: {waiting}");
         Violation::new(Invariant::FinalOutcome, observations.ended, detail)
     });
     let refusals = observations.outcomes.iter();
@@ -31,7 +32,10 @@
     };
     let took = ended.at.since(ended.submitted);
     let detail = if is_temporary(refusal.reason) && refusal.retry_after.is_none() {
-        format!("{} is not told when to come back: {refusal:?}", ended.call)
+        format!(
+            "{} was refused without a retry delay: {refusal:?}",
+            ended.call
+        )
     } else if took > max_refusal_time(refusal.reason) && !observations.had_process_fault {
         format!("{} was refused after {took:?}: {refusal:?}", ended.call)
     } else {
@@ -49,7 +53,7 @@
     }
 }
 
-/// Whether asking again later may succeed.
+/// Returns whether a later retry may succeed.
 fn is_temporary(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::LogUnavailable
--- a/crates/simulation/src/check/memory.rs
+++ b/crates/simulation/src/check/memory.rs
@@ -1,4 +1,4 @@
-//! Engines hold nothing for runs whose end was reported.
+//! Checks that engines hold no memory for runs whose end was confirmed to a caller.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,10 @@
     let held = observations.holdings.iter();
     held.filter(|holding| ended.contains(&holding.run))
         .map(|holding| {
-            let detail = format!("{} holds memory for ended {}", holding.engine, holding.run);
+            let detail = format!(
+                "{} holds memory for {}, which has ended",
+                holding.engine, holding.run
+            );
             Violation::new(Invariant::MemoryFreed, observations.ended, detail)
         })
         .collect()
--- a/crates/simulation/src/check/mod.rs
+++ b/crates/simulation/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checkers, one an invariant. Each judges only from [`Observations`].
+//! Checkers of the invariants. They use only [`Observations`] as input.
 
 mod at_most_once;
 mod budget;
@@ -20,35 +20,35 @@
 use crate::kernel::Instant;
 use crate::observation::Observations;
 
-/// What must always hold.
+/// Property that must hold in every simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
-    /// The calls of one run take effect in the order of their numbers.
+    /// The calls of a run take effect in the order of their numbers.
     Order,
-    /// A run's history contains everything that its caller was told.
+    /// A run's history contains every answer that its caller received.
     HistoryLost,
-    /// A run's history and prompts contain nothing of another run.
+    /// A run's history and prompts contain no messages of another run.
     HistoryMixed,
-    /// Neither a run nor a tenant spends past its budget.
+    /// Neither a run nor a tenant exceeds its budget.
     Budget,
-    /// Engines hold nothing for runs that have ended.
+    /// Engines hold no memory for runs that have ended.
     MemoryFreed,
-    /// A completed call gives the whole of one answer of its own.
+    /// A completed call returns one complete answer that was produced for it.
     WholeAnswer,
-    /// What was refused was not run.
+    /// A refused call was not executed.
     RefusedNotRun,
-    /// What must not be repeated runs at most once.
+    /// A non-repeatable call is executed at most once.
     AtMostOnce,
-    /// A leaving back end gets no new work.
+    /// A leaving back end receives no new requests.
     LeavingBackend,
-    /// A planned stop cuts off no request.
+    /// A planned stop of a node interrupts no request.
     PlannedStop,
-    /// An accepted configuration is soon in force everywhere and never reverts.
+    /// An accepted configuration is applied on all nodes within bounded time and never reverted.
     Configuration,
-    /// Every call ends in bounded time once faults have stopped.
+    /// Every call completes in bounded time once faults have stopped.
     FinalOutcome,
-    /// A call that is given up on is answered at once, with when to come back.
+    /// A refusal is returned promptly, and with a retry delay if the refusal is temporary.
     PromptRefusal,
 }
 
@@ -71,14 +71,14 @@
     ];
 }
 
-/// An invariant that did not hold.
+/// Violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// Violated invariant.
     pub invariant: Invariant,
-    /// When it was seen.
+    /// Time of the observation.
     pub at: Instant,
-    /// What was seen.
+    /// Description of the observation.
     pub detail: String,
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// Every violation, in the order of the checkers.
+/// Runs every checker and returns all violations, in the order of the checkers.
 pub fn check(observations: &Observations) -> Vec<Violation> {
     let checkers = [
         order::check,
--- a/crates/simulation/src/check/order.rs
+++ b/crates/simulation/src/check/order.rs
@@ -1,4 +1,4 @@
-//! The calls of one run start at back ends in the order of their numbers.
+//! Checks that the calls of a run start at back ends in the order of their numbers.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +16,10 @@
         let Some(first) = starts.first().copied() else {
             continue;
         };
-        if let Some((earlier, began)) = latest.get(&call.run).copied()
-            && first < began
+        if let Some((earlier, started)) = latest.get(&call.run).copied()
+            && first < started
         {
-            let detail = format!("{call} began before {earlier}, which began at {began}");
+            let detail = format!("{call} started before {earlier}, which started at {started}");
             violations.push(Violation::new(Invariant::Order, first, detail));
         }
         let entry = latest.entry(call.run).or_insert((call, first));
--- a/crates/simulation/src/check/planned_stop.rs
+++ b/crates/simulation/src/check/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut off no request, and come to their end.
+//! Checks that planned stops interrupt no request and complete in bounded time.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use super::{Invariant, Violation};
 use crate::observation::Observations;
 
-/// A node asked to stop has exited by then, where nothing else is wrong.
+/// Maximum time from a stop request to the exit of the node in the absence of other faults.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(60);
 
-/// A call cancelled by the end of its run, or of its parent's run, was cut off by its own caller or
-/// limit, not by a stop.
+/// Returns whether the call was interrupted. A cancellation does not count, since it follows from the
+/// end of the run or of its parent's run, not from a stop.
 fn is_cut_off(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Failed(failure) => failure.reason != FailureReason::Cancelled,
@@ -29,7 +29,7 @@
         .iter()
         .filter(|ended| is_cut_off(&ended.outcome))
         .map(|ended| {
-            let detail = format!("{} was cut off: {:?}", ended.call, ended.outcome);
+            let detail = format!("{} was interrupted: {:?}", ended.call, ended.outcome);
             Violation::new(Invariant::PlannedStop, ended.at, detail)
         });
     let stuck = observations
@@ -40,7 +40,7 @@
             latest < observations.ended && stop.exited.is_none_or(|exited| exited > latest)
         })
         .map(|stop| {
-            let detail = format!("node-{} is still draining", stop.node);
+            let detail = format!("node-{} did not finish draining in time", stop.node);
             Violation::new(Invariant::PlannedStop, stop.at, detail)
         });
     cut.chain(stuck).collect()
--- a/crates/simulation/src/check/refusal.rs
+++ b/crates/simulation/src/check/refusal.rs
@@ -1,4 +1,4 @@
-//! A refused call was not run before the refusal, nor after it until the caller asked again.
+//! Checks that a refused call was not executed before its next submission.
 
 use elderworks_types::{CallId, Outcome};
 
@@ -18,14 +18,18 @@
             let until = covered_until(ended, observations);
             let starts = executions.get(&ended.call)?;
             let ran = starts.iter().find(|start| **start < until)?;
-            let detail = format!("{} ran at {ran}, refused {:?}", ended.call, ended.outcome);
+            let detail = format!(
+                "{} was executed at {ran} but refused: {:?}",
+                ended.call, ended.outcome
+            );
             Some(Violation::new(Invariant::RefusedNotRun, ended.at, detail))
         })
         .collect()
 }
 
-/// Until when the refusal covers the call: the next submission, or the refusal itself where the
-/// caller had hung up on an earlier submission, which may still run.
+/// Returns the time until which the refusal rules out an execution: the next submission of the call.
+/// If an earlier submission is unanswered, that one may still be executed, so the result is the time
+/// of the refused submission.
 fn covered_until(ended: &CallerOutcome, observations: &Observations) -> Instant {
     if has_unanswered_submission(ended.call, ended.submitted, observations) {
         return ended.submitted;
@@ -38,6 +42,7 @@
         .map_or(Instant(u64::MAX), |submission| submission.at)
 }
 
+/// Returns whether some submission of the call before `submitted` received no outcome.
 fn has_unanswered_submission(
     call: CallId,
     submitted: Instant,
--- a/crates/simulation/src/check/whole_answer.rs
+++ b/crates/simulation/src/check/whole_answer.rs
@@ -1,4 +1,5 @@
-//! A completed call gives one whole answer that a back end gave for it, alike at every asking.
+//! Checks that a completed call returns one complete answer that a back end produced for it, and that
+//! repeated submissions return the same outcome.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
         let before = first.entry(ended.call).or_insert(&ended.outcome);
         if **before != ended.outcome {
             let detail = format!(
-                "{} ended {:?}, before that {before:?}",
+                "{} ended with {:?}, earlier with {before:?}",
                 ended.call, ended.outcome
             );
             violations.push(Violation::new(Invariant::WholeAnswer, ended.at, detail));
@@ -38,7 +39,7 @@
         }
         _ if !was_given(ended.call, content, observations) => {
             format!(
-                "{} answered {content:?}, which no back end gave",
+                "{} answered {content:?}, which no back end produced",
                 ended.call
             )
         }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what can go wrong, when, to whom, and for how long.
+//! Fault kinds, and schedules that say when, where and for how long faults apply.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,51 +8,52 @@
 
 use crate::kernel::Random;
 
-/// What goes wrong.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A node's process dies; its connections are reset. A replacement with empty memory follows.
+    /// A node's process is killed and its connections are reset. A replacement with empty memory is
+    /// started later.
     NodeKill,
-    /// A node's machine vanishes without a word; a replacement follows.
+    /// A node's machine disappears without resetting connections. A replacement is started later.
     NodeLoss,
-    /// A node takes no events for a while, then goes on.
+    /// A node processes no events for a while, then resumes.
     NodePause,
-    /// A node is asked to leave in order; a replacement follows.
+    /// A node is asked to drain and exit. A replacement is started later.
     NodeStop,
-    /// A sidecar's process dies and is started again.
+    /// A sidecar's process is killed and restarted.
     SidecarKill,
-    /// A sidecar takes no events for a while, then goes on.
+    /// A sidecar processes no events for a while, then resumes.
     SidecarPause,
-    /// Messages from one node to another are held or lost, in that direction only.
+    /// Messages from one node to another are delayed or lost, in that direction only.
     NodeCut,
-    /// A node reaches neither the log nor, for the same time, one of its peers.
+    /// A node cannot reach the log.
     NodeLogCut,
-    /// Messages from a node to a sidecar are held or lost.
+    /// Messages from a node to a sidecar are delayed or lost.
     SidecarCut,
-    /// A node cannot node_reached an engine.
+    /// A node and an engine cannot reach each other.
     EngineCut,
-    /// Many datagrams are lost.
+    /// A large part of the datagrams is lost.
     DatagramLoss,
-    /// The log answers and appends nothing.
+    /// The log neither answers requests nor appends.
     LogDown,
-    /// The log's appends take effect late.
+    /// Requests to the log take effect late.
     LogSlow,
-    /// The log's appends take effect, and the answers are lost.
+    /// Appends to the log take effect, but the answers are lost.
     LogLosesAnswers,
-    /// An engine dies with its cache and starts again empty.
+    /// An engine crashes and restarts with an empty cache.
     EngineRestart,
-    /// An engine's streams stand still.
+    /// An engine produces no chunks for a while.
     EngineStall,
-    /// An engine says that it is leaving, finishes its streams and goes.
+    /// An engine announces its departure and exits after a grace period.
     EngineLeave,
-    /// A tool runs what it is given and answers nothing.
+    /// A tool executes invocations but does not answer.
     ToolHang,
-    /// The list of machines stops changing.
+    /// The machine list is not updated.
     MachineListStale,
 }
 
-/// Every kind, with its name on the command line.
+/// Every kind with its name on the command line.
 const NAMES: [(FaultKind, &str); 19] = [
     (FaultKind::NodeKill, "node-kill"),
     (FaultKind::NodeLoss, "node-loss"),
@@ -76,12 +77,13 @@
 ];
 
 impl FaultKind {
-    /// Every kind.
+    /// Returns every kind.
     pub fn all() -> impl Iterator<Item = FaultKind> {
         NAMES.iter().map(|(kind, _)| *kind)
     }
 
-    /// Whether it strikes a process or the network, not the platform or a back end.
+    /// Returns whether the fault affects a process or the network, as opposed to the platform or a
+    /// back end.
     pub fn affects_processes(self) -> bool {
         matches!(
             self,
@@ -97,7 +99,7 @@
         )
     }
 
-    /// Whether it may cut off a request that was being answered.
+    /// Returns whether the fault may interrupt a request in progress.
     pub fn is_abrupt(self) -> bool {
         !matches!(
             self,
@@ -113,9 +115,9 @@
     }
 }
 
-/// A name that is not a fault's.
+/// Error for a name that matches no [`FaultKind`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no fault is called {0:?}")]
+#[error("unknown fault {0:?}")]
 pub struct UnknownFault(String);
 
 impl FromStr for FaultKind {
@@ -129,30 +131,30 @@
     }
 }
 
-/// Points of a call's life as the simulated network and platform see them.
+/// Points of a call's lifecycle, as observed by the simulated network and platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallPoint {
-    /// A caller handed a call to its sidecar.
+    /// A caller submitted a call to its sidecar.
     Submitted,
     /// A node received a call.
     Received,
-    /// A node's append to a journal takes effect.
+    /// A node's append to a partition's journal takes effect.
     Journalled,
-    /// A request is leaving a node for a back end.
+    /// A node sends a request to a back end.
     Sent,
-    /// A back end took the request.
+    /// A back end accepted the request.
     Taken,
     /// An engine produced a chunk.
     Chunk,
-    /// A back end is done, and its answer is on the way.
+    /// A back end completed the request and sent its answer.
     Answered,
-    /// A caller has got an outcome.
+    /// A caller received an outcome.
     Delivered,
 }
 
 impl CallPoint {
-    /// Every point, in the order of a call's life.
+    /// Every point, in the order of a call's lifecycle.
     pub const ALL: [CallPoint; 8] = [
         CallPoint::Submitted,
         CallPoint::Received,
@@ -165,27 +167,27 @@
     ];
 }
 
-/// When a fault strikes.
+/// Trigger of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum When {
-    /// At a time after the callers began.
+    /// At this time after the resources are in place, when callers start.
     At(Duration),
-    /// When a point of a call's life is reached for the n-th time, counted from 1 over all calls.
-    /// It strikes the process that is acting there, where the fault strikes such a process.
+    /// When a point is reached for the n-th time, counted from 1 over all calls. The fault affects
+    /// the process acting at that point if it applies to processes of that type.
     Reached(CallPoint, u32),
 }
 
-/// One fault of a schedule.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When.
+    /// Trigger of the fault.
     pub when: When,
-    /// How long it lasts, or how long until the replacement starts.
+    /// Duration of the fault, or delay until the replacement starts.
     pub lasts: Duration,
-    /// Chooses the victim where none is acting.
+    /// Selects the affected component where the trigger does not determine it.
     pub victim: u32,
 }
 
@@ -200,14 +202,20 @@
     }
 }
 
+/// Exclusive upper bound of the number of faults in a schedule.
 const FAULT_COUNT_END: u64 = 4;
+/// Latest start of a fault after callers start.
 const MAX_START_DELAY: Duration = Duration::from_secs(20);
+/// Exclusive upper bound of the occurrence of a call point at which a fault starts.
 const MAX_POINT_COUNT: u64 = 40;
+/// Shortest duration of a fault.
 const MIN_DURATION: Duration = Duration::from_millis(50);
+/// Longest duration of most faults.
 const MAX_COMMON_DURATION: Duration = Duration::from_secs(4);
+/// Longest duration of the remaining faults.
 const MAX_DURATION: Duration = Duration::from_secs(20);
 
-/// Draws a schedule of at most three faults out of `kinds`.
+/// Draws a schedule of one to three faults from `kinds`; empty if `kinds` is empty.
 pub fn draw_schedule(kinds: &[FaultKind], random: &mut Random) -> Vec<Fault> {
     if kinds.is_empty() {
         return Vec::new();
--- a/crates/simulation/src/kernel/clock.rs
+++ b/crates/simulation/src/kernel/clock.rs
@@ -1,4 +1,4 @@
-//! True time, and what a process's own clock makes of it.
+//! Virtual time, and the inaccurate clocks of simulated processes.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// The instant `duration` later.
+    /// Returns the instant `duration` later, saturating at the maximum.
     #[must_use]
     pub fn after(self, duration: Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -32,17 +32,17 @@
 
 const PARTS_PER_MILLION: i128 = 1_000_000;
 
-/// The clock of one process: it runs fast or slow, and starts from its own reading.
+/// Clock of one process, with an initial offset and a constant drift.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
     /// Reading at the start of the simulation.
     pub offset: Duration,
-    /// How much faster than true time it runs, in parts per million.
+    /// Drift relative to true time in parts per million; positive if the clock runs fast.
     pub drift_ppm: i64,
 }
 
 impl Clock {
-    /// What this clock shows at `now`.
+    /// Returns the reading of this clock at true time `now`.
     pub fn read(&self, now: Instant) -> Timestamp {
         let gained = i128::from(now.0) * i128::from(self.drift_ppm) / PARTS_PER_MILLION;
         let elapsed = (i128::from(now.0) + gained).max(0);
@@ -50,7 +50,7 @@
         Timestamp(elapsed) + self.offset
     }
 
-    /// True time that passes while this clock counts `interval`.
+    /// Returns the true time that passes while this clock advances by `interval`.
     pub fn true_duration(&self, interval: Duration) -> Duration {
         let scaled = interval.as_micros() as i128 * PARTS_PER_MILLION;
         let micros = scaled / (PARTS_PER_MILLION + i128::from(self.drift_ppm));
--- a/crates/simulation/src/kernel/mod.rs
+++ b/crates/simulation/src/kernel/mod.rs
@@ -1,4 +1,4 @@
-//! The virtual machine room: clock, event queue, random numbers, network and process slots.
+//! Simulation primitives: clock, event queue, random numbers, network and process slots.
 
 pub mod clock;
 pub mod network;
--- a/crates/simulation/src/kernel/network.rs
+++ b/crates/simulation/src/kernel/network.rs
@@ -1,54 +1,55 @@
-//! Delays between zones, cuts, and the fate of datagrams.
+//! Simulated network: delays between zones, cut directions, and datagram faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::{Instant, Random};
 
-/// One end of a message's way.
+/// Sender or receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
-    /// A node.
+    /// Node by index.
     Node(usize),
-    /// A sidecar.
+    /// Sidecar by index.
     Sidecar(usize),
     /// The platform's log.
     Log,
-    /// An engine.
+    /// Engine by index.
     Engine(usize),
-    /// A tool.
+    /// Tool by index.
     Tool(usize),
 }
 
-/// A way from one endpoint to another.
+/// Direction of messages between two endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
-    /// Where messages leave.
+    /// Sending endpoint.
     pub from: Endpoint,
-    /// Where they arrive.
+    /// Receiving endpoint.
     pub to: Endpoint,
 }
 
 /// Delays and error rates of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
-    /// One way between zones.
+    /// One-way delay between zones.
     pub between_zones: Duration,
-    /// One way within a zone.
+    /// One-way delay within a zone.
     pub within_zone: Duration,
-    /// One way between a sidecar and a node.
+    /// One-way delay between a sidecar and a node.
     pub to_clients: Duration,
-    /// Datagrams lost, in percent.
+    /// Percentage of datagrams that are lost.
     pub loss_percent: u32,
-    /// Datagrams delivered twice, in percent.
+    /// Percentage of datagrams that are delivered twice.
     pub duplicate_percent: u32,
-    /// Datagrams held back past later ones, in percent.
+    /// Percentage of datagrams that are delayed further, so that later ones may overtake them.
     pub reorder_percent: u32,
 }
 
+/// Maximum additional delay of a reordered datagram.
 const MAX_REORDER_DELAY: Duration = Duration::from_millis(200);
 
-/// The network.
+/// Simulated network with its current faults.
 #[derive(Debug)]
 pub struct Network {
     profile: NetworkProfile,
@@ -59,7 +60,7 @@
 }
 
 impl Network {
-    /// A whole network.
+    /// Creates a network without cuts.
     pub fn new(profile: NetworkProfile, random: Random) -> Self {
         Self {
             profile,
@@ -70,13 +71,14 @@
         }
     }
 
-    /// Lets nothing pass in one direction until `until`.
+    /// Blocks all messages in one direction until `until`, or until the end of an earlier cut if that is
+    /// later.
     pub fn cut(&mut self, direction: Direction, until: Instant) {
         let present = self.cuts.entry(direction).or_insert(until);
         *present = (*present).max(until);
     }
 
-    /// When a cut in this direction heals; `None` while it is whole.
+    /// Returns when the cut in this direction ends, or `None` if the direction is not cut.
     pub fn cut_until(&self, direction: Direction, now: Instant) -> Option<Instant> {
         self.cuts
             .get(&direction)
@@ -84,13 +86,13 @@
             .filter(|until| *until > now)
     }
 
-    /// Raises the loss of datagrams until `until`.
+    /// Increases the loss of datagrams by `percent` percentage points until `until`.
     pub fn lose_datagrams(&mut self, percent: u32, until: Instant) {
         self.extra_loss_percent = percent;
         self.extra_loss_until = until;
     }
 
-    /// One way's delay between two zones, with jitter.
+    /// Returns a one-way delay with up to 50 % of jitter.
     pub fn delay(&mut self, same_zone: bool, direction: Direction) -> Duration {
         let base = match (direction.from, direction.to) {
             (Endpoint::Sidecar(_), _) | (_, Endpoint::Sidecar(_)) => self.profile.to_clients,
@@ -100,7 +102,7 @@
         base + self.random.duration(Duration::ZERO, base / 2)
     }
 
-    /// Delays of the copies of one datagram that arrive: none, one or two.
+    /// Returns the delay of each copy of a datagram that arrives: no copy, one or two.
     pub fn datagram_delays(
         &mut self,
         same_zone: bool,
--- a/crates/simulation/src/kernel/process.rs
+++ b/crates/simulation/src/kernel/process.rs
@@ -1,15 +1,15 @@
-//! A place where a process runs, dies, is paused and is replaced.
+//! Slots in which processes are started, paused, killed and replaced.
 
 use std::collections::VecDeque;
 
 use super::{Clock, Instant};
 
-/// Names a process slot.
+/// Identifies a process slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessId {
-    /// A node.
+    /// Node by index.
     Node(usize),
-    /// A sidecar.
+    /// Sidecar by index.
     Sidecar(usize),
 }
 
@@ -22,18 +22,18 @@
     }
 }
 
-/// One slot: the decision object while the process lives, and the events held_events while it is paused.
+/// Process slot: the core of a live process, and the events that arrive while it is paused.
 pub struct Slot<C, E> {
     core: Option<C>,
     generation: u32,
     paused_until: Option<Instant>,
     held_events: VecDeque<E>,
-    /// The process's clock.
+    /// Clock of the slot's processes.
     pub clock: Clock,
 }
 
 impl<C, E> Slot<C, E> {
-    /// A slot in which `core` runs.
+    /// Creates a slot in which `core` is running.
     pub fn new(core: C, clock: Clock) -> Self {
         Self {
             core: Some(core),
@@ -44,22 +44,23 @@
         }
     }
 
-    /// Counts the starts of the slot; events meant for an earlier one are dropped.
+    /// Returns the generation of the slot, which increases with every kill. Events addressed to an
+    /// earlier generation are dropped.
     pub fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// Whether a process lives here, paused or not.
+    /// Returns whether the slot has a live process, paused or not.
     pub fn is_alive(&self) -> bool {
         self.core.is_some()
     }
 
-    /// Whether it lives and takes events.
+    /// Returns whether the slot has a live process that is not paused.
     pub fn is_running(&self) -> bool {
         self.core.is_some() && self.paused_until.is_none()
     }
 
-    /// Ends the process with all that it held_events.
+    /// Kills the process and discards its state and pending events.
     pub fn kill(&mut self) {
         self.core = None;
         self.generation += 1;
@@ -67,7 +68,7 @@
         self.held_events.clear();
     }
 
-    /// Starts a process with empty memory; nothing if one lives.
+    /// Starts `core` if the slot is empty. Returns whether it was started.
     pub fn start(&mut self, core: C) -> bool {
         if self.core.is_some() {
             return false;
@@ -76,7 +77,7 @@
         true
     }
 
-    /// Stops the process from taking events until `until`, or later if it already was paused.
+    /// Pauses the process until `until`, or until the end of an earlier pause if that is later.
     pub fn pause(&mut self, until: Instant) {
         if self.core.is_some() {
             let until = self
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Ends a pause that is due and returns the events held_events; empty if it is not due.
+    /// Ends a pause that has expired and returns the events that arrived during it; otherwise returns
+    /// no events.
     pub fn resume(&mut self, now: Instant) -> VecDeque<E> {
         match self.paused_until {
             Some(until) if until <= now => {
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Hands an event to the process, or holds it while paused, or drops it where the process it
-    /// was meant for is gone.
+    /// Returns the event together with the core that is to process it. An event for a paused process
+    /// is queued, and one for an earlier generation is dropped.
     pub fn deliver(&mut self, generation: u32, event: E) -> Option<(&mut C, E)> {
         if generation != self.generation {
             return None;
--- a/crates/simulation/src/kernel/queue.rs
+++ b/crates/simulation/src/kernel/queue.rs
@@ -1,10 +1,10 @@
-//! Events in order of time; those of one instant in order of scheduling.
+//! Event queue ordered by time, and by scheduling order among events of the same instant.
 
 use std::collections::BTreeMap;
 
 use super::Instant;
 
-/// The pending events.
+/// Queue of pending events.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     pending: BTreeMap<(Instant, u64), E>,
@@ -21,13 +21,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event to happen at `at`.
+    /// Schedules an event at `at`.
     pub fn schedule(&mut self, at: Instant, event: E) {
         self.scheduled += 1;
         self.pending.insert((at, self.scheduled), event);
     }
 
-    /// Takes the next event and the time at which it happens.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Instant, E)> {
         let ((at, _), event) = self.pending.pop_first()?;
         Some((at, event))
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! Deterministic simulation of many nodes, sidecars and stand-ins under faults, with checkers.
+//! Deterministic simulation of nodes, sidecars and back ends under faults, with checkers.
 //!
-//! The real decision objects, `NodeCore` and `SidecarCore`, run on one virtual clock against small
-//! models of the platform. Every choice comes from one seed: the same seed gives the same trace to
-//! the byte. What callers, back ends and operators saw is judged by the checkers of [`check`].
+//! The production state machines, `NodeCore` and `SidecarCore`, run on one virtual clock against
+//! small models of the platform. All random choices derive from one seed, so the same seed produces
+//! a byte-identical trace. The checkers in [`check`] verify invariants on what callers, back ends
+//! and operators observed.
 
 pub mod broken;
 pub mod check;
--- a/crates/simulation/src/observation.rs
+++ b/crates/simulation/src/observation.rs
@@ -1,4 +1,4 @@
-//! What callers, back ends, operators and the log saw. Checkers read nothing else.
+//! Observations of callers, back ends and operators. They are the only input of the checkers.
 
 use std::collections::BTreeMap;
 
@@ -13,247 +13,248 @@
 
 use crate::kernel::Instant;
 
-/// A caller handed a call to a sidecar.
+/// A call that a caller submitted to a sidecar.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// When.
+    /// Time of the submission.
     pub at: Instant,
-    /// The call.
+    /// Submitted call.
     pub call: CallId,
-    /// As made.
+    /// Call as specified by the caller.
     pub spec: CallSpec,
-    /// To which sidecar.
+    /// Index of the sidecar.
     pub sidecar: usize,
 }
 
-/// A caller got the end of a call.
+/// An outcome that a caller received for a call.
 #[derive(Clone, Debug)]
 pub struct CallerOutcome {
-    /// When.
+    /// Time at which the outcome arrived.
     pub at: Instant,
-    /// When the caller handed over the submission that this answers.
+    /// Time of the submission that this outcome answers.
     pub submitted: Instant,
-    /// The call.
+    /// Call that the outcome belongs to.
     pub call: CallId,
-    /// Chunks delivered for that submission, joined; `None` where none came.
+    /// Concatenated chunks received for that submission; `None` if there were none.
     pub streamed: Option<String>,
-    /// The outcome.
+    /// Received outcome.
     pub outcome: Outcome,
 }
 
-/// What became of a caller's wish to start a run.
+/// Reply to a caller's request to start a run.
 #[derive(Clone, Debug)]
 pub struct RunStart {
-    /// When the reply came.
+    /// Time at which the reply arrived.
     pub at: Instant,
-    /// When it was asked.
+    /// Time of the request.
     pub submitted: Instant,
-    /// As asked.
+    /// Requested run.
     pub spec: RunSpec,
-    /// The reply.
+    /// Content of the reply.
     pub result: Result<(), Refusal>,
 }
 
-/// A caller was told that a run has ended.
+/// Reply to a caller that confirms the end of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunEnd {
-    /// When.
+    /// Time at which the reply arrived.
     pub at: Instant,
-    /// The run.
+    /// Ended run.
     pub run: RunId,
-    /// How.
+    /// Final phase of the run.
     pub phase: RunPhase,
 }
 
-/// A caller read a run.
+/// Reply to a caller's read of a run.
 #[derive(Clone, Debug)]
 pub struct RunRead {
-    /// When the reply came.
+    /// Time at which the reply arrived.
     pub at: Instant,
-    /// The run asked for.
+    /// Requested run.
     pub run: RunId,
-    /// What the caller knows to be in the history, in order.
+    /// Messages that the history must begin with, as known to the caller.
     pub known: Vec<Message>,
-    /// The reply.
+    /// Content of the reply; `None` if the run was not found.
     pub view: Option<Box<RunView>>,
 }
 
-/// An engine took a request.
+/// A request that an engine accepted.
 #[derive(Clone, Debug)]
 pub struct Generation {
-    /// When it arrived.
+    /// Time at which the engine accepted the request.
     pub at: Instant,
-    /// The engine.
+    /// Engine that executes the request.
     pub engine: EngineId,
-    /// The request's id.
+    /// Id of the request.
     pub ticket: Ticket,
-    /// The prompt.
+    /// Messages of the prompt.
     pub messages: Vec<Message>,
-    /// The beginning of the answer, given by the request.
+    /// Text produced by an earlier attempt, which the engine continues.
     pub continue_text: String,
-    /// What the engine generated so far; does not repeat `continue_text`.
+    /// Text generated so far, without `continue_text`.
     pub generated: String,
-    /// When it ended, and whether with a whole answer.
+    /// Time and kind of the end; `None` while the generation is running.
     pub ended: Option<(Instant, GenerationEnd)>,
-    /// What it consumed so far.
+    /// Tokens consumed so far.
     pub usage: Usage,
 }
 
-/// How an engine's work on a request ended.
+/// How a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GenerationEnd {
-    /// With a whole answer.
+    /// The answer was generated completely.
     Completed,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancelled,
-    /// The engine died or left.
+    /// The engine crashed or left.
     EngineLost,
 }
 
-/// A tool ran an invocation.
+/// An invocation that a tool executed.
 #[derive(Clone, Debug)]
 pub struct Invocation {
-    /// When.
+    /// Time at which the execution started.
     pub at: Instant,
-    /// The tool.
+    /// Invoked tool.
     pub tool: ToolName,
-    /// The attempt that asked.
+    /// Attempt that sent the invocation.
     pub ticket: Ticket,
     /// Arguments as JSON text.
     pub arguments: String,
-    /// The key it was sent under.
+    /// Idempotency key of the invocation.
     pub key: String,
-    /// What it returned, or will.
+    /// Result of the execution, whether or not it reached the node.
     pub result: String,
 }
 
-/// An operator got the reply to a change.
+/// Reply to an operator's change of a resource.
 #[derive(Clone, Debug)]
 pub struct OperatorChange {
-    /// When the reply came.
+    /// Time at which the reply arrived.
     pub at: Instant,
-    /// When it was asked.
+    /// Time of the request.
     pub submitted: Instant,
-    /// Which operator.
+    /// Index of the operator.
     pub operator: usize,
-    /// Asked of this node.
+    /// Index of the node that received the request.
     pub node: usize,
-    /// The resource as asked.
+    /// Requested state of the resource.
     pub resource: Resource,
-    /// Revision on which the operator built.
+    /// Revision that the change requires to be current.
     pub expected: Option<elderworks_types::Offset>,
-    /// The reply.
+    /// Content of the reply.
     pub result: Result<Change, ControlError>,
 }
 
-/// An operator read a resource from a ready node.
+/// Reply to an operator's read of a resource from a ready node.
 #[derive(Clone, Debug)]
 pub struct OperatorRead {
-    /// When the reply came.
+    /// Time at which the reply arrived.
     pub at: Instant,
-    /// When it was asked.
+    /// Time of the request.
     pub submitted: Instant,
-    /// From this node.
+    /// Index of the node.
     pub node: usize,
-    /// Which start of it.
+    /// Generation of the node, counted by starts of its process.
     pub generation: u32,
-    /// Kind asked for.
+    /// Requested kind.
     pub kind: Kind,
-    /// Name asked for.
+    /// Requested name.
     pub name: ResourceName,
-    /// The resource, if there is one.
+    /// Content of the reply; `None` if the resource does not exist.
     pub resource: Option<Resource>,
 }
 
-/// An engine began to leave.
+/// Announced departure of an engine.
 #[derive(Clone, Debug)]
 pub struct Departure {
-    /// When it said so.
+    /// Time of the announcement.
     pub at: Instant,
-    /// When it goes at the latest.
+    /// Time at which the engine exits, by the end of the grace period at the latest.
     pub until: Instant,
-    /// The engine.
+    /// Departing engine.
     pub engine: EngineId,
 }
 
-/// A node was asked to stop in order.
+/// Request to a node to drain and exit.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedStop {
-    /// When it was asked.
+    /// Time of the request.
     pub at: Instant,
-    /// Which node.
+    /// Index of the node.
     pub node: usize,
-    /// When it exited by itself.
+    /// Time at which the node exited after draining; `None` if it did not.
     pub exited: Option<Instant>,
 }
 
 /// A run for which an engine still holds memory when the simulation ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The engine.
+    /// Engine that holds the memory.
     pub engine: EngineId,
-    /// The run.
+    /// Run for which the memory is held.
     pub run: RunId,
 }
 
 /// Everything observed in one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Calls handed to sidecars.
+    /// Calls submitted to sidecars.
     pub submissions: Vec<Submission>,
-    /// Ends of calls as callers got them.
+    /// Outcomes received by callers.
     pub outcomes: Vec<CallerOutcome>,
-    /// Replies to starts of runs.
+    /// Replies to requests to start runs.
     pub run_starts: Vec<RunStart>,
-    /// Runs that callers know to have ended.
+    /// Ends of runs confirmed to callers.
     pub run_ends: Vec<RunEnd>,
-    /// Runs as callers read them.
+    /// Reads of runs by callers.
     pub run_reads: Vec<RunRead>,
-    /// Requests taken by engines.
+    /// Requests accepted by engines.
     pub generations: Vec<Generation>,
-    /// Invocations run by tools.
+    /// Invocations executed by tools.
     pub invocations: Vec<Invocation>,
     /// Replies to operators' changes.
     pub changes: Vec<OperatorChange>,
-    /// Operators' reads.
+    /// Reads of resources by operators.
     pub reads: Vec<OperatorRead>,
-    /// Engines that left in order.
+    /// Announced departures of engines.
     pub departures: Vec<Departure>,
-    /// Nodes that were asked to stop.
+    /// Planned stops of nodes.
     pub planned_stops: Vec<PlannedStop>,
-    /// What engines hold at the end.
+    /// Memory held by engines at the end of the simulation.
     pub holdings: Vec<Holding>,
-    /// Callers that were not done when the simulation ended: the run and what it waited for.
+    /// Callers that were not done when the simulation ended: run, and description of what the caller
+    /// was waiting for.
     pub unfinished: Vec<(RunId, String)>,
-    /// When the last fault stopped.
+    /// Time at which the last fault stopped.
     pub faults_stopped: Instant,
-    /// When the last caller was done, or the simulation was ended.
+    /// Time at which the last caller was done; zero if some caller was not done.
     pub callers_done: Instant,
-    /// When the simulation ended.
+    /// Time at which the simulation ended.
     pub ended: Instant,
-    /// Whether any fault struck that cuts connections or ends processes without notice.
+    /// Whether a fault applied that may interrupt requests in progress.
     pub had_abrupt_fault: bool,
-    /// Whether any fault struck a process or the network, not only the platform.
+    /// Whether a fault affected a process or the network.
     pub had_process_fault: bool,
-    /// Most that each tenant may spend.
+    /// Budget limit of each tenant.
     pub tenant_limits: BTreeMap<TenantId, Credits>,
-    /// Prices in force: per prompt token, per output token, per invocation.
+    /// Prices of the simulated services.
     pub prices: Prices,
 }
 
-/// Prices of the simulated services.
+/// Prices of tokens and tool invocations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// Of one prompt token.
+    /// Price of one prompt token.
     pub prompt_token: Credits,
-    /// Of one generated token.
+    /// Price of one generated token.
     pub output_token: Credits,
-    /// Of one tool invocation.
+    /// Price of one tool invocation.
     pub invocation: Credits,
 }
 
 impl Prices {
-    /// What a generation's consumption costs.
+    /// Returns the cost of the tokens consumed by a generation.
     pub fn cost_of(&self, usage: &Usage) -> Credits {
         let prompt = self.prompt_token.0 * usage.prompt.0;
         let output = self.output_token.0 * usage.output.0;
--- a/crates/simulation/src/platform/log.rs
+++ b/crates/simulation/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The platform's model of the log, with failures that last until an instant.
+//! The platform's model of the log, with failures that end at a given time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 
 use crate::kernel::{Instant, Random};
 
-/// Most bytes in one answer; small, so that readers have to come again.
+/// Maximum number of bytes in one answer; small, so that readers need several requests.
 const MAX_BYTES_PER_READ: usize = 4 * 1024;
 
-/// How much later, at most, requests take effect while the log is slow.
+/// Maximum delay of a request while the log is slow, in milliseconds.
 const MAX_SLOW_DELAY_MS: u64 = 2_500;
 
-/// Every answer to an append.
+/// All answers, in per mille.
 const ALL_PER_MILLE: u16 = 1_000;
 
-/// What can be wrong with the log.
+/// Failure mode of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogFailure {
-    /// It answers nothing and appends nothing.
+    /// The log neither answers requests nor appends.
     Down,
     /// Requests take effect late.
     Slow,
-    /// Appends take effect, and no answer is given.
+    /// Appends take effect, but their answers are lost.
     LosesAnswers,
 }
 
-/// The log.
+/// Simulated log.
 #[derive(Debug, Default)]
 pub struct Log {
     model: LogModel,
@@ -38,18 +38,19 @@
 }
 
 impl Log {
-    /// Begins a failure that is_active until `until`.
+    /// Starts a failure that lasts until `until`, or until the end of an earlier one of the same kind if
+    /// that is later.
     pub fn start_failure(&mut self, failure: LogFailure, until: Instant) {
         let present = self.failures.entry(failure).or_insert(until);
         *present = (*present).max(until);
     }
 
-    /// The longest delay before a request made now takes effect.
+    /// Returns the maximum delay until a request sent at `now` takes effect.
     pub fn max_delay(&self, now: Instant) -> Duration {
         self.faults(now).delay()
     }
 
-    /// Takes an append.
+    /// Executes an append.
     pub fn append(
         &mut self,
         now: Instant,
@@ -62,17 +63,17 @@
             .request_append(&stream.to_string(), bytes, random.generator())
     }
 
-    /// Whether the log answers at all.
+    /// Returns whether the log is down.
     pub fn is_down(&self, now: Instant) -> bool {
         self.faults(now).down
     }
 
-    /// Whether a read from `from` would return at least one record.
+    /// Returns whether a read from `from` would return at least one record.
     pub fn has_records(&self, stream: StreamName, from: Offset) -> bool {
         self.model.end(&stream.to_string()) > from
     }
 
-    /// Records from `from` on, bounded; `None` where the log does not answer.
+    /// Returns a limited number of records starting at `from`, or `None` if the log does not answer.
     pub fn read(&mut self, now: Instant, stream: StreamName, from: Offset) -> Option<ReadRecords> {
         self.model.faults = self.faults(now);
         let outcome = self
@@ -88,7 +89,7 @@
         })
     }
 
-    /// The model's faults for the failures that last at `now`.
+    /// Returns the model's settings for the failures active at `now`.
     fn faults(&self, now: Instant) -> LogFaults {
         let is_active = |failure| {
             self.failures
--- a/crates/simulation/src/platform/mod.rs
+++ b/crates/simulation/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Small models of the platform and of back ends, without I/O.
+//! In-memory models of the platform and of back ends.
 
 pub mod engine;
 pub mod log;
--- a/crates/simulation/src/platform/tool.rs
+++ b/crates/simulation/src/platform/tool.rs
@@ -1,4 +1,4 @@
-//! The platform's model of a tool, with hangs that last until an instant.
+//! The platform's model of a tool, with hangs that end at a given time.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 
 use crate::kernel::{Instant, Random};
 
-/// Every answer to an invocation.
+/// All answers, in per mille.
 const ALL_PER_MILLE: u16 = 1_000;
 
-/// One tool.
+/// Simulated tool.
 pub struct Tool {
-    /// Its name.
+    /// Name of the tool.
     pub name: ToolName,
     model: ToolModel,
     hung_until: Instant,
 }
 
-/// What became of an invocation.
+/// Result of an invocation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ToolAnswer {
-    /// It ran now, with this result.
+    /// The invocation was executed with this result.
     Ran(String),
-    /// It ran earlier, with this result.
+    /// The invocation was executed earlier with this result.
     Repeated(String),
-    /// It was not run.
+    /// The invocation was not executed.
     NotRun,
 }
 
 impl Tool {
-    /// An idle tool, which remembers idempotency keys if it `keeps_keys`. Its executions end at once:
-    /// the time that an answer takes is drawn by the world.
+    /// Creates a tool that deduplicates by idempotency key if `keeps_keys` is set. Executions complete
+    /// immediately; the world adds the latency of the answer.
     pub fn new(name: ToolName, keeps_keys: bool) -> Self {
         let settings = ToolSettings {
             keeps_keys,
@@ -49,17 +49,17 @@
         }
     }
 
-    /// Begins a hang that lasts until `until`: what the tool is given runs, but nothing is answered.
+    /// Starts a hang that lasts until `until`: invocations are executed but not answered.
     pub fn hang(&mut self, until: Instant) {
         self.hung_until = self.hung_until.max(until);
     }
 
-    /// Whether the tool answers nothing.
+    /// Returns whether the tool does not answer.
     pub fn is_hung(&self, now: Instant) -> bool {
         self.hung_until > now
     }
 
-    /// Takes an invocation with arguments in JSON.
+    /// Executes an invocation with arguments in JSON.
     pub fn invoke(&mut self, now: Instant, key: &str, arguments: &str) -> ToolAnswer {
         let Ok(arguments) = serde_json::from_str::<Value>(arguments) else {
             return ToolAnswer::NotRun;
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Whether the answer of the invocation that was just taken is lost.
+    /// Returns whether the answer to the latest invocation is lost.
     pub fn loses_answer(&mut self, now: Instant, random: &mut Random) -> bool {
         let lost_per_mille = if self.is_hung(now) { ALL_PER_MILLE } else { 0 };
         self.model.faults.lose_answers_per_mille = lost_per_mille;
         self.model.loses_answer(random.generator())
     }
 
-    /// The result of an earlier invocation, if the tool knows its key.
+    /// Returns the result of an earlier invocation with this key, or `None` if the tool does not know it.
     pub fn query(&mut self, now: Instant, key: &str) -> Option<String> {
         match self.model.status(Timestamp(now.0), key) {
             InvocationStatus::Completed { result } => Some(result.to_string()),
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,4 +1,4 @@
-//! One simulation from its plan to its report.
+//! Runs one simulation from its plan and reports the result.
 
 use elderworks_execution::ExecutionSettings;
 use serde::Serialize;
@@ -10,23 +10,23 @@
 use crate::scenario::{Preset, Scenario};
 use crate::world::World;
 
-/// What to simulate.
+/// Input of one simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Everything random follows from it.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// The deployment.
+    /// The simulated deployment.
     pub preset: Preset,
-    /// Faults in force.
+    /// Faults to inject.
     pub schedule: Vec<Fault>,
-    /// Limits of execution, and ways to break it on purpose.
+    /// Limits of execution, and switches that break it deliberately.
     pub execution: ExecutionSettings,
-    /// Whether to keep the trace, not only its digest.
+    /// Whether the report includes the trace in addition to its digest.
     pub keep_trace: bool,
 }
 
 impl Plan {
-    /// A plan whose faults are drawn from `kinds` by the seed.
+    /// Creates a plan with a schedule of faults drawn at random from `kinds`.
     pub fn drawn(seed: u64, preset: Preset, kinds: &[FaultKind]) -> Self {
         let mut random = Random::new(seed, Purpose::Faults);
         Self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A plan with a given schedule.
+    /// Creates a plan with the given schedule.
     pub fn with_schedule(seed: u64, preset: Preset, schedule: Vec<Fault>) -> Self {
         Self {
             schedule,
@@ -47,44 +47,44 @@
     }
 }
 
-/// What came of a simulation.
+/// Result of one simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// The faults that were in force.
+    /// Faults that were injected.
     pub schedule: Vec<Fault>,
-    /// Invariants that did not hold.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Hash of the trace.
+    /// Hash of the trace lines.
     pub digest: u64,
-    /// The trace, if it was kept.
+    /// Trace lines; empty unless the plan asks for the trace.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub trace: Vec<String>,
-    /// How much was done.
+    /// Counts of completed work.
     pub totals: Totals,
 }
 
-/// How much was done in a simulation, to show that it was not idle.
+/// Counts of the work done in a simulation, which show that it was not idle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Totals {
     /// Calls that completed.
     pub completed: usize,
-    /// Calls refused for good or for a while.
+    /// Calls that were refused, temporarily or permanently.
     pub refused: usize,
     /// Calls that failed.
     pub failed: usize,
-    /// Calls whose fate is unknown.
+    /// Calls with an unknown outcome.
     pub unknown: usize,
-    /// Requests that engines took.
+    /// Requests that engines accepted.
     pub generations: usize,
-    /// Invocations that tools ran.
+    /// Invocations that tools executed.
     pub invocations: usize,
-    /// Operators' changes that were accepted.
+    /// Accepted changes of resources.
     pub changes: usize,
 }
 
-/// Runs a plan and judges it.
+/// Runs a plan and checks every invariant on the result.
 pub fn run(plan: &Plan) -> Report {
     let (observations, trace) = observe(plan);
     Report {
@@ -109,7 +109,7 @@
 }
 
 impl Totals {
-    /// Adds another run's.
+    /// Adds the counts of another simulation.
     pub fn add(&mut self, other: &Totals) {
         self.completed += other.completed;
         self.refused += other.refused;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The size of a simulated deployment and the programs its callers run.
+//! Sizes of simulated deployments, and the steps of the callers' programs.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use crate::kernel::{NetworkProfile, Purpose, Random};
 
-/// A deployment to simulate.
+/// A predefined deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Preset {
-    /// Three zones 1.5 ms apart, clients 1 ms away.
+    /// Three zones; one-way delays of 1.5 ms between zones and 1 ms to clients.
     Lublin,
-    /// Four zones 0.5 ms apart, clients 3 ms away.
+    /// Four zones; one-way delays of 0.5 ms between zones and 3 ms to clients.
     Ulaanbaatar,
 }
 
-/// A name that is not a preset's.
+/// Error for a name that matches no [`Preset`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no preset is called {0:?}: expected lublin or ulaanbaatar")]
+#[error("unknown preset {0:?}: expected lublin or ulaanbaatar")]
 pub struct UnknownPreset(String);
 
 impl std::str::FromStr for Preset {
@@ -33,27 +33,27 @@
     }
 }
 
-/// How many of what, and how far apart.
+/// Component counts and network properties of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Sidecars.
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Root runs.
+    /// Number of root runs, one for each initial caller.
     pub runs: usize,
-    /// Partitions.
+    /// Number of partitions.
     pub partitions: u32,
-    /// Delays and error rates.
+    /// Network delays and error rates.
     pub network: NetworkProfile,
 }
 
 impl Scenario {
-    /// The deployment of a preset, small enough that thousands can be run.
+    /// Returns the deployment of a preset. Presets are small so that thousands of runs are feasible.
     pub fn from_preset(preset: Preset) -> Self {
         match preset {
             Preset::Lublin => Self {
@@ -78,8 +78,10 @@
     }
 }
 
+/// One-way delay within a zone.
 const DELAY_WITHIN_ZONE: Duration = Duration::from_micros(200);
 
+/// Returns a network with the given one-way delays and a low rate of datagram faults.
 fn network(between_zones: Duration, to_clients: Duration) -> NetworkProfile {
     NetworkProfile {
         between_zones,
@@ -94,28 +96,30 @@
 /// One step of a caller's program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Step {
-    /// A model call on the whole history so far.
+    /// A model call whose prompt includes the full history.
     Model,
-    /// A tool call that may be repeated.
+    /// A repeatable tool call.
     Lookup,
-    /// A tool call that must not be repeated.
+    /// A non-repeatable tool call.
     Submit {
-        /// Whether to the tool that remembers idempotency keys.
+        /// Whether the called tool deduplicates by idempotency key.
         keyed: bool,
     },
-    /// Two tool calls at once, the later number first, through different sidecars.
+    /// Two concurrent tool calls through different sidecars, submitted in reverse order of their
+    /// numbers.
     Crossed,
-    /// Nothing for a while.
+    /// A pause of the given length.
     Pause(Duration),
-    /// Starts a sub-agent and goes on.
+    /// Start of a sub-agent, without waiting for it.
     Spawn,
-    /// Model calls until the run's limit ends it.
+    /// Model calls that repeat until the run's limit ends the run.
     Endless,
-    /// Reads the run.
+    /// A read of the run.
     Read,
 }
 
-/// Seeded steps of one run: dependent calls, pauses, and one submission. A sub-agent's are fewer.
+/// Draws the steps of one run: dependent calls, pauses and one non-repeatable call. Sub-agents get
+/// fewer steps and no non-repeatable call.
 pub fn draw_steps(is_child: bool, random: &mut Random) -> Vec<Step> {
     let mut steps = vec![Step::Model];
     let turns = if is_child { 2 } else { random.in_range(3, 6) };
@@ -146,7 +150,7 @@
     }
 }
 
-/// The stream from which a seed's programs are drawn.
+/// Returns the random stream from which the programs of a seed are drawn.
 pub fn workload_random(seed: u64) -> Random {
     Random::new(seed, Purpose::Workload)
 }
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,12 +1,12 @@
-//! Makes a failing schedule as short as it can be while it still fails.
+//! Minimizes a failing fault schedule.
 
 use std::collections::BTreeSet;
 
 use crate::check::Invariant;
 use crate::run::{Plan, Report, run};
 
-/// Drops faults one at a time for as long as one of the invariants of `failed` is still violated;
-/// gives the report of the shortest schedule, with its trace.
+/// Removes faults one at a time as long as an invariant violated in `failed` is still violated.
+/// Returns the report of the shortest schedule found, including its trace.
 pub fn shrink(plan: &Plan, failed: &Report) -> Report {
     let invariants: BTreeSet<Invariant> = failed
         .violations
--- a/crates/simulation/src/table.rs
+++ b/crates/simulation/src/table.rs
@@ -1,4 +1,4 @@
-//! The fault table: every fault at every point of a call's life, and every pair of faults.
+//! The fault table: every fault at every point of a call's lifecycle, and every pair of faults.
 
 use std::time::Duration;
 
@@ -7,12 +7,16 @@
 use crate::run::Plan;
 use crate::scenario::Preset;
 
+/// Shortest duration of a fault.
 const MIN_DURATION: Duration = Duration::from_millis(500);
+/// Longest duration of a fault.
 const MAX_DURATION: Duration = Duration::from_secs(6);
+/// Exclusive upper bound of the occurrence of a call point at which a fault starts.
 const MAX_POINT_COUNT: u64 = 20;
 
-/// The plans of one seed over the whole table. Each fault strikes at each point of a call's life;
-/// of each pair, the first strikes at a point drawn by the seed and the second soon after.
+/// Returns the plans of one seed for the whole table: one for each fault at each [`CallPoint`], and
+/// one for each pair of faults, both at the same randomly drawn point but each at its own
+/// occurrence of it.
 pub fn fault_table(seed: u64, preset: Preset) -> Vec<Plan> {
     let mut random = Random::new(seed, Purpose::Faults);
     let mut plans = Vec::new();
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,12 +1,13 @@
-//! What happened, as text for people and as a digest for comparing two runs.
+//! Trace of a simulation: readable lines, and a digest that allows two runs to be compared.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::kernel::Instant;
 
+/// Maximum number of lines kept; later lines only enter the digest.
 const MAX_LINES: usize = 20_000;
 
-/// Lines of one simulation, in order of time.
+/// Lines of one simulation in chronological order.
 pub struct Trace {
     keep: bool,
     lines: Vec<String>,
@@ -14,7 +15,7 @@
 }
 
 impl Trace {
-    /// An empty trace; without `keep` only the digest is made.
+    /// Creates an empty trace; without `keep`, only the digest is computed.
     pub fn new(keep: bool) -> Self {
         Self {
             keep,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Adds a line.
+    /// Appends a line with the time `now`.
     pub fn line(&mut self, now: Instant, text: std::fmt::Arguments<'_>) {
         let line = format!("{now} {text}");
         self.hasher.update(line.as_bytes());
@@ -32,12 +33,12 @@
         }
     }
 
-    /// Hash of every line so far.
+    /// Returns the hash of all lines added so far, including lines that were not kept.
     pub fn digest(&self) -> u64 {
         self.hasher.digest()
     }
 
-    /// The lines kept.
+    /// Returns the kept lines.
     pub fn into_lines(self) -> Vec<String> {
         self.lines
     }
--- a/crates/simulation/tests/broken.rs
+++ b/crates/simulation/tests/broken.rs
@@ -1,9 +1,9 @@
-//! Every deliberately broken variant is caught by the checker of the invariant that it breaks.
+//! Each deliberately broken variant is detected by the checker of the invariant that it breaks.
 
 use elderworks_simulation::broken::Broken;
 use elderworks_simulation::{Plan, Preset, run};
 
-/// Seeds among which each variant must be caught.
+/// Number of seeds within which each variant must be detected.
 const SEEDS: u64 = 100;
 
 fn is_caught(variant: &Broken) -> bool {
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same trace to the byte.
+//! Non-determinism: two runs with the same seed must produce the same trace.
 
 use elderworks_simulation::{FaultKind, Plan, Preset, run};
 
--- a/crates/simulation/tests/faults.rs
+++ b/crates/simulation/tests/faults.rs
@@ -1,9 +1,9 @@
-//! A fixed set of seeds under every fault, alone and in pairs, holds every invariant.
+//! Invariants hold for a fixed set of seeds under every fault, alone and in pairs.
 
 use elderworks_simulation::table::fault_table;
 use elderworks_simulation::{FaultKind, Plan, Preset, run};
 
-/// Resources that operators create before callers begin; changes beyond them are races.
+/// Number of resources created before callers start; all later changes are concurrent updates.
 const INITIAL_RESOURCES: usize = 8;
 
 fn assert_holds(plan: &Plan) {
--- a/crates/simulation/tests/found.rs
+++ b/crates/simulation/tests/found.rs
@@ -1,4 +1,4 @@
-//! Schedules that once violated an invariant, by the fault that they found.
+//! Regression tests: schedules that violated an invariant, named after the defect they revealed.
 
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn faults_once_found_stay_mended() {
+fn fixed_defects_do_not_reappear() {
     let table = [
         Found {
-            name: "a node owned a partition by its old claim read again",
+            name: "a node took ownership of a partition from its own earlier claim",
             seed: 63,
             fault: fault(
                 FaultKind::NodeStop,
@@ -34,7 +34,7 @@
             ),
         },
         Found {
-            name: "answers held during a pause were lost by the simulated driver",
+            name: "the simulated driver lost answers that arrived during a pause",
             seed: 0,
             fault: fault(
                 FaultKind::NodePause,
@@ -45,7 +45,7 @@
             ),
         },
         Found {
-            name: "a paused sidecar's crossed answers were taken for a lost history",
+            name: "answers reordered by a paused sidecar were reported as lost history",
             seed: 219,
             fault: fault(
                 FaultKind::SidecarPause,
@@ -56,7 +56,7 @@
             ),
         },
         Found {
-            name: "a call that the journal never held was told to have failed (a killed owner)",
+            name: "a call missing from the journal was reported as failed (owner killed)",
             seed: 1725,
             fault: fault(
                 FaultKind::NodeKill,
@@ -67,7 +67,7 @@
             ),
         },
         Found {
-            name: "a call that the journal never held was told to have failed (a lost machine)",
+            name: "a call missing from the journal was reported as failed (machine lost)",
             seed: 41,
             fault: fault(
                 FaultKind::NodeLoss,
