--- a/crates/simulation/src/world/callers.rs
+++ b/crates/simulation/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each works through the steps of one run and asks again until it has an answer.
+//! Callers: each executes the steps of one run and retries its requests until they are answered.
 
 mod replies;
 mod requests;
@@ -14,16 +14,16 @@
 use crate::kernel::Instant;
 use crate::scenario::Step;
 
-/// Between a caller and the sidecar beside it.
+/// Delay between a caller and its local sidecar.
 pub(super) const LOCAL_DELAY: Duration = Duration::from_micros(100);
 
-/// A caller that has no reply hangs up after this time and asks through another sidecar.
+/// Time without a reply after which a caller cancels a request and retries through another sidecar.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Wait before asking again where there is no better advice.
+/// Minimum delay before a refused or failed request is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Where a caller stands.
+/// State of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Starting,
@@ -32,7 +32,7 @@
     Done,
 }
 
-/// What a caller asked a sidecar for.
+/// Kind of a caller's request to a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Start,
@@ -41,10 +41,10 @@
     End,
 }
 
-/// A request that a sidecar has not answered.
+/// A caller's unanswered request.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
-    /// Whose.
+    /// Index of the caller.
     pub caller: usize,
     kind: RequestKind,
     sidecar: usize,
@@ -52,14 +52,14 @@
     streamed: Option<String>,
 }
 
-/// One caller.
+/// Simulated caller, which executes one run.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub(super) spec: RunSpec,
     steps: Vec<Step>,
     position: usize,
     numbers_used: u32,
-    /// What each ended call brought to the history, by the call's number.
+    /// Messages that each completed call added to the history.
     known: BTreeMap<CallNumber, Vec<Message>>,
     sidecar: usize,
     phase: Phase,
@@ -69,7 +69,7 @@
 }
 
 impl Caller {
-    /// A caller about to start its run.
+    /// Creates a caller that has not started its run yet.
     pub(super) fn new(
         spec: RunSpec,
         steps: Vec<Step>,
@@ -94,7 +94,7 @@
         self.phase == Phase::Done
     }
 
-    /// The history as far as this caller knows it.
+    /// Returns the part of the history that is known to this caller.
     fn history(&self) -> Vec<Message> {
         self.known.values().flatten().cloned().collect()
     }
@@ -106,7 +106,7 @@
 }
 
 impl World {
-    /// Something happens to a caller.
+    /// Handles a caller's event.
     pub(super) fn on_caller(&mut self, caller: usize, event: CallerEvent) {
         match event {
             CallerEvent::Continue => self.continue_caller(caller),
@@ -133,7 +133,7 @@
             .line(self.now, format_args!("caller {index}: done"));
     }
 
-    /// Notes callers that the simulation's end found still waiting.
+    /// Records the callers that are not done at the end of the simulation.
     pub(super) fn record_unfinished(&mut self) {
         for caller in self.callers.iter().filter(|caller| !caller.is_done()) {
             let waiting = format!("{:?}, open calls {:?}", caller.phase, caller.open.keys());
@@ -142,7 +142,7 @@
     }
 }
 
-/// An outcome without its answer.
+/// Returns a short description of an outcome, without the text of its answer.
 pub(super) fn summary(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Completed(answer) => format!("completed, {} bytes", answer.content.len()),
--- a/crates/simulation/src/world/callers/replies.rs
+++ b/crates/simulation/src/world/callers/replies.rs
@@ -1,4 +1,4 @@
-//! What a caller makes of a sidecar's replies.
+//! Handling of a sidecar's replies by callers.
 
 use elderworks_protocol::sidecar::RunView;
 use elderworks_sidecar_core::{CallerReply, RequestId};
@@ -11,7 +11,7 @@
 use crate::world::World;
 use crate::world::setup;
 
-/// Refusals of one request after which a caller gives its run up.
+/// Number of consecutive refusals after which a caller gives up its run.
 const MAX_REFUSALS: u32 = 40;
 
 impl World {
@@ -117,6 +117,7 @@
         self.continue_caller(index);
     }
 
+    /// Closes a call and adds its messages to the known history.
     fn record_outcome(&mut self, index: usize, number: CallNumber, outcome: &Outcome) {
         let caller = &mut self.callers[index];
         let Some(spec) = caller.open.remove(&number) else {
--- a/crates/simulation/src/world/callers/requests.rs
+++ b/crates/simulation/src/world/callers/requests.rs
@@ -1,4 +1,4 @@
-//! Handing requests to sidecars, again where a sidecar dies or does not answer.
+//! Requests of callers to sidecars, retried if a sidecar dies or does not answer.
 
 use std::time::Duration;
 
@@ -12,6 +12,8 @@
 use crate::world::event::CallerEvent;
 
 impl World {
+    /// Sends a request to the caller's sidecar, or schedules a retry through the next one if it is not
+    /// running.
     pub(super) fn send_request(&mut self, index: usize, kind: RequestKind) {
         let sidecar = self.callers[index].sidecar;
         if !self.sidecars[sidecar].slot.is_alive() {
@@ -84,7 +86,7 @@
         self.sidecar_reached(CallPoint::Submitted, sidecar);
     }
 
-    /// Asks again after a while; for a call only while it is still open.
+    /// Schedules a retry. A call is only retried if it is still open at that time.
     pub(super) fn retry_later(&mut self, index: usize, kind: RequestKind, after: Duration) {
         let event = match kind {
             RequestKind::Call(number) => CallerEvent::Resubmit { number },
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The sidecar's process died: its callers see their requests break off.
+    /// Notifies the callers with requests to a sidecar that its process has died.
     pub(in crate::world) fn disconnect_callers(&mut self, sidecar: usize) {
         let broken: Vec<(RequestId, usize)> = self
             .caller_requests
--- a/crates/simulation/src/world/callers/steps.rs
+++ b/crates/simulation/src/world/callers/steps.rs
@@ -1,4 +1,4 @@
-//! Working through the steps of a run, one after the other.
+//! Execution of the steps of a run, one after the other.
 
 use elderworks_types::{CallNumber, CallRequest};
 
@@ -9,7 +9,7 @@
 use crate::world::setup;
 
 impl World {
-    /// Does the next thing that the caller's phase asks for.
+    /// Performs the next action according to the caller's phase.
     pub(super) fn continue_caller(&mut self, index: usize) {
         match self.callers[index].phase {
             Phase::Starting => self.send_request(index, RequestKind::Start),
@@ -19,6 +19,7 @@
         }
     }
 
+    /// Ends the run, or waits until all of its sub-agents are done.
     fn end_or_wait(&mut self, index: usize) {
         let mut children = self
             .callers
@@ -83,7 +84,7 @@
         number
     }
 
-    /// Two calls at once; the later one leaves first, by another way.
+    /// Submits two concurrent calls, the later one first, through different sidecars.
     fn make_crossed_calls(&mut self, index: usize) {
         let earlier = self.prepare_tool_call(index, "cadastre", true);
         let later = self.prepare_tool_call(index, "cadastre", true);
@@ -104,7 +105,7 @@
         self.schedule_caller(parent, LOCAL_DELAY, CallerEvent::Continue);
     }
 
-    /// Hands a call over, for the first time or again.
+    /// Submits a call, possibly again, if it is still open.
     pub(super) fn submit(&mut self, index: usize, number: CallNumber) {
         if self.callers[index].phase == Phase::Running
             && self.callers[index].open.contains_key(&number)
--- a/crates/simulation/src/world/connection.rs
+++ b/crates/simulation/src/world/connection.rs
@@ -1,4 +1,4 @@
-//! Connections that keep order and can break, and datagrams that need not arrive.
+//! Ordered connections, which can break, and unreliable datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use super::event::{Event, NodeStart, Payload, SidecarStart};
 use crate::kernel::{Direction, Endpoint, Instant, ProcessId};
 
-/// Names a connection.
+/// Identifies a connection.
 pub(crate) type ConnectionId = u64;
 
-/// Who opened a connection.
+/// Process that opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Opener {
     Sidecar(SidecarStart),
@@ -40,7 +40,7 @@
     }
 }
 
-/// An open connection. A broken one is forgotten, with all that was under way on it.
+/// An open connection. A broken connection is removed, and messages in transit on it are lost.
 #[derive(Clone, Debug)]
 pub(crate) struct Connection {
     opener: Opener,
@@ -49,14 +49,14 @@
     last_from_node: Instant,
 }
 
-/// A connection whose data is held up for longer than this breaks.
+/// Maximum time for which data can be delayed before the connection breaks.
 const RETRANSMISSION_LIMIT: Duration = Duration::from_secs(4);
 
-/// A connection attempt or a silent peer is given up after this time.
+/// Time after which an unanswered connection attempt fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
-    /// A sidecar's attempt to connect arrives at, or fails to node_reached, a node.
+    /// Handles a sidecar's attempt to connect to a node.
     pub(super) fn on_connect(&mut self, from: SidecarStart, address: SocketAddr) {
         let Some(node) = self.node_by_address(address) else {
             self.deliver_to_sidecar_later(
@@ -114,7 +114,7 @@
         self.connections_opened
     }
 
-    /// Sends what a sidecar says to a node.
+    /// Sends a message from a sidecar to a node; dropped if there is no connection.
     pub(super) fn send_from_sidecar(
         &mut self,
         from: SidecarStart,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sends what a node says to a peer, connecting first if need be.
+    /// Sends a message from a node to a peer, opening a connection if necessary.
     pub(super) fn send_to_peer(
         &mut self,
         from: NodeStart,
@@ -158,7 +158,8 @@
         self.send_on_connection(connection, Payload::ToNode(Box::new(ToNode::Peer(message))));
     }
 
-    /// Puts a message on a connection: in order, held while the way is cut, lost once it breaks.
+    /// Sends a message on a connection. Messages arrive in order, are delayed while the direction is
+    /// cut, and are lost if the connection breaks.
     pub(super) fn send_on_connection(&mut self, id: ConnectionId, payload: Payload) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -198,7 +199,7 @@
         self.queue.schedule(at, event);
     }
 
-    /// A message reaches the end of its connection.
+    /// Delivers a message that has arrived at the other end of its connection.
     pub(super) fn on_message_arrival(&mut self, id: ConnectionId, payload: Payload) {
         let Some(connection) = self.connections.get(&id).cloned() else {
             return;
@@ -258,7 +259,7 @@
         );
     }
 
-    /// Breaks a connection; both ends are told.
+    /// Breaks a connection and notifies the acceptor and, if it is a sidecar, the opener.
     pub(super) fn on_break(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -278,8 +279,8 @@
         }
     }
 
-    /// Breaks every connection of a process that is gone: at once where its machine resets them,
-    /// later where it vanished without a word.
+    /// Breaks all connections of a dead process: immediately if its machine resets them, or after the
+    /// retransmission limit if the machine vanished.
     pub(super) fn break_connections_of(&mut self, process: ProcessId, vanished: bool) {
         let ids: Vec<ConnectionId> = self
             .connections
@@ -300,7 +301,7 @@
         }
     }
 
-    /// Sends a datagram; it may be lost, doubled or overtaken.
+    /// Sends a datagram, which may be lost, duplicated or reordered.
     pub(super) fn send_datagram(&mut self, from: NodeStart, to: SocketAddr, datagram: &Datagram) {
         let Some(node) = self.node_by_gossip_address(to) else {
             return;
--- a/crates/simulation/src/world/engine_service.rs
+++ b/crates/simulation/src/world/engine_service.rs
@@ -1,4 +1,4 @@
-//! Requests to engines and the way there and back.
+//! Requests of nodes to engines, and their answers.
 
 mod lifecycle;
 mod polling;
@@ -16,7 +16,7 @@
 use crate::kernel::{Direction, Endpoint};
 use crate::platform::Subscriber;
 
-/// A request to an engine that cannot be reached fails after this time.
+/// Time until a request to an unreachable engine fails.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
@@ -24,7 +24,7 @@
         self.engines.iter().position(|engine| engine.id == *id)
     }
 
-    /// A node sends a request to an engine.
+    /// Sends a request from a node to an engine.
     pub(super) fn request_engine(
         &mut self,
         from: NodeStart,
@@ -52,7 +52,7 @@
         self.schedule(delay, event);
     }
 
-    /// A request reaches an engine.
+    /// Handles a request that has arrived at an engine.
     pub(super) fn on_engine_request(
         &mut self,
         from: NodeStart,
@@ -96,13 +96,14 @@
         }
     }
 
-    /// Messages of one engine to one node keep their order.
+    /// Delivers an event from an engine to a node; events between the same two arrive in order.
     fn deliver_from_engine(&mut self, to: NodeStart, engine: usize, input: NodeEvent) {
         let delay = self.engine_delay(to, engine);
         self.deliver_to_node_later(to, delay, input);
     }
 
-    /// The delay between an engine and a node; without jitter, so that streams keep their order.
+    /// Returns the one-way delay between an engine and a node, without jitter, so that streams stay in
+    /// order.
     fn engine_delay(&self, node: NodeStart, engine: usize) -> Duration {
         if self.same_zone(Endpoint::Node(node.node), Endpoint::Engine(engine)) {
             return self.scenario.network.within_zone;
@@ -135,6 +136,7 @@
     }
 }
 
+/// Returns the attempt that fails if the request fails.
 fn attempt_of(request: &EngineRequest) -> Option<Ticket> {
     match request {
         EngineRequest::Generate(generate) => Some(generate.ticket),
--- a/crates/simulation/src/world/engine_service/lifecycle.rs
+++ b/crates/simulation/src/world/engine_service/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Crashes, starts and departures of engines.
+//! Crashes, restarts and departures of engines.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use crate::world::World;
 use crate::world::event::{Event, NodeStart};
 
+/// Time between the announcement of a departure and the exit of the engine.
 const DEPARTURE_GRACE: Duration = Duration::from_secs(12);
 
 impl World {
-    /// An engine's process dies; its readers see their streams break.
+    /// Crashes an engine and fails the attempts that were reading its streams.
     pub(in crate::world) fn crash_engine(&mut self, engine: usize, restart_after: Duration) {
         if !self.engines[engine].up {
             return;
@@ -29,13 +30,13 @@
         self.schedule(restart_after, Event::EngineStart(engine));
     }
 
-    /// An engine starts again with an empty cache.
+    /// Restarts an engine with an empty cache.
     pub(in crate::world) fn on_engine_start(&mut self, engine: usize) {
         self.engines[engine].up = true;
         self.engines[engine].leaving = false;
     }
 
-    /// An engine says that it is leaving; once idle, or after its grace period, it is replaced.
+    /// Announces the departure of an engine.
     pub(in crate::world) fn start_departure(&mut self, engine: usize) {
         if self.engines[engine].leaving || !self.engines[engine].up {
             return;
@@ -48,7 +49,8 @@
         });
     }
 
-    /// A leaving engine is gone before its time; what starts in its place is not leaving.
+    /// Ends a departure early if the engine exits before the end of its grace period. The engine that
+    /// replaces it is not leaving.
     fn end_departure(&mut self, engine: usize) {
         let id = &self.engines[engine].id;
         let departures = self.observations.departures.iter_mut();
@@ -57,7 +59,7 @@
         }
     }
 
-    /// How long a leaving engine stays to finish its streams.
+    /// Returns the time that a leaving engine has to finish its streams.
     pub(in crate::world) fn departure_grace() -> Duration {
         DEPARTURE_GRACE
     }
--- a/crates/simulation/src/world/engine_service/polling.rs
+++ b/crates/simulation/src/world/engine_service/polling.rs
@@ -1,4 +1,4 @@
-//! The polling of engines for their load, holdings and departure.
+//! Polling of engines by nodes for load, holdings and departure.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 use crate::world::event::{EngineRequest, Event, NodeStart};
 use crate::world::{WatchedEngine, World};
 
+/// Size of an engine's cache, in blocks.
 const BLOCKS_TOTAL: u32 = 4_096;
 
 impl World {
-    /// A node begins to poll an engine.
+    /// Starts polling an engine for a node.
     pub(in crate::world) fn watch_engine(&mut self, from: NodeStart, engine: &EngineId) {
         let Some(engine) = self.engine_by_id(engine) else {
             return;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A node's next poll of an engine is due.
+    /// Polls an engine, or reports that it is silent if it cannot be reached.
     pub(in crate::world) fn on_engine_poll(&mut self, from: NodeStart, engine: usize) {
         let is_current = self.nodes[from.node].slot.generation() == from.generation;
         let Some(watched) = self.nodes[from.node].watched.get_mut(&engine) else {
--- a/crates/simulation/src/world/engine_service/streams.rs
+++ b/crates/simulation/src/world/engine_service/streams.rs
@@ -1,4 +1,4 @@
-//! Generations and the streams of their chunks.
+//! Generations and their streams of chunks.
 
 use std::time::Duration;
 
@@ -14,10 +14,12 @@
 use crate::world::World;
 use crate::world::event::{Event, NodeStart};
 
+/// Interval between two chunks.
 const CHUNK_INTERVAL: Duration = Duration::from_millis(60);
+/// Time until the first chunk.
 const FIRST_CHUNK_DELAY: Duration = Duration::from_millis(120);
 
-/// When a full engine says that it may be asked again.
+/// Retry delay in the rejections of a full engine.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl World {
@@ -87,7 +89,7 @@
         self.schedule(delay, event);
     }
 
-    /// A generation's next chunk is due.
+    /// Produces the next chunk of a generation, or its end; delayed while the engine is stalled.
     pub(in crate::world) fn on_engine_step(
         &mut self,
         engine: usize,
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,4 +1,4 @@
-//! What can happen next in the simulated world.
+//! Events of the simulated world.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,34 +14,34 @@
 use super::connection::ConnectionId;
 use crate::kernel::ProcessId;
 
-/// One start of one node.
+/// A node process, identified by its slot and generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NodeStart {
-    /// Its slot.
+    /// Index of the slot.
     pub node: usize,
-    /// Which start.
+    /// Generation of the slot.
     pub generation: u32,
 }
 
-/// One start of one sidecar.
+/// A sidecar process, identified by its slot and generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SidecarStart {
-    /// Its slot.
+    /// Index of the slot.
     pub sidecar: usize,
-    /// Which start.
+    /// Generation of the slot.
     pub generation: u32,
 }
 
-/// What a connection carries.
+/// Message on a connection.
 #[derive(Clone, Debug)]
 pub(crate) enum Payload {
-    /// Towards the node that accepted it.
+    /// Message to the node that accepted the connection.
     ToNode(Box<ToNode>),
-    /// Back from that node.
+    /// Message from that node.
     FromNode(Box<FromNode>),
 }
 
-/// A request on its way to an engine.
+/// Request to an engine.
 #[derive(Clone, Debug)]
 pub(crate) enum EngineRequest {
     Generate(Box<Generate>),
@@ -53,7 +53,7 @@
     Poll,
 }
 
-/// A request on its way to a tool.
+/// Request to a tool.
 #[derive(Clone, Debug)]
 pub(crate) enum ToolRequest {
     Invoke {
@@ -66,41 +66,41 @@
     },
 }
 
-/// Something for a caller.
+/// Event of a caller.
 #[derive(Clone, Debug)]
 pub(crate) enum CallerEvent {
-    /// Time to go on with the program.
+    /// The caller continues its program.
     Continue,
-    /// Time to hand a call over again.
+    /// The caller submits a call, possibly again.
     Resubmit { number: CallNumber },
-    /// Time to start the run, to read it or to end it once more.
+    /// The caller retries to start, read or end its run.
     RetryRequest,
-    /// The caller has waited long enough for a reply.
+    /// The caller stops waiting for a reply.
     ReplyTimeout { request: RequestId },
-    /// A reply from a sidecar.
+    /// A sidecar's reply arrives.
     Reply {
         request: RequestId,
         reply: Box<CallerReply>,
     },
-    /// The connection to the sidecar broke.
+    /// The connection to the sidecar is broken.
     Disconnected { request: RequestId },
 }
 
-/// Something for an operator.
+/// Event of an operator.
 #[derive(Clone, Debug)]
 pub(crate) enum OperatorEvent {
-    /// Time for the next action.
+    /// The operator performs its next action.
     Continue,
-    /// A node's reply.
+    /// A node's reply arrives.
     Reply {
         request: RequestId,
         reply: Box<OperatorReply>,
     },
-    /// No reply came in time.
+    /// The operator stops waiting for a reply.
     Timeout { request: RequestId },
 }
 
-/// An event of the simulation.
+/// Event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     ToNode {
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults apply_fault: at their time, or when a call reaches their point.
+//! Injection of scheduled faults, at their time or when a call reaches their point.
 
 use std::time::Duration;
 
@@ -13,12 +13,15 @@
 use crate::observation::PlannedStop;
 use crate::platform::LogFailure;
 
+/// Additional loss during a datagram loss fault, in percentage points.
 const EXTRA_LOSS_PERCENT: u32 = 40;
+/// Interval at which the platform publishes the machine list.
 const MACHINE_LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay until a published machine list arrives at nodes.
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(3);
 
 impl World {
-    /// A node received a message; a call in it counts as a point of the call's life.
+    /// Counts a submitted call among the messages received by a node as [`CallPoint::Received`].
     pub(super) fn record_received(&mut self, input: &NodeEvent, node: usize) {
         use elderworks_protocol::peer::ToNode;
         use elderworks_protocol::sidecar::SidecarMessage;
@@ -29,12 +32,12 @@
         }
     }
 
-    /// A call reaches a point at which a node is acting.
+    /// Records that a call has reached a point at which `node` is acting.
     pub(super) fn node_reached(&mut self, point: CallPoint, node: usize) {
         self.point_reached(point, ProcessId::Node(node));
     }
 
-    /// A call reaches a point at which a sidecar is acting.
+    /// Records that a call has reached a point at which `sidecar` is acting.
     pub(super) fn sidecar_reached(&mut self, point: CallPoint, sidecar: usize) {
         self.point_reached(point, ProcessId::Sidecar(sidecar));
     }
@@ -54,7 +57,7 @@
         }
     }
 
-    /// A fault of the schedule strikes; `actor` is the process acting at its point.
+    /// Applies a scheduled fault; `actor` is the process acting at the call point that triggered it.
     pub(super) fn apply_fault(&mut self, index: usize, actor: Option<ProcessId>) {
         let fault = self.schedule[index];
         let until = self.now.after(fault.lasts);
@@ -165,7 +168,7 @@
         }
     }
 
-    /// A leaving engine's time is over.
+    /// Stops a leaving engine at the end of its grace period.
     pub(super) fn on_engine_gone(
         &mut self,
         engine: usize,
@@ -182,7 +185,7 @@
         self.tools[tool].hang(until);
     }
 
-    /// Asks a node to leave in order; its replacement starts some time after it has gone.
+    /// Asks a node to drain and exit. Its replacement starts `replacement_after` its exit.
     fn stop_node(&mut self, node: usize, replacement_after: Duration) {
         if !self.nodes[node].slot.is_alive() || self.nodes[node].draining {
             return;
@@ -198,7 +201,7 @@
         self.deliver_to_node_later(start, Duration::ZERO, NodeEvent::Drain);
     }
 
-    /// A node has drained and exits.
+    /// Handles the exit of a drained node.
     pub(super) fn on_drained(&mut self, start: NodeStart) {
         let node = start.node;
         if !self.nodes[node].draining {
@@ -216,7 +219,7 @@
         self.faults_stop_at = self.faults_stop_at.max(self.now.after(after));
     }
 
-    /// The platform publishes its list of machines: what was true a while ago.
+    /// Publishes the machine list, which arrives at nodes with a delay.
     pub(super) fn on_machine_list(&mut self) {
         self.schedule(MACHINE_LIST_INTERVAL, Event::MachineList);
         if self.machine_list_stale_until > self.now {
--- a/crates/simulation/src/world/log_service.rs
+++ b/crates/simulation/src/world/log_service.rs
@@ -1,4 +1,4 @@
-//! Requests to the log and their answers.
+//! Requests of nodes to the log, and their answers.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::fault::CallPoint;
 use crate::kernel::{Direction, Endpoint};
 
-/// How long a node waits for the log beyond the wait it asked for.
+/// Time that a node waits for an answer from the log, in addition to the wait time of a read.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A refused connection is noticed after this time.
+/// Time until a node notices that its connection was refused.
 const REFUSED_DELAY: Duration = Duration::from_millis(5);
 
-/// A read that waits for records.
+/// A pending read that waits for records.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiter {
     from: NodeStart,
@@ -28,7 +28,7 @@
 }
 
 impl World {
-    /// A node asks for an append.
+    /// Sends an append from a node to the log.
     pub(super) fn request_append(
         &mut self,
         from: NodeStart,
@@ -58,7 +58,7 @@
         self.deliver_to_node_later(from, after, NodeEvent::LogAppended { token, result });
     }
 
-    /// An append reaches the log.
+    /// Executes an append that has arrived at the log.
     pub(super) fn on_log_append(
         &mut self,
         from: NodeStart,
@@ -98,7 +98,7 @@
         self.answer_waiters(stream);
     }
 
-    /// A node asks for a read.
+    /// Sends a read from a node to the log.
     pub(super) fn request_read(
         &mut self,
         from: NodeStart,
@@ -121,7 +121,7 @@
         self.schedule(delay, event);
     }
 
-    /// A read reaches the log.
+    /// Handles a read that has arrived at the log: answers it, or waits for records.
     pub(super) fn on_log_read(
         &mut self,
         from: NodeStart,
@@ -149,7 +149,7 @@
         self.schedule(wait, Event::LogReadTimeout { waiter });
     }
 
-    /// A waiting read has waited long enough.
+    /// Answers a waiting read, with no records if none have arrived.
     pub(super) fn on_log_read_timeout(&mut self, waiter: u64) {
         if let Some(waiter) = self.log_waiters.remove(&waiter) {
             self.answer_read(waiter.from, waiter.stream, waiter.offset);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated world: every process, the network and the platform on one virtual clock.
+//! Simulated world: all processes, the network and the platform on one virtual clock.
 
 mod callers;
 mod connection;
@@ -36,13 +36,15 @@
 use log_service::Waiter;
 use operators::{Operator, PendingOperatorRequest};
 
-/// An engine that a node's driver polls.
+/// State of a node's polling of an engine.
 struct WatchedEngine {
     last_answer: Instant,
     pace: EnginePace,
 }
 
-/// A node's slot and the state of its driver.
+/// Process slot of a node and the state of its driver, which executes the effects of the core.
+///
+/// `attempts` and `appends` are the requests whose result the core has not received yet.
 struct NodeSlot {
     slot: Slot<NodeCore, NodeEvent>,
     settings: NodeSettings,
@@ -57,14 +59,14 @@
     peer_connections: BTreeMap<usize, ConnectionId>,
 }
 
-/// A sidecar's slot and the state of its driver.
+/// Process slot of a sidecar and the state of its driver.
 struct SidecarSlot {
     slot: Slot<SidecarCore, SidecarEvent>,
     seed: u64,
     connections: BTreeMap<SocketAddr, ConnectionId>,
 }
 
-/// The simulated world.
+/// State of a simulation.
 pub(crate) struct World {
     now: Instant,
     queue: EventQueue<Event>,
@@ -96,17 +98,17 @@
     trace: Trace,
 }
 
-/// A world whose operators could not be served in this time has failed.
+/// Maximum time until the initial resources are in place.
 const SETUP_LIMIT: Duration = Duration::from_secs(60);
 
-/// Callers must be done this long after the last fault stopped.
+/// Maximum time from the end of the last fault until all callers are done.
 pub const LIVENESS_BOUND: Duration = Duration::from_secs(120);
 
-/// What is left to be freed, or to come into force, is given this long after callers are done.
+/// Time after the last caller is done in which memory is freed and configuration propagates.
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 
 impl World {
-    /// Runs to the end and gives what was seen and the trace.
+    /// Runs the simulation and returns its observations and trace.
     pub fn run(mut self) -> (Observations, Trace) {
         self.start();
         let mut settled_at = None;
@@ -124,11 +126,13 @@
         self.finish()
     }
 
+    /// Returns whether all faults have stopped and all callers are done.
     fn is_done(&self) -> bool {
         let all_done = self.callers.iter().all(Caller::is_done);
         self.configured_at.is_some() && self.now > self.faults_stop_at && all_done
     }
 
+    /// Returns whether setup or the callers have exceeded their time limit.
     fn is_stuck(&self) -> bool {
         match self.configured_at {
             None => self.now > Instant(0).after(SETUP_LIMIT),
--- a/crates/simulation/src/world/node_effects.rs
+++ b/crates/simulation/src/world/node_effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what a node asks for, as its driver would.
+//! Executes the effects of a node's core, as its driver does in production.
 
 use elderworks_node_core::effect::Generate;
 use elderworks_node_core::pace::EnginePace;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The driver's own limit on an attempt.
+    /// Fails an attempt whose timeout in the driver has expired.
     pub(super) fn on_attempt_timeout(&mut self, from: NodeStart, ticket: Ticket) {
         let failure = elderworks_execution::event::AttemptFailure::Lost {
             reason: elderworks_types::FailureReason::TimedOut,
--- a/crates/simulation/src/world/operators.rs
+++ b/crates/simulation/src/world/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: one creates the resources, two race over a configuration, one reads every node.
+//! Operators: one creates the resources, two concurrently change one configuration, and one reads it
+//! from all nodes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,32 +17,38 @@
 use crate::kernel::Instant;
 use crate::observation::{OperatorChange, OperatorRead};
 
+/// One-way delay between an operator and a node.
 const REPLY_DELAY: Duration = Duration::from_millis(2);
+/// Time after which an operator stops waiting for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Interval at which setup looks for a ready node.
 const SETUP_RETRY: Duration = Duration::from_millis(500);
+/// Shortest pause between two requests of a racing operator.
 const MIN_RACE_PAUSE: Duration = Duration::from_millis(200);
+/// Longest pause between two requests of a racing operator.
 const MAX_RACE_PAUSE: Duration = Duration::from_millis(1_500);
+/// Interval at which the reader reads all nodes.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an operator is for.
+/// Role of an operator.
 #[derive(Debug)]
 enum Role {
-    /// Creates the resources in order, then is done.
+    /// Creates the remaining resources in order.
     Setup(VecDeque<Resource>),
-    /// Changes the raced configuration, building on what it last saw.
+    /// Changes the raced configuration on condition that the last known revision is current.
     Racer { last_revision: Option<Offset> },
-    /// Reads the raced configuration from every node in turn.
+    /// Periodically reads the raced configuration from every node.
     Reader,
 }
 
-/// One operator.
+/// Simulated operator.
 #[derive(Debug)]
 pub(crate) struct Operator {
     role: Role,
 }
 
 impl Operator {
-    /// Those of every simulation.
+    /// Returns the operators of a simulation.
     pub(super) fn all() -> Vec<Operator> {
         let roles = [
             Role::Setup(VecDeque::new()),
@@ -57,7 +64,7 @@
     }
 }
 
-/// An operator's request that no node has answered.
+/// An operator's unanswered request.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOperatorRequest {
     operator: usize,
@@ -67,7 +74,7 @@
 }
 
 impl World {
-    /// Something happens to an operator.
+    /// Handles an operator's event.
     pub(super) fn on_operator(&mut self, operator: usize, event: OperatorEvent) {
         match event {
             OperatorEvent::Continue => self.continue_operator(operator),
@@ -130,6 +137,7 @@
         }
     }
 
+    /// Returns a randomly chosen node that is ready and running.
     fn ready_node(&mut self) -> Option<usize> {
         let ready: Vec<usize> = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].ready && self.nodes[*index].slot.is_running())
@@ -197,7 +205,7 @@
         self.schedule(REPLY_TIMEOUT, Event::Operator { operator, event });
     }
 
-    /// An operator's request reaches its node.
+    /// Delivers an operator's request to its node.
     pub(super) fn on_operator_request(
         &mut self,
         to: NodeStart,
@@ -207,7 +215,7 @@
         self.deliver_to_node(to, NodeEvent::Operator { request, question });
     }
 
-    /// A node replies to an operator.
+    /// Schedules the delivery of a node's reply to an operator.
     pub(super) fn reply_to_operator(&mut self, request: RequestId, reply: OperatorReply) {
         if let Some(pending) = self.operator_requests.get(&request) {
             let event = OperatorEvent::Reply {
--- a/crates/simulation/src/world/processes.rs
+++ b/crates/simulation/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! Starting, ending, pausing and ticking processes, and handing them events.
+//! Start, end, pause and timers of processes, and the delivery of events to them.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::kernel::ProcessId;
 
 impl World {
-    /// Hands an event to a node and carries out what it asks for.
+    /// Delivers an event to a node if its driver accepts it, and executes the resulting effects.
     pub(super) fn deliver_to_node(&mut self, to: NodeStart, input: NodeEvent) {
         let node = &mut self.nodes[to.node];
         if to.generation == node.slot.generation() && node.accepts(&input) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Hands over what the driver has passed on, now or before a pause.
+    /// Passes an event that the driver has accepted to the core, or queues it during a pause.
     fn pass_to_core(&mut self, to: NodeStart, input: NodeEvent) {
         let node = &mut self.nodes[to.node];
         let time = node.slot.clock.read(self.now);
@@ -43,7 +43,7 @@
         self.schedule(delay, Event::ToNode { to, input });
     }
 
-    /// Hands an event to a sidecar and carries out what it asks for.
+    /// Delivers an event to a sidecar and executes the resulting effects.
     pub(super) fn deliver_to_sidecar(&mut self, to: SidecarStart, input: SidecarEvent) {
         let now = self.now;
         let sidecar = &mut self.sidecars[to.sidecar];
@@ -67,7 +67,7 @@
         self.schedule(delay, Event::ToSidecar { to, input });
     }
 
-    /// A node's timer fires; not while it is paused.
+    /// Handles a node's timer, which is ignored during a pause.
     pub(super) fn on_node_tick(&mut self, start: NodeStart) {
         let slot = &self.nodes[start.node].slot;
         if slot.generation() != start.generation || !slot.is_alive() {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A sidecar's timer fires; not while it is paused.
+    /// Handles a sidecar's timer, which is ignored during a pause.
     pub(super) fn on_sidecar_tick(&mut self, start: SidecarStart) {
         let slot = &self.sidecars[start.sidecar].slot;
         if slot.generation() != start.generation || !slot.is_alive() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Ends a process. A machine that vanishes resets no connection.
+    /// Kills a process. If its machine has vanished, connections are not reset.
     pub(super) fn kill(&mut self, process: ProcessId, vanished: bool) {
         match process {
             ProcessId::Node(node) => self.kill_node(node, vanished),
@@ -128,7 +128,7 @@
         self.disconnect_callers(sidecar);
     }
 
-    /// Starts a process with empty memory where the last one died.
+    /// Starts a process with empty memory in an empty slot.
     pub(super) fn on_start(&mut self, process: ProcessId) {
         match process {
             ProcessId::Node(node) => self.start_node(node),
@@ -167,7 +167,7 @@
         SidecarSettings::new(addresses.collect(), seed)
     }
 
-    /// Stops a process from taking events for a while.
+    /// Pauses a process for `lasts`.
     pub(super) fn pause(&mut self, process: ProcessId, lasts: Duration) {
         let until = self.now.after(lasts);
         match process {
@@ -177,7 +177,7 @@
         self.schedule(lasts, Event::Resume(process));
     }
 
-    /// A pause is over: the process takes what came in meanwhile, in order.
+    /// Resumes a process after a pause and delivers the queued events in order.
     pub(super) fn on_resume(&mut self, process: ProcessId) {
         match process {
             ProcessId::Node(node) => {
@@ -207,7 +207,8 @@
         self.peer_connections.clear();
     }
 
-    /// Whether the driver would pass this on: each append and each attempt ends once.
+    /// Returns whether the driver passes this event to the core. Each append and each attempt has one
+    /// result; later ones are dropped.
     fn accepts(&mut self, input: &NodeEvent) -> bool {
         match input {
             NodeEvent::LogAppended { token, .. } => self.appends.remove(token),
@@ -218,7 +219,8 @@
         }
     }
 
-    /// The settings with which the slot's processes start.
+    /// Creates a slot with a running node. Its replacements start with the same settings, except for
+    /// the seed.
     pub(super) fn new(settings: NodeSettings, clock: crate::kernel::Clock, zone: usize) -> Self {
         let core = NodeCore::new(settings.clone());
         Self {
--- a/crates/simulation/src/world/setup.rs
+++ b/crates/simulation/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! Builds the world: processes, platform, resources and the callers' requests.
+//! Construction of the world: processes, platform, resources and requests.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -28,17 +28,26 @@
 use crate::scenario::{Scenario, draw_steps};
 use crate::trace::Trace;
 
+/// Name of the model and of its service.
 const MODEL: &str = "drafter";
+/// Number of tenants, each with a budget and a program.
 const TENANTS: usize = 2;
 const NODE_PORT: u16 = 7_001;
 const GOSSIP_PORT: u16 = 7_000;
+/// Maximum number of output tokens of a model call.
 const MAX_OUTPUT: Tokens = Tokens(120);
 const TOOL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of concurrent requests of an engine.
 const MAX_RUNNING_REQUESTS: usize = 8;
+/// Maximum delay of a caller's start after the resources are in place.
 const MAX_CALLER_START_DELAY: Duration = Duration::from_secs(8);
+/// Maximum drift of a clock in parts per million.
 const MAX_DRIFT_PPM: u64 = 200;
+/// Maximum initial offset of a clock.
 const MAX_CLOCK_OFFSET: Duration = Duration::from_secs(3);
+/// Budget of runs that are not meant to exhaust it.
 const LARGE_BUDGET: Credits = Credits(1_000_000);
+/// Maximum budget of a sub-agent.
 const CHILD_BUDGET: Credits = Credits(20_000);
 const PRICES: Prices = Prices {
     prompt_token: Credits(1),
@@ -47,7 +56,7 @@
 };
 
 impl World {
-    /// A world in which nothing has happened yet.
+    /// Creates a world in its initial state.
     pub fn new(
         scenario: Scenario,
         seed: u64,
@@ -142,7 +151,7 @@
         }
     }
 
-    /// A sub-agent of a caller's run, with a budget carved from it.
+    /// Creates the caller of a sub-agent, with part of its parent's budget.
     pub(super) fn draw_child(&mut self, parent: usize) -> Caller {
         let steps = draw_steps(true, &mut self.workload_random);
         let number = self.workload_random.next_u64().max(1);
@@ -157,7 +166,7 @@
         Caller::new(child, steps, sidecar, Some(parent))
     }
 
-    /// Starts processes, the machine list and operators.
+    /// Schedules the first events of processes, the machine list and operators.
     pub(super) fn start(&mut self) {
         for node in 0..self.nodes.len() {
             let start = self.node_start(node);
@@ -175,7 +184,7 @@
         }
     }
 
-    /// Every resource is in place: callers begin, and timed faults are due.
+    /// Starts callers and schedules timed faults once all initial resources are in place.
     pub(super) fn on_configured(&mut self) {
         self.configured_at = Some(self.now);
         self.faults_stop_at = self.now;
@@ -196,7 +205,7 @@
         }
     }
 
-    /// The resources that operators create before callers begin, in order.
+    /// Returns the resources that are created before callers start, in order of creation.
     pub(super) fn initial_resources(&self) -> Vec<Resource> {
         let mut resources = vec![model_service(&self.scenario)];
         resources.extend(self.tools.iter().map(|tool| tool_service(&tool.name)));
@@ -251,7 +260,7 @@
     EngineId::new(format!("engine-{engine}"))
 }
 
-/// Base URL of an engine.
+/// Returns the base URL of an engine.
 pub(super) fn engine_url(engine: usize) -> String {
     format!("http://10.0.1.{}:8000", engine + 1)
 }
@@ -307,7 +316,7 @@
     resource(name.as_str(), Spec::Service(ServiceSpec::Tool(service)))
 }
 
-/// Enough for every run of the first tenant; the second may run out.
+/// Returns the budget limit of a tenant. The second tenant may exhaust its budget.
 fn tenant_limit(index: usize) -> Credits {
     if index == 0 {
         Credits(100_000_000)
@@ -340,7 +349,8 @@
     resource(program_name(index).as_str(), Spec::Program(spec))
 }
 
-/// The configuration over which operators race, with a value that tells changes apart.
+/// Returns the configuration that operators change concurrently, with a value that differs for each
+/// `serial`.
 pub(super) fn raced_configuration(serial: u64) -> Resource {
     let values = BTreeMap::from([(
         "admission.maxOpenCalls".to_owned(),
@@ -350,10 +360,10 @@
     resource(RACED_CONFIGURATION, spec)
 }
 
-/// Its name.
+/// Name of the configuration that operators change concurrently.
 pub(super) const RACED_CONFIGURATION: &str = "fleet";
 
-/// A question on top of the whole history.
+/// Returns a model request that appends a question to the full history.
 pub(super) fn model_request(history: &[Message], question: String) -> ModelRequest {
     ModelRequest {
         model: ModelName::new(MODEL),
@@ -363,7 +373,7 @@
     }
 }
 
-/// An invocation whose arguments name the call.
+/// Returns a tool request whose arguments name the call.
 pub(super) fn tool_request(run: RunId, number: CallNumber, tool: &str) -> ToolRequest {
     ToolRequest {
         tool: ToolName::new(tool),
@@ -371,7 +381,7 @@
     }
 }
 
-/// A call without a deadline.
+/// Returns a call without deadline and idempotency key.
 pub(super) fn call_spec(number: CallNumber, request: CallRequest, repeatable: bool) -> CallSpec {
     CallSpec {
         number,
@@ -383,7 +393,7 @@
     }
 }
 
-/// The message by which an answer enters the history.
+/// Returns the message by which an answer is added to the history.
 pub(super) fn answer_message(request: &CallRequest, content: &str) -> Message {
     let role = match request {
         CallRequest::Model(_) => Role::Assistant,
@@ -392,7 +402,7 @@
     Message::new(role, content)
 }
 
-/// The processes that a fault may apply_fault, by index.
+/// Returns the process selected by `victim` among `count` processes.
 pub(super) fn pick_process(
     process: fn(usize) -> ProcessId,
     victim: u32,
--- a/crates/simulation/src/world/sidecar_effects.rs
+++ b/crates/simulation/src/world/sidecar_effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what a sidecar asks for, as its driver would.
+//! Executes the effects of a sidecar's core, as its driver does in production.
 
 use std::time::Duration;
 
--- a/crates/simulation/src/world/tool_service.rs
+++ b/crates/simulation/src/world/tool_service.rs
@@ -1,4 +1,4 @@
-//! Requests to tools and their answers.
+//! Requests of nodes to tools, and their answers.
 
 use std::time::Duration;
 
@@ -14,11 +14,13 @@
 use crate::observation::Invocation;
 use crate::platform::ToolAnswer;
 
+/// Shortest time until the answer of a tool arrives.
 const MIN_ANSWER_DELAY: Duration = Duration::from_millis(30);
+/// Longest time until the answer of a tool arrives.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(400);
 
 impl World {
-    /// A node sends a request to a tool.
+    /// Sends a request from a node to a tool.
     pub(super) fn request_tool(
         &mut self,
         from: NodeStart,
@@ -40,7 +42,7 @@
         self.schedule(delay, event);
     }
 
-    /// A request reaches a tool.
+    /// Handles a request that has arrived at a tool.
     pub(super) fn on_tool_request(
         &mut self,
         from: NodeStart,
