--- a/crates/simulation/src/check/at_most_once.rs
+++ b/crates/simulation/src/check/at_most_once.rs
@@ -13,10 +13,10 @@
     let repeatable = submissions.map(|made| (made.call, made.spec.repeatable));
     let repeatable: BTreeMap<CallId, bool> = repeatable.collect();
     let executions = executions(observations);
-    let doubled = executions
+    let repeated = executions
         .iter()
         .filter(|(call, starts)| starts.len() > 1 && repeatable.get(call) == Some(&false));
-    doubled
+    repeated
         .map(|(call, starts)| {
             let detail = format!("{call} was executed {} times: {starts:?}", starts.len());
             Violation::new(Invariant::AtMostOnce, starts[1], detail)
--- a/crates/simulation/src/check/planned_stop.rs
+++ b/crates/simulation/src/check/planned_stop.rs
@@ -12,7 +12,7 @@
 
 /// Returns whether the call was interrupted. A cancellation does not count, since it follows from the
 /// end of the run or of its parent's run, not from a stop.
-fn is_cut_off(outcome: &Outcome) -> bool {
+fn is_interrupted(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Failed(failure) => failure.reason != FailureReason::Cancelled,
         Outcome::Unknown(_) => true,
@@ -24,15 +24,15 @@
     if observations.had_abrupt_fault {
         return Vec::new();
     }
-    let cut = observations
+    let interrupted = observations
         .outcomes
         .iter()
-        .filter(|ended| is_cut_off(&ended.outcome))
+        .filter(|ended| is_interrupted(&ended.outcome))
         .map(|ended| {
             let detail = format!("{} was interrupted: {:?}", ended.call, ended.outcome);
             Violation::new(Invariant::PlannedStop, ended.at, detail)
         });
-    let stuck = observations
+    let overdue = observations
         .planned_stops
         .iter()
         .filter(|stop| {
@@ -43,5 +43,5 @@
             let detail = format!("node-{} did not finish draining in time", stop.node);
             Violation::new(Invariant::PlannedStop, stop.at, detail)
         });
-    cut.chain(stuck).collect()
+    interrupted.chain(overdue).collect()
 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -127,9 +127,9 @@
         steps.push(draw_step(is_child, random));
     }
     if !is_child {
-        let place = 1 + random.index(steps.len());
+        let position = 1 + random.index(steps.len());
         let keyed = random.chance(50);
-        steps.insert(place, Step::Submit { keyed });
+        steps.insert(position, Step::Submit { keyed });
         steps.push(Step::Read);
     }
     if random.chance(8) {
--- a/crates/simulation/tests/broken.rs
+++ b/crates/simulation/tests/broken.rs
@@ -9,18 +9,18 @@
 fn is_caught(variant: &Broken) -> bool {
     (0..SEEDS).any(|seed| {
         let mut plan = Plan::drawn(seed, Preset::Lublin, variant.faults);
-        let whole = run(&plan);
-        let noticed_anyway = whole
+        let unbroken = run(&plan);
+        let detected_unbroken = unbroken
             .violations
             .iter()
             .any(|violation| violation.invariant == variant.invariant);
         variant.apply(&mut plan);
         let broken = run(&plan);
-        let noticed = broken
+        let detected = broken
             .violations
             .iter()
             .any(|violation| violation.invariant == variant.invariant);
-        noticed && !noticed_anyway
+        detected && !detected_unbroken
     })
 }
 
