--- a/crates/gateway-core/tests/placement.rs
+++ b/crates/gateway-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of turns at engines: homes of the prompts' first parts, and a replay of their load.
+//! Placement of turns at engines by the homes of their prompts' prefixes.
 
 mod common;
 
@@ -6,27 +6,29 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose, is_at_home};
-use elderworks_gateway_core::peer_loads::Rota;
-use elderworks_gateway_core::placement::demand::{EngineTurn, PartDemand, PartKey};
-use elderworks_gateway_core::placement::homes::{PartLoad, home_count, home_shares, place};
+use elderworks_gateway_core::peer_loads::RoundRobin;
+use elderworks_gateway_core::placement::demand::{EngineTurn, PrefixDemand, PrefixKey};
+use elderworks_gateway_core::placement::homes::{
+    PrefixLoad, home_count, home_fractions, rendezvous_rank,
+};
 use elderworks_gateway_core::policy::Policy;
-use elderworks_gateway_core::workers::{WorkerDirectory, WorkerLife, WorkerRecord};
+use elderworks_gateway_core::workers::{WorkerDirectory, WorkerInstance, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
-const PART_TOKENS: u64 = 12_600;
-const PRIVATE_TOKENS: u64 = 2_000;
+const PREFIX_TOKENS: u64 = 12_600;
+const SUFFIX_TOKENS: u64 = 2_000;
 const MEMORY_TOKENS: u64 = 240_000;
 const SLOTS: u32 = 8;
 const ENGINES: usize = 56;
-const PARTS: u64 = 16;
+const PREFIXES: u64 = 16;
 
-fn turn(part: u64) -> EngineTurn {
+fn turn(prefix: u64) -> EngineTurn {
     EngineTurn {
-        part: PartKey::of(&format!("part-{part}")),
-        part_tokens: PART_TOKENS,
-        private_tokens: PRIVATE_TOKENS,
-        answer_tokens: 200,
+        prefix: PrefixKey::of(&format!("part-{prefix}")),
+        prefix_tokens: PREFIX_TOKENS,
+        suffix_tokens: SUFFIX_TOKENS,
+        max_output_tokens: 200,
         memory_tokens: MEMORY_TOKENS,
         slots: SLOTS,
     }
@@ -39,7 +41,7 @@
     }
 }
 
-fn fleet(policy: Policy) -> WorkerDirectory {
+fn all_engines(policy: Policy) -> WorkerDirectory {
     let mut workers = WorkerDirectory::new(policy);
     for engine in 0..ENGINES {
         workers.upsert(record(engine), START);
@@ -60,106 +62,113 @@
         repeatable: false,
         tried: &[],
         turn: Some(turn),
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
 }
 
-/// Part of the number-th turn: the first parts are asked for most, as in a few large routes.
-fn skewed_part(number: u64) -> u64 {
-    let spread = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
-    let unit = spread as f64 / (1u64 << 24) as f64;
-    (unit * unit * PARTS as f64) as u64
+/// Returns the prefix of the turn with that number; low prefixes are the most frequent.
+fn skewed_prefix(number: u64) -> u64 {
+    let hash = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40;
+    let unit = hash as f64 / (1u64 << 24) as f64;
+    (unit * unit * PREFIXES as f64) as u64
 }
 
 #[test]
-fn homes_fit_in_memory_and_follow_demand() {
+fn homes_fit_in_memory_and_are_proportional_to_demand() {
     let weights = [100.0, 50.0, 10.0, 10.0, 10.0, 1.0, 0.1];
-    for (room_parts, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
-        let parts = weights.map(|weight| PartLoad {
-            tokens: PART_TOKENS as f64,
+    for (room_prefixes, engines) in [(1.5, 56), (3.0, 56), (6.0, 122), (2.0, 8)] {
+        let prefixes = weights.map(|weight| PrefixLoad {
+            tokens: PREFIX_TOKENS as f64,
             weight,
         });
-        let shares = home_shares(&parts, room_parts * PART_TOKENS as f64, engines);
-        let sum: f64 = shares.iter().sum();
-        let fewest = 2.0 / engines as f64;
-        let forced = fewest * weights.len() as f64;
-        assert!(sum <= room_parts.max(forced) + 1e-3, "{room_parts}: {sum}");
-        assert!(shares.is_sorted_by(|one, next| one >= next));
-        assert!(shares.iter().all(|share| (fewest..=1.0).contains(share)));
+        let fractions = home_fractions(&prefixes, room_prefixes * PREFIX_TOKENS as f64, engines);
+        let sum: f64 = fractions.iter().sum();
+        let min_fraction = 2.0 / engines as f64;
+        let forced = min_fraction * weights.len() as f64;
+        assert!(
+            sum <= room_prefixes.max(forced) + 1e-3,
+            "{room_prefixes}: {sum}"
+        );
+        assert!(fractions.is_sorted_by(|first, next| first >= next));
+        assert!(
+            fractions
+                .iter()
+                .all(|fraction| (min_fraction..=1.0).contains(fraction))
+        );
     }
 }
 
 #[test]
-fn parts_that_all_fit_are_at_home_everywhere() {
-    let part = PartLoad {
-        tokens: PART_TOKENS as f64,
+fn all_engines_are_home_to_prefixes_that_fit() {
+    let prefix = PrefixLoad {
+        tokens: PREFIX_TOKENS as f64,
         weight: 1.0,
     };
-    let shares = home_shares(&[part, part], 3.0 * PART_TOKENS as f64, 10);
-    assert_eq!(shares, [1.0, 1.0]);
+    let fractions = home_fractions(&[prefix, prefix], 3.0 * PREFIX_TOKENS as f64, 10);
+    assert_eq!(fractions, [1.0, 1.0]);
 }
 
 #[test]
-fn an_engine_that_goes_moves_only_its_own_parts() {
+fn the_loss_of_an_engine_moves_only_its_own_prefixes() {
     let engines: Vec<String> = (0..ENGINES)
         .map(|engine| format!("engine-{engine}"))
         .collect();
-    let homes = |part: PartKey, engines: &[String]| -> BTreeSet<String> {
+    let homes = |prefix: PrefixKey, engines: &[String]| -> BTreeSet<String> {
         let mut order: Vec<&String> = engines.iter().collect();
-        order.sort_by_key(|engine| place(part, engine));
+        order.sort_by_key(|engine| rendezvous_rank(prefix, engine));
         let count = home_count(0.3, engines.len());
         order.into_iter().take(count).cloned().collect()
     };
     let gone = &engines[7];
     let left: Vec<String> = engines.iter().filter(|id| *id != gone).cloned().collect();
-    for number in 0..PARTS {
-        let part = PartKey::of(&format!("part-{number}"));
-        let before = homes(part, &engines);
-        let after = homes(part, &left);
+    for number in 0..PREFIXES {
+        let prefix = PrefixKey::of(&format!("part-{number}"));
+        let before = homes(prefix, &engines);
+        let after = homes(prefix, &left);
         let moved = after.difference(&before).count();
-        assert_eq!(moved, usize::from(before.contains(gone)), "part {number}");
+        assert_eq!(moved, usize::from(before.contains(gone)), "prefix {number}");
     }
 }
 
 #[test]
-fn nodes_that_have_heard_of_the_same_demand_count_the_same_homes() {
-    let mut one = PartDemand::default();
-    let mut other = PartDemand::default();
+fn nodes_with_the_same_demand_compute_the_same_homes() {
+    let mut first = PrefixDemand::default();
+    let mut second = PrefixDemand::default();
     for number in 0..400 {
-        let met = turn(skewed_part(number));
+        let turn = turn(skewed_prefix(number));
         match number % 2 {
-            0 => one.note_turn(&met, ENGINES, START),
-            _ => other.note_turn(&met, ENGINES, START),
+            0 => first.note_turn(&turn, ENGINES, START),
+            _ => second.note_turn(&turn, ENGINES, START),
         }
     }
-    let told = [one.own_demand(), other.own_demand()];
-    let [of_one, of_other] = told;
-    one.take_told(START, NodeId::new("other"), of_other);
-    other.take_told(START, NodeId::new("one"), of_one);
+    let reports = [first.own_demand(), second.own_demand()];
+    let [of_first, of_second] = reports;
+    first.apply_peer_demand(START, NodeId::new("other"), of_second);
+    second.apply_peer_demand(START, NodeId::new("one"), of_first);
     let later = START + Duration::from_secs(1);
-    one.note_turn(&turn(0), ENGINES, later);
-    other.note_turn(&turn(0), ENGINES, later);
-    for part in 0..PARTS {
-        let key = turn(part).part;
-        let (one, other) = (one.share(key), other.share(key));
+    first.note_turn(&turn(0), ENGINES, later);
+    second.note_turn(&turn(0), ENGINES, later);
+    for prefix in 0..PREFIXES {
+        let key = turn(prefix).prefix;
+        let (first, second) = (first.home_fraction(key), second.home_fraction(key));
         assert!(
-            (one - other).abs() < 1.0 / ENGINES as f64,
-            "part {part}: {one} {other}"
+            (first - second).abs() < 1.0 / ENGINES as f64,
+            "prefix {prefix}: {first} {second}"
         );
     }
 }
 
 #[test]
-fn demand_of_a_node_that_fell_silent_lapses_and_cold_parts_are_forgotten() {
-    let mut demand = PartDemand::default();
-    let mut peer = PartDemand::default();
+fn reported_demand_expires_and_prefixes_without_demand_are_dropped() {
+    let mut demand = PrefixDemand::default();
+    let mut peer = PrefixDemand::default();
     for _ in 0..100 {
         peer.note_turn(&turn(1), ENGINES, START);
         demand.note_turn(&turn(0), ENGINES, START);
     }
-    demand.take_told(START, NodeId::new("peer"), peer.own_demand());
+    demand.apply_peer_demand(START, NodeId::new("peer"), peer.own_demand());
     demand.note_turn(&turn(0), ENGINES, START + Duration::from_secs(1));
     assert_eq!(demand.len(), 2);
     demand.note_turn(&turn(0), ENGINES, START + Duration::from_secs(7));
@@ -169,8 +178,8 @@
 }
 
 #[test]
-fn the_number_of_parts_is_bounded() {
-    let mut demand = PartDemand::default();
+fn the_number_of_prefixes_is_bounded() {
+    let mut demand = PrefixDemand::default();
     for number in 0..5_000 {
         let now = START + Duration::from_millis(number);
         demand.note_turn(&turn(number), ENGINES, now);
@@ -179,10 +188,10 @@
 }
 
 #[test]
-fn a_home_that_fails_or_drains_hands_over() {
-    let mut workers = fleet(Policy::default());
+fn a_failing_or_draining_home_is_replaced() {
+    let mut workers = all_engines(Policy::default());
     for number in 0..200 {
-        workers.note_turn("engines", &turn(skewed_part(number)), START);
+        workers.note_turn("engines", &turn(skewed_prefix(number)), START);
     }
     let first = chosen(&workers, "program", turn(12), START).expect("an engine");
     for _ in 0..3 {
@@ -194,7 +203,7 @@
     workers.upsert(
         WorkerRecord {
             draining: true,
-            ..record(index.expect("of the fleet"))
+            ..record(index.expect("a known engine"))
         },
         START,
     );
@@ -202,102 +211,107 @@
     assert!(third != first && third != second);
 }
 
-/// The parts that an engine keeps, the latest last.
+/// An LRU cache of prefixes at an engine, the most recently used last.
 #[derive(Default)]
-struct Kept(VecDeque<PartKey>);
+struct Cache(VecDeque<PrefixKey>);
 
-/// Parts that an engine keeps beside the requests that it runs.
-const KEPT_PARTS: usize = 6;
+/// Number of prefixes that an engine caches beside its running requests.
+const CACHED_PREFIXES: usize = 6;
 
-impl Kept {
-    /// Whether the part had to be read.
-    fn read(&mut self, part: PartKey) -> bool {
-        let kept = self.0.iter().position(|known| *known == part);
-        if let Some(index) = kept {
+impl Cache {
+    /// Uses a prefix; returns whether it was not cached.
+    fn read(&mut self, prefix: PrefixKey) -> bool {
+        let position = self.0.iter().position(|known| *known == prefix);
+        if let Some(index) = position {
             self.0.remove(index);
         }
-        self.0.push_back(part);
-        if self.0.len() > KEPT_PARTS {
+        self.0.push_back(prefix);
+        if self.0.len() > CACHED_PREFIXES {
             self.0.pop_front();
         }
-        kept.is_none()
+        position.is_none()
     }
 }
 
-/// What a replay shows.
+/// The result of a simulation.
 #[derive(Debug)]
-struct Replay {
-    read: u32,
+struct Outcome {
+    /// Number of prefixes that engines had to read.
+    reads: u32,
+    /// Maximum number of concurrent turns at one engine.
     busiest: u32,
+    /// Mean number of concurrent turns per engine.
     mean: f64,
 }
 
-/// Bursts of turns on a fleet that is told its whole load; each burst ends before the next.
-fn replay(policy: Policy) -> Replay {
+/// Simulates bursts of turns at one node; each burst completes before the next.
+fn simulate(policy: Policy) -> Outcome {
     const BURSTS: u64 = 60;
     const BURST: u64 = 250;
-    let mut workers = fleet(policy);
-    let mut kept: BTreeMap<String, Kept> = BTreeMap::new();
-    let mut seen = Replay {
-        read: 0,
+    let mut workers = all_engines(policy);
+    let mut caches: BTreeMap<String, Cache> = BTreeMap::new();
+    let mut outcome = Outcome {
+        reads: 0,
         busiest: 0,
         mean: BURST as f64 / ENGINES as f64,
     };
     for burst in 0..BURSTS {
         let now = START + Duration::from_millis(burst * 400);
-        let mut running: Vec<WorkerLife> = Vec::new();
+        let mut running: Vec<WorkerInstance> = Vec::new();
         for number in burst * BURST..(burst + 1) * BURST {
-            let turn = turn(skewed_part(number));
+            let turn = turn(skewed_prefix(number));
             workers.note_turn("engines", &turn, now);
             let program = format!("program-{}", number / 4);
             let engine = chosen(&workers, &program, turn, now).expect("an engine");
             running.push(workers.note_start(&engine, now));
-            seen.read += u32::from(kept.entry(engine).or_default().read(turn.part));
+            outcome.reads += u32::from(caches.entry(engine).or_default().read(turn.prefix));
         }
-        let busiest = running.iter().filter_map(|life| workers.get(&life.id));
-        seen.busiest = seen
+        let busiest = running
+            .iter()
+            .filter_map(|instance| workers.get(&instance.id));
+        outcome.busiest = outcome
             .busiest
             .max(busiest.map(|worker| worker.in_flight).max().unwrap_or(0));
-        for life in &running {
-            workers.note_end(life);
+        for instance in &running {
+            workers.note_completion(instance);
         }
     }
-    seen
+    outcome
 }
 
 #[test]
-fn bursts_read_fewer_parts_again_and_crowd_no_engine() {
-    let standing = Policy {
+fn homes_reduce_prefix_reads_without_overloading_an_engine() {
+    let without_homes = Policy {
         part_homes: false,
         ..Policy::default()
     };
-    let before = replay(standing);
-    let after = replay(Policy {
+    let before = simulate(without_homes);
+    let after = simulate(Policy {
         part_homes: true,
-        ..standing
+        ..without_homes
     });
-    assert!(after.read * 2 < before.read, "{after:?} after {before:?}");
+    assert!(after.reads * 2 < before.reads, "{after:?} after {before:?}");
     assert!(f64::from(after.busiest) <= 3.0 * after.mean, "{after:?}");
 }
 
 #[test]
-fn everyone_is_told_in_as_few_turns_as_it_takes() {
-    for (all, most) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
-        let mut rota = Rota::default();
-        let turns = usize::div_ceil(all, most);
+fn round_robin_reaches_all_in_the_minimum_number_of_rounds() {
+    for (all, max) in [(1, 16), (16, 16), (26, 16), (48, 16), (52, 32), (200, 32)] {
+        let mut round_robin = RoundRobin::default();
+        let turns = usize::div_ceil(all, max);
         for round in 0..5 {
-            let told = (0..turns).flat_map(|_| rota.pick((0..all).collect(), most));
-            let told: BTreeSet<usize> = told.collect();
-            assert_eq!(told.len(), all, "{all} by {most}, round {round}");
+            let picked = (0..turns).flat_map(|_| round_robin.pick((0..all).collect(), max));
+            let picked: BTreeSet<usize> = picked.collect();
+            assert_eq!(picked.len(), all, "{all} by {max}, round {round}");
         }
     }
 }
 
 #[test]
-fn plain_requests_have_no_homes() {
-    let mut workers = fleet(Policy::default());
+fn requests_without_a_turn_have_no_homes() {
+    let mut workers = all_engines(Policy::default());
     for number in 0..200 {
-        workers.note_turn("engines", &turn(skewed_part(number)), START);
+        workers.note_turn("engines", &turn(skewed_prefix(number)), START);
     }
     let query = |turn| PlacementQuery {
         service: "engines",
@@ -306,7 +320,7 @@
         repeatable: true,
         tried: &[],
         turn,
-        spread: 1,
+        seed: 1,
         is_connected: &|_| false,
     };
     let of_turn = choose(&workers, &query(Some(turn(12))), START).expect("an engine");
@@ -316,5 +330,5 @@
     );
     let plain = choose(&workers, &query(None), START).expect("a worker");
     assert_eq!(is_at_home(&workers, &query(None), plain), None);
-    assert_eq!(plain.record.zone, "a", "zones go first without homes");
+    assert_eq!(plain.record.zone, "a", "the own zone is preferred");
 }
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -1,10 +1,10 @@
-//! A listener asks a reader for what it has missed, and a reader answers.
+//! Catch-up: a listener asks a reader for the changes it has missed, and the reader answers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use elderworks_protocol::encode;
-use elderworks_protocol::feed::{FeedAnswer, FeedBeat, FeedQuestion, RecordCopy};
+use elderworks_protocol::feed::{FeedHeartbeat, FeedRequest, FeedResponse, RecordCopy};
 use elderworks_types::Offset;
 
 use super::{Source, workers};
@@ -14,34 +14,36 @@
 use crate::watch;
 use elderworks_gateway_core::start::Milestone;
 
-/// Asks the reader for whatever its heartbeat shows to be missing here, unless a reader is being asked.
-pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedBeat) {
+/// Starts to catch up if a reader's heartbeat shows that this node has missed changes, unless a
+/// catch-up is already in progress.
+pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedHeartbeat) {
     let feed = &gateway.feed;
-    if feed.is_asking.get() || !is_behind(gateway, beat) {
+    if feed.is_catching_up.get() || !is_behind(gateway, beat) {
         return;
     }
-    feed.is_asking.set(true);
+    feed.is_catching_up.set(true);
     let (gateway, beat) = (gateway.clone(), beat.clone());
     actix_rt::spawn(async move {
         if let Err(reason) = catch_up(&gateway, address, &beat).await {
-            log::warn!(node = beat.node.as_str(), reason:? = reason; "a reader did not tell its news");
+            log::warn!(node = beat.node.as_str(), reason:? = reason; "cannot catch up: a reader of the log did not answer");
         }
-        gateway.feed.is_asking.set(false);
+        gateway.feed.is_catching_up.set(false);
     });
 }
 
-fn is_behind(gateway: &Gateway, beat: &FeedBeat) -> bool {
+fn is_behind(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
     let feed = &gateway.feed;
     has_newer_configuration(gateway, beat)
         || feed.nodes_end.get().is_none_or(|end| end < beat.nodes_end)
         || *feed.source.borrow() != Some(source_of(beat, beat.workers_revision))
 }
 
-fn has_newer_configuration(gateway: &Gateway, beat: &FeedBeat) -> bool {
+fn has_newer_configuration(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
     gateway.config_proof.borrow().version() < beat.config_version
 }
 
-fn source_of(beat: &FeedBeat, revision: u64) -> Source {
+/// Returns the reader and the revision of its workers that a heartbeat names.
+fn source_of(beat: &FeedHeartbeat, revision: u64) -> Source {
     Source {
         node: beat.node.clone(),
         boot: beat.boot,
@@ -52,7 +54,7 @@
 async fn catch_up(
     gateway: &Rc<Gateway>,
     address: SocketAddr,
-    beat: &FeedBeat,
+    beat: &FeedHeartbeat,
 ) -> Result<(), NoReply> {
     let ask = |question| {
         gateway
@@ -60,20 +62,20 @@
             .ask_feed(gateway, &beat.node, address, question)
     };
     if has_newer_configuration(gateway, beat)
-        && let FeedAnswer::Configuration(copy) = ask(FeedQuestion::Configuration).await?
+        && let FeedResponse::Configuration(copy) = ask(FeedRequest::Configuration).await?
     {
-        watch::take_publication(gateway, &record_of(copy));
+        watch::apply_publication(gateway, &record_of(copy));
     }
     let since = gateway.feed.nodes_end.get().unwrap_or_default();
     if gateway.feed.nodes_end.get().is_none() || since < beat.nodes_end {
-        take_nodes(gateway, ask(FeedQuestion::Nodes { since }).await?);
+        apply_nodes(gateway, ask(FeedRequest::Nodes { since }).await?);
     }
     let known = gateway.feed.source.borrow().clone();
     let known = known.filter(|known| (&known.node, known.boot) == (&beat.node, beat.boot));
     let since = known.map(|known| known.revision);
     if since != Some(beat.workers_revision) {
-        let answer = ask(FeedQuestion::Workers { since }).await?;
-        take_workers(gateway, beat, answer);
+        let answer = ask(FeedRequest::Workers { since }).await?;
+        apply_workers(gateway, beat, answer);
     }
     Ok(())
 }
@@ -86,55 +88,56 @@
     }
 }
 
-fn take_nodes(gateway: &Rc<Gateway>, answer: FeedAnswer) {
-    let FeedAnswer::Nodes { end, entries } = answer else {
+fn apply_nodes(gateway: &Rc<Gateway>, answer: FeedResponse) {
+    let FeedResponse::Nodes { end, entries } = answer else {
         return;
     };
     let records: Vec<StreamRecord> = entries.into_iter().map(record_of).collect();
-    watch::take_nodes(gateway, &records);
+    watch::apply_nodes(gateway, &records);
     gateway.feed.note_nodes_end(end);
-    gateway.feed.nodes_heard.send_replace(true);
+    gateway.feed.nodes_received.send_replace(true);
 }
 
-fn take_workers(gateway: &Rc<Gateway>, beat: &FeedBeat, answer: FeedAnswer) {
-    let FeedAnswer::Workers(update) = answer else {
+fn apply_workers(gateway: &Rc<Gateway>, beat: &FeedHeartbeat, answer: FeedResponse) {
+    let FeedResponse::Workers(update) = answer else {
         return;
     };
     if !gateway.feed.depends_on_others() {
-        // It reads by itself since it asked.
+        // This node has become a reader since it asked.
         return;
     }
     let source = source_of(beat, update.revision);
-    workers::take_update(gateway, update);
+    workers::apply_update(gateway, update);
     *gateway.feed.source.borrow_mut() = Some(source);
-    gateway.reach(Milestone::Workers);
+    gateway.reach_milestone(Milestone::Workers);
 }
 
-/// Answers a listener.
-pub(crate) fn answer(gateway: &Gateway, question: &FeedQuestion) -> FeedAnswer {
+/// Answers a listener's question.
+pub(crate) fn answer(gateway: &Gateway, question: &FeedRequest) -> FeedResponse {
     match question {
-        FeedQuestion::Configuration => {
+        FeedRequest::Configuration => {
             let record = gateway.config_record.borrow().clone();
-            record.map_or(FeedAnswer::Nothing, |record| {
-                FeedAnswer::Configuration(RecordCopy {
+            record.map_or(FeedResponse::Nothing, |record| {
+                FeedResponse::Configuration(RecordCopy {
                     offset: record.offset,
                     key: record.key,
                     value: record.value,
                 })
             })
         }
-        FeedQuestion::Nodes { since } => nodes_since(gateway, *since),
-        FeedQuestion::Workers { since } if gateway.feed.is_loaded.get() => {
+        FeedRequest::Nodes { since } => nodes_since(gateway, *since),
+        FeedRequest::Workers { since } if gateway.feed.is_loaded.get() => {
             let offset = gateway.feed.workers_offset.get();
-            FeedAnswer::Workers(gateway.feed.published.borrow().since(*since, offset))
+            FeedResponse::Workers(gateway.feed.published.borrow().since(*since, offset))
         }
-        FeedQuestion::Workers { .. } => FeedAnswer::Nothing,
+        FeedRequest::Workers { .. } => FeedResponse::Nothing,
     }
 }
 
-fn nodes_since(gateway: &Gateway, since: Offset) -> FeedAnswer {
+/// Returns the node entries written or dropped since an offset.
+fn nodes_since(gateway: &Gateway, since: Offset) -> FeedResponse {
     let Some(end) = gateway.feed.nodes_end.get() else {
-        return FeedAnswer::Nothing;
+        return FeedResponse::Nothing;
     };
     let nodes = gateway.nodes.borrow();
     let listed = nodes
@@ -150,7 +153,7 @@
         key: Some(node.as_str().to_owned()),
         value: bytes::Bytes::new(),
     });
-    FeedAnswer::Nodes {
+    FeedResponse::Nodes {
         end,
         entries: listed.chain(dropped).collect(),
     }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,55 +1,63 @@
-//! The memory that this node holds for callers, workers and peers, all together.
+//! Accounting of the memory that this node holds for callers, workers and peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Instant;
 
-use elderworks_gateway_core::pressure::{HeldFor, Marks, Pressure, StreamLoad, stream_to_end};
+use elderworks_gateway_core::pressure::{
+    BufferKind, MemoryThresholds, Pressure, StreamLoad, stream_to_abort,
+};
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::Notify;
 
 use crate::metrics::Metrics;
 
-/// Counts what is held; cheap to clone.
+/// Tracks the bytes held by this node; cheap to clone.
 #[derive(Clone, Debug)]
-pub(crate) struct Memory(Rc<Account>);
+pub(crate) struct MemoryTracker(Rc<Inner>);
 
 #[derive(Debug)]
-struct Account {
-    marks: Marks,
-    kinds: Vec<Kind>,
+struct Inner {
+    marks: MemoryThresholds,
+    kinds: Vec<KindUsage>,
+    /// Bytes held for all kinds.
     total: Cell<usize>,
+    /// Maximum of `total` so far.
     peak: Cell<usize>,
     peak_gauge: Gauge,
-    /// Wakes those who wait for room.
+    /// Wakes tasks that wait for capacity.
     relieved: Notify,
     streams: RefCell<BTreeMap<u64, RunningStream>>,
     next_stream: Cell<u64>,
 }
 
+/// The bytes held for one purpose.
 #[derive(Debug)]
-struct Kind {
+struct KindUsage {
     bytes: Cell<usize>,
     gauge: Gauge,
 }
 
 #[derive(Debug)]
 struct RunningStream {
+    /// Bytes that wait for the caller.
     unsent: usize,
+    /// Since when the caller has read nothing.
     stalled_since: Instant,
-    end: Rc<Notify>,
+    /// Notified when the stream must be aborted.
+    abort: Rc<Notify>,
 }
 
-impl Memory {
-    /// Holds nothing yet. `process_bytes` is the memory at which the process is killed.
+impl MemoryTracker {
+    /// Creates an empty account. `process_bytes` is the memory limit at which the process is killed.
     pub(crate) fn new(process_bytes: usize, metrics: &Metrics) -> Self {
-        let kinds = HeldFor::ALL.map(|kind| Kind {
+        let kinds = BufferKind::ALL.map(|kind| KindUsage {
             bytes: Cell::new(0),
             gauge: metrics.held_bytes(kind),
         });
-        Self(Rc::new(Account {
-            marks: Marks::of(process_bytes),
+        Self(Rc::new(Inner {
+            marks: MemoryThresholds::of(process_bytes),
             kinds: kinds.into(),
             total: Cell::new(0),
             peak: Cell::new(0),
@@ -60,32 +68,32 @@
         }))
     }
 
-    /// Room for something that holds nothing yet.
-    pub(crate) fn share(&self, kind: HeldFor) -> Share {
-        Share {
+    /// Returns an empty reservation.
+    pub(crate) fn reservation(&self, kind: BufferKind) -> MemoryReservation {
+        MemoryReservation {
             memory: self.clone(),
             kind,
             bytes: 0,
         }
     }
 
-    /// All that is held, in bytes.
+    /// Returns the bytes held for all purposes.
     pub(crate) fn held(&self) -> usize {
         self.0.total.get()
     }
 
-    /// How short memory is.
+    /// Returns the current memory pressure.
     pub(crate) fn pressure(&self) -> Pressure {
         self.0.marks.pressure(self.held())
     }
 
-    /// Whether another stream may begin.
-    pub(crate) fn takes_stream(&self) -> bool {
+    /// Returns whether another stream may start.
+    pub(crate) fn accepts_stream(&self) -> bool {
         self.0.marks.takes_stream(self.held())
     }
 
-    /// Waits until memory is no longer full.
-    pub(crate) async fn relieved(&self) {
+    /// Waits until the memory is no longer full.
+    pub(crate) async fn wait_for_capacity(&self) {
         loop {
             let relieved = self.0.relieved.notified();
             if self.pressure() < Pressure::Full {
@@ -95,33 +103,34 @@
         }
     }
 
-    /// A stream begins.
-    pub(crate) fn begin_stream(&self) -> StreamEntry {
+    /// Registers a stream that starts.
+    pub(crate) fn register_stream(&self) -> StreamRegistration {
         let id = self.0.next_stream.get();
         self.0.next_stream.set(id + 1);
-        let end = Rc::new(Notify::new());
+        let abort = Rc::new(Notify::new());
         let stream = RunningStream {
             unsent: 0,
             stalled_since: Instant::now(),
-            end: end.clone(),
+            abort: abort.clone(),
         };
         self.0.streams.borrow_mut().insert(id, stream);
-        StreamEntry {
+        StreamRegistration {
             memory: self.clone(),
             id,
-            end,
+            abort,
         }
     }
 
-    fn kind(&self, kind: HeldFor) -> &Kind {
-        let index = HeldFor::ALL.iter().position(|known| *known == kind);
+    fn usage(&self, kind: BufferKind) -> &KindUsage {
+        let index = BufferKind::ALL.iter().position(|known| *known == kind);
         &self.0.kinds[index.expect("every kind is listed")]
     }
 
-    fn change(&self, kind: HeldFor, from: usize, to: usize) {
-        let counted = self.kind(kind);
-        counted.bytes.set(counted.bytes.get() - from + to);
-        counted.gauge.set(saturating_i64(counted.bytes.get()));
+    /// Changes the size of a reservation, and aborts a stream if the memory becomes full.
+    fn change(&self, kind: BufferKind, from: usize, to: usize) {
+        let usage = self.usage(kind);
+        usage.bytes.set(usage.bytes.get() - from + to);
+        usage.gauge.set(saturating_i64(usage.bytes.get()));
         let was_full = self.pressure() == Pressure::Full;
         let total = self.held() - from + to;
         self.0.total.set(total);
@@ -130,14 +139,14 @@
             self.0.peak_gauge.set(saturating_i64(total));
         }
         match self.pressure() {
-            Pressure::Full if to > from => self.end_a_stream(),
+            Pressure::Full if to > from => self.abort_one_stream(),
             Pressure::Full => {}
             _ if was_full => self.0.relieved.notify_waiters(),
             _ => {}
         }
     }
 
-    fn end_a_stream(&self) {
+    fn abort_one_stream(&self) {
         let streams = self.0.streams.borrow();
         let now = Instant::now();
         let loads = streams.iter().map(|(id, stream)| StreamLoad {
@@ -145,24 +154,24 @@
             unsent: stream.unsent,
             stalled: now.saturating_duration_since(stream.stalled_since),
         });
-        if let Some(stream) = stream_to_end(loads).and_then(|id| streams.get(&id)) {
-            stream.end.notify_one();
+        if let Some(stream) = stream_to_abort(loads).and_then(|id| streams.get(&id)) {
+            stream.abort.notify_one();
         }
     }
 }
 
-/// What one holder takes; given back when dropped.
+/// The bytes held by one holder; released on drop.
 #[derive(Debug)]
-pub(crate) struct Share {
-    memory: Memory,
-    kind: HeldFor,
+pub(crate) struct MemoryReservation {
+    memory: MemoryTracker,
+    kind: BufferKind,
     bytes: usize,
 }
 
-impl Share {
-    /// Takes room for more bytes of a body; `false` if there is none left.
-    pub(crate) fn grow_body(&mut self, more: usize) -> bool {
-        let bodies = self.memory.kind(HeldFor::Bodies).bytes.get();
+impl MemoryReservation {
+    /// Reserves further bytes for a request body. Returns `false` if there is no capacity left.
+    pub(crate) fn try_grow_body(&mut self, more: usize) -> bool {
+        let bodies = self.memory.usage(BufferKind::Bodies).bytes.get();
         let held = self.memory.held();
         if !self.memory.0.marks.takes_body(bodies, held, more) {
             return false;
@@ -171,7 +180,7 @@
         true
     }
 
-    /// Notes how many bytes are held now.
+    /// Sets the number of bytes held.
     pub(crate) fn set(&mut self, bytes: usize) {
         if bytes != self.bytes {
             self.memory.change(self.kind, self.bytes, bytes);
@@ -179,28 +188,28 @@
         }
     }
 
-    /// The account that it belongs to.
-    pub(crate) fn memory(&self) -> &Memory {
+    /// Returns the account that the reservation belongs to.
+    pub(crate) fn memory(&self) -> &MemoryTracker {
         &self.memory
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.set(0);
     }
 }
 
-/// A running stream, as far as memory is concerned.
+/// The registration of a running stream; removed on drop.
 #[derive(Debug)]
-pub(crate) struct StreamEntry {
-    memory: Memory,
+pub(crate) struct StreamRegistration {
+    memory: MemoryTracker,
     id: u64,
-    end: Rc<Notify>,
+    abort: Rc<Notify>,
 }
 
-impl StreamEntry {
-    /// Notes what is held for the caller, and since when it has taken nothing.
+impl StreamRegistration {
+    /// Records how many bytes wait for the caller, and since when it has read nothing.
     pub(crate) fn note(&self, unsent: usize, stalled_since: Instant) {
         if let Some(stream) = self.memory.0.streams.borrow_mut().get_mut(&self.id) {
             stream.unsent = unsent;
@@ -208,13 +217,13 @@
         }
     }
 
-    /// Waits until the stream must end since memory is full.
-    pub(crate) async fn must_end(&self) {
-        self.end.notified().await;
+    /// Waits until the stream must be aborted because the memory is full.
+    pub(crate) async fn wait_for_abort(&self) {
+        self.abort.notified().await;
     }
 }
 
-impl Drop for StreamEntry {
+impl Drop for StreamRegistration {
     fn drop(&mut self) {
         self.memory.0.streams.borrow_mut().remove(&self.id);
     }
