--- a/crates/cli/src/bin/elderworks-standin/flags.rs
+++ b/crates/cli/src/bin/elderworks-standin/flags.rs
@@ -1,6 +1,6 @@
-//! Command line of `elderworks-standin`.
+//! Command line definition of `elderworks-standin`.
 
-// The macro's types carry their text as help, not as doc comments.
+// The macro uses doc comments as help texts and generates undocumented types.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     }
 }
 
-/// One of the interfaces.
+/// Service that the process provides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     Log,
@@ -33,7 +33,7 @@
     Weights,
 }
 
-/// A name that is no service's.
+/// Error for an unknown service name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected log, engine, tool, machines or weights")]
 pub struct UnknownService;
--- a/crates/cli/src/bin/elderworks-standin/main.rs
+++ b/crates/cli/src/bin/elderworks-standin/main.rs
@@ -1,4 +1,4 @@
-//! `elderworks-standin`: the platform and back ends in small, each as a process of its own.
+//! `elderworks-standin`: runs one stand-in for a platform service or back end as a process.
 
 mod flags;
 
@@ -21,7 +21,7 @@
 use elderworks_standin::{ServerHandle, engine, listen, log, machines, tool, weights};
 use flags::{ElderworksStandin, Service};
 
-/// Key of the listening address in every settings table.
+/// Settings key of the listening address, the same for every service.
 const LISTEN_KEY: &str = "listen";
 
 fn main() -> eyre::Result<()> {
@@ -31,7 +31,7 @@
 
 async fn run(flags: ElderworksStandin) -> eyre::Result<()> {
     let server = start(flags)?;
-    // The one line that a test waits for.
+    // Tests load_settings the address from this line and wait for it.
     println!("listening {}", server.address());
     std::io::stdout().flush()?;
     actix_rt::signal::ctrl_c().await?;
@@ -41,15 +41,15 @@
 
 fn start(flags: ElderworksStandin) -> eyre::Result<ServerHandle> {
     match flags.service {
-        Service::Log => start_log(read(flags)?),
-        Service::Engine => start_engine(read(flags)?),
-        Service::Tool => start_tool(read(flags)?),
-        Service::Machines => start_machines(read(flags)?),
-        Service::Weights => start_weights(read(flags)?),
+        Service::Log => start_log(load_settings(flags)?),
+        Service::Engine => start_engine(load_settings(flags)?),
+        Service::Tool => start_tool(load_settings(flags)?),
+        Service::Machines => start_machines(load_settings(flags)?),
+        Service::Weights => start_weights(load_settings(flags)?),
     }
 }
 
-fn read<T: ProcessSettings>(flags: ElderworksStandin) -> eyre::Result<T> {
+fn load_settings<T: ProcessSettings>(flags: ElderworksStandin) -> eyre::Result<T> {
     let mut overrides = flags.set;
     let address = flags.listen.map(|address| address.to_string());
     overrides.extend(address.map(|address| Override::new(LISTEN_KEY, address)));
@@ -61,13 +61,13 @@
 }
 
 fn start_log(settings: LogStandinSettings) -> eyre::Result<ServerHandle> {
-    init(&settings.logging);
+    init_log(&settings.logging);
     let listener = listen(settings.listen)?;
     Ok(log::serve(listener, LogSettings::default())?)
 }
 
 fn start_engine(settings: EngineStandinSettings) -> eyre::Result<ServerHandle> {
-    init(&settings.logging);
+    init_log(&settings.logging);
     let listener = listen(settings.listen)?;
     let parameters = EngineParameters {
         cache_blocks: usize::try_from(settings.memory_blocks)?,
@@ -81,7 +81,7 @@
 }
 
 fn start_tool(settings: ToolStandinSettings) -> eyre::Result<ServerHandle> {
-    init(&settings.logging);
+    init_log(&settings.logging);
     let listener = listen(settings.listen)?;
     let service = ToolServiceSettings {
         tools: BTreeSet::from_iter(settings.tools),
@@ -96,7 +96,7 @@
 }
 
 fn start_machines(settings: MachinesStandinSettings) -> eyre::Result<ServerHandle> {
-    init(&settings.logging);
+    init_log(&settings.logging);
     let listener = listen(settings.listen)?;
     let machines = MachineList {
         nodes: settings.nodes.into_iter().map(live_node).collect(),
@@ -111,7 +111,7 @@
 }
 
 fn start_weights(settings: WeightsStandinSettings) -> eyre::Result<ServerHandle> {
-    init(&settings.logging);
+    init_log(&settings.logging);
     let listener = listen(settings.listen)?;
     let limits = WeightsSettings {
         burst: settings.burst,
@@ -121,7 +121,7 @@
     Ok(weights::serve(listener, limits, stored)?)
 }
 
-fn init(logging: &LoggingSettings) {
+fn init_log(logging: &LoggingSettings) {
     init_logging(logging.format);
 }
 
--- a/crates/cli/src/command_line.rs
+++ b/crates/cli/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Command line of `elderworks`.
+//! Command line definition of `elderworks`.
 
 #![allow(missing_docs, reason = "fields generated from the documented flags")]
 
--- a/crates/cli/src/demo/checks.rs
+++ b/crates/cli/src/demo/checks.rs
@@ -1,38 +1,40 @@
-//! Whether everything was as expected.
+//! Checks of the demo's results.
 
 use elderworks_types::{Role, RunPhase};
 use eyre::eyre;
 use serde::Deserialize;
 
 use super::caller::Caller;
-use super::programs::Played;
+use super::programs::CompletedProgram;
 
-/// One checked expectation.
+/// Result of one check.
 pub struct CheckResult {
-    /// What was expected.
+    /// Expectation, as printed in the summary.
     pub expectation: String,
-    /// Whether it held.
-    pub held: bool,
+    /// Whether the expectation was met.
+    pub passed: bool,
 }
 
-/// Expectations checked so far.
+/// Checks and their results so far.
 pub struct Checks {
     tool_url: String,
     results: Vec<CheckResult>,
 }
 
+/// List of invocations as the tool stand-in returns it.
 #[derive(Deserialize)]
 struct Executions {
     executions: Vec<Execution>,
 }
 
+/// One invocation of a tool.
 #[derive(Deserialize)]
 struct Execution {
     tool: String,
 }
 
 impl Checks {
-    /// Nothing checked yet.
+    /// Creates an empty list of checks; `tool_url` is the base URL of the tool stand-in.
     pub fn new(tool_url: String) -> Self {
         Self {
             tool_url,
@@ -40,35 +42,39 @@
         }
     }
 
-    /// Checks a run's end, history and budget.
-    pub async fn run(&mut self, caller: &Caller, played: &Played) -> eyre::Result<()> {
-        let state = caller.read(played.run).await?;
-        let program = played.program;
-        self.expect(
+    /// Checks the calls, phase, budget and history of a run, and that its sub-agents have ended.
+    pub async fn check_run(
+        &mut self,
+        caller: &Caller,
+        completed: &CompletedProgram,
+    ) -> eyre::Result<()> {
+        let state = caller.read(completed.run).await?;
+        let program = completed.program;
+        self.record(
             format!("{program}: every call completed"),
             state.calls.iter().all(|call| call.state == "completed"),
         );
-        self.expect(
+        self.record(
             format!("{program}: the run has ended"),
             state.phase == RunPhase::Ended,
         );
-        self.expect(
+        self.record(
             format!("{program}: spent within its budget, nothing left reserved"),
             state.spent <= state.budget && state.reserved.0 == 0,
         );
-        let history = caller.history(played.run).await?;
+        let history = caller.history(completed.run).await?;
         let answers: Vec<&str> = history
             .iter()
             .filter(|message| matches!(message.role, Role::Assistant | Role::Tool))
             .map(|message| message.content.as_str())
             .collect();
-        self.expect(
+        self.record(
             format!("{program}: the history holds every answer in order"),
-            answers == played.answers,
+            answers == completed.answers,
         );
-        for child in &played.children {
+        for child in &completed.children {
             let state = caller.read(*child).await?;
-            self.expect(
+            self.record(
                 format!("{child}: the run has ended"),
                 state.phase == RunPhase::Ended,
             );
@@ -76,14 +82,14 @@
         Ok(())
     }
 
-    /// Checks with the tool itself that a submission ran exactly once.
-    pub async fn ran_once(&mut self, tool: &str) -> eyre::Result<()> {
+    /// Checks that a tool ran exactly once, according to the tool stand-in.
+    pub async fn check_ran_once(&mut self, tool: &str) -> eyre::Result<()> {
         let url = format!("{}/v1/invocations", self.tool_url);
         let mut response = awc::Client::default()
             .get(url)
             .send()
             .await
-            .map_err(|error| eyre!("the tool does not answer: {error}"))?;
+            .map_err(|error| eyre!("cannot list the invocations of the tool: {error}"))?;
         let body = response.body().await?;
         let executions: Executions = serde_json::from_slice(&body)?;
         let count = executions
@@ -91,21 +97,24 @@
             .iter()
             .filter(|execution| execution.tool == tool)
             .count();
-        self.expect(format!("{tool}: ran exactly once"), count == 1);
+        self.record(format!("{tool}: ran exactly once"), count == 1);
         Ok(())
     }
 
-    fn expect(&mut self, expectation: String, held: bool) {
-        self.results.push(CheckResult { expectation, held });
+    fn record(&mut self, expectation: String, passed: bool) {
+        self.results.push(CheckResult {
+            expectation,
+            passed,
+        });
     }
 
-    /// Every expectation in order.
+    /// Returns the results in the order of the checks.
     pub fn results(&self) -> &[CheckResult] {
         &self.results
     }
 
-    /// Whether all held.
+    /// Returns whether every check passed.
     pub fn all_passed(&self) -> bool {
-        self.results.iter().all(|result| result.held)
+        self.results.iter().all(|result| result.passed)
     }
 }
--- a/crates/cli/src/demo/operator.rs
+++ b/crates/cli/src/demo/operator.rs
@@ -1,4 +1,4 @@
-//! Applies the example resources through the operators' HTTP interface.
+//! Applies the example resources through the HTTP interface for operators.
 
 use elderworks_control::api::{API_PREFIX, Collection};
 use elderworks_control::manifest::{Document, Manifest, from_yaml};
@@ -7,19 +7,19 @@
 
 use super::system::System;
 
-/// The example resources, in an order in which every reference is there before it is used.
+/// Example resource files; referenced resources come before those that refer to them.
 const EXAMPLES: [&str; 3] = [
     include_str!("../../../../examples/resources/services.yaml"),
     include_str!("../../../../examples/resources/boundary-correction.yaml"),
     include_str!("../../../../examples/resources/weekly-menu.yaml"),
 ];
 
-/// Applies every example resource, with the embedded back ends' addresses in place of the
-/// examples' fixed ones; returns kind and name of each.
+/// Applies every example resource, with the fixed back-end addresses replaced by those of the
+/// embedded back ends. Returns the kind and name of each resource.
 pub async fn apply_examples(system: &System) -> eyre::Result<Vec<String>> {
     let mut applied = Vec::new();
     for text in EXAMPLES {
-        let manifests = from_yaml(text).wrap_err("an example does not parse")?;
+        let manifests = from_yaml(text).wrap_err("cannot parse an example resource file")?;
         for Manifest { mut resource, .. } in manifests {
             use_embedded_back_ends(&mut resource, system)?;
             put(system, &resource).await?;
@@ -30,6 +30,7 @@
     Ok(applied)
 }
 
+/// Replaces the URLs of a service with those of the embedded back ends.
 fn use_embedded_back_ends(resource: &mut Resource, system: &System) -> eyre::Result<()> {
     let Spec::Service(service) = &mut resource.spec else {
         return Ok(());
@@ -40,7 +41,7 @@
             for engine in &mut model.engines {
                 engine.url = system
                     .engine_url(&engine.id)
-                    .ok_or_else(|| eyre!("the demo has no {}", engine.id))?;
+                    .ok_or_else(|| eyre!("the demo does not run {}", engine.id))?;
             }
         }
     }
--- a/crates/cli/src/demo/programs.rs
+++ b/crates/cli/src/demo/programs.rs
@@ -1,4 +1,4 @@
-//! The two sample programs.
+//! The two sample programs of the demo.
 
 use elderworks_types::{Role, RunId};
 use eyre::eyre;
@@ -7,8 +7,13 @@
 
 use super::caller::Caller;
 
+/// Budget of a boundary correction, in credits.
 const CORRECTION_BUDGET: u64 = 20_000;
+
+/// Budget of a weekly menu, in credits.
 const MENU_BUDGET: u64 = 100_000;
+
+/// Budget of the sub-agent that plans one day, in credits.
 const DAY_BUDGET: u64 = 6_000;
 
 const DAYS: [&str; 7] = [
@@ -21,20 +26,20 @@
     "Sunday",
 ];
 
-/// A program that ran, and what its history should hold.
-pub struct Played {
-    /// Name of the program.
+/// Completed program with the answers that its history must contain.
+pub struct CompletedProgram {
+    /// Name of the program resource.
     pub program: &'static str,
-    /// Its run.
+    /// Run of the program.
     pub run: RunId,
-    /// Its sub-agents.
+    /// Runs of its sub-agents.
     pub children: Vec<RunId>,
-    /// Answers in the order in which the caller got them.
+    /// Answers in the order in which the caller received them.
     pub answers: Vec<String>,
 }
 
-/// Reads a cadastral extract, drafts a correction and submits it once.
-pub async fn boundary_correction(caller: &Caller) -> eyre::Result<Played> {
+/// Looks up a cadastral extract, drafts a correction and submits it once.
+pub async fn boundary_correction(caller: &Caller) -> eyre::Result<CompletedProgram> {
     let program = "boundary-correction";
     let run = caller.start_run(program, CORRECTION_BUDGET, None).await?;
     let parcel = json!({ "parcel": "061802_2.0007.114/3" });
@@ -64,7 +69,7 @@
         .await?;
     caller.end_run(run).await?;
     let answers = [extract, draft, review, receipt];
-    Ok(Played {
+    Ok(CompletedProgram {
         program,
         run,
         children: Vec::new(),
@@ -72,8 +77,8 @@
     })
 }
 
-/// Reads a diet sheet, drafts seven days by sub-agents in parallel and orders once.
-pub async fn weekly_menu(caller: &Caller) -> eyre::Result<Played> {
+/// Looks up a diet sheet, plans the seven days with parallel sub-agents and places one order.
+pub async fn weekly_menu(caller: &Caller) -> eyre::Result<CompletedProgram> {
     let program = "weekly-menu";
     let run = caller.start_run(program, MENU_BUDGET, None).await?;
     let ward = json!({ "ward": "east", "week": 49 });
@@ -102,7 +107,7 @@
     let receipt = caller.submit(run, "diet-order", order, &key).await?;
     caller.end_run(run).await?;
     let answers = [sheet, outline, summary, receipt];
-    Ok(Played {
+    Ok(CompletedProgram {
         program,
         run,
         children,
@@ -110,6 +115,7 @@
     })
 }
 
+/// Plans one day with a sub-agent; returns its run and the plan.
 async fn plan_day(
     caller: &Caller,
     parent: RunId,
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo prints.
+//! Output of the demo.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,9 +9,9 @@
 use elderworks_types::{Credits, RunId, Tokens};
 
 use super::checks::CheckResult;
-use super::programs::Played;
+use super::programs::CompletedProgram;
 
-/// Prints lines as things happen, and sums them up at the end.
+/// Prints the demo's progress and a summary.
 #[derive(Clone)]
 pub struct Report {
     started: Instant,
@@ -28,7 +28,7 @@
 }
 
 impl Report {
-    /// Starts the clock.
+    /// Creates a report; printed times count from here.
     pub fn new() -> Self {
         Self {
             started: Instant::now(),
@@ -36,32 +36,32 @@
         }
     }
 
-    /// Begins a section.
+    /// Prints the heading of a section.
     pub fn heading(&self, text: &str) {
         println!("\n== {text}");
     }
 
-    /// One part of the system.
-    pub fn part(&self, name: &str, address: &str) {
+    /// Prints the name and address of a component.
+    pub fn component(&self, name: &str, address: &str) {
         println!("   {name:<24} {address}");
     }
 
-    /// One applied resource.
+    /// Prints the kind and name of an applied resource.
     pub fn applied(&self, name: &str) {
         println!("   {name}");
     }
 
-    /// A run was started.
+    /// Prints that a run was started with a budget in credits.
     pub fn run_started(&self, run: RunId, program: &str, budget: u64) {
         let kind = if run.child == 0 { "run" } else { "sub-agent" };
         println!(
             "{} {kind} {run} of {program}, budget {budget} credits",
-            self.clock()
+            self.elapsed_text()
         );
     }
 
-    /// A call ended.
-    pub fn call(&self, run: RunId, call: &WireCall, pieces: u32) {
+    /// Prints a completed call and adds it to the totals of its root run.
+    pub fn call(&self, run: RunId, call: &WireCall, chunks: u32) {
         let mut totals = self.totals.borrow_mut();
         let total = totals.entry(run.root).or_default();
         total.calls += 1;
@@ -70,23 +70,23 @@
         total.cached += call.cached_tokens.unwrap_or_default();
         println!(
             "{}   {} #{} {:<16} on {:<8} waited {:>3} ms, took {:>5} ms, {}, {}",
-            self.clock(),
+            self.elapsed_text(),
             short_name(run),
             call.number,
             call.target,
-            place(call),
+            location(call),
             call.waited_ms.unwrap_or_default(),
             call.took_ms.unwrap_or_default(),
-            reuse(call, pieces),
+            reuse(call, chunks),
             call.cost.unwrap_or_default(),
         );
     }
 
-    /// Sums and checked expectations.
-    pub fn summary(&self, played: &[Played], results: &[CheckResult]) {
+    /// Prints the totals of each program and the results of the checks.
+    pub fn summary(&self, completed: &[CompletedProgram], results: &[CheckResult]) {
         self.heading("Summary");
         let totals = self.totals.borrow();
-        for Played { program, run, .. } in played {
+        for CompletedProgram { program, run, .. } in completed {
             let total = totals.get(&run.root).copied().unwrap_or_default();
             println!(
                 "   {program}: {} calls, {}, {} of {} prompt tokens from cache",
@@ -94,24 +94,26 @@
             );
         }
         for result in results {
-            let mark = if result.held { "ok  " } else { "FAIL" };
+            let mark = if result.passed { "ok  " } else { "FAIL" };
             println!("   {mark} {}", result.expectation);
         }
         println!("   done in {:.1} s", self.started.elapsed().as_secs_f64());
     }
 
-    fn clock(&self) -> String {
+    /// Formats the time since the start.
+    fn elapsed_text(&self) -> String {
         format!("{:>7.3} s", self.started.elapsed().as_secs_f64())
     }
 }
 
-/// Enough of a run's id to tell the lines apart.
+/// Returns a prefix of a run's id that distinguishes its lines from those of other runs.
 fn short_name(run: RunId) -> String {
     let id = if run.child == 0 { run.root } else { run.child };
     format!("{:04x}", id >> 48)
 }
 
-fn place(call: &WireCall) -> &str {
+/// Returns the engine of the last attempt, or `tool`.
+fn location(call: &WireCall) -> &str {
     let engine = call
         .attempts
         .last()
@@ -119,11 +121,12 @@
     engine.map_or("tool", |engine| engine.as_str())
 }
 
-fn reuse(call: &WireCall, pieces: u32) -> String {
+/// Describes the chunks of a streamed answer and the prompt tokens read from the cache.
+fn reuse(call: &WireCall, chunks: u32) -> String {
     match (call.cached_tokens, call.prompt_tokens) {
         (Some(cached), Some(prompt)) if prompt.0 > 0 => {
             format!(
-                "{pieces:>3} pieces, reused {:>4} of {:>4} tokens",
+                "{chunks:>3} pieces, reused {:>4} of {:>4} tokens",
                 cached.0, prompt.0
             )
         }
--- a/crates/cli/src/demo/system.rs
+++ b/crates/cli/src/demo/system.rs
@@ -1,4 +1,4 @@
-//! The embedded system.
+//! Components of the system that the demo runs in one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -20,28 +20,31 @@
 
 use super::{LUBLIN_TOKEN, ULAANBAATAR_TOKEN};
 
-/// Any free port of the loopback interface.
+/// Loopback address with a port chosen by the system.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Engines as in the example resources; the node has their addresses from there.
+/// Engine ids, as in the example resources.
 pub const ENGINES: [&str; 3] = ["engine-a", "engine-b", "engine-c"];
 
-/// The model that the engines serve.
+/// Name of the model that the engines serve.
 pub const MODEL: &str = "drafting-8b";
 
-/// How much faster than a real engine the stand-ins run.
+/// Speed of the stand-in engines relative to a real engine.
 const ENGINE_SPEED: f64 = 4.0;
 
+/// Zone of every component.
 const ZONE: &str = "zone-a";
 
+/// Number of partitions of the node's state.
 const PARTITIONS: u32 = 4;
 
-/// Longest wait for the node and the sidecar to serve.
+/// Timeout for the node and the sidecar to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-const READY_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the sidecar's readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Every part of the system.
+/// Handles of all components.
 pub struct System {
     log: ServerHandle,
     engines: Vec<ServerHandle>,
@@ -52,7 +55,7 @@
 }
 
 impl System {
-    /// Starts every part and waits until callers can be served.
+    /// Starts every component and waits until the sidecar is ready to serve callers.
     pub async fn start() -> eyre::Result<Self> {
         let log = log::serve(listen(LOOPBACK)?, LogSettings::default())?;
         let tool = tool::serve(listen(LOOPBACK)?, ToolServiceSettings::default())?;
@@ -83,50 +86,50 @@
             if response.is_ok_and(|response| response.status().is_success()) {
                 return Ok(());
             }
-            actix_rt::time::sleep(READY_INTERVAL).await;
+            actix_rt::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Names and addresses of the parts.
-    pub fn parts(&self) -> Vec<(&'static str, String)> {
-        let mut parts = vec![
+    /// Returns the names and addresses of the components.
+    pub fn components(&self) -> Vec<(&'static str, String)> {
+        let mut components = vec![
             ("log", self.log.url()),
             ("tool", self.tool.url()),
             ("machine list", self.machines.url()),
         ];
-        parts.extend(
+        components.extend(
             ENGINES
                 .into_iter()
                 .zip(self.engines.iter().map(ServerHandle::url)),
         );
-        parts.push(("node (sidecars, peers)", self.node.address.to_string()));
-        parts.push(("node (operators)", self.operator_url()));
-        parts.push(("sidecar", self.sidecar_url()));
-        parts
+        components.push(("node (sidecars, peers)", self.node.address.to_string()));
+        components.push(("node (operators)", self.operator_url()));
+        components.push(("sidecar", self.sidecar_url()));
+        components
     }
 
-    /// Base URL of the callers' interface.
+    /// Returns the base URL of the sidecar's interface for callers.
     pub fn sidecar_url(&self) -> String {
         format!("http://{}", self.sidecar.address())
     }
 
-    /// Base URL of the operators' interface.
+    /// Returns the base URL of the node's interface for operators.
     pub fn operator_url(&self) -> String {
         format!("http://{}", self.node.admin_address)
     }
 
-    /// Base URL of the tool.
+    /// Returns the base URL of the tool stand-in.
     pub fn tool_url(&self) -> String {
         self.tool.url()
     }
 
-    /// Base URL of an engine.
+    /// Returns the base URL of an engine, or `None` if the demo does not run it.
     pub fn engine_url(&self, engine: &EngineId) -> Option<String> {
         let index = ENGINES.iter().position(|name| *name == engine.as_str())?;
         self.engines.get(index).map(ServerHandle::url)
     }
 
-    /// Stops every part, callers' side first.
+    /// Stops every component, starting with the sidecar, so that none loses a dependency.
     pub async fn stop(self) {
         self.sidecar.stop().await;
         self.node.drain().await;
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' verbs of the elderworks command, as a library.
+//! Library part of the `elderworks` command: the operator verbs and `explain-request`.
 
 pub mod request_log;
 pub mod verbs;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `elderworks` command: processes, operators' verbs and the embedded demo.
+//! The `elderworks` command: runs the processes, the operator verbs and the embedded demo.
 
 mod command_line;
 mod demo;
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,40 +1,40 @@
-//! Subcommands for operators: from flags to verbs, and from errors to exit codes.
+//! Operator subcommands: maps parsed flags to verbs and errors to exit codes.
 
 use std::ops::ControlFlow;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use elderworks_cli::verbs::client::DEFAULT_SERVER;
-use elderworks_cli::verbs::watch::{WatchTarget, print_line, watch};
+use elderworks_cli::verbs::watch::{WatchTarget, format_line, watch};
 use elderworks_cli::verbs::{ApiClient, OutputFormat, VerbError, apply, delete, explain, get};
 use elderworks_control::api::Collection;
 use elderworks_types::resource::Kind;
 
 use crate::command_line::{Apply, Delete, Describe, Explain, Get, Watch};
 
-/// Environment variable with base URLs of nodes, separated by commas.
+/// Environment variable that holds the base URLs of nodes, separated by commas.
 const SERVER_VARIABLE: &str = "ELDERWORKS_SERVER";
 
-/// Environment variable with the operators' token.
+/// Environment variable that holds the operator token.
 const TOKEN_VARIABLE: &str = "ELDERWORKS_TOKEN";
 
-/// One operator's command.
+/// An operator subcommand with its parsed flags.
 pub enum Command {
-    /// Create or change resources.
+    /// Creates or changes resources.
     Apply(Apply),
-    /// List or show resources.
+    /// Lists resources or shows one.
     Get(Get),
-    /// Show every field.
+    /// Shows every field of a resource.
     Describe(Describe),
-    /// Follow changes.
+    /// Streams changes of resources.
     Watch(Watch),
-    /// Delete a resource.
+    /// Deletes a resource.
     Delete(Delete),
-    /// Explain a run or the configuration.
+    /// Explains a run or the configuration keys.
     Explain(Explain),
 }
 
-/// Carries out a command and prints what comes of it.
+/// Runs a command, prints its result or error, and returns the exit code.
 pub fn run(command: Command, server: Option<String>, token: Option<String>) -> ExitCode {
     let server = server
         .or_else(|| std::env::var(SERVER_VARIABLE).ok())
@@ -42,7 +42,7 @@
     let token = token.or_else(|| std::env::var(TOKEN_VARIABLE).ok());
     let result = actix_rt::System::new().block_on(async move {
         let client = ApiClient::new(&server, token);
-        carry_out(&client, command).await
+        execute(&client, command).await
     });
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -53,7 +53,7 @@
     }
 }
 
-async fn carry_out(client: &ApiClient, command: Command) -> Result<(), VerbError> {
+async fn execute(client: &ApiClient, command: Command) -> Result<(), VerbError> {
     match command {
         Command::Apply(options) => apply_files(client, &options).await,
         Command::Get(options) => {
@@ -67,7 +67,7 @@
             print!("{text}");
             Ok(())
         }
-        Command::Watch(options) => follow(client, options).await,
+        Command::Watch(options) => print_changes(client, options).await,
         Command::Delete(options) => {
             let revision = options.revision;
             let deleted = delete::delete(client, options.kind, &options.name, revision).await?;
@@ -86,11 +86,11 @@
     Ok(())
 }
 
-async fn follow(client: &ApiClient, options: Watch) -> Result<(), VerbError> {
+async fn print_changes(client: &ApiClient, options: Watch) -> Result<(), VerbError> {
     let target = WatchTarget::new(options.kind, options.name, options.after)?;
     let format = options.output.unwrap_or_default();
     let mut failure = None;
-    watch(client, &target, |line| match print_line(line, format) {
+    watch(client, &target, |line| match format_line(line, format) {
         Ok(text) => {
             println!("{text}");
             ControlFlow::Continue(())
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -1,4 +1,4 @@
-//! Subcommands that run a process or check its settings.
+//! Subcommands that run a node, a sidecar or a gateway, or check settings files.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 };
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs a node until it is told to stop.
+/// Runs a node until SIGTERM or SIGINT, then drains it.
 pub fn node(file: Option<&Path>, overrides: &[Override]) -> eyre::Result<()> {
-    let settings: NodeProcessSettings = read(file, overrides)?;
-    init(&settings.logging);
+    let settings: NodeProcessSettings = load_settings(file, overrides)?;
+    init_log(&settings.logging);
     actix_rt::System::new().block_on(async move {
         let node = elderworks_node::start(&settings).await?;
         announce(&[
@@ -26,30 +26,30 @@
             ("gossip", node.gossip_address),
             ("admin", node.admin_address),
         ])?;
-        stop_signal().await?;
+        wait_for_stop_signal().await?;
         log::info!("draining");
         node.drain().await;
         Ok(())
     })
 }
 
-/// Runs a sidecar until it is told to stop.
+/// Runs a sidecar until SIGTERM or SIGINT, then completes its open requests.
 pub fn sidecar(file: Option<&Path>, overrides: &[Override]) -> eyre::Result<()> {
-    let settings: SidecarProcessSettings = read(file, overrides)?;
-    init(&settings.logging);
+    let settings: SidecarProcessSettings = load_settings(file, overrides)?;
+    init_log(&settings.logging);
     actix_rt::System::new().block_on(async move {
         let sidecar = elderworks_sidecar::start(settings)?;
         announce(&[("listening", sidecar.address())])?;
-        stop_signal().await?;
+        wait_for_stop_signal().await?;
         log::info!("finishing open requests");
         sidecar.stop().await;
         Ok(())
     })
 }
 
-/// Runs a gateway on the platform until it is told to stop.
+/// Runs a gateway on the platform until it receives a stop signal.
 pub fn gateway(overrides: &[Override]) -> eyre::Result<()> {
-    let policy = policy_from(overrides)?;
+    let policy = policy_with_overrides(overrides)?;
     let mut settings = elderworks_platform::load_settings()?;
     settings.gateway.policy = policy;
     init_logging_to(
@@ -66,26 +66,26 @@
     })
 }
 
-/// The policy with what the command line says laid over its defaults.
-fn policy_from(overrides: &[Override]) -> eyre::Result<Policy> {
+/// Returns the default policy with the overrides of the command line applied.
+fn policy_with_overrides(overrides: &[Override]) -> eyre::Result<Policy> {
     let policy: Policy = values_from_flags(overrides)?;
     policy.check()?;
     Ok(policy)
 }
 
-/// Prints where the process listens, for whoever started it with port 0.
+/// Prints the listening addresses, so that the parent process learns ports chosen by the system.
 fn announce(addresses: &[(&str, SocketAddr)]) -> eyre::Result<()> {
-    let words: Vec<String> = addresses
+    let pairs: Vec<String> = addresses
         .iter()
         .map(|(name, address)| format!("{name} {address}"))
         .collect();
-    println!("{}", words.join(" "));
+    println!("{}", pairs.join(" "));
     std::io::stdout().flush()?;
     Ok(())
 }
 
 /// Waits for SIGTERM or SIGINT.
-async fn stop_signal() -> eyre::Result<()> {
+async fn wait_for_stop_signal() -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// Checks settings files of any process and prints what is wrong with each.
+/// Checks settings files of any process and prints the result for each file.
 pub fn check(files: &[PathBuf]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for file in files {
@@ -110,7 +110,10 @@
     code
 }
 
-fn read<T: ProcessSettings>(file: Option<&Path>, overrides: &[Override]) -> eyre::Result<T> {
+fn load_settings<T: ProcessSettings>(
+    file: Option<&Path>,
+    overrides: &[Override],
+) -> eyre::Result<T> {
     let settings = match file {
         Some(file) => load_with(file, overrides)?,
         None => from_flags(overrides)?,
@@ -118,6 +121,6 @@
     Ok(settings)
 }
 
-fn init(logging: &LoggingSettings) {
+fn init_log(logging: &LoggingSettings) {
     init_logging(logging.format);
 }
--- a/crates/cli/src/request_log.rs
+++ b/crates/cli/src/request_log.rs
@@ -1,8 +1,9 @@
-//! Explains one request from the log lines of gateways, as OPERATIONS does by hand.
+//! Explains one request from the log lines of gateway nodes.
 //!
-//! Lines are JSON objects; whatever stands before the brace (a time, a machine's name) is taken for
-//! the node's name. What touches the request is told in order, with what its node believed of its
-//! dependencies meanwhile, and a sentence on the cause.
+//! Each line is a JSON object after an optional prefix, whose last word is the name of the node. The
+//! explanation lists the request's outcome and attempts, the lines that its node logged about
+//! dependencies and tried workers during the request, other requests of the same program, and a
+//! sentence on the likely cause.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -11,11 +12,11 @@
 use eyre::{Context, Result, ensure};
 use serde_json::{Map, Value};
 
-/// Lines of the node are told from this long before the request came.
-const BEFORE: Duration = Duration::from_secs(2);
+/// Time before the arrival of the request from which the node's lines are included.
+const LOOKBACK: Duration = Duration::from_secs(2);
 
-/// Messages of a node about what it depends on.
-const DEPENDENCIES: [&str; 10] = [
+/// Log messages of a node about its own state and its dependencies.
+const DEPENDENCY_MESSAGES: [&str; 10] = [
     "starting",
     "draining",
     "append to the ledger failed",
@@ -28,8 +29,8 @@
     "log lines dropped",
 ];
 
-/// Messages about one worker.
-const WORKERS: [&str; 6] = [
+/// Log messages about a single worker.
+const WORKER_MESSAGES: [&str; 6] = [
     "worker changed",
     "worker's entry is gone",
     "worker is not listed any more",
@@ -38,10 +39,10 @@
     "another node has ejected a worker",
 ];
 
-/// Most lines about dependencies that are told.
-const MOST_TOLD: usize = 12;
+/// Maximum number of lines about dependencies in an explanation.
+const MAX_DEPENDENCY_LINES: usize = 12;
 
-/// One line of a node.
+/// Parsed log line of a node.
 #[derive(Clone, Debug)]
 struct LogLine {
     time: SystemTime,
@@ -50,7 +51,7 @@
 }
 
 impl LogLine {
-    /// `None` for what is no line of ours.
+    /// Parses a line; returns `None` if it is not a log line of a node.
     fn parse(text: &str) -> Option<Self> {
         let brace = text.find('{')?;
         let fields: Map<String, Value> = serde_json::from_str(&text[brace..]).ok()?;
@@ -77,156 +78,176 @@
         self.text("message")
     }
 
-    /// Whether it tells the end of a request.
-    fn is_end(&self) -> bool {
+    /// Returns whether the line reports the completion of a request.
+    fn is_completion(&self) -> bool {
         self.fields.contains_key("status")
     }
 
-    /// The fields apart from those that every line has.
+    /// Formats the fields other than those that every line has.
     fn details(&self) -> String {
         let common = ["level", "message", "target", "time"];
         let details = self.fields.iter();
         let details = details.filter(|(key, _)| !common.contains(&key.as_str()));
-        let told = details.map(|(key, value)| match value {
+        let formatted = details.map(|(key, value)| match value {
             Value::String(text) => format!("{key}={text}"),
             value => format!("{key}={value}"),
         });
-        told.collect::<Vec<_>>().join(" ")
+        formatted.collect::<Vec<_>>().join(" ")
     }
 }
 
-/// Explains a request from the files of one or more nodes.
+/// Explains a request from the log files of one or more nodes.
+///
+/// # Errors
+///
+/// Fails if a file cannot be read or no line mentions the request.
 pub fn explain(id: &str, files: &[impl AsRef<Path>]) -> Result<String> {
     let mut text = String::new();
     for file in files {
         let file = file.as_ref();
         let bytes = std::fs::read(file)
-            .wrap_err_with(|| format!("cannot read the log {}", file.display()))?;
+            .wrap_err_with(|| format!("cannot read the log file {}", file.display()))?;
         text.push_str(&String::from_utf8_lossy(&bytes));
         text.push('\n');
     }
     explain_text(id, &text)
 }
 
-/// Explains a request from log lines.
+/// Explains a request from the text of log files.
+///
+/// # Errors
+///
+/// Fails if no line mentions the request.
 pub fn explain_text(id: &str, text: &str) -> Result<String> {
     let mut lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     lines.sort_by_key(|line| line.time);
-    let ends = lines.iter().filter(|line| line.is_end());
-    let end = ends.clone().find(|line| line.text("request") == id);
+    let completions = lines.iter().filter(|line| line.is_completion());
+    let completion = completions.clone().find(|line| line.text("request") == id);
     ensure!(
-        end.is_some() || lines.iter().any(|line| line.text("request") == id),
-        "no line tells of request {id}: it never reached one of these nodes, or its line was lost \
-         with the machine"
+        completion.is_some() || lines.iter().any(|line| line.text("request") == id),
+        "no log line mentions request {id}: it did not reach any of these nodes, or its lines were \
+         lost with a machine"
     );
-    let Some(end) = end else {
+    let Some(completion) = completion else {
         return Ok(format!(
-            "request {id} has no end line: its node was lost, or still has it\n"
+            "request {id} has no end line: its node was lost, or is still processing it\n"
         ));
     };
-    let mut told = String::new();
-    tell_end(&mut told, end);
-    tell_attempts(&mut told, &lines, id);
-    let around = dependencies_around(&lines, end);
-    tell_dependencies(&mut told, &around);
-    tell_program(&mut told, ends.filter(|line| is_of_program(line, end)), id);
-    writeln!(told, "cause: {}", cause(end, &around))?;
-    Ok(told)
+    let mut report = String::new();
+    write_completion(&mut report, completion);
+    write_attempts(&mut report, &lines, id);
+    let node_lines = relevant_node_lines(&lines, completion);
+    write_dependencies(&mut report, &node_lines);
+    write_program(
+        &mut report,
+        completions.filter(|line| is_of_program(line, completion)),
+        id,
+    );
+    writeln!(report, "cause: {}", cause(completion, &node_lines))?;
+    Ok(report)
 }
 
-fn tell_end(told: &mut String, end: &LogLine) {
-    let took = end.number("ms");
+fn write_completion(report: &mut String, completion: &LogLine) {
+    let took = completion.number("ms");
     let _ = writeln!(
-        told,
+        report,
         "request {} at {}: status {}, {} after {took} ms",
-        end.text("request"),
-        end.node,
-        end.number("status"),
-        end.message(),
+        completion.text("request"),
+        completion.node,
+        completion.number("status"),
+        completion.message(),
     );
     let steps = [
-        ("leave after", "leave_ms"),
+        ("permit to run after", "leave_ms"),
         ("first event after", "first_ms"),
     ];
     for (step, key) in steps {
-        match end.number(key) {
+        match completion.number(key) {
             -1 => {}
             time => {
-                let _ = writeln!(told, "  {step} {time} ms");
+                let _ = writeln!(report, "  {step} {time} ms");
             }
         }
     }
     let _ = writeln!(
-        told,
+        report,
         "  route {}, configuration {}, workers [{}], program {} with {} ms left",
-        end.text("route"),
-        end.number("config"),
-        end.text("workers"),
-        end.text("program"),
-        end.number("finish_ms"),
+        completion.text("route"),
+        completion.number("config"),
+        completion.text("workers"),
+        completion.text("program"),
+        completion.number("finish_ms"),
     );
-    if !end.text("tenant").is_empty() {
+    if !completion.text("tenant").is_empty() {
         let _ = writeln!(
-            told,
+            report,
             "  tenant {}, configuration proved {} ms before",
-            end.text("tenant"),
-            end.number("proof_ms"),
+            completion.text("tenant"),
+            completion.number("proof_ms"),
         );
     }
 }
 
-fn tell_attempts(told: &mut String, lines: &[LogLine], id: &str) {
+fn write_attempts(report: &mut String, lines: &[LogLine], id: &str) {
     let attempts = lines
         .iter()
-        .filter(|line| !line.is_end() && line.text("request") == id);
+        .filter(|line| !line.is_completion() && line.text("request") == id);
     for line in attempts {
-        let _ = writeln!(told, "  {}: {}", line.message(), line.details());
+        let _ = writeln!(report, "  {}: {}", line.message(), line.details());
     }
 }
 
-/// What the request's node believed of its dependencies, and of the workers it tried.
-fn dependencies_around<'a>(lines: &'a [LogLine], end: &LogLine) -> Vec<&'a LogLine> {
-    let took = Duration::from_millis(u64::try_from(end.number("ms")).unwrap_or(0));
-    let from = end.time - took - BEFORE;
-    let tried: Vec<&str> = end.text("workers").split(',').collect();
-    let is_told = |line: &LogLine| {
+/// Returns the lines that the request's node logged, shortly before and during the request, about
+/// its dependencies and the workers that it tried.
+fn relevant_node_lines<'a>(lines: &'a [LogLine], completion: &LogLine) -> Vec<&'a LogLine> {
+    let took = Duration::from_millis(u64::try_from(completion.number("ms")).unwrap_or(0));
+    let from = completion.time - took - LOOKBACK;
+    let tried: Vec<&str> = completion.text("workers").split(',').collect();
+    let is_relevant = |line: &LogLine| {
         let message = line.message();
-        let is_of_worker = WORKERS.contains(&message) && tried.contains(&line.text("worker"));
-        DEPENDENCIES.contains(&message) || is_of_worker
+        let is_of_tried_worker =
+            WORKER_MESSAGES.contains(&message) && tried.contains(&line.text("worker"));
+        DEPENDENCY_MESSAGES.contains(&message) || is_of_tried_worker
     };
     lines
         .iter()
-        .filter(|line| line.node == end.node && (from..=end.time).contains(&line.time))
-        .filter(|line| is_told(line))
+        .filter(|line| {
+            line.node == completion.node && (from..=completion.time).contains(&line.time)
+        })
+        .filter(|line| is_relevant(line))
         .collect()
 }
 
-fn tell_dependencies(told: &mut String, around: &[&LogLine]) {
-    if around.is_empty() {
+fn write_dependencies(report: &mut String, node_lines: &[&LogLine]) {
+    if node_lines.is_empty() {
         return;
     }
-    let _ = writeln!(told, "its node in the two seconds before and until then:");
-    for line in around.iter().take(MOST_TOLD) {
-        let _ = writeln!(told, "  {}: {}", line.message(), line.details());
+    let _ = writeln!(report, "its node in the two seconds before and until then:");
+    for line in node_lines.iter().take(MAX_DEPENDENCY_LINES) {
+        let _ = writeln!(report, "  {}: {}", line.message(), line.details());
     }
-    if around.len() > MOST_TOLD {
-        let _ = writeln!(told, "  and {} lines more", around.len() - MOST_TOLD);
+    if node_lines.len() > MAX_DEPENDENCY_LINES {
+        let _ = writeln!(
+            report,
+            "  and {} lines more",
+            node_lines.len() - MAX_DEPENDENCY_LINES
+        );
     }
 }
 
-fn is_of_program(line: &LogLine, end: &LogLine) -> bool {
-    !end.text("program").is_empty() && line.text("program") == end.text("program")
+fn is_of_program(line: &LogLine, completion: &LogLine) -> bool {
+    !completion.text("program").is_empty() && line.text("program") == completion.text("program")
 }
 
-fn tell_program<'a>(told: &mut String, requests: impl Iterator<Item = &'a LogLine>, id: &str) {
+fn write_program<'a>(report: &mut String, requests: impl Iterator<Item = &'a LogLine>, id: &str) {
     let others: Vec<&LogLine> = requests.filter(|line| line.text("request") != id).collect();
     if others.is_empty() {
         return;
     }
-    let _ = writeln!(told, "other requests of its program:");
+    let _ = writeln!(report, "other requests of its program:");
     for line in others {
         let _ = writeln!(
-            told,
+            report,
             "  {} at {}: status {}, {} after {} ms",
             line.text("request"),
             line.node,
@@ -237,26 +258,26 @@
     }
 }
 
-/// A sentence on the cause, from the outcome and what the node believed.
-fn cause(end: &LogLine, around: &[&LogLine]) -> String {
-    let saw = |message: &str| around.iter().any(|line| line.message() == message);
-    let outcome = end.message();
+/// Returns a sentence on the likely cause, derived from the outcome and the node's other lines.
+fn cause(completion: &LogLine, node_lines: &[&LogLine]) -> String {
+    let logged = |message: &str| node_lines.iter().any(|line| line.message() == message);
+    let outcome = completion.message();
     match outcome {
-        "answered" if end.number("status") < 400 => "none: it was answered".to_owned(),
+        "answered" if completion.number("status") < 400 => "none: it was answered".to_owned(),
         "answered" => "the worker's own answer".to_owned(),
         "no configuration is known yet" => {
             "the node had just started or cannot read the log".to_owned()
         }
         "the program's ledger cannot be asked now"
-        | "the program's ledger has not answered in time" => no_leave(&saw),
+        | "the program's ledger has not answered in time" => no_permit_cause(&logged),
         "the log answers nobody now" => {
             "the platform's store was silent for all nodes and the turn's end could not be made \
              durable; look for `the log is silent`"
                 .to_owned()
         }
         "another node has yet to settle the program's budget" => {
-            "what another owner has set aside for the program decides whether the budget holds the \
-             turn; it settles within seconds, or is lost"
+            "whether the budget covers the turn depends on tokens that another owner has reserved \
+             for the program; that reservation is settled within seconds, or is lost"
                 .to_owned()
         }
         "a lost node may have spent the program's budget" => {
@@ -285,8 +306,8 @@
                 .to_owned()
         }
         "the program's budget is spent" => {
-            "what ended turns generated and what is set aside leave no room; look for nodes of the \
-             program that were lost"
+            "the tokens that completed turns generated and those reserved leave too little of the \
+             budget; look for nodes of the program that were lost"
                 .to_owned()
         }
         "the request bears no valid key" => {
@@ -299,34 +320,35 @@
                 .to_owned()
         }
         "the key may have been taken away: the configuration here is too old to tell" => {
-            key_lease_over(&saw)
+            unproven_key_cause(&logged)
         }
         "the tenant's quota is used up" => {
-            "the tenant has sent as much as its quota holds, as the nodes have told each other"
+            "the tenant has sent as much as its quota holds, by the usage that the nodes report to \
+             each other"
                 .to_owned()
         }
         "caller left" | "caller lost" => "the caller's side closed first".to_owned(),
-        _ => format!("as the line says: {outcome}"),
+        _ => format!("no known pattern; the outcome is: {outcome}"),
     }
 }
 
-fn key_lease_over(saw: &impl Fn(&str) -> bool) -> String {
-    let alone = "neither this node nor one that it asked could show that its configuration is the \
+fn unproven_key_cause(logged: &impl Fn(&str) -> bool) -> String {
+    let unproven = "neither this node nor one that it asked could show that its configuration is the \
                  newest";
-    if saw("stream cannot be read") {
-        format!("{alone}; the log did not answer this node")
+    if logged("stream cannot be read") {
+        format!("{unproven}; the log did not answer this node")
     } else {
-        alone.to_owned()
+        unproven.to_owned()
     }
 }
 
-fn no_leave(saw: &impl Fn(&str) -> bool) -> String {
-    let log_failed = saw("append to the ledger failed") || saw("reading the ledger failed");
-    if log_failed && saw("peer did not answer for a partition") {
+fn no_permit_cause(logged: &impl Fn(&str) -> bool) -> String {
+    let log_failed = logged("append to the ledger failed") || logged("reading the ledger failed");
+    if log_failed && logged("peer did not answer for a partition") {
         "the owner of the program's partition did not answer, and the log neither".to_owned()
     } else if log_failed {
         "the log did not answer this node, and no overdraft covered the turn".to_owned()
-    } else if saw("peer did not answer for a partition") {
+    } else if logged("peer did not answer for a partition") {
         "the owner of the program's partition did not answer".to_owned()
     } else {
         "the owner of the program's partition refused: look in its log for the ledger and the \
--- a/crates/cli/src/verbs/apply.rs
+++ b/crates/cli/src/verbs/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: creates and changes the resources of files.
+//! `apply`: creates or changes the resources listed in files.
 
 use std::io::Read;
 use std::time::Duration;
@@ -10,25 +10,29 @@
 
 use super::{ApiClient, VerbError};
 
-/// The name of standard input on the command line.
+/// File name that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Pause between tries while no node takes changes.
+/// Pause between attempts while no node accepts changes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What became of one document.
+/// Result of applying one document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It did not exist.
+    /// The resource did not exist and was created.
     Created,
-    /// It was changed.
+    /// The resource existed and was changed.
     Changed,
-    /// It already was as wanted.
+    /// The resource already matched the document.
     Unchanged,
 }
 
-/// Reads every document of every file, in an order in which what is referred to comes first.
-/// Nothing is applied unless all of them are sound.
+/// Reads every document of every file and sorts them so that referenced resources come first.
+///
+/// # Errors
+///
+/// Fails if a file cannot be read, a document is invalid, or there are no documents at all. The
+/// caller applies nothing in that case.
 pub fn read_files(files: &[String]) -> Result<Vec<Manifest>, VerbError> {
     let mut manifests = Vec::new();
     for file in files {
@@ -39,7 +43,7 @@
             "nothing to apply: name a file by -f".to_owned(),
         ));
     }
-    manifests.sort_by_key(|manifest| rank(manifest.resource.spec.kind()));
+    manifests.sort_by_key(|manifest| apply_order(manifest.resource.spec.kind()));
     Ok(manifests)
 }
 
@@ -63,8 +67,9 @@
     Ok(text)
 }
 
-/// Programs refer to services and budgets, so they come last.
-fn rank(kind: Kind) -> u8 {
+/// Returns the position of a kind in the order of application. Programs refer to services and
+/// budgets, so they come last.
+fn apply_order(kind: Kind) -> u8 {
     match kind {
         Kind::Configuration => 0,
         Kind::Service => 1,
@@ -73,16 +78,17 @@
     }
 }
 
-/// Applies one document. While no node takes changes it is tried again, for at most `wait`.
+/// Applies one document and returns the line to print. Retries for at most `wait` while no node
+/// accepts changes.
 pub async fn apply(
     client: &ApiClient,
     manifest: &Manifest,
     wait: Duration,
 ) -> Result<String, VerbError> {
-    let give_up = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
         match apply_once(client, manifest).await {
-            Err(error) if error.may_be_tried_again() && Instant::now() < give_up => {
+            Err(error) if error.is_retryable() && Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await;
             }
             result => return result,
@@ -103,7 +109,7 @@
     document.metadata.revision = manifest.expected.map(|revision| revision.0);
     let after = match client.put(collection, &document).await {
         Ok(after) => after,
-        Err(error) => look_again(client, collection, &document, error).await?,
+        Err(error) => resolve_unknown_outcome(client, collection, &document, error).await?,
     };
     let applied = match before {
         None => Applied::Created,
@@ -117,8 +123,9 @@
     ))
 }
 
-/// After an unknown outcome, the change was made if the resource is now as wanted.
-async fn look_again(
+/// Resolves an unknown outcome by reading the resource: if its spec equals `wanted`, the change was
+/// made. Otherwise returns `error`.
+async fn resolve_unknown_outcome(
     client: &ApiClient,
     collection: Collection,
     wanted: &Document,
--- a/crates/cli/src/verbs/client.rs
+++ b/crates/cli/src/verbs/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the operators' interface.
+//! HTTP client for the operator interface of nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 
 use super::VerbError;
 
-/// Server asked when none is named; the first node of the examples.
+/// Default server: the first node of the example settings.
 pub const DEFAULT_SERVER: &str = "http://127.0.0.1:7301";
 
-/// Longest wait for an answer.
+/// Timeout of one request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest answer taken, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Asks nodes on behalf of an operator.
+/// Client that sends operator requests to the first reachable node.
 #[derive(Clone)]
 pub struct ApiClient {
     servers: Vec<String>,
@@ -30,7 +30,8 @@
 }
 
 impl ApiClient {
-    /// `servers` are base URLs separated by commas; each is tried in turn until one can be reached.
+    /// Creates a client. `servers` holds base URLs separated by commas, which are tried in order
+    /// until one can be reached.
     pub fn new(servers: &str, token: Option<String>) -> Self {
         let servers = servers
             .split(',')
@@ -44,15 +45,15 @@
         }
     }
 
-    /// All resources of a collection. Each node lists the runs that it owns, so that runs are
-    /// gathered from every server that can be reached.
+    /// Lists all resources of a collection. A node lists only the runs that it owns, so runs are
+    /// collected from every reachable server.
     pub async fn list(&self, collection: Collection) -> Result<ListDocument, VerbError> {
         let path = format!("{API_PREFIX}/{collection}");
         if collection != Collection::Runs {
             return self.call(Method::GET, &path, None, Vec::new()).await;
         }
         let mut runs = BTreeMap::new();
-        let mut last = Some(no_server());
+        let mut last = Some(no_server_error());
         for server in &self.servers {
             let request = self.request(Method::GET, server, &path, None);
             match send(request, server, Vec::new()).await {
@@ -62,7 +63,7 @@
                     runs.extend(items.map(|run| (run.metadata.name.clone(), run)));
                     last = None;
                 }
-                Err(error) if is_for_next_server(&error) => last = last.and(Some(error)),
+                Err(error) if should_try_next_server(&error) => last = last.and(Some(error)),
                 Err(error) => return Err(error),
             }
         }
@@ -76,13 +77,15 @@
         }
     }
 
-    /// One resource. A run is looked for on every server, as only its owner knows it.
+    /// Returns one resource. A run is requested from each server in turn, since only the node that
+    /// owns it can return it.
     pub async fn get(&self, collection: Collection, name: &str) -> Result<Document, VerbError> {
         let path = format!("{API_PREFIX}/{collection}/{name}");
         self.call(Method::GET, &path, None, Vec::new()).await
     }
 
-    /// Creates or replaces a resource; the document's revision, if any, is expected.
+    /// Creates or replaces a resource. If the document has a revision, the request fails unless the
+    /// stored resource has the same one.
     pub async fn put(
         &self,
         collection: Collection,
@@ -95,7 +98,7 @@
         self.call(Method::PUT, &path, None, body).await
     }
 
-    /// Deletes a resource, if it still has the expected revision.
+    /// Deletes a resource. With `expected`, the request fails if the resource has another revision.
     pub async fn delete(
         &self,
         collection: Collection,
@@ -108,15 +111,15 @@
         Ok(())
     }
 
-    /// Begins to read a path whose answer does not end.
+    /// Opens a streaming response, for example a watch.
     pub(super) async fn stream(&self, path: &str) -> Result<ClientResponse, VerbError> {
-        let mut last = no_server();
+        let mut last = no_server_error();
         for server in &self.servers {
             let request = self.request(Method::GET, server, path, None);
             match request.send().await {
                 Ok(response) if response.status().is_success() => return Ok(response),
                 Ok(mut response) => {
-                    return Err(read_error(&response.body().await.unwrap_or_default()));
+                    return Err(parse_error(&response.body().await.unwrap_or_default()));
                 }
                 Err(error) => last = VerbError::Unreachable(format!("{server}: {error}")),
             }
@@ -131,12 +134,12 @@
         expected: Option<u64>,
         body: Vec<u8>,
     ) -> Result<T, VerbError> {
-        let mut last = no_server();
+        let mut last = no_server_error();
         for server in &self.servers {
             let request = self.request(method.clone(), server, path, expected);
             match send(request, server, body.clone()).await {
                 Ok(answer) => return parse(server, &answer),
-                Err(error) if is_for_next_server(&error) => last = error,
+                Err(error) if should_try_next_server(&error) => last = error,
                 Err(error) => return Err(error),
             }
         }
@@ -161,7 +164,7 @@
     }
 }
 
-/// Sends a request whole and reads its answer whole.
+/// Sends a request and returns the complete response body.
 async fn send(request: ClientRequest, server: &str, body: Vec<u8>) -> Result<Vec<u8>, VerbError> {
     let mut response = request
         .content_type("application/json")
@@ -176,7 +179,7 @@
     if response.status().is_success() {
         return Ok(answer.to_vec());
     }
-    Err(read_error(&answer))
+    Err(parse_error(&answer))
 }
 
 fn parse<T: DeserializeOwned>(server: &str, answer: &[u8]) -> Result<T, VerbError> {
@@ -188,25 +191,26 @@
     let message = format!("{server}: {error}");
     match error {
         SendRequestError::Url(_) => VerbError::Usage(message),
-        // The connection was never made, so the request was not sent.
+        // A disconnect leaves open whether the request was sent.
         SendRequestError::Connect(ConnectError::Disconnected) => VerbError::Broken(message),
+        // No connection was established, so the request was not sent.
         SendRequestError::Connect(_) => VerbError::Unreachable(message),
         _ => VerbError::Broken(message),
     }
 }
 
-fn read_error(body: &[u8]) -> VerbError {
+fn parse_error(body: &[u8]) -> VerbError {
     match serde_json::from_slice::<ApiError>(body) {
         Ok(error) => VerbError::from(error),
         Err(_) => VerbError::Unexpected(String::from_utf8_lossy(body).into_owned()),
     }
 }
 
-/// Whether another server may do better: this one was not reached, or does not own the run.
-fn is_for_next_server(error: &VerbError) -> bool {
+/// Returns whether to try the next server: this one is unreachable or does not own the run.
+fn should_try_next_server(error: &VerbError) -> bool {
     matches!(error, VerbError::Unreachable(_)) || error.code() == Some(ErrorCode::RunElsewhere)
 }
 
-fn no_server() -> VerbError {
+fn no_server_error() -> VerbError {
     VerbError::Usage("no server is named: use --server or ELDERWORKS_SERVER".to_owned())
 }
--- a/crates/cli/src/verbs/delete.rs
+++ b/crates/cli/src/verbs/delete.rs
@@ -1,10 +1,11 @@
-//! `delete`: removes a resource.
+//! `delete`: deletes a resource.
 
 use elderworks_control::api::Collection;
 
 use super::{ApiClient, VerbError};
 
-/// Deletes a resource, if it still has the expected revision.
+/// Deletes a resource and returns the line to print. With `expected`, the deletion fails if the
+/// resource has another revision.
 pub async fn delete(
     client: &ApiClient,
     collection: Collection,
--- a/crates/cli/src/verbs/error.rs
+++ b/crates/cli/src/verbs/error.rs
@@ -1,45 +1,45 @@
-//! How a verb can fail, and the exit code that says so.
+//! Errors of the operator verbs and their exit codes.
 
 use std::process::ExitCode;
 
 use elderworks_control::api::{ApiError, ErrorCode};
 use elderworks_control::manifest::ManifestError;
 
-/// A verb that did not do what it was asked.
+/// Error of an operator verb.
 #[derive(Debug, thiserror::Error)]
 pub enum VerbError {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
     /// A file cannot be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path as given on the command line.
         file: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A file holds something that is not a resource.
+    /// A file contains an invalid resource.
     #[error("{file}: {source}")]
     Manifest {
-        /// The file.
+        /// Path as given on the command line.
         file: String,
-        /// What is wrong.
+        /// Cause, with its position in the document.
         source: ManifestError,
     },
-    /// A node answered with an error.
+    /// A node responded with an error.
     #[error("{}{error}", prefix(.error))]
     Api {
-        /// The error.
+        /// Error document of the response.
         error: Box<ApiError>,
     },
-    /// No node could be reached: nothing was done.
+    /// No node could be reached, so nothing was changed.
     #[error("no node could be reached: {0}")]
     Unreachable(String),
-    /// The connection broke before the answer; whether a change was made is not known.
+    /// The connection failed before the response; whether a change was made is unknown.
     #[error("the connection broke before the answer: {0}")]
     Broken(String),
-    /// A node answered something that this command does not understand.
+    /// A node sent a response that cannot be parsed.
     #[error("unexpected answer: {0}")]
     Unexpected(String),
 }
@@ -60,7 +60,7 @@
 }
 
 impl VerbError {
-    /// The code of an answer, if a node gave one.
+    /// Returns the error code if a node responded with an error.
     pub fn code(&self) -> Option<ErrorCode> {
         match self {
             Self::Api { error } => Some(error.code),
@@ -68,16 +68,16 @@
         }
     }
 
-    /// Whether surely nothing was done and trying again soon may succeed.
-    pub fn may_be_tried_again(&self) -> bool {
+    /// Returns whether nothing was changed and a retry may succeed.
+    pub fn is_retryable(&self) -> bool {
         match self {
             Self::Unreachable(_) => true,
             other => other.code() == Some(ErrorCode::Unavailable),
         }
     }
 
-    /// Exit code: 1 unexpected, 2 usage, 3 not found, 4 conflict, 5 invalid, 6 nothing was done and
-    /// trying again may succeed, 7 outcome unknown, 8 not authorized.
+    /// Returns the exit code: 1 unexpected error, 2 usage, 3 not found, 4 conflict, 5 invalid
+    /// resource, 6 nothing was changed and a retry may succeed, 7 outcome unknown, 8 not authorized.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => 2,
--- a/crates/cli/src/verbs/explain.rs
+++ b/crates/cli/src/verbs/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: why a run went as it did, and what configuration keys mean.
+//! `explain`: describes the calls of a run, or the configuration keys.
 
 use elderworks_control::Settings;
 use elderworks_control::api::{AttemptReport, CallReport, Collection, RunReport};
@@ -7,17 +7,17 @@
 
 use super::{ApiClient, OutputFormat, VerbError, table};
 
-/// Everything that is known of a run, call by call.
+/// Fetches a run and formats its state and all of its calls.
 pub async fn run(client: &ApiClient, id: &str, format: OutputFormat) -> Result<String, VerbError> {
     let document = client.get(Collection::Runs, id).await?;
     let status = document.status.clone().unwrap_or_default();
     let report: RunReport =
         serde_json::from_value(status).map_err(|error| VerbError::Unexpected(error.to_string()))?;
-    format.print(&document, |_| print_run(id, &report))
+    format.render(&document, |_| format_run(id, &report))
 }
 
-/// A run as text for people.
-pub fn print_run(id: &str, report: &RunReport) -> String {
+/// Formats a run as text: a summary followed by its calls.
+pub fn format_run(id: &str, report: &RunReport) -> String {
     let mut lines = vec![
         format!("{id}: {} of tenant {}", report.phase, report.tenant),
         format!(
@@ -36,12 +36,12 @@
     }
     for call in &report.calls {
         lines.push(String::new());
-        lines.extend(print_call(call));
+        lines.extend(format_call(call));
     }
     lines.join("\n")
 }
 
-fn print_call(call: &CallReport) -> Vec<String> {
+fn format_call(call: &CallReport) -> Vec<String> {
     let repeatable = if call.repeatable {
         ""
     } else {
@@ -60,7 +60,7 @@
             call.prompt_tokens, call.cached_tokens, call.output_tokens
         ));
     }
-    lines.extend(call.attempts.iter().map(print_attempt));
+    lines.extend(call.attempts.iter().map(format_attempt));
     lines.extend(call.notes.iter().map(|note| format!("  {note}")));
     lines
 }
@@ -82,7 +82,7 @@
     text
 }
 
-fn print_attempt(attempt: &AttemptReport) -> String {
+fn format_attempt(attempt: &AttemptReport) -> String {
     let place = match &attempt.engine {
         Some(engine) => format!("on {engine}"),
         None => "sent".to_owned(),
@@ -104,7 +104,7 @@
     }
 }
 
-/// Every configuration key with its unit, range, default and meaning.
+/// Returns a table of every configuration key with its range, default and meaning.
 pub fn configuration() -> String {
     let defaults = Settings::default();
     let rows = KNOWN_KEYS.iter().map(|known| {
--- a/crates/cli/src/verbs/get.rs
+++ b/crates/cli/src/verbs/get.rs
@@ -1,4 +1,4 @@
-//! `get` and `describe`: read resources.
+//! `get` and `describe`: show resources.
 
 use elderworks_control::api::Collection;
 use elderworks_control::manifest::Document;
@@ -6,7 +6,7 @@
 
 use super::{ApiClient, OutputFormat, VerbError, table};
 
-/// One resource, or all of a collection.
+/// Fetches one resource, or all of a collection, and formats the result.
 pub async fn get(
     client: &ApiClient,
     collection: Collection,
@@ -16,34 +16,37 @@
     match name {
         Some(name) => {
             let document = client.get(collection, name).await?;
-            format.print(&document, |document| {
+            format.render(&document, |document| {
                 table::documents(collection, std::slice::from_ref(document))
             })
         }
         None => {
             let list = client.list(collection).await?;
-            format.print(&list, |list| table::documents(collection, &list.items))
+            format.render(&list, |list| table::documents(collection, &list.items))
         }
     }
 }
 
-/// Every field of one resource, and who uses it.
+/// Returns every field of a resource as YAML, and the programs that refer to it.
 pub async fn describe(
     client: &ApiClient,
     collection: Collection,
     name: &str,
 ) -> Result<String, VerbError> {
     let document = client.get(collection, name).await?;
-    let mut text = OutputFormat::Yaml.print(&document, |_| String::new())?;
-    let users = users(client, collection, name).await?;
-    if !users.is_empty() {
-        text.push_str(&format!("usedByPrograms: {}\n", users.join(", ")));
+    let mut text = OutputFormat::Yaml.render(&document, |_| String::new())?;
+    let referring_programs = referring_programs(client, collection, name).await?;
+    if !referring_programs.is_empty() {
+        text.push_str(&format!(
+            "usedByPrograms: {}\n",
+            referring_programs.join(", ")
+        ));
     }
     Ok(text)
 }
 
-/// Programs that refer to a service or budget.
-async fn users(
+/// Returns the names of the programs that refer to a service or budget.
+async fn referring_programs(
     client: &ApiClient,
     collection: Collection,
     name: &str,
@@ -52,8 +55,8 @@
         return Ok(Vec::new());
     };
     let programs = client.list(Collection::Written(Kind::Program)).await?;
-    let users = programs.items.into_iter();
-    Ok(users
+    let referring_programs = programs.items.into_iter();
+    Ok(referring_programs
         .filter(|program| refers_to(program, collection, name))
         .map(|program| program.metadata.name)
         .collect())
--- a/crates/cli/src/verbs/mod.rs
+++ b/crates/cli/src/verbs/mod.rs
@@ -1,4 +1,4 @@
-//! What operators do from the command line, over the HTTP interface of any node.
+//! Operator verbs of the command line, which use the HTTP interface of any node.
 
 pub mod apply;
 pub mod client;
--- a/crates/cli/src/verbs/output.rs
+++ b/crates/cli/src/verbs/output.rs
@@ -1,4 +1,4 @@
-//! Forms of output.
+//! Output formats of the operator verbs.
 
 use std::str::FromStr;
 
@@ -6,19 +6,19 @@
 
 use super::VerbError;
 
-/// How documents are printed.
+/// Format in which documents are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// A table, for people.
+    /// Human-readable table.
     #[default]
     Table,
-    /// JSON.
+    /// Indented JSON.
     Json,
-    /// YAML, as `apply` reads it.
+    /// YAML that `apply` accepts.
     Yaml,
 }
 
-/// A word that names no form of output.
+/// Error for an unknown output format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected table, json or yaml, found {0:?}")]
 pub struct UnknownFormat(String);
@@ -26,8 +26,8 @@
 impl FromStr for OutputFormat {
     type Err = UnknownFormat;
 
-    fn from_str(word: &str) -> Result<Self, UnknownFormat> {
-        match word {
+    fn from_str(name: &str) -> Result<Self, UnknownFormat> {
+        match name {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
             "yaml" => Ok(Self::Yaml),
@@ -37,8 +37,8 @@
 }
 
 impl OutputFormat {
-    /// Prints `value`; `table` is called where a table is wanted.
-    pub(super) fn print<T: Serialize>(
+    /// Formats `value` as a string; `table` formats it for [`OutputFormat::Table`].
+    pub(super) fn render<T: Serialize>(
         self,
         value: &T,
         table: impl FnOnce(&T) -> String,
--- a/crates/cli/src/verbs/table.rs
+++ b/crates/cli/src/verbs/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Plain-text tables of resources.
 
 use comfy_table::{Table, presets};
 use elderworks_control::api::Collection;
@@ -6,7 +6,7 @@
 use elderworks_types::resource::Kind;
 use serde_json::Value;
 
-/// A column: its heading and where its value stands in a document.
+/// Heading of a column and JSON pointer to its value in a document.
 type Column = (&'static str, &'static str);
 
 const PROGRAM_COLUMNS: &[Column] = &[
@@ -18,7 +18,7 @@
     ("PRIORITY", "/spec/priority"),
 ];
 
-const MODEL_COLUMNS: &[Column] = &[
+const SERVICE_COLUMNS: &[Column] = &[
     ("MODEL", "/spec/model/model"),
     ("ENGINES", "/spec/model/engines"),
     ("TOOL", "/spec/tool/tool"),
@@ -56,7 +56,7 @@
 fn columns(collection: Collection) -> &'static [Column] {
     match collection {
         Collection::Written(Kind::Program) => PROGRAM_COLUMNS,
-        Collection::Written(Kind::Service) => MODEL_COLUMNS,
+        Collection::Written(Kind::Service) => SERVICE_COLUMNS,
         Collection::Written(Kind::Budget) => BUDGET_COLUMNS,
         Collection::Written(Kind::Configuration) => CONFIGURATION_COLUMNS,
         Collection::Runs => RUN_COLUMNS,
@@ -65,7 +65,7 @@
     }
 }
 
-/// One line for each document.
+/// Formats documents as a table with one row each.
 pub(super) fn documents(collection: Collection, documents: &[Document]) -> String {
     if documents.is_empty() {
         return format!("no {collection}");
@@ -85,7 +85,7 @@
     render(&headings, rows)
 }
 
-/// A table without lines.
+/// Formats a table without borders.
 pub(super) fn render(headings: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
@@ -98,7 +98,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The value at `/spec/...` or `/status/...` as text.
+/// Returns the value at `/spec/...` or `/status/...` as text, or `-` if there is none.
 fn cell(document: &Document, pointer: &str) -> String {
     let in_spec = pointer.strip_prefix("/spec");
     let in_status = pointer.strip_prefix("/status");
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: follows changes, over broken connections and restarted nodes.
+//! `watch`: streams changes of resources and reconnects after connection failures and node restarts.
 
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -12,31 +12,36 @@
 
 use super::{ApiClient, OutputFormat, VerbError};
 
-/// A node sends something at least every five seconds; silence for this long is a dead connection.
+/// Time without data after which a connection is considered dead. Nodes send data at lowest every five
+/// seconds.
 const SILENCE_LIMIT: Duration = Duration::from_secs(15);
 
-/// First pause before reconnecting; doubles up to [`MAX_BACKOFF`].
+/// Initial pause before reconnecting; doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest pause before reconnecting.
+/// Maximum pause before reconnecting.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Longest line taken, in bytes.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What is watched.
+/// Selection of the resources to watch.
 #[derive(Clone, Debug)]
 pub struct WatchTarget {
-    /// One kind, or all.
+    /// Kind to watch; `None` for all kinds.
     pub kind: Option<Kind>,
-    /// One resource of that kind.
+    /// Name of a single resource; `None` for all.
     pub name: Option<String>,
-    /// Last revision seen; `None` begins with what is there now.
+    /// Revision after which changes are reported; `None` reports the present resources first.
     pub after: Option<u64>,
 }
 
 impl WatchTarget {
-    /// Watches a collection that operators write.
+    /// Creates a target.
+    ///
+    /// # Errors
+    ///
+    /// Fails for collections that operators do not write, since nodes offer no watch on them.
     pub fn new(
         collection: Option<Collection>,
         name: Option<String>,
@@ -75,8 +80,9 @@
     }
 }
 
-/// Passes every change to `sink` until it breaks off. A broken connection is taken up again after
-/// the last revision seen; where that is too old, everything is listed anew.
+/// Passes every change to `sink` until it returns `Break`. After a connection failure, the watch
+/// resumes after the last revision received; if a node no longer has that revision, all resources
+/// are listed again.
 pub async fn watch(
     client: &ApiClient,
     target: &WatchTarget,
@@ -89,7 +95,7 @@
             Ok(ControlFlow::Break(())) => return Ok(()),
             Ok(ControlFlow::Continue(())) => backoff = MIN_BACKOFF,
             Err(error) if error.code() == Some(ErrorCode::WatchTooOld) => after = None,
-            Err(error) if is_passing(&error) => log::warn!("watch: {error}; trying again"),
+            Err(error) if is_transient(&error) => log::warn!("watch: {error}; trying again"),
             Err(error) => return Err(error),
         }
         sleep(backoff).await;
@@ -97,7 +103,7 @@
     }
 }
 
-/// Follows one connection to its end.
+/// Passes the changes of one connection to `sink` until the connection ends.
 async fn follow(
     client: &ApiClient,
     target: &WatchTarget,
@@ -107,7 +113,7 @@
     let from = match *after {
         Some(revision) => revision,
         None => {
-            let (revision, flow) = list_anew(client, target, sink).await?;
+            let (revision, flow) = list_all(client, target, sink).await?;
             *after = Some(revision);
             if flow.is_break() {
                 return Ok(flow);
@@ -126,18 +132,18 @@
     Ok(ControlFlow::Continue(()))
 }
 
-/// Passes on everything that is there; returns the revision to watch from.
-async fn list_anew(
+/// Passes all present resources to `sink` and returns the revision after which to watch.
+async fn list_all(
     client: &ApiClient,
     target: &WatchTarget,
     sink: &mut impl FnMut(&WatchLine) -> ControlFlow<()>,
 ) -> Result<(u64, ControlFlow<()>), VerbError> {
-    // With several lists, only what all of them cover is sure to be seen.
+    // The lists are read one after the other, so the watch starts after the lowest of their revisions.
     let mut revision = None;
     for kind in target.kinds() {
         let list = client.list(Collection::Written(kind)).await?;
         let listed = list.revision.unwrap_or_default();
-        revision = Some(revision.map_or(listed, |least: u64| least.min(listed)));
+        revision = Some(revision.map_or(listed, |lowest: u64| lowest.min(listed)));
         for document in list.items {
             let is_wanted = target
                 .name
@@ -161,11 +167,11 @@
     Ok((revision.unwrap_or_default(), ControlFlow::Continue(())))
 }
 
-fn is_passing(error: &VerbError) -> bool {
-    matches!(error, VerbError::Broken(_)) || error.may_be_tried_again()
+fn is_transient(error: &VerbError) -> bool {
+    matches!(error, VerbError::Broken(_)) || error.is_retryable()
 }
 
-/// The lines of a streamed response.
+/// Line reader over a streaming response.
 struct Lines {
     response: ClientResponse,
     buffer: BytesMut,
@@ -179,10 +185,10 @@
         }
     }
 
-    /// The next change; `None` where the node ended the watch.
+    /// Returns the next change, or `None` if the node closed the watch.
     async fn next(&mut self) -> Result<Option<WatchLine>, VerbError> {
         loop {
-            if let Some(line) = self.take_line() {
+            if let Some(line) = self.split_line() {
                 if line.is_empty() {
                     continue;
                 }
@@ -191,15 +197,15 @@
                     .map_err(|error| VerbError::Unexpected(error.to_string()));
             }
             match timeout(SILENCE_LIMIT, self.response.next()).await {
-                Err(_) => return Err(VerbError::Broken("nothing was heard in time".to_owned())),
+                Err(_) => return Err(VerbError::Broken("no data received in time".to_owned())),
                 Ok(None) => return Ok(None),
                 Ok(Some(Err(error))) => return Err(VerbError::Broken(error.to_string())),
-                Ok(Some(Ok(piece))) => self.extend(&piece)?,
+                Ok(Some(Ok(piece))) => self.push(&piece)?,
             }
         }
     }
 
-    fn extend(&mut self, piece: &Bytes) -> Result<(), VerbError> {
+    fn push(&mut self, piece: &Bytes) -> Result<(), VerbError> {
         if self.buffer.len() + piece.len() > MAX_LINE_BYTES {
             return Err(VerbError::Unexpected("a line is too long".to_owned()));
         }
@@ -207,7 +213,7 @@
         Ok(())
     }
 
-    fn take_line(&mut self) -> Option<BytesMut> {
+    fn split_line(&mut self) -> Option<BytesMut> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line = self.buffer.split_to(end);
         self.buffer.advance(1);
@@ -215,14 +221,14 @@
     }
 }
 
-/// One change as a line of text.
-pub fn print_line(line: &WatchLine, format: OutputFormat) -> Result<String, VerbError> {
+/// Formats one change.
+pub fn format_line(line: &WatchLine, format: OutputFormat) -> Result<String, VerbError> {
     if format == OutputFormat::Json {
-        // One line each, so that programs can read them as they come.
+        // Compact JSON keeps each change on one line, so that programs can parse the stream by lines.
         return serde_json::to_string(line)
             .map_err(|error| VerbError::Unexpected(error.to_string()));
     }
-    format.print(line, |line| {
+    format.render(line, |line| {
         let action = match line.action {
             WatchAction::Put => "put",
             WatchAction::Deleted => "deleted",
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,9 +1,9 @@
-//! The command itself: what its exit codes and messages say without any node.
+//! Exit codes and messages of the `elderworks` command when no node is running.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs `elderworks` with these arguments and this standard input.
+/// Runs `elderworks` with the given arguments and standard input.
 fn elderworks(arguments: &[&str], input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_elderworks"))
         .args(arguments)
@@ -14,7 +14,7 @@
         .spawn()
         .expect("the command starts");
     if let Some(mut stdin) = child.stdin.take() {
-        // A command that reads no input may be gone already.
+        // A command that reads no input may have exited already.
         let _ = stdin.write_all(input.as_bytes());
     }
     child.wait_with_output().expect("the command ends")
@@ -26,17 +26,17 @@
         arguments: &'static [&'static str],
         input: &'static str,
         code: i32,
-        says: &'static str,
+        message: &'static str,
     }
-    let case = |arguments, input, code, says| Case {
+    let case = |arguments, input, code, message| Case {
         arguments,
         input,
         code,
-        says,
+        message,
     };
     let budget = "apiVersion: elderworks/v1\nkind: Budget\nmetadata: {name: b}\n\
                   spec: {tenant: t, limit: 1}\n";
-    let typing_error = "apiVersion: elderworks/v1\nkind: Budget\nmetadata: {name: b}\n\
+    let misspelled = "apiVersion: elderworks/v1\nkind: Budget\nmetadata: {name: b}\n\
                         spec: {tenant: t, limt: 1}\n";
     let cases = [
         case(
@@ -54,7 +54,7 @@
         case(&["apply", "-f", "-"], budget, 6, "no node could be reached"),
         case(
             &["apply", "-f", "-"],
-            typing_error,
+            misspelled,
             5,
             "did you mean \"limit\"?",
         ),
@@ -96,6 +96,6 @@
             Some(case.code),
             "{arguments:?}: {text}"
         );
-        assert!(text.contains(case.says), "{arguments:?}: {text}");
+        assert!(text.contains(case.message), "{arguments:?}: {text}");
     }
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,6 +1,6 @@
-//! What `explain run` says of each call.
+//! Output of `explain run` for calls in each state.
 
-use elderworks_cli::verbs::explain::print_run;
+use elderworks_cli::verbs::explain::format_run;
 use elderworks_control::api::RunReport;
 use elderworks_protocol::sidecar::{AttemptView, CallView, RunView};
 use elderworks_types::{
@@ -10,6 +10,7 @@
 };
 use std::time::Duration;
 
+/// One millisecond in the unit of [`Timestamp`], microseconds.
 const MILLISECOND: u64 = 1_000;
 
 fn call(number: u32, repeatable: bool, outcome: Option<Outcome>) -> CallView {
@@ -50,11 +51,11 @@
         history: Vec::new(),
         calls,
     };
-    print_run(&id.to_string(), &RunReport::from(&view))
+    format_run(&id.to_string(), &RunReport::from(&view))
 }
 
 #[test]
-fn each_outcome_is_told() {
+fn each_outcome_is_shown() {
     let completed = Outcome::Completed(Answer {
         content: "{}".to_owned(),
         usage: Usage::default(),
@@ -89,9 +90,9 @@
             "at most once: unknown (owner_lost) after 80 ms",
         ),
     ];
-    for (outcome, repeatable, says) in cases {
+    for (outcome, repeatable, expected) in cases {
         let text = explain(vec![call(1, repeatable, outcome)]);
-        assert!(text.contains(says), "{says:?} is not in:\n{text}");
+        assert!(text.contains(expected), "{expected:?} is not in:\n{text}");
         assert!(
             text.contains("spent 12 of 100 credits, 3 reserved"),
             "{text}"
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn attempts_tokens_and_notes_are_told() {
+fn attempts_tokens_and_notes_are_shown() {
     let usage = Usage {
         prompt: Tokens(120),
         cached: Tokens(96),
@@ -126,12 +127,12 @@
         ..call(2, true, Some(Outcome::Completed(answer)))
     };
     let text = explain(vec![view]);
-    for says in [
+    for expected in [
         "tokens: 120 prompt (96 from cache), 30 generated",
         "attempt 1: on engine-a after waiting 5 ms\n",
         "attempt 2: on engine-a after waiting 30 ms, first answer 12 ms later",
         "waited for call 1",
     ] {
-        assert!(text.contains(says), "{says:?} is not in:\n{text}");
+        assert!(text.contains(expected), "{expected:?} is not in:\n{text}");
     }
 }
--- a/crates/cli/tests/explain_request.rs
+++ b/crates/cli/tests/explain_request.rs
@@ -1,4 +1,4 @@
-//! `explain-request` on the lines of nodes, as OPERATIONS reads them by hand.
+//! Explanations that `explain-request` derives from the log lines of nodes.
 
 use elderworks_cli::request_log::explain_text;
 
@@ -19,45 +19,49 @@
 "#;
 
 #[test]
-fn a_refused_turn_is_led_to_its_dependency() {
-    let told = explain_text("r1", REFUSED).expect("an explanation");
-    for wanted in [
+fn refused_turn_is_attributed_to_its_dependency() {
+    let report = explain_text("r1", REFUSED).expect("an explanation");
+    for expected in [
         "request r1 at edge-a-2: status 503, the program's ledger cannot be asked now after 1200 ms",
         "append to the ledger failed: at=5 error=the log refused the call",
         "use of the overdraft changed: before=Active now=None partition=1",
         "r2 at edge-a-1: status 200, answered after 300 ms",
         "cause: the log did not answer this node, and no overdraft covered the turn",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
     assert!(
-        !told.contains("another node's"),
-        "lines of other nodes:\n{told}"
+        !report.contains("another node's"),
+        "lines of other nodes:\n{report}"
     );
 }
 
 #[test]
-fn attempts_and_the_workers_tried_are_told() {
-    let told = explain_text("r5", BROKEN).expect("an explanation");
-    for wanted in [
+fn attempts_and_tried_workers_are_listed() {
+    let report = explain_text("r5", BROKEN).expect("an explanation");
+    for expected in [
         "attempt failed: ms=4 reason=refused with 503",
         "worker changed: draining=true offset=3 service=s worker=w1",
         "cause: every worker tried refused it",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
     assert!(
-        !told.contains("worker=w7"),
-        "a worker that was not tried:\n{told}"
+        !report.contains("worker=w7"),
+        "a worker that was not tried:\n{report}"
     );
 }
 
 #[test]
-fn what_cannot_be_explained_is_said() {
-    let lost = explain_text("r6", BROKEN).expect("it is seen");
-    assert!(lost.contains("no end line"), "{lost}");
-    let unknown = explain_text("r9", BROKEN).expect_err("never seen");
-    assert!(unknown.to_string().contains("no line tells of request r9"));
+fn incomplete_and_unknown_requests_are_reported() {
+    let incomplete = explain_text("r6", BROKEN).expect("the log mentions the request");
+    assert!(incomplete.contains("no end line"), "{incomplete}");
+    let unknown = explain_text("r9", BROKEN).expect_err("the log does not mention the request");
+    assert!(
+        unknown
+            .to_string()
+            .contains("no log line mentions request r9")
+    );
 }
 
 const KEYS: &str = r#"
@@ -74,8 +78,8 @@
 "#;
 
 #[test]
-fn refusals_on_old_knowledge_and_open_outcomes_are_explained() {
-    for (request, wanted) in [
+fn refusals_on_stale_configuration_and_unknown_outcomes_are_explained() {
+    for (request, expected) in [
         (
             "r10",
             "cause: the node had not read the configuration for too long",
@@ -86,21 +90,24 @@
         ),
         ("r12", "cause: an attempt broke off after it was sent"),
     ] {
-        let told = explain_text(request, ROUTES).expect("an explanation");
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        let report = explain_text(request, ROUTES).expect("an explanation");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
 }
 
 #[test]
 fn refusals_for_keys_and_quotas_are_explained() {
-    let told = explain_text("r7", KEYS).expect("an explanation");
-    assert!(told.contains("the log did not answer this node"), "{told}");
-    let told = explain_text("r8", KEYS).expect("an explanation");
-    for wanted in [
+    let report = explain_text("r7", KEYS).expect("an explanation");
+    assert!(
+        report.contains("the log did not answer this node"),
+        "{report}"
+    );
+    let report = explain_text("r8", KEYS).expect("an explanation");
+    for expected in [
         "tenant acme, configuration proved 310 ms before",
         "over quota: limit=60 nodes_heard=3 pause_ms=200 request=r8 tenant=acme used=61",
         "cause: the tenant has sent as much as its quota holds",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
 }
--- a/crates/cli/tests/gateway_logs.rs
+++ b/crates/cli/tests/gateway_logs.rs
@@ -1,4 +1,5 @@
-//! A gateway process whose log nobody reads goes on serving, and says afterwards what was lost.
+//! A gateway whose log output is not read keeps serving, and logs the number of dropped lines once it is
+//! read again.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 mod standin;
@@ -15,14 +16,15 @@
 };
 use standin::worker::Behaviour;
 
-/// Lines of these requests are more than a pipe and the process's own queue hold together.
+/// Number of requests whose log lines exceed the capacity of the pipe and of the process's queue.
 const REQUESTS: u32 = 6_000;
 
-/// Interval at which a wait looks again.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ports at an address that no other test process of this machine has.
-fn own_address() -> OwnAddress {
+/// Returns ports at a loopback address derived from the process id, so that concurrent test processes
+/// do not collide.
+fn local_endpoints() -> OwnAddress {
     let process = std::process::id().to_be_bytes();
     OwnAddress {
         ip: Ipv4Addr::new(127, process[2] | 1, process[3], 77),
@@ -33,56 +35,56 @@
     }
 }
 
-/// A process that ends with the test, and its settings file.
+/// Gateway process and its settings file; dropping it kills the process and removes the file.
 struct Gateway(Child, PathBuf);
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
         let _ = std::fs::remove_file(&self.1);
     }
 }
 
-fn start(deployment: &Deployment, own: OwnAddress) -> Gateway {
-    let text = settings_text_at("n1", deployment.store.address, own);
+fn start(deployment: &Deployment, endpoints: OwnAddress) -> Gateway {
+    let text = settings_text_at("n1", deployment.store.address, endpoints);
     let name = format!("elderworks-logs-{}.json", std::process::id());
     let settings = std::env::temp_dir().join(name);
-    std::fs::write(&settings, text).expect("a folder for temporary files");
+    std::fs::write(&settings, text).expect("the settings file can be written");
     let child = Command::new(env!("CARGO_BIN_EXE_elderworks"))
         .arg("gateway")
         .env(SETTINGS_VARIABLE, &settings)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the program runs");
+        .expect("the gateway starts");
     Gateway(child, settings)
 }
 
-/// Number of lost lines that the log tells of, in all lines up to the first that does.
-fn lost_lines(output: impl Read) -> u64 {
+/// Reads the log up to the first report of dropped lines and returns their number.
+fn dropped_lines(output: impl Read) -> u64 {
     for line in BufReader::new(output).lines() {
-        let line = line.expect("a log of text");
-        let entry: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
+        let line = line.expect("the log is text");
+        let entry: serde_json::Value = serde_json::from_str(&line).expect("each line is JSON");
         let message = entry["message"].as_str().unwrap_or_default();
         if message.starts_with("log lines dropped") {
             return entry["lines"].as_u64().expect("a number");
         }
     }
-    panic!("the log ends without telling what was lost");
+    panic!("the log ends without a report of dropped lines");
 }
 
 #[actix_rt::test]
-async fn a_log_that_nobody_reads_holds_no_request_up() {
+async fn unread_log_output_does_not_block_requests() {
     let deployment = Deployment::start();
     let worker = deployment.worker("tools", "w1", &[Behaviour::Echo]);
-    let own = own_address();
-    let mut gateway = start(&deployment, own);
-    while !answers_ready(SocketAddr::from((own.ip, own.readiness))).await {
-        actix_rt::time::sleep(LOOK).await;
+    let endpoints = local_endpoints();
+    let mut gateway = start(&deployment, endpoints);
+    while !answers_ready(SocketAddr::from((endpoints.ip, endpoints.readiness))).await {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    let callers = SocketAddr::from((own.ip, own.callers));
+    let callers = SocketAddr::from((endpoints.ip, endpoints.callers));
     let mut connection = Connection::open(callers).await;
     for number in 0..REQUESTS {
         let request = Request::new("POST", "/once/x", &format!("r{number}"));
@@ -90,10 +92,13 @@
     }
     assert_eq!(worker.runs().len(), REQUESTS as usize);
     let output = gateway.0.stdout.take().expect("stdout is piped");
-    let reading = std::thread::spawn(move || lost_lines(output));
-    while !reading.is_finished() {
-        actix_rt::time::sleep(LOOK).await;
+    let reader = std::thread::spawn(move || dropped_lines(output));
+    while !reader.is_finished() {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    let lost = reading.join().expect("the log can be read");
-    assert!(lost > 0 && lost < u64::from(REQUESTS), "{lost} lines lost");
+    let dropped = reader.join().expect("the log can be read");
+    assert!(
+        dropped > 0 && dropped < u64::from(REQUESTS),
+        "{dropped} lines dropped"
+    );
 }
--- a/crates/cli/tests/standin.rs
+++ b/crates/cli/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The `elderworks-standin` binary: from a settings file and from flags alone.
+//! The `elderworks-standin` binary, configured by a settings file or by flags alone.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
@@ -6,14 +6,15 @@
 
 use awc::http::StatusCode;
 
-/// Far longer than any of these requests takes.
-const GENEROUS: Duration = Duration::from_secs(20);
+/// Timeout of a request, far longer than any takes.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Child process that is killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Fails only where the process has ended already.
+        // Fails only if the process has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -37,14 +38,14 @@
 }
 
 async fn status(url: &str) -> StatusCode {
-    let client = awc::Client::builder().timeout(GENEROUS).finish();
+    let client = awc::Client::builder().timeout(REQUEST_TIMEOUT).finish();
     client.get(url).send().await.expect("an answer").status()
 }
 
 #[actix_rt::test]
 async fn every_service_starts_from_flags_alone() {
     let listen = ["--listen", "127.0.0.1:0"];
-    let table: [(&[&str], &str); 5] = [
+    let cases: [(&[&str], &str); 5] = [
         (&["log"], "/v1/streams/s/records"),
         (
             &[
@@ -62,7 +63,7 @@
         (&["machines"], "/v1/machines"),
         (&["weights"], "/v1/faults"),
     ];
-    for (arguments, path) in table {
+    for (arguments, path) in cases {
         let (_process, url) = start(&[arguments, &listen].concat());
         assert_eq!(status(&format!("{url}/healthz")).await, StatusCode::OK);
         assert_eq!(
@@ -74,7 +75,7 @@
 }
 
 #[actix_rt::test]
-async fn a_settings_file_sets_a_service_up() {
+async fn settings_file_configures_a_service() {
     let directory = env!("CARGO_TARGET_TMPDIR");
     let file = format!("{directory}/weights.toml");
     let text = "[weights]\nlisten = \"127.0.0.1:0\"\ninterval = \"5s\"\n\
@@ -88,14 +89,14 @@
 }
 
 #[test]
-fn wrong_flags_are_reported() {
-    let table: [&[&str]; 4] = [
+fn invalid_flags_are_reported() {
+    let cases: [&[&str]; 4] = [
         &["nothing"],
         &["log"],
         &["log", "--listen", "here"],
         &["log", "--listen", "127.0.0.1:0", "--set", "lisen=1"],
     ];
-    for arguments in table {
+    for arguments in cases {
         let output = command(arguments)
             .stderr(Stdio::piped())
             .output()
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes over one stand-in log, on loopback.
+//! Nodes and sidecars on loopback that share one stand-in log.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -13,12 +13,13 @@
 use elderworks_standin::log::LogSettings;
 use elderworks_standin::{ServerHandle, listen, log};
 
+/// Loopback address with a port chosen by the system.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Bound on everything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for every condition that a test waits for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A log that nodes can join.
+/// Stand-in log that nodes share.
 pub struct Platform {
     log: ServerHandle,
 }
@@ -30,7 +31,7 @@
         Self { log }
     }
 
-    /// Starts a node and waits until it is ready; `seeds` are gossip addresses of others.
+    /// Starts a node and waits until it is ready; `seeds` are the gossip addresses of other nodes.
     pub async fn node(&self, name: &str, seeds: Vec<SocketAddr>) -> NodeHandle {
         let settings = NodeProcessSettings {
             name: name.into(),
@@ -50,7 +51,7 @@
         let node = elderworks_node::start(&settings)
             .await
             .expect("the node starts");
-        let ready = tokio::time::timeout(PATIENCE, node.ready()).await;
+        let ready = tokio::time::timeout(WAIT_TIMEOUT, node.ready()).await;
         assert_eq!(ready, Ok(true), "{name} is not ready");
         node
     }
@@ -60,10 +61,10 @@
     }
 }
 
-/// The token of the one tenant, `lublin`.
+/// Token of the only tenant, `lublin`.
 const TENANT_TOKEN: &str = "lublin-token";
 
-/// Starts a sidecar that knows one node.
+/// Starts a sidecar that is configured with one node.
 pub fn sidecar(node: &NodeHandle) -> SidecarHandle {
     let settings = SidecarProcessSettings {
         listen: LOOPBACK,
@@ -77,7 +78,7 @@
     elderworks_sidecar::start(settings).expect("the sidecar starts")
 }
 
-/// Starts a run of a program, once the sidecar and the owner are ready for it; returns its id.
+/// Starts a run of a program, retrying until the sidecar and the owner are ready; returns its id.
 pub async fn start_run(sidecar: &SidecarHandle, program: &str) -> String {
     let url = format!("http://{}/v1/runs", sidecar.address());
     let body = serde_json::json!({ "program": program });
@@ -94,16 +95,16 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let started = tokio::time::timeout(PATIENCE, started).await;
+    let started = tokio::time::timeout(WAIT_TIMEOUT, started).await;
     started.expect("the run is started")
 }
 
-/// Base URL of a node's operators' interface.
+/// Returns the base URL of a node's operator interface.
 pub fn url(node: &NodeHandle) -> String {
     format!("http://{}", node.admin_address)
 }
 
-/// A client that asks these servers.
+/// Creates a client of the given servers, separated by commas.
 pub fn client(servers: &str) -> ApiClient {
     ApiClient::new(servers, None)
 }
--- a/crates/cli/tests/verbs.rs
+++ b/crates/cli/tests/verbs.rs
@@ -1,16 +1,16 @@
-//! Operators' verbs against real nodes over a stand-in log.
+//! Operator verbs against real nodes that share a stand-in log.
 
 mod support;
 
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-use elderworks_cli::verbs::watch::{WatchTarget, print_line, watch};
+use elderworks_cli::verbs::watch::{WatchTarget, format_line, watch};
 use elderworks_cli::verbs::{ApiClient, OutputFormat, VerbError, apply, delete, explain, get};
 use elderworks_control::api::Collection;
 use elderworks_control::manifest::from_yaml;
 use elderworks_types::resource::Kind;
-use support::{PATIENCE, Platform, client, sidecar, start_run, url};
+use support::{Platform, WAIT_TIMEOUT, client, sidecar, start_run, url};
 
 const BUDGETS: Collection = Collection::Written(Kind::Budget);
 
@@ -21,7 +21,7 @@
     )
 }
 
-/// Applies one budget; returns what is printed.
+/// Applies one budget; returns the printed line.
 async fn apply_budget(client: &ApiClient, name: &str, limit: u64) -> Result<String, VerbError> {
     let manifests = from_yaml(&budget(name, limit)).expect("a sound budget");
     apply::apply(client, &manifests[0], Duration::ZERO).await
@@ -35,7 +35,7 @@
 }
 
 #[actix_rt::test]
-async fn examples_are_applied_shown_and_kept_from_deletion() {
+async fn examples_are_applied_and_shown_and_used_services_are_not_deleted() {
     let platform = Platform::start();
     let node = platform.node("a", Vec::new()).await;
     let client = client(&url(&node));
@@ -45,11 +45,11 @@
         "services.yaml",
     ];
     let manifests = apply::read_files(&files.map(example)).expect("the examples are sound");
-    for (round, word) in ["created", "unchanged"].into_iter().enumerate() {
+    for (round, status) in ["created", "unchanged"].into_iter().enumerate() {
         for manifest in &manifests {
-            let line = apply::apply(&client, manifest, PATIENCE).await;
+            let line = apply::apply(&client, manifest, WAIT_TIMEOUT).await;
             let line = line.expect("the example is accepted");
-            assert!(line.contains(word), "round {round}: {line}");
+            assert!(line.contains(status), "round {round}: {line}");
         }
     }
 
@@ -61,8 +61,8 @@
         "{table}"
     );
     let yaml = get::get(&client, programs, Some("weekly-menu"), OutputFormat::Yaml).await;
-    let again = from_yaml(&yaml.expect("it exists")).expect("what get prints can be applied");
-    assert_eq!(again[0].resource.metadata.name.as_str(), "weekly-menu");
+    let reparsed = from_yaml(&yaml.expect("it exists")).expect("the output of get can be applied");
+    assert_eq!(reparsed[0].resource.metadata.name.as_str(), "weekly-menu");
 
     let services = Collection::Written(Kind::Service);
     let text = get::describe(&client, services, "drafting").await;
@@ -104,21 +104,21 @@
 }
 
 #[actix_rt::test]
-async fn unreachable_server_is_passed_over() {
+async fn unreachable_server_is_skipped() {
     let platform = Platform::start();
     let node = platform.node("a", Vec::new()).await;
-    let nobody = "http://127.0.0.1:1";
-    let error = apply_budget(&client(nobody), "lublin", 1).await;
-    assert_eq!(error.expect_err("nobody is there").exit_code(), 6);
-    let both = client(&format!("{nobody}, {}", url(&node)));
+    let unreachable = "http://127.0.0.1:1";
+    let error = apply_budget(&client(unreachable), "lublin", 1).await;
+    assert_eq!(error.expect_err("no server listens there").exit_code(), 6);
+    let both = client(&format!("{unreachable}, {}", url(&node)));
     apply_budget(&both, "lublin", 1)
         .await
-        .expect("the second is asked");
+        .expect("the second server is used");
     node.drain().await;
     platform.stop().await;
 }
 
-/// Whether every run is listed and explained.
+/// Returns whether every run is listed and can be explained.
 async fn lists_and_explains(client: &ApiClient, runs: &[String]) -> bool {
     let table = get::get(client, Collection::Runs, None, OutputFormat::Table).await;
     let table = table.expect("some server lists runs");
@@ -131,7 +131,7 @@
 }
 
 #[actix_rt::test]
-async fn runs_are_listed_and_explained_whichever_node_owns_them() {
+async fn runs_of_every_node_are_listed_and_explained() {
     let platform = Platform::start();
     let first = platform.node("a", Vec::new()).await;
     let second = platform.node("b", vec![first.gossip_address]).await;
@@ -139,7 +139,7 @@
     let program = "apiVersion: elderworks/v1\nkind: Program\nmetadata: {name: empty}\n\
                    spec: {services: [], runBudget: 10, maxTurns: 1, maxHistory: 1, maxDuration: 1h}";
     let manifests = from_yaml(program).expect("a sound program");
-    let applied = apply::apply(&both, &manifests[0], PATIENCE).await;
+    let applied = apply::apply(&both, &manifests[0], WAIT_TIMEOUT).await;
     applied.expect("it is accepted");
     let sidecar = sidecar(&first);
     let mut runs = Vec::new();
@@ -147,39 +147,39 @@
         runs.push(start_run(&sidecar, "empty").await);
     }
 
-    // A partition may still be on its way from one node to the other.
-    let all_are_told = async {
+    // A partition may still be moving from one node to the other.
+    let all_are_explained = async {
         while !lists_and_explains(&both, &runs).await {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let told = tokio::time::timeout(PATIENCE, all_are_told).await;
-    told.expect("every run has an owner that tells of it");
+    let result = tokio::time::timeout(WAIT_TIMEOUT, all_are_explained).await;
+    result.expect("every run has an owner that lists and explains it");
     sidecar.stop().await;
     second.drain().await;
     first.drain().await;
     platform.stop().await;
 }
 
-/// Watches until `count` lines were seen; returns their revisions.
+/// Watches budgets until `count` changes were received; returns their revisions.
 async fn watch_budgets(client: &ApiClient, count: usize) -> Vec<u64> {
     let target = WatchTarget::new(Some(BUDGETS), None, Some(0)).expect("budgets are watched");
     let mut revisions = Vec::new();
     let watching = watch(client, &target, |line| {
-        print_line(line, OutputFormat::Json).expect("a line is printed");
+        format_line(line, OutputFormat::Json).expect("a line is printed");
         revisions.push(line.revision);
         match revisions.len() < count {
             true => ControlFlow::Continue(()),
             false => ControlFlow::Break(()),
         }
     });
-    let result = tokio::time::timeout(PATIENCE, watching).await;
+    let result = tokio::time::timeout(WAIT_TIMEOUT, watching).await;
     result.expect("the lines come").expect("the watch goes on");
     revisions
 }
 
 #[actix_rt::test]
-async fn watch_goes_on_at_another_node_without_a_gap() {
+async fn watch_resumes_at_another_node_without_a_gap() {
     const CHANGES: usize = 8;
     let platform = Platform::start();
     let first = platform.node("a", Vec::new()).await;
@@ -210,7 +210,7 @@
 }
 
 #[actix_rt::test]
-async fn watch_without_a_revision_begins_with_what_is_there() {
+async fn watch_without_a_revision_starts_with_existing_resources() {
     let platform = Platform::start();
     let node = platform.node("a", Vec::new()).await;
     let client = client(&url(&node));
@@ -225,7 +225,7 @@
             false => ControlFlow::Break(()),
         }
     });
-    let result = tokio::time::timeout(PATIENCE, watching).await;
+    let result = tokio::time::timeout(WAIT_TIMEOUT, watching).await;
     result.expect("the lines come").expect("the watch goes on");
     assert_eq!(names, ["lublin", "other"]);
     node.drain().await;
