--- a/crates/cli/examples/added_latency.rs
+++ b/crates/cli/examples/added_latency.rs
@@ -324,7 +324,8 @@
         let run = target.run().await?;
         let mut times = Vec::new();
         for call in 0..calls {
-            // Failed calls are excluded from the percentiles; the table shows the number of successful ones.
+            // Failed calls are excluded from the percentiles; the table shows the number of
+            // successful ones.
             match target.call(in_flight, caller, call, run.as_deref()).await {
                 Ok(measured) => times.push(measured),
                 Err(error) => ::log::error!("call failed: {error}"),
@@ -364,8 +365,8 @@
         urls,
         through_sidecar,
     };
-    // Direct calls use engines that the node does not know: a node frees the cache of its engines for
-    // runs that are not live, which would include the runs of direct calls.
+    // Direct calls use engines that the node does not know: a node frees the cache of its engines
+    // for runs that are not live, which would include the runs of direct calls.
     let direct_engines = start_engines()?;
     let direct = target(
         direct_engines.into_iter().map(|(_, url)| url).collect(),
--- a/crates/cli/src/bin/elderworks-standin/main.rs
+++ b/crates/cli/src/bin/elderworks-standin/main.rs
@@ -31,7 +31,7 @@
 
 async fn run(flags: ElderworksStandin) -> eyre::Result<()> {
     let server = start(flags)?;
-    // Tests load_settings the address from this line and wait for it.
+    // Tests read the address from this line and wait for it.
     println!("listening {}", server.address());
     std::io::stdout().flush()?;
     actix_rt::signal::ctrl_c().await?;
--- a/crates/cli/src/demo/caller.rs
+++ b/crates/cli/src/demo/caller.rs
@@ -46,7 +46,8 @@
         Ok(run)
     }
 
-    /// Calls the model with a streamed answer and checks that the chunks add up to the final answer.
+    /// Calls the model with a streamed answer and checks that the chunks add up to the final
+    /// answer.
     pub async fn ask(&self, run: RunId, messages: &[(Role, &str)]) -> eyre::Result<String> {
         let messages = messages
             .iter()
--- a/crates/cli/src/request_log.rs
+++ b/crates/cli/src/request_log.rs
@@ -1,7 +1,7 @@
 //! Explains one request from the log lines of gateway nodes.
 //!
-//! Each line is a JSON object after an optional prefix, whose last word is the name of the node. The
-//! explanation lists the request's outcome and attempts, the lines that its node logged about
+//! Each line is a JSON object after an optional prefix, whose last word is the name of the node.
+//! The explanation lists the request's outcome and attempts, the lines that its node logged about
 //! dependencies and tried workers during the request, other requests of the same program, and a
 //! sentence on the likely cause.
 
--- a/crates/cli/src/verbs/apply.rs
+++ b/crates/cli/src/verbs/apply.rs
@@ -131,8 +131,8 @@
     wanted: &Document,
     error: VerbError,
 ) -> Result<Document, VerbError> {
-    let outcome_is_unknown =
-        matches!(error, VerbError::Broken(_)) || error.code() == Some(ErrorCode::OutcomeUnknown);
+    let outcome_is_unknown = matches!(error, VerbError::ConnectionLost(_))
+        || error.code() == Some(ErrorCode::OutcomeUnknown);
     if !outcome_is_unknown {
         return Err(error);
     }
--- a/crates/cli/src/verbs/client.rs
+++ b/crates/cli/src/verbs/client.rs
@@ -175,7 +175,7 @@
         .body()
         .limit(MAX_ANSWER_BYTES)
         .await
-        .map_err(|error| VerbError::Broken(format!("{server}: {error}")))?;
+        .map_err(|error| VerbError::ConnectionLost(format!("{server}: {error}")))?;
     if response.status().is_success() {
         return Ok(answer.to_vec());
     }
@@ -192,10 +192,10 @@
     match error {
         SendRequestError::Url(_) => VerbError::Usage(message),
         // A disconnect leaves open whether the request was sent.
-        SendRequestError::Connect(ConnectError::Disconnected) => VerbError::Broken(message),
+        SendRequestError::Connect(ConnectError::Disconnected) => VerbError::ConnectionLost(message),
         // No connection was established, so the request was not sent.
         SendRequestError::Connect(_) => VerbError::Unreachable(message),
-        _ => VerbError::Broken(message),
+        _ => VerbError::ConnectionLost(message),
     }
 }
 
--- a/crates/cli/src/verbs/error.rs
+++ b/crates/cli/src/verbs/error.rs
@@ -38,7 +38,7 @@
     Unreachable(String),
     /// The connection failed before the response; whether a change was made is unknown.
     #[error("the connection broke before the answer: {0}")]
-    Broken(String),
+    ConnectionLost(String),
     /// A node sent a response that cannot be parsed.
     #[error("unexpected answer: {0}")]
     Unexpected(String),
@@ -77,14 +77,15 @@
     }
 
     /// Returns the exit code: 1 unexpected error, 2 usage, 3 not found, 4 conflict, 5 invalid
-    /// resource, 6 nothing was changed and a retry may succeed, 7 outcome unknown, 8 not authorized.
+    /// resource, 6 nothing was changed and a retry may succeed, 7 outcome unknown, 8 not
+    /// authorized.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => 2,
             Self::Unreadable { .. } | Self::Unexpected(_) => 1,
             Self::Manifest { .. } => 5,
             Self::Unreachable(_) => 6,
-            Self::Broken(_) => 7,
+            Self::ConnectionLost(_) => 7,
             Self::Api { error } => exit_code_of(error.code),
         }
     }
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -1,4 +1,5 @@
-//! `watch`: streams changes of resources and reconnects after connection failures and node restarts.
+//! `watch`: streams changes of resources and reconnects after connection failures and node
+//! restarts.
 
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -12,8 +13,8 @@
 
 use super::{ApiClient, OutputFormat, VerbError};
 
-/// Time without data after which a connection is considered dead. Nodes send data at lowest every five
-/// seconds.
+/// Time without data after which a connection is considered dead. Nodes send data at least every
+/// five seconds.
 const SILENCE_LIMIT: Duration = Duration::from_secs(15);
 
 /// Initial pause before reconnecting; doubles up to [`MAX_BACKOFF`].
@@ -138,7 +139,8 @@
     target: &WatchTarget,
     sink: &mut impl FnMut(&WatchLine) -> ControlFlow<()>,
 ) -> Result<(u64, ControlFlow<()>), VerbError> {
-    // The lists are read one after the other, so the watch starts after the lowest of their revisions.
+    // The lists are read one after the other, so the watch starts after the lowest of their
+    // revisions.
     let mut revision = None;
     for kind in target.kinds() {
         let list = client.list(Collection::Written(kind)).await?;
@@ -168,7 +170,7 @@
 }
 
 fn is_transient(error: &VerbError) -> bool {
-    matches!(error, VerbError::Broken(_)) || error.is_retryable()
+    matches!(error, VerbError::ConnectionLost(_)) || error.is_retryable()
 }
 
 /// Line reader over a streaming response.
@@ -197,9 +199,13 @@
                     .map_err(|error| VerbError::Unexpected(error.to_string()));
             }
             match timeout(SILENCE_LIMIT, self.response.next()).await {
-                Err(_) => return Err(VerbError::Broken("no data received in time".to_owned())),
+                Err(_) => {
+                    return Err(VerbError::ConnectionLost(
+                        "no data received in time".to_owned(),
+                    ));
+                }
                 Ok(None) => return Ok(None),
-                Ok(Some(Err(error))) => return Err(VerbError::Broken(error.to_string())),
+                Ok(Some(Err(error))) => return Err(VerbError::ConnectionLost(error.to_string())),
                 Ok(Some(Ok(piece))) => self.push(&piece)?,
             }
         }
@@ -224,7 +230,8 @@
 /// Formats one change.
 pub fn format_line(line: &WatchLine, format: OutputFormat) -> Result<String, VerbError> {
     if format == OutputFormat::Json {
-        // Compact JSON keeps each change on one line, so that programs can parse the stream by lines.
+        // Compact JSON keeps each change on one line, so that programs can parse the stream by
+        // lines.
         return serde_json::to_string(line)
             .map_err(|error| VerbError::Unexpected(error.to_string()));
     }
--- a/crates/cli/tests/explain_request.rs
+++ b/crates/cli/tests/explain_request.rs
@@ -2,6 +2,7 @@
 
 use elderworks_cli::request_log::explain_text;
 
+/// Log of two nodes around a turn that was refused during a log failure.
 const REFUSED: &str = r#"
   1.0347 edge-a-2 {"at":5,"error":"the log refused the call: append: 503","level":"WARN","message":"append to the ledger failed","partition":1,"time":"2026-05-11T23:31:44.034Z"}
   1.1000 edge-a-9 {"at":5,"error":"another node's","level":"WARN","message":"append to the ledger failed","partition":7,"time":"2026-05-11T23:31:44.100Z"}
@@ -10,7 +11,8 @@
   3.0000 edge-a-1 {"config":4,"finish_ms":700,"first_ms":30,"leave_ms":2,"level":"INFO","message":"answered","ms":300,"program":"p1","request":"r2","route":"r","session":"s","status":200,"time":"2026-05-11T23:31:46.000Z","whole":true,"workers":"w1"}
 "#;
 
-const BROKEN: &str = r#"
+/// Log of a node with a refused request and one that has no completion line.
+const INCOMPLETE: &str = r#"
 {"level":"INFO","message":"attempt failed","ms":4,"reason":"refused with 503","request":"r5","time":"2026-05-11T23:31:48.000Z","worker":"w1"}
 {"level":"INFO","message":"worker changed","draining":true,"offset":3,"service":"s","time":"2026-05-11T23:31:48.010Z","worker":"w1"}
 {"level":"INFO","message":"worker changed","draining":true,"offset":4,"service":"s","time":"2026-05-11T23:31:48.010Z","worker":"w7"}
@@ -38,7 +40,7 @@
 
 #[test]
 fn attempts_and_tried_workers_are_listed() {
-    let report = explain_text("r5", BROKEN).expect("an explanation");
+    let report = explain_text("r5", INCOMPLETE).expect("an explanation");
     for expected in [
         "attempt failed: ms=4 reason=refused with 503",
         "worker changed: draining=true offset=3 service=s worker=w1",
@@ -54,9 +56,9 @@
 
 #[test]
 fn incomplete_and_unknown_requests_are_reported() {
-    let incomplete = explain_text("r6", BROKEN).expect("the log mentions the request");
+    let incomplete = explain_text("r6", INCOMPLETE).expect("the log mentions the request");
     assert!(incomplete.contains("no end line"), "{incomplete}");
-    let unknown = explain_text("r9", BROKEN).expect_err("the log does not mention the request");
+    let unknown = explain_text("r9", INCOMPLETE).expect_err("the log does not mention the request");
     assert!(
         unknown
             .to_string()
@@ -64,6 +66,7 @@
     );
 }
 
+/// Log of a node with requests refused for an unproven key and an exhausted quota.
 const KEYS: &str = r#"
 {"level":"WARN","message":"stream cannot be read","stream":"Configuration","error":"no answer","time":"2026-05-11T23:31:47.000Z"}
 {"config":4,"finish_ms":900,"first_ms":-1,"leave_ms":-1,"level":"WARN","message":"the key may have been taken away: the configuration here is too old to tell","ms":0,"program":"p","proof_ms":-1,"request":"r7","route":"r","session":"","status":503,"tenant":"","time":"2026-05-11T23:31:48.020Z","whole":true,"workers":""}
@@ -71,6 +74,7 @@
 {"config":4,"finish_ms":900,"first_ms":-1,"leave_ms":-1,"level":"INFO","message":"the tenant's quota is used up","ms":0,"program":"p","proof_ms":310,"request":"r8","route":"r","session":"","status":429,"tenant":"acme","time":"2026-05-11T23:31:49.000Z","whole":true,"workers":""}
 "#;
 
+/// Log of a node with requests for unknown routes and one with an unknown outcome.
 const ROUTES: &str = r#"
 {"config":4,"config_read_ms":5221,"finish_ms":-1,"first_ms":-1,"leave_ms":-1,"level":"WARN","message":"no such route is known here, and it may be new: the configuration is too old to tell","ms":0,"program":"","request":"r10","route":"","session":"","status":503,"time":"2026-05-11T23:31:48.020Z","whole":true,"workers":""}
 {"config":4,"config_read_ms":90,"finish_ms":-1,"first_ms":-1,"leave_ms":-1,"level":"INFO","message":"no such route","ms":0,"program":"","request":"r11","route":"","session":"","status":404,"time":"2026-05-11T23:31:49.020Z","whole":true,"workers":""}
--- a/crates/cli/tests/gateway_logs.rs
+++ b/crates/cli/tests/gateway_logs.rs
@@ -1,5 +1,5 @@
-//! A gateway whose log output is not read keeps serving, and logs the number of dropped lines once it is
-//! read again.
+//! A gateway whose log output is not read keeps serving, and logs the number of dropped lines once
+//! it is read again.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 mod standin;
@@ -22,8 +22,8 @@
 /// Interval at which conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Returns ports at a loopback address derived from the process id, so that concurrent test processes
-/// do not collide.
+/// Returns ports at a loopback address derived from the process id, so that concurrent test
+/// processes do not collide.
 fn local_endpoints() -> OwnAddress {
     let process = std::process::id().to_be_bytes();
     OwnAddress {
--- a/crates/cli/tests/processes/caller.rs
+++ b/crates/cli/tests/processes/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that repeats a request when it is told that it was not run.
+//! Caller that repeats a request if the error says that it did not run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,15 +7,15 @@
 use awc::http::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::fleet::{LOOK_INTERVAL, PATIENCE};
+use crate::fleet::{POLL_INTERVAL, WAIT_TIMEOUT};
 
-/// Errors after which the same request, with the same number, may be sent again.
-const HARMLESS_TO_REPEAT: [&str; 2] = ["no_answer_from_node", "attempts_exhausted"];
+/// Error codes after which the same request may be sent again with the same call number.
+const REPEATABLE_CODES: [&str; 2] = ["no_answer_from_node", "attempts_exhausted"];
 
-/// Errors after which a submission may have been made, and will not be made again.
-const UNKNOWN_OUTCOMES: [&str; 3] = ["owner_lost", "connection_lost", "no_answer"];
+/// Error codes after which it is unknown whether a call ran. The system does not run it again.
+const UNKNOWN_OUTCOME_CODES: [&str; 3] = ["owner_lost", "connection_lost", "no_answer"];
 
-/// A caller of one sidecar.
+/// Caller that sends its requests to one sidecar.
 #[derive(Clone)]
 pub struct Caller {
     sidecar: String,
@@ -25,29 +25,30 @@
 }
 
 impl Caller {
-    /// A caller with its tenant's token.
+    /// Creates a caller with the token of its tenant.
     pub fn new(sidecar: String, token: &'static str) -> Self {
         Self {
             sidecar,
             token,
-            client: awc::Client::builder().timeout(PATIENCE).finish(),
+            client: awc::Client::builder().timeout(WAIT_TIMEOUT).finish(),
             repeats: Rc::default(),
         }
     }
 
-    /// How many requests were not answered at once and were sent again.
+    /// Returns how often a request was sent again.
     pub fn repeats(&self) -> usize {
         self.repeats.get()
     }
 
-    /// Starts a run with a budget in credits, or with its program's.
+    /// Starts a run and returns its id. `budget` is in credits; `null` selects the program's
+    /// budget.
     pub async fn start_run(&self, program: &str, budget: Value) -> String {
         let body = json!({ "program": program, "budget": budget });
         let reply = self.send(Method::POST, "/v1/runs", Some(body)).await;
         reply["id"].as_str().expect("an id").to_owned()
     }
 
-    /// Asks the model; returns its answer.
+    /// Calls the model; returns its answer.
     pub async fn ask(&self, run: &str, number: u32, question: &str) -> String {
         let message = json!({ "role": "user", "content": question });
         let model = json!({ "name": "drafting-8b", "messages": [message], "max_output": 64 });
@@ -55,7 +56,7 @@
         self.call(run, body).await
     }
 
-    /// Asks the model once; any error fails the test.
+    /// Calls the model without repeating the request; any error fails the test.
     pub async fn ask_without_repeating(&self, run: &str, number: u32, question: &str) -> String {
         let message = json!({ "role": "user", "content": question });
         let model = json!({ "name": "drafting-8b", "messages": [message], "max_output": 160 });
@@ -66,15 +67,15 @@
         reply["content"].as_str().expect("an answer").to_owned()
     }
 
-    /// Uses a tool that may be asked twice; returns its result.
+    /// Calls a tool that may run more than once; returns its result.
     pub async fn look_up(&self, run: &str, number: u32, tool: &str, marker: &str) -> String {
         let tool = json!({ "name": tool, "arguments": { "marker": marker } });
         let body = json!({ "number": number, "tool": tool, "repeatable": true });
         self.call(run, body).await
     }
 
-    /// Uses a tool that must run at most once; returns its result, or the code that says that it
-    /// may have run.
+    /// Calls a tool that must run at most once; returns its result, or the error code if it is
+    /// unknown whether it ran.
     pub async fn submit(
         &self,
         run: &str,
@@ -96,7 +97,7 @@
         reply["content"].as_str().expect("an answer").to_owned()
     }
 
-    /// Reads a run's history as `(role, content)`.
+    /// Returns a run's history as pairs of role and content.
     pub async fn history(&self, run: &str) -> Vec<(String, String)> {
         let path = format!("/v1/runs/{run}/history");
         let reply = self.send(Method::GET, &path, None).await;
@@ -111,29 +112,29 @@
             .collect()
     }
 
-    /// Reads the budget of a run.
+    /// Returns the budget of a run, in credits.
     pub async fn budget(&self, run: &str) -> u64 {
         let path = format!("/v1/runs/{run}");
         let reply = self.send(Method::GET, &path, None).await;
         reply["budget"].as_u64().expect("a budget")
     }
 
-    /// Ends a run; returns its phase.
+    /// Ends a run; returns its new phase.
     pub async fn end_run(&self, run: &str) -> String {
         let path = format!("/v1/runs/{run}");
         let reply = self.send(Method::DELETE, &path, None).await;
         reply["phase"].as_str().expect("a phase").to_owned()
     }
 
-    /// Sends a request until it is answered.
+    /// Sends a request until it succeeds; any other outcome fails the test.
     pub async fn send(&self, method: Method, path: &str, body: Option<Value>) -> Value {
         let reply = self.try_send(method, path, body).await;
         reply.unwrap_or_else(|code| panic!("{path}: {code}"))
     }
 
-    /// Sends a request until it is answered, or until it is told that its outcome cannot be known;
-    /// returns the code then. It is repeated only where the error says that it was not run, or
-    /// that repeating it is harmless.
+    /// Sends a request until it succeeds, or returns the error code if its outcome is unknown.
+    /// Repeats it only if the error says that it did not run or its code is in
+    /// [`REPEATABLE_CODES`].
     async fn try_send(
         &self,
         method: Method,
@@ -148,34 +149,34 @@
             }
             let error = &reply["error"];
             let code = error["code"].as_str().expect("a code");
-            if UNKNOWN_OUTCOMES.contains(&code) {
+            if UNKNOWN_OUTCOME_CODES.contains(&code) {
                 return Err(code.to_owned());
             }
-            let may_repeat = error["run"] == "no" || HARMLESS_TO_REPEAT.contains(&code);
+            let may_repeat = error["run"] == "no" || REPEATABLE_CODES.contains(&code);
             assert!(
-                may_repeat && started.elapsed() < PATIENCE,
+                may_repeat && started.elapsed() < WAIT_TIMEOUT,
                 "{method} {path}: {status}: {reply}"
             );
             println!("repeated: {method} {path}: {reply}");
             self.repeats.set(self.repeats.get() + 1);
-            actix_rt::time::sleep(LOOK_INTERVAL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Posts a call with a streamed answer; returns its events in order, by name.
+    /// Sends a call with a streamed answer; returns the name and data of its events in order.
     pub async fn stream(&self, path: &str, body: &Value) -> Vec<(String, Value)> {
         let request = self.client.post(format!("{}{path}", self.sidecar));
         let sending = request
             .insert_header(("authorization", format!("Bearer {}", self.token)))
             .send_json(body);
         let mut response = sending.await.expect("the sidecar answers");
-        let bytes = response.body().await.expect("a whole body");
+        let bytes = response.body().await.expect("the body is complete");
         let text = String::from_utf8(bytes.to_vec()).expect("text");
         assert!(response.status().is_success(), "{path}: {text}");
         text.split_terminator("\n\n").map(event).collect()
     }
 
-    /// Sends a request once and gives its answer, whatever it says.
+    /// Sends a request once and returns the status and body of the response.
     pub async fn send_once(
         &self,
         method: Method,
@@ -191,13 +192,13 @@
             None => request.send(),
         };
         let mut response = sending.await.expect("the sidecar answers");
-        let bytes = response.body().await.expect("a whole body");
+        let bytes = response.body().await.expect("the body is complete");
         let reply = serde_json::from_slice(&bytes).expect("JSON");
         (response.status(), reply)
     }
 }
 
-/// Name and data of a server-sent event.
+/// Parses a server-sent event into its name and data.
 fn event(text: &str) -> (String, Value) {
     let field = |name: &str| {
         let found = text.lines().find_map(|line| line.strip_prefix(name));
--- a/crates/cli/tests/processes/child.rs
+++ b/crates/cli/tests/processes/child.rs
@@ -1,4 +1,4 @@
-//! One process of the system.
+//! Child processes of the system.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,16 +6,16 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Instant;
 
-use crate::fleet::{LOOK_INTERVAL, PATIENCE};
+use crate::fleet::{POLL_INTERVAL, WAIT_TIMEOUT};
 
-/// A running process; killed when dropped.
+/// Running child process; killed when dropped.
 pub struct Process {
     child: Child,
     addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
-    /// Starts a program and waits for the line in which it says where it listens.
+    /// Starts a program and reads the line in which it prints its listening addresses.
     pub fn start(program: &Path, arguments: &[String]) -> Self {
         let mut child = Command::new(program)
             .args(arguments)
@@ -36,37 +36,37 @@
         Self { child, addresses }
     }
 
-    /// The address that the process announced under a name.
+    /// Returns the address that the process printed under a name.
     pub fn address(&self, name: &str) -> SocketAddr {
         let found = self.addresses.iter().find(|(known, _)| known == name);
         found.unwrap_or_else(|| panic!("no {name} address")).1
     }
 
-    /// Where it listens.
+    /// Returns the main listening address.
     pub fn listening(&self) -> SocketAddr {
         self.address("listening")
     }
 
-    /// Ends it by SIGTERM, and checks that it ends well.
+    /// Stops the process by SIGTERM and checks that it exits successfully.
     pub async fn stop(mut self) {
         self.signal("-TERM");
-        self.wait_for_end().await;
+        self.wait_for_exit().await;
     }
 
-    /// Waits until it ends, and checks that it ends well.
-    pub async fn wait_for_end(&mut self) {
+    /// Waits until the process exits and checks that it exits successfully.
+    pub async fn wait_for_exit(&mut self) {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             if let Some(status) = self.status() {
                 assert!(status.success(), "{status}");
                 return;
             }
-            actix_rt::time::sleep(LOOK_INTERVAL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         panic!("the process did not stop");
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         self.status().is_none()
     }
@@ -75,14 +75,14 @@
         self.child.try_wait().expect("the process is our child")
     }
 
-    /// Sends it a signal, named as `kill` takes it.
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([signal, &pid]).status();
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Ends it by SIGKILL.
+    /// Kills the process by SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().expect("the process was running");
         self.child.wait().expect("the process is our child");
@@ -91,23 +91,23 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have been killed already.
+        // Fails if the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The `elderworks` binary.
+/// Returns the path of the `elderworks` binary.
 pub fn elderworks() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_elderworks"))
 }
 
-/// The `elderworks-standin` binary.
+/// Returns the path of the `elderworks-standin` binary.
 pub fn standin() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_elderworks-standin"))
 }
 
-/// A file under `examples/`.
+/// Returns the path of a file under `examples/`.
 pub fn example(path: &str) -> PathBuf {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     examples.join(path)
--- a/crates/cli/tests/processes/faults.rs
+++ b/crates/cli/tests/processes/faults.rs
@@ -1,42 +1,43 @@
-//! Faults that tests bring about in processes of the system.
+//! Faults that tests inject into processes of the system.
 
 use std::time::Instant;
 
 use serde_json::{Value, json};
 
 use crate::child::Process;
-use crate::fleet::{Fleet, PATIENCE, start_sidecar};
+use crate::fleet::{Fleet, WAIT_TIMEOUT, start_sidecar};
 
-/// A node that is stopped by SIGSTOP.
+/// Node that is paused by SIGSTOP.
 pub struct PausedNode {
     name: String,
     process: Process,
 }
 
 impl Fleet {
-    /// Replaces the faults of the log.
+    /// Sets the faults of the log, replacing all earlier ones.
     pub async fn set_log_faults(&self, faults: &Value) {
         self.set_faults(&self.log, faults).await;
     }
 
-    /// Says whether an engine is being taken away.
+    /// Sets whether an engine reports that it is leaving.
     pub async fn set_engine_leaving(&self, index: usize, leave: bool) {
         let faults = json!({ "leave": leave });
         self.set_faults(&self.engines[index], &faults).await;
     }
 
+    /// Sets the faults of a stand-in.
     async fn set_faults(&self, service: &Process, faults: &Value) {
         let url = format!("http://{}/v1/faults", service.listening());
         let response = self.client.put(url).send_json(faults).await;
         assert!(response.expect("faults answer").status().is_success());
     }
 
-    /// Ends an engine by SIGKILL.
+    /// Kills an engine by SIGKILL.
     pub fn kill_engine(&mut self, index: usize) {
         self.engines[index].kill();
     }
 
-    /// How many answers an engine is generating, as it says.
+    /// Returns the number of answers that an engine reports to be generating.
     pub async fn engine_running(&self, index: usize) -> usize {
         let engine = self.engines[index].listening();
         let load = self.get(&format!("http://{engine}/v1/load")).await;
@@ -44,7 +45,7 @@
         usize::try_from(running).expect("a small number")
     }
 
-    /// How often an engine stored blocks in its cache, which it does for every new prompt.
+    /// Returns how often an engine stored blocks in its cache, which happens for every new prompt.
     pub async fn engine_stores(&self, index: usize) -> usize {
         let engine = self.engines[index].listening();
         let (mut last, mut stores) = (0, 0);
@@ -61,22 +62,22 @@
         }
     }
 
-    /// Waits until the tool has begun something, so that programs are in the midst of their calls.
+    /// Waits until the tool has started an invocation, so that programs have calls in progress.
     pub async fn wait_for_execution(&self) {
         let started = Instant::now();
         while self.executions().await.is_empty() {
-            assert!(started.elapsed() < PATIENCE, "the tool was never used");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the tool was never used");
         }
     }
 
-    /// Sends a node SIGTERM and does not wait for its end.
-    pub fn start_to_stop_node(&mut self, name: &str) -> Process {
+    /// Sends SIGTERM to a node and returns without waiting for its exit.
+    pub fn send_stop_signal(&mut self, name: &str) -> Process {
         let process = self.nodes.remove(name).expect("the node was running");
         process.signal("-TERM");
         process
     }
 
-    /// Stops a node by SIGSTOP.
+    /// Pauses a node by SIGSTOP.
     pub fn pause_node(&mut self, name: &str) -> PausedNode {
         let process = self.nodes.remove(name).expect("the node was running");
         process.signal("-STOP");
@@ -86,14 +87,14 @@
         }
     }
 
-    /// Lets a paused node go on.
-    pub fn wake_node(&mut self, node: PausedNode) {
+    /// Resumes a paused node by SIGCONT.
+    pub fn resume_node(&mut self, node: PausedNode) {
         node.process.signal("-CONT");
         self.nodes.insert(node.name, node.process);
     }
 
-    /// Starts a sidecar that knows only one node and waits until it is connected; returns its
-    /// index.
+    /// Starts a sidecar that is configured with one node only and waits until it is ready; returns
+    /// its index.
     pub async fn start_sidecar_of(&mut self, node: &str) -> usize {
         let process = self.nodes.remove(node).expect("the node was running");
         let only = [(node.to_owned(), process)].into();
--- a/crates/cli/tests/processes/fleet.rs
+++ b/crates/cli/tests/processes/fleet.rs
@@ -1,4 +1,5 @@
-//! Log, machine list, tool, three engines, three nodes in three zones and two sidecars.
+//! A complete system: log, machine list, tool, three engines, three nodes in three zones and two
+//! sidecars.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,22 +13,23 @@
 
 use crate::child::{Process, elderworks, example, standin};
 
+/// Suffixes of the names of zones, nodes and engines.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Generous bound of every wait.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout for every condition that a test waits for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time between two looks at a condition.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which conditions are polled.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Any free port.
+/// Loopback address with a port chosen by the system.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Both tenants with the tokens of the example settings.
+/// Sidecar setting with both tenants and their tokens, as in the example settings.
 const TENANTS: &str =
     r#"tenants={ lublin = "lublin-example-token", ulaanbaatar = "ulaanbaatar-example-token" }"#;
 
-/// Every process of the system.
+/// All processes of the system.
 pub struct Fleet {
     pub(super) nodes: BTreeMap<String, Process>,
     pub(super) sidecars: Vec<Process>,
@@ -39,16 +41,16 @@
 }
 
 impl Fleet {
-    /// Starts all processes, applies the example resources and waits until callers can be served.
+    /// Starts all processes, applies the example resources and waits until the system is ready.
     pub async fn start() -> Self {
         Self::start_with_tool(&[]).await
     }
 
-    /// The same with changed settings of the tool.
-    pub async fn start_with_tool(changes: &[&str]) -> Self {
+    /// Does the same as [`Fleet::start`], with overridden settings of the tool.
+    pub async fn start_with_tool(overrides: &[&str]) -> Self {
         let log = start_standin("log", "platform/log.toml", &[]);
         let machines = start_standin("machines", "platform/machines.toml", &["nodes=[]"]);
-        let tool = start_standin("tool", "platform/tool.toml", changes);
+        let tool = start_standin("tool", "platform/tool.toml", overrides);
         let engines = ZONES
             .map(|zone| start_standin("engine", &format!("platform/engine-{zone}.toml"), &[]))
             .into();
@@ -73,54 +75,54 @@
         fleet
     }
 
-    /// Base URL of a sidecar.
+    /// Returns the base URL of a sidecar.
     pub fn sidecar_url(&self, index: usize) -> String {
         format!("http://{}", self.sidecars[index].listening())
     }
 
-    /// Names of the nodes that are running.
+    /// Returns the names of the running nodes.
     pub fn node_names(&self) -> Vec<String> {
         self.nodes.keys().cloned().collect()
     }
 
-    /// Ends a node by SIGKILL.
+    /// Kills a node by SIGKILL.
     pub fn kill_node(&mut self, name: &str) {
         let mut node = self.nodes.remove(name).expect("the node was running");
         node.kill();
     }
 
-    /// The node that owns a run, as the nodes themselves say.
+    /// Returns the name of the node that owns a run, according to the nodes.
     pub async fn owner(&self, run: &str) -> String {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             for (name, node) in &self.nodes {
                 let url = format!("http://{}/apis/v1/runs/{run}", node.address("admin"));
                 if self.is_ok(&url).await {
                     return name.clone();
                 }
             }
-            actix_rt::time::sleep(LOOK_INTERVAL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         panic!("no node owns {run}");
     }
 
-    /// Stops a node by SIGTERM and waits for its end.
+    /// Stops a node by SIGTERM and waits until it exits.
     pub async fn stop_node(&mut self, name: &str) {
         let node = self.nodes.remove(name).expect("the node was running");
         node.stop().await;
     }
 
-    /// Stops a sidecar by SIGTERM and waits for its end.
+    /// Stops a sidecar by SIGTERM and waits until it exits.
     pub async fn stop_sidecar(&mut self, index: usize) {
         self.sidecars.remove(index).stop().await;
     }
 
-    /// Waits until a run's owner has a call of it that is not ended.
+    /// Waits until the first call of a run is open.
     pub async fn wait_for_open_call(&self, run: &str) {
         let admin = self.nodes[&self.owner(run).await].address("admin");
         let url = format!("http://{admin}/apis/v1/runs/{run}");
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             let report = self.get(&url).await;
             if report["status"]["calls"][0]["outcome"] == "open" {
                 return;
@@ -129,13 +131,14 @@
         panic!("{run} has no open call");
     }
 
+    /// Fetches a JSON document.
     pub(super) async fn get(&self, url: &str) -> Value {
         let mut response = self.client.get(url).send().await.expect("an answer");
-        let body = response.body().await.expect("a whole body");
+        let body = response.body().await.expect("the body is complete");
         serde_json::from_slice(&body).expect("JSON")
     }
 
-    /// How often the tool ran for each tool and marker.
+    /// Returns the number of invocations by tool and marker.
     pub async fn executions(&self) -> BTreeMap<(String, String), usize> {
         let url = format!("http://{}/v1/invocations", self.tool.listening());
         let listed = self.get(&url).await;
@@ -149,6 +152,7 @@
         counts
     }
 
+    /// Writes the nodes and their addresses to the machine list.
     async fn list_machines(&self) {
         let machine = |(name, node): (&String, &Process)| NodeMachine {
             id: NodeId::new(name),
@@ -162,7 +166,12 @@
         };
         let url = format!("http://{}/v1/machines", self.machines.listening());
         let response = self.client.put(url).send_json(&list).await;
-        assert!(response.expect("the list answers").status().is_success());
+        assert!(
+            response
+                .expect("the machine list responds")
+                .status()
+                .is_success()
+        );
     }
 
     async fn wait_until_ready(&self) {
@@ -177,6 +186,7 @@
         }
     }
 
+    /// Waits until every node knows the applied programs.
     async fn wait_for_programs(&self) {
         for node in self.nodes.values() {
             for program in ["boundary-correction", "weekly-menu"] {
@@ -187,13 +197,14 @@
         }
     }
 
+    /// Waits until a URL responds with success.
     pub(super) async fn wait_for(&self, url: &str) {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             if self.is_ok(url).await {
                 return;
             }
-            actix_rt::time::sleep(LOOK_INTERVAL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{url} did not become ready");
     }
@@ -203,6 +214,7 @@
         response.is_ok_and(|response| response.status().is_success())
     }
 
+    /// Applies the example resources with `elderworks apply`.
     fn apply_resources(&self) {
         let admin = self.nodes["node-a"].address("admin");
         for name in ["services", "boundary-correction", "weekly-menu"] {
@@ -216,7 +228,8 @@
         }
     }
 
-    /// A copy of an example resource file with the present addresses of the back ends.
+    /// Copies an example resource file with the fixed addresses replaced by those of the running
+    /// back ends; returns the path of the copy.
     fn with_real_addresses(&self, name: &str) -> PathBuf {
         let path = example(&format!("resources/{name}.yaml"));
         let mut text = std::fs::read_to_string(path).expect("the example is there");
@@ -226,7 +239,7 @@
         }
         text = text.replace("127.0.0.1:7600", &self.tool.listening().to_string());
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-        // Fleets of several tests run at the same time; the log's port tells them apart.
+        // Tests run concurrently; the log's port makes the file name unique.
         let fleet = self.log.listening().port();
         let copy = directory.join(format!("{name}-{fleet}.yaml"));
         std::fs::write(&copy, text).expect("the directory is writable");
@@ -234,18 +247,19 @@
     }
 }
 
-fn set(arguments: &mut Vec<String>, changes: &[&str]) {
-    for change in changes {
+/// Adds setting overrides to command line arguments.
+fn add_overrides(arguments: &mut Vec<String>, overrides: &[&str]) {
+    for change in overrides {
         arguments.extend(["--set".to_owned(), (*change).to_owned()]);
     }
 }
 
-fn start_standin(service: &str, file: &str, changes: &[&str]) -> Process {
+fn start_standin(service: &str, file: &str, overrides: &[&str]) -> Process {
     let file = example(file).display().to_string();
     let mut arguments: Vec<String> = [service, "--settings", &file, "--listen", ANY_PORT]
         .map(str::to_owned)
         .into();
-    set(&mut arguments, changes);
+    add_overrides(&mut arguments, overrides);
     Process::start(&standin(), &arguments)
 }
 
@@ -257,7 +271,7 @@
             .map(|node| format!("{:?}", node.address("gossip").to_string()))
             .collect();
         let mut arguments = vec!["node".to_owned()];
-        let changes = [
+        let overrides = [
             format!("listen={ANY_PORT}"),
             format!("gossip={ANY_PORT}"),
             format!("admin={ANY_PORT}"),
@@ -265,7 +279,7 @@
             format!("log_url=http://{}", log.listening()),
             format!("machines_url=http://{}", machines.listening()),
         ];
-        set(&mut arguments, &changes.each_ref().map(String::as_str));
+        add_overrides(&mut arguments, &overrides.each_ref().map(String::as_str));
         let file = example(&format!("nodes/node-{zone}.toml"));
         arguments.push(file.display().to_string());
         let node = Process::start(&elderworks(), &arguments);
@@ -282,7 +296,7 @@
     let mut arguments = vec!["sidecar".to_owned()];
     let listen = format!("listen={ANY_PORT}");
     let known = format!("nodes=[{}]", known.join(","));
-    set(&mut arguments, &[&listen, &known, TENANTS]);
+    add_overrides(&mut arguments, &[&listen, &known, TENANTS]);
     arguments.push(example(file).display().to_string());
     Process::start(&elderworks(), &arguments)
 }
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! The whole system as separate processes, started from the files under `examples/`.
+//! Tests of the complete system as separate processes, started from the files under `examples/`.
 
 mod caller;
 mod child;
--- a/crates/cli/tests/processes/outages.rs
+++ b/crates/cli/tests/processes/outages.rs
@@ -1,4 +1,4 @@
-//! The platform's log is down for a while, or its answers are lost.
+//! Behaviour while the platform's log is down or its responses are lost.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,58 +11,62 @@
 use serde_json::{Value, json};
 
 use crate::caller::Caller;
-use crate::fleet::{Fleet, LOOK_INTERVAL, PATIENCE};
+use crate::fleet::{Fleet, POLL_INTERVAL, WAIT_TIMEOUT};
 use crate::programs::{
     DEPLOYMENTS, LUBLIN_TOKEN, PROGRAMS, Program, RUN_BUDGET, check_histories, check_submissions,
     start_programs,
 };
 
-/// Runs that are used to find out whether the nodes have noticed the outage, one call each.
-const NOTICING_RUNS: usize = 48;
+/// Number of runs that each make one call to find out whether the nodes have detected the outage.
+const DETECTION_RUNS: usize = 48;
 
-/// Runs whose calls must be refused.
+/// Number of runs whose calls must be refused.
 const REFUSED_RUNS: usize = 12;
 
-/// A tool that no program submits by.
+/// Tool that no program uses for its submission.
 const TOOL: &str = "cadastre-lookup";
 
-/// Of a thousand appends, so many take effect without an answer.
-const LOST_ANSWERS_PER_MILLE: u16 = 200;
+/// Appends per thousand that take effect without a response.
+const LOST_RESPONSES_PER_MILLE: u16 = 200;
 
 #[actix_rt::test]
 async fn an_outage_of_the_log_refuses_calls_at_once_and_loses_nothing() {
     let fleet = Fleet::start().await;
     let mut programs = start_programs(&fleet).await;
     let caller = Caller::new(fleet.sidecar_url(0), LUBLIN_TOKEN);
-    let noticing = start_runs(&caller, NOTICING_RUNS).await;
+    let detecting = start_runs(&caller, DETECTION_RUNS).await;
     let refused = start_runs(&caller, REFUSED_RUNS).await;
-    let playing = join_all(programs.iter_mut().map(Program::all_turns));
+    let running = join_all(programs.iter_mut().map(Program::all_turns));
     let outage = async {
         fleet.wait_for_execution().await;
         fleet.set_log_faults(&json!({ "down": true })).await;
-        let early = call_until_noticed(&fleet, &caller, &noticing).await;
+        let early = call_until_detected(&fleet, &caller, &detecting).await;
         check_refusals(&caller, &refused).await;
         let submitted = submissions(&fleet).await;
-        assert!(submitted < 2 * PROGRAMS, "the outage came too late");
+        assert!(
+            submitted < 2 * PROGRAMS,
+            "all submissions were made before the outage"
+        );
         fleet.set_log_faults(&json!({})).await;
         early
     };
-    let (_, early) = join(playing, outage).await;
+    let (_, early) = join(running, outage).await;
     check_early_calls(&fleet, early).await;
     check_programs(&fleet, &programs).await;
     check_refused_runs(&fleet, &caller, &refused).await;
 }
 
 #[actix_rt::test]
-async fn programs_complete_although_the_log_loses_answers() {
+async fn programs_complete_while_the_log_loses_responses() {
     let fleet = Fleet::start().await;
-    let faults = json!({ "lose_answers_per_mille": LOST_ANSWERS_PER_MILLE });
+    let faults = json!({ "lose_answers_per_mille": LOST_RESPONSES_PER_MILLE });
     fleet.set_log_faults(&faults).await;
     let mut programs = start_programs(&fleet).await;
     join_all(programs.iter_mut().map(Program::all_turns)).await;
     check_programs(&fleet, &programs).await;
 }
 
+/// Checks that every program completed with its submission made exactly once.
 async fn check_programs(fleet: &Fleet, programs: &[Program]) {
     check_histories(fleet, programs).await;
     assert!(programs.iter().all(|program| program.is_submitted));
@@ -74,7 +78,8 @@
     join_all(starting).await
 }
 
-/// Uses a tool that must run at most once, as the first call of a run.
+/// Calls a tool that must run at most once, as the first call of a run, without repeating the
+/// request.
 async fn submit_once(caller: &Caller, run: &str) -> (StatusCode, Value) {
     let tool = json!({ "name": TOOL, "arguments": { "marker": run } });
     let body = json!({ "number": 1, "tool": tool });
@@ -82,49 +87,53 @@
     caller.send_once(Method::POST, &path, Some(&body)).await
 }
 
-/// A call that was made as the outage began.
+/// Call made before every node had detected the outage.
 struct EarlyCall {
     run: String,
     answering: JoinHandle<(StatusCode, Value)>,
 }
 
-/// Calls until each node has refused one. A call made before its node noticed is not answered
-/// before the outage ends, so none is waited for here.
-async fn call_until_noticed(fleet: &Fleet, caller: &Caller, runs: &[String]) -> Vec<EarlyCall> {
-    let noticed = Rc::new(RefCell::new(BTreeSet::new()));
+/// Makes calls until each node has refused one. Does not wait for the calls, since one made before
+/// its node detected the outage is not answered until the outage ends.
+async fn call_until_detected(fleet: &Fleet, caller: &Caller, runs: &[String]) -> Vec<EarlyCall> {
+    let detected = Rc::new(RefCell::new(BTreeSet::new()));
     let mut calls = Vec::new();
     for run in runs {
         let owner = fleet.owner(run).await;
-        let (caller, called, by) = (caller.clone(), run.clone(), noticed.clone());
+        let (caller, call_run, detected_by) = (caller.clone(), run.clone(), detected.clone());
         let answering = actix_rt::spawn(async move {
-            let (status, reply) = submit_once(&caller, &called).await;
+            let (status, reply) = submit_once(&caller, &call_run).await;
             if reply["error"]["code"] == "log_unavailable" {
-                by.borrow_mut().insert(owner);
+                detected_by.borrow_mut().insert(owner);
             }
             (status, reply)
         });
         let run = run.clone();
         calls.push(EarlyCall { run, answering });
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
-        if noticed_by_all(fleet, &noticed) {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
+        if detected_by_all(fleet, &detected) {
             return calls;
         }
     }
     let started = Instant::now();
-    while !noticed_by_all(fleet, &noticed) {
-        let noticed = noticed.borrow();
-        assert!(started.elapsed() < PATIENCE, "noticed only by {noticed:?}");
-        drop(noticed);
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
+    while !detected_by_all(fleet, &detected) {
+        let detected = detected.borrow();
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "detected only by {detected:?}"
+        );
+        drop(detected);
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     calls
 }
 
-fn noticed_by_all(fleet: &Fleet, noticed: &RefCell<BTreeSet<String>>) -> bool {
-    noticed.borrow().len() == fleet.node_names().len()
+/// Returns whether every running node has detected the outage.
+fn detected_by_all(fleet: &Fleet, detected: &RefCell<BTreeSet<String>>) -> bool {
+    detected.borrow().len() == fleet.node_names().len()
 }
 
-/// Each early call is answered after the outage, and ran exactly if its answer says so.
+/// Checks that each early call is answered after the outage, and ran if and only if it succeeded.
 async fn check_early_calls(fleet: &Fleet, calls: Vec<EarlyCall>) {
     for call in calls {
         let (status, reply) = call.answering.await.expect("the call is answered");
@@ -132,11 +141,11 @@
         if expected == 0 {
             assert_eq!(reply["error"]["run"], "no", "{reply}");
         }
-        assert_eq!(runs_of(fleet, &call.run).await, expected, "{status}");
+        assert_eq!(invocations_of(fleet, &call.run).await, expected, "{status}");
     }
 }
 
-/// How many submissions of programs the tool ran.
+/// Returns the number of program submissions that the tool ran.
 async fn submissions(fleet: &Fleet) -> usize {
     let executions = fleet.executions().await;
     let is_submission = |tool: &str| DEPLOYMENTS.iter().any(|used| used.submission == tool);
@@ -146,13 +155,13 @@
     counts.map(|(_, count)| count).sum()
 }
 
-/// How often the tool ran for a run.
-async fn runs_of(fleet: &Fleet, run: &str) -> usize {
+/// Returns how often [`TOOL`] ran for a run.
+async fn invocations_of(fleet: &Fleet, run: &str) -> usize {
     let key = (TOOL.to_owned(), run.to_owned());
     fleet.executions().await.remove(&key).unwrap_or_default()
 }
 
-/// Every call and every new run is refused while the log is down, and says when to come back.
+/// Checks that calls and new runs are refused while the log is down, with the time to retry after.
 async fn check_refusals(caller: &Caller, runs: &[String]) {
     let calls = join_all(runs.iter().map(|run| submit_once(caller, run))).await;
     let body = json!({ "program": DEPLOYMENTS[0].program, "budget": RUN_BUDGET });
@@ -169,12 +178,12 @@
     }
 }
 
-/// What was refused was not run then, and runs once when it is asked for again.
+/// Checks that refused calls did not run, and run exactly once when they are sent again.
 async fn check_refused_runs(fleet: &Fleet, caller: &Caller, runs: &[String]) {
     for run in runs {
-        assert_eq!(runs_of(fleet, run).await, 0, "{run} was refused");
+        assert_eq!(invocations_of(fleet, run).await, 0, "{run} was refused");
         let again = caller.submit(run, 1, TOOL, run).await;
         again.expect("the call is made");
-        assert_eq!(runs_of(fleet, run).await, 1, "{run} was made again");
+        assert_eq!(invocations_of(fleet, run).await, 1, "{run} was made again");
     }
 }
--- a/crates/cli/tests/processes/pauses.rs
+++ b/crates/cli/tests/processes/pauses.rs
@@ -1,4 +1,4 @@
-//! A node is paused for longer than it takes the others to replace it, and then goes on.
+//! Nodes that are paused until another node takes over, and then resumed.
 
 use futures_util::future::{join, join_all};
 
@@ -9,39 +9,39 @@
     start_programs,
 };
 
-/// Setting of a tool that is at work for longer than a takeover takes on a quiet machine.
+/// Tool setting with a latency longer than a takeover.
 const SLOW_TOOL: &str = "latency='8s'";
 
-/// A tool that must run at most once.
+/// Tool that must run at most once.
 const SUBMISSION: &str = "claim-submission";
 
 #[actix_rt::test]
-async fn programs_go_on_while_a_node_is_paused_and_after_it_wakes() {
+async fn programs_complete_while_a_node_is_paused_and_after_it_resumes() {
     let mut fleet = Fleet::start().await;
     let mut programs = start_programs(&fleet).await;
     let run = programs[0].run.clone();
     let paused = fleet.owner(&run).await;
-    let playing = join_all(programs.iter_mut().map(Program::all_turns));
+    let running = join_all(programs.iter_mut().map(Program::all_turns));
     let pausing = async {
         fleet.wait_for_execution().await;
         let node = fleet.pause_node(&paused);
         let new_owner = fleet.owner(&run).await;
         assert_ne!(new_owner, paused);
         let before = history(&fleet, 0, &run).await;
-        fleet.wake_node(node);
-        let woken = fleet.start_sidecar_of(&paused).await;
-        let after = history(&fleet, woken, &run).await;
+        fleet.resume_node(node);
+        let resumed = fleet.start_sidecar_of(&paused).await;
+        let after = history(&fleet, resumed, &run).await;
         assert!(after.starts_with(&before), "{after:?} after {before:?}");
-        woken
+        resumed
     };
-    let (_, woken) = join(playing, pausing).await;
-    check_histories_through(&fleet, woken, &programs).await;
+    let (_, resumed) = join(running, pausing).await;
+    check_histories_through(&fleet, resumed, &programs).await;
     check_histories(&fleet, &programs).await;
     check_submissions(&fleet, &programs).await;
 }
 
 #[actix_rt::test]
-async fn a_submission_under_way_at_a_paused_node_is_made_once() {
+async fn submission_in_progress_at_a_paused_node_runs_once() {
     let mut fleet = Fleet::start_with_tool(&[SLOW_TOOL]).await;
     let caller = Caller::new(fleet.sidecar_url(0), LUBLIN_TOKEN);
     let program = DEPLOYMENTS[0].program;
@@ -52,7 +52,7 @@
         fleet.wait_for_execution().await;
         let node = fleet.pause_node(&paused);
         let new_owner = fleet.owner(&run).await;
-        fleet.wake_node(node);
+        fleet.resume_node(node);
         assert_ne!(new_owner, paused);
     };
     let (outcome, ()) = join(submitting, pausing).await;
@@ -70,13 +70,13 @@
     assert_eq!(executions, [((SUBMISSION.to_owned(), run), 1)].into());
 }
 
-/// What a sidecar says of a run of the first deployment.
+/// Returns the history of a run of the first deployment, read through a sidecar.
 async fn history(fleet: &Fleet, sidecar: usize, run: &str) -> Vec<(String, String)> {
     let reader = Caller::new(fleet.sidecar_url(sidecar), LUBLIN_TOKEN);
     reader.history(run).await
 }
 
-/// Histories are the same to a sidecar that knows only the woken node.
+/// Checks the histories as read through one sidecar, which is connected only to the resumed node.
 async fn check_histories_through(fleet: &Fleet, sidecar: usize, programs: &[Program]) {
     for program in programs {
         let reader = Caller::new(fleet.sidecar_url(sidecar), program.token());
--- a/crates/cli/tests/processes/programs.rs
+++ b/crates/cli/tests/processes/programs.rs
@@ -1,4 +1,4 @@
-//! Programs through two sidecars, and a node that dies between their turns.
+//! Programs of two sidecars while a node or sidecar is killed or stopped.
 
 use futures_util::future::{join, join_all};
 
@@ -7,22 +7,24 @@
 
 /// Token of the first deployment's tenant.
 pub const LUBLIN_TOKEN: &str = "lublin-example-token";
+
+/// Token of the second deployment's tenant.
 const ULAANBAATAR_TOKEN: &str = "ulaanbaatar-example-token";
 
-/// Programs of each deployment.
+/// Number of programs of each deployment.
 pub const PROGRAMS: usize = 6;
 
-/// Credits that one run may spend.
+/// Budget of one run, in credits.
 pub const RUN_BUDGET: u64 = 20_000;
 
-/// One program under way and what its history must be.
+/// Running program and its expected history.
 pub struct Program {
     caller: Caller,
     pub run: String,
     pub marker: String,
     lookup: &'static str,
     submission: &'static str,
-    /// Whether the caller was told that its submission was made.
+    /// Whether the caller received the result of its submission.
     pub is_submitted: bool,
     pub history: Vec<(String, String)>,
 }
@@ -43,33 +45,37 @@
         }
     }
 
-    fn note(&mut self, role: &str, content: String) {
+    /// Appends a message to the expected history.
+    fn expect_message(&mut self, role: &str, content: String) {
         self.history.push((role.to_owned(), content));
     }
 
+    /// Makes a model call twice with the same number and checks that both answers are equal.
     async fn ask(&mut self, number: u32) {
         let question = format!("turn {number} of {}", self.marker);
         let answer = self.caller.ask(&self.run, number, &question).await;
         let repeated = self.caller.ask(&self.run, number, &question).await;
-        assert_eq!(repeated, answer, "{} asked again", self.marker);
-        self.note("user", question);
-        self.note("assistant", answer);
+        assert_eq!(repeated, answer, "{}: repeated call", self.marker);
+        self.expect_message("user", question);
+        self.expect_message("assistant", answer);
     }
 
+    /// Makes the calls 1 and 2.
     async fn first_turns(&mut self) {
         let (run, tool, marker) = (&self.run, self.lookup, &self.marker);
         let result = self.caller.look_up(run, 1, tool, marker).await;
-        self.note("tool", result);
+        self.expect_message("tool", result);
         self.ask(2).await;
     }
 
+    /// Makes the calls 3 to 5 and ends the run.
     async fn last_turns(&mut self) {
         self.ask(3).await;
         let (run, tool, marker) = (&self.run, self.submission, &self.marker);
         match self.caller.submit(run, 4, tool, marker).await {
             Ok(result) => {
                 assert!(result.contains(&self.marker), "{result}");
-                self.note("tool", result);
+                self.expect_message("tool", result);
                 self.is_submitted = true;
             }
             Err(code) => println!("{}: {code}", self.marker),
@@ -78,14 +84,14 @@
         assert_eq!(self.caller.end_run(&self.run).await, "ended");
     }
 
-    /// Plays the program to its end.
+    /// Runs the program from its first call to its end.
     pub async fn all_turns(&mut self) {
         self.first_turns().await;
         self.last_turns().await;
     }
 }
 
-/// What each deployment uses.
+/// Resources that a deployment uses.
 pub struct Deployment {
     pub program: &'static str,
     lookup: &'static str,
@@ -93,7 +99,7 @@
     token: &'static str,
 }
 
-/// The deployments, in the order of their sidecars.
+/// Deployments, in the order of their sidecars.
 pub const DEPLOYMENTS: [Deployment; 2] = [
     Deployment {
         program: "boundary-correction",
@@ -139,31 +145,31 @@
 }
 
 #[actix_rt::test]
-async fn programs_survive_the_loss_of_a_node_in_the_midst_of_their_calls() {
+async fn programs_survive_the_loss_of_a_node_during_their_calls() {
     let mut fleet = Fleet::start().await;
     let mut programs = start_programs(&fleet).await;
     let owner = fleet.owner(&programs[0].run).await;
-    let playing = join_all(programs.iter_mut().map(Program::all_turns));
+    let running = join_all(programs.iter_mut().map(Program::all_turns));
     let killing = async {
         fleet.wait_for_execution().await;
         fleet.kill_node(&owner);
     };
-    join(playing, killing).await;
+    join(running, killing).await;
     check_histories(&fleet, &programs).await;
     check_submissions(&fleet, &programs).await;
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_of_a_node_cuts_off_no_request() {
+async fn planned_stop_of_a_node_interrupts_no_request() {
     let mut fleet = Fleet::start().await;
     let mut programs = start_programs(&fleet).await;
     let owner = fleet.owner(&programs[0].run).await;
-    let playing = join_all(programs.iter_mut().map(Program::all_turns));
+    let running = join_all(programs.iter_mut().map(Program::all_turns));
     let stopping = async {
         fleet.wait_for_execution().await;
         fleet.stop_node(&owner).await;
     };
-    join(playing, stopping).await;
+    join(running, stopping).await;
     check_histories(&fleet, &programs).await;
     assert!(programs.iter().all(|program| program.is_submitted));
     check_submissions(&fleet, &programs).await;
@@ -171,11 +177,11 @@
         .iter()
         .map(|program| program.caller.repeats())
         .sum();
-    assert_eq!(repeats, 0, "requests were turned away");
+    assert_eq!(repeats, 0, "requests were refused");
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_of_a_sidecar_cuts_off_no_request() {
+async fn planned_stop_of_a_sidecar_interrupts_no_request() {
     let mut fleet = Fleet::start().await;
     let caller = Caller::new(fleet.sidecar_url(0), LUBLIN_TOKEN);
     let run = caller
@@ -190,7 +196,7 @@
     assert!(!answer.is_empty());
 }
 
-/// Each history is whole and its own, read through either sidecar.
+/// Checks that each history is as expected, read through either sidecar.
 pub async fn check_histories(fleet: &Fleet, programs: &[Program]) {
     for program in programs {
         for sidecar in 0..DEPLOYMENTS.len() {
@@ -202,7 +208,7 @@
 }
 
 impl Program {
-    /// Token of its tenant.
+    /// Returns the token of the program's tenant.
     pub fn token(&self) -> &'static str {
         let deployment = DEPLOYMENTS
             .iter()
@@ -211,15 +217,18 @@
     }
 }
 
-/// Each submission that its caller was told of ran once, no other ran twice, and nothing else was
-/// submitted.
+/// Checks that each submission with a result ran exactly once, that the others ran at most once,
+/// and that there were no other submissions.
 pub async fn check_submissions(fleet: &Fleet, programs: &[Program]) {
     let mut executions = fleet.executions().await;
     for program in programs {
         let key = (program.submission.to_owned(), program.marker.clone());
         let count = executions.remove(&key).unwrap_or_default();
-        let least = usize::from(program.is_submitted);
-        assert!((least..=1).contains(&count), "{key:?} ran {count} times");
+        let min_count = usize::from(program.is_submitted);
+        assert!(
+            (min_count..=1).contains(&count),
+            "{key:?} ran {count} times"
+        );
     }
     let others = executions
         .keys()
--- a/crates/cli/tests/processes/streams.rs
+++ b/crates/cli/tests/processes/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers as callers receive them, beside what they should be.
+//! Checks of streamed answers as callers receive them.
 
 use awc::http::Method;
 use elderworks_engine_model::answer::answer_text;
@@ -8,10 +8,10 @@
 
 use crate::caller::Caller;
 
-/// Most tokens of an answer.
+/// Maximum length of an answer.
 const MAX_OUTPUT: Tokens = Tokens(160);
 
-/// Streams the answer to a run's only question and checks that it is whole.
+/// Makes the first call of a run with a streamed answer and checks that the answer is complete.
 pub async fn check_streamed_answer(caller: &Caller, run: &str) {
     let question = format!("what became of {run}?");
     let message = json!({ "role": "user", "content": question });
@@ -30,7 +30,7 @@
     assert_eq!(last["content"], expected, "{run}");
 }
 
-/// What a reader of the stream has in the end.
+/// Joins the chunks of a stream, discarding those before a restart.
 fn joined_chunks(events: &[(String, Value)]) -> String {
     let mut answer = String::new();
     for (name, data) in events {
@@ -43,16 +43,16 @@
     answer
 }
 
-/// One attempt of a call, as the caller can read it.
+/// Attempt of a call, as reported to the caller.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Where it ran.
+    /// Engine on which the attempt ran; empty if there is none.
     pub engine: String,
-    /// Whether anything came of it.
+    /// Whether the attempt produced a chunk of the answer.
     pub has_streamed: bool,
 }
 
-/// All attempts of a run's call, in order.
+/// Returns the attempts of a run's call, in order.
 pub async fn attempts(caller: &Caller, run: &str, number: usize) -> Vec<Attempt> {
     let path = format!("/v1/runs/{run}");
     let reply = caller.send(Method::GET, &path, None).await;
--- a/crates/cli/tests/soak/callers.rs
+++ b/crates/cli/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that run programs of turns and tools, and what they see.
+//! Callers that run programs of turns and tool calls, and record what they receive.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,80 +14,81 @@
 use crate::standin::caller::{Answer, Connection, Request};
 use crate::standin::worker::{PADDING_HEADER, event, padding};
 
-/// Tokens that an event stands for in the stand-in's configuration.
+/// Tokens counted per event, as in the stand-in's configuration.
 pub const TOKENS_PER_EVENT: u64 = 10;
 
-/// The most that a turn generates.
+/// Maximum number of tokens that a turn generates.
 pub const TURN_TOKENS: u64 = TOKENS_PER_EVENT * EVENTS as u64;
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(1_400);
+/// Time that a caller waits for an answer; also sent as the request's deadline.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Longest time for which a caller that stops reading does so.
-const MOST_UNREAD_MS: u64 = 1_200;
+/// Maximum time before a slow caller starts to read an answer, in milliseconds.
+const MAX_READ_DELAY_MS: u64 = 1_200;
 
-/// What such a caller asks of each event in bytes: a stream is then longer than the system's own
-/// buffers between two sockets.
+/// Padding that a slow caller requests for each event, in bytes, so that a stream exceeds the
+/// socket buffers of the operating system.
 const PADDING_BYTES: usize = 1024 * 1024;
 
-/// Tries of one turn or call, each under an id of its own.
-const TRIES: u32 = 4;
+/// Maximum number of attempts of one turn, each with a new request id.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Pause before another try.
+/// Pause before another attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A tool call that may be repeated.
     SafeCall,
     /// A tool call that runs at most once.
     CallOnce,
-    /// A turn whose stream may be taken up again.
+    /// A turn whose stream may be resumed.
     Turn,
     /// A turn that runs at most once.
     TurnOnce,
-    /// A turn that the system keeps, at most once.
-    KeptTurn,
+    /// A turn that the system stores and that runs at most once.
+    StoredTurn,
 }
 
 impl Kind {
+    /// Returns the path of the route for requests of this kind.
     fn path(self) -> &'static str {
         match self {
             Self::SafeCall => "/safe/x",
             Self::CallOnce => "/once/x",
             Self::Turn => "/stream/x",
             Self::TurnOnce => "/stream-once/x",
-            Self::KeptTurn => "/kept/x",
+            Self::StoredTurn => "/kept/x",
         }
     }
 
-    /// Whether a request runs once at most.
+    /// Returns whether a request must run at most once.
     pub fn at_most_once(self) -> bool {
-        matches!(self, Self::CallOnce | Self::TurnOnce | Self::KeptTurn)
+        matches!(self, Self::CallOnce | Self::TurnOnce | Self::StoredTurn)
     }
 }
 
-/// One request and what became of it.
+/// One request and its answer.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RequestRecord {
     pub kind: Kind,
     pub program: String,
     pub input: String,
     pub previous: Option<String>,
-    /// `None` if the caller gave up or the connection ended without an answer.
+    /// `None` if the caller timed out or the connection closed without an answer.
     pub answer: Option<Answer>,
 }
 
-impl Seen {
-    /// Whether a turn was answered whole.
-    pub fn is_whole_turn(&self) -> bool {
+impl RequestRecord {
+    /// Returns whether the request was answered successfully and completely.
+    pub fn is_complete_turn(&self) -> bool {
         let answer = self.answer.as_ref();
         answer.is_some_and(|answer| answer.status == 200 && answer.is_whole)
     }
 
-    /// Events that have reached the caller; `None` if the answer is not a beginning of the
-    /// worker's stream.
+    /// Returns the number of events that the caller received, or `None` if the answer is not a
+    /// prefix of the worker's stream.
     pub fn events(&self) -> Option<u32> {
         let Some(answer) = &self.answer else {
             return Some(0);
@@ -106,33 +107,33 @@
     }
 }
 
-/// Everything that callers have sent and seen, by request id.
+/// Requests of all callers by id, and the budget of each program in tokens.
 #[derive(Default)]
 pub struct Records {
-    pub requests: RefCell<BTreeMap<String, Seen>>,
+    pub requests: RefCell<BTreeMap<String, RequestRecord>>,
     pub budgets: RefCell<BTreeMap<String, u64>>,
-    next: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
 impl Records {
+    /// Returns a new number for a program or request.
     fn next_number(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 }
 
-/// One caller, which runs programs one after the other until it is told to stop.
+/// Caller that runs programs in sequence until `stop` is set.
 pub struct CallerTask {
     pub records: Rc<Records>,
     pub nodes: Vec<SocketAddr>,
     pub stop: Rc<Cell<bool>>,
     pub seed: u64,
-    /// Whether it sends one request after the other on a connection until that ends, also to a node
-    /// that is stopping.
-    pub keeps_connections: bool,
-    /// Whether it asks for long streams and leaves them unread for a while.
-    pub stops_reading: bool,
-    /// Its connections at rest, by node.
+    /// Whether it reuses a connection until the server closes it, even if the node is stopping.
+    pub reuses_connections: bool,
+    /// Whether it requests long streams and delays reading them.
+    pub delays_reading: bool,
+    /// Idle connections by node.
     pub connections: RefCell<BTreeMap<SocketAddr, Connection>>,
 }
 
@@ -146,10 +147,15 @@
 
     async fn run_program(&self, random: &mut ChaCha8Rng) {
         let program = format!("program-{}", self.records.next_number());
-        let kinds = [Kind::Turn, Kind::TurnOnce, Kind::KeptTurn, Kind::KeptTurn];
+        let kinds = [
+            Kind::Turn,
+            Kind::TurnOnce,
+            Kind::StoredTurn,
+            Kind::StoredTurn,
+        ];
         let kind = *kinds.choose(random).expect("some kinds");
         let turns = random.random_range(1..=5);
-        // Some budgets do not hold all turns.
+        // Some budgets do not cover all turns.
         let budget = TURN_TOKENS * random.random_range(1..=6);
         self.records
             .budgets
@@ -162,14 +168,15 @@
             }
             let ended = self.turn(random, kind, &program, budget, &previous).await;
             let Some(turn) = ended else { return };
-            previous = (kind == Kind::KeptTurn).then_some(turn);
+            previous = (kind == Kind::StoredTurn).then_some(turn);
             let tool = [Kind::SafeCall, Kind::CallOnce];
             let tool = *tool.choose(random).expect("some kinds");
             self.send(random, tool, &program, 0, None).await;
         }
     }
 
-    /// Runs a turn, with a few tries; `None` if the program cannot go on.
+    /// Runs a turn in up to [`MAX_ATTEMPTS`] attempts and returns the id of the successful request,
+    /// or `None` if the program cannot continue.
     async fn turn(
         &self,
         random: &mut ChaCha8Rng,
@@ -178,7 +185,7 @@
         budget: u64,
         previous: &Option<String>,
     ) -> Option<String> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let previous = previous.clone();
             let (id, answer) = self.send(random, kind, program, budget, previous).await;
             match answer {
@@ -190,6 +197,7 @@
         None
     }
 
+    /// Sends a request to a random node and records it with its answer.
     async fn send(
         &self,
         random: &mut ChaCha8Rng,
@@ -201,7 +209,7 @@
         let id = format!("request-{}", self.records.next_number());
         let input = format!("input of {id} ");
         let mut request = Request::new("POST", kind.path(), &id)
-            .deadline(PATIENCE.as_millis() as u64)
+            .deadline(ANSWER_TIMEOUT.as_millis() as u64)
             .body(&input);
         if !matches!(kind, Kind::SafeCall | Kind::CallOnce) {
             request = request.turn(program, budget, TURN_TOKENS);
@@ -209,38 +217,41 @@
         if let Some(previous) = &previous {
             request = request.previous_turn(previous);
         }
-        let seen = Seen {
+        let record = RequestRecord {
             kind,
             program: program.to_owned(),
             input,
             previous,
             answer: None,
         };
-        // Known before it is sent: a worker may run it before the caller hears of it.
-        self.records.requests.borrow_mut().insert(id.clone(), seen);
+        // Recorded before it is sent, since a worker may run it before the answer arrives.
+        self.records
+            .requests
+            .borrow_mut()
+            .insert(id.clone(), record);
         let node = *self.nodes.choose(random).expect("some nodes");
-        let is_long = self.stops_reading && matches!(kind, Kind::Turn | Kind::TurnOnce);
-        let answer = match is_long {
+        let is_slow = self.delays_reading && matches!(kind, Kind::Turn | Kind::TurnOnce);
+        let answer = match is_slow {
             true => {
-                let unread = Duration::from_millis(random.random_range(0..MOST_UNREAD_MS));
-                leave_unread(&request, node, unread).await
+                let delay = Duration::from_millis(random.random_range(0..MAX_READ_DELAY_MS));
+                exchange_with_read_delay(&request, node, delay).await
             }
             false => self.exchange(&request, node).await,
         };
         let answer = answer.filter(|answer| answer.status != 0);
-        if let Some(seen) = self.records.requests.borrow_mut().get_mut(&id) {
-            seen.answer.clone_from(&answer);
+        if let Some(record) = self.records.requests.borrow_mut().get_mut(&id) {
+            record.answer.clone_from(&answer);
         }
         (id, answer)
     }
 
-    /// Sends a request on a connection at rest, if one is kept, or on a new one.
+    /// Sends a request on an idle connection to the node, if there is one, or on a new connection.
     async fn exchange(&self, request: &Request, node: SocketAddr) -> Option<Answer> {
-        if !self.keeps_connections {
-            return request.try_send(node, PATIENCE).await;
+        if !self.reuses_connections {
+            return request.try_send(node, ANSWER_TIMEOUT).await;
         }
-        let kept = self.connections.borrow_mut().remove(&node);
-        let (answer, connection) = request.try_send_on(kept, node, PATIENCE).await?;
+        let idle = self.connections.borrow_mut().remove(&node);
+        let (answer, connection) = request.try_send_on(idle, node, ANSWER_TIMEOUT).await?;
         let closes = answer
             .header("connection")
             .is_some_and(|value| value == "close");
@@ -251,12 +262,16 @@
     }
 }
 
-/// Asks for a long stream and leaves it unread for a while. The answer is judged without what its
-/// events were made longer with; a piece of that which is missing stays to be seen.
-async fn leave_unread(request: &Request, node: SocketAddr, unread: Duration) -> Option<Answer> {
+/// Requests a padded stream and reads it only after a delay. Complete padding is removed from the
+/// answer; truncated padding stays, so that the checks detect it.
+async fn exchange_with_read_delay(
+    request: &Request,
+    node: SocketAddr,
+    delay: Duration,
+) -> Option<Answer> {
     let bytes = PADDING_BYTES.to_string();
     let request = request.clone().header(PADDING_HEADER, &bytes);
-    let answer = request.try_send_unread(node, unread, PATIENCE).await;
+    let answer = request.try_send_unread(node, delay, ANSWER_TIMEOUT).await;
     answer.map(|answer| Answer {
         body: answer.body.replace(&padding(PADDING_BYTES), ""),
         ..answer
--- a/crates/cli/tests/soak/checker_tests.rs
+++ b/crates/cli/tests/soak/checker_tests.rs
@@ -1,9 +1,9 @@
-//! Each checker is shown a promise that is broken, and one that is kept.
+//! Tests of the checks: each check accepts correct observations and detects violations.
 
 use std::collections::BTreeMap;
 
-use crate::callers::{Kind, Seen, TURN_TOKENS};
-use crate::checks::{Evidence, broken_promises};
+use crate::callers::{Kind, RequestRecord, TURN_TOKENS};
+use crate::checks::{Observations, violations};
 use crate::fleet::EVENTS;
 use crate::standin::caller::{Answer, STAMP_HEADER};
 use crate::standin::worker::{Run, event};
@@ -21,8 +21,8 @@
     (1..=events).map(event).collect()
 }
 
-fn seen(kind: Kind, previous: Option<&str>, answer: Option<Answer>) -> Seen {
-    Seen {
+fn record(kind: Kind, previous: Option<&str>, answer: Option<Answer>) -> RequestRecord {
+    RequestRecord {
         kind,
         program: "p".to_owned(),
         input: "input ".to_owned(),
@@ -45,153 +45,163 @@
 
 struct Case {
     name: &'static str,
-    requests: Vec<(&'static str, Seen)>,
+    requests: Vec<(&'static str, RequestRecord)>,
     runs: Vec<Run>,
-    broken: bool,
+    is_violation: bool,
 }
 
-/// Turns that were answered whole are spent: one of a budget of one, and not a token more.
+/// The budget covers exactly one complete turn, so a second one exceeds it.
 #[test]
-fn any_budget_that_is_passed_breaks_a_promise() {
-    for (turns, is_passed) in [(1, false), (2, true), (3, true)] {
-        let whole = || Some(answer(200, &stream(EVENTS), true));
+fn exceeding_a_budget_by_any_amount_is_a_violation() {
+    for (turns, is_exceeded) in [(1, false), (2, true), (3, true)] {
+        let complete = || Some(answer(200, &stream(EVENTS), true));
         let requests =
-            (0..turns).map(|number| (format!("{number}"), seen(Kind::Turn, None, whole())));
-        let evidence = Evidence {
+            (0..turns).map(|number| (format!("{number}"), record(Kind::Turn, None, complete())));
+        let observations = Observations {
             requests: requests.collect(),
             budgets: BTreeMap::from([("p".to_owned(), TURN_TOKENS)]),
             runs: Vec::new(),
         };
-        let broken = broken_promises(&evidence);
-        assert_eq!(!broken.is_empty(), is_passed, "{turns} turns: {broken:?}");
+        let found = violations(&observations);
+        assert_eq!(!found.is_empty(), is_exceeded, "{turns} turns: {found:?}");
     }
 }
 
 fn cases() -> Vec<Case> {
-    let whole = || Some(answer(200, &stream(EVENTS), true));
+    let complete = || Some(answer(200, &stream(EVENTS), true));
     let refused = || Some(answer(503, "", true));
     vec![
         Case {
-            name: "a whole turn",
-            requests: vec![("a", seen(Kind::TurnOnce, None, whole()))],
+            name: "a complete turn",
+            requests: vec![("a", record(Kind::TurnOnce, None, complete()))],
             runs: vec![run("a", "input ")],
-            broken: false,
+            is_violation: false,
         },
         Case {
-            name: "a stream that misses an event",
+            name: "a stream with a missing event",
             requests: vec![(
                 "a",
-                seen(Kind::Turn, None, Some(answer(200, &event(2), false))),
+                record(Kind::Turn, None, Some(answer(200, &event(2), false))),
             )],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a part of a stream that ends as whole",
+            name: "a partial stream that ends as complete",
             requests: vec![(
                 "a",
-                seen(Kind::Turn, None, Some(answer(200, &stream(2), true))),
+                record(Kind::Turn, None, Some(answer(200, &stream(2), true))),
             )],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
             name: "an answer to another request",
             requests: vec![(
                 "a",
-                seen(Kind::SafeCall, None, Some(answer(200, "w other", true))),
+                record(Kind::SafeCall, None, Some(answer(200, "w other", true))),
             )],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a call that must run once and ran twice",
-            requests: vec![("a", seen(Kind::CallOnce, None, None))],
+            name: "a call that must run at most once and ran twice",
+            requests: vec![("a", record(Kind::CallOnce, None, None))],
             runs: vec![run("a", "input "), run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
             name: "a call that may be repeated and ran twice",
-            requests: vec![("a", seen(Kind::SafeCall, None, None))],
+            requests: vec![("a", record(Kind::SafeCall, None, None))],
             runs: vec![run("a", "input "), run("a", "input ")],
-            broken: false,
+            is_violation: false,
         },
         Case {
-            name: "a refusal of what has run",
-            requests: vec![("a", seen(Kind::CallOnce, None, refused()))],
+            name: "a refusal of an at-most-once call that ran",
+            requests: vec![("a", record(Kind::CallOnce, None, refused()))],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a refusal of what may be repeated and has run",
-            requests: vec![("a", seen(Kind::SafeCall, None, refused()))],
+            name: "a refusal of a repeatable call that ran",
+            requests: vec![("a", record(Kind::SafeCall, None, refused()))],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "an answer that leaves open whether it has run",
-            requests: vec![("a", seen(Kind::SafeCall, None, Some(answer(502, "", true))))],
+            name: "an error that leaves open whether the call ran",
+            requests: vec![(
+                "a",
+                record(Kind::SafeCall, None, Some(answer(502, "", true))),
+            )],
             runs: vec![run("a", "input ")],
-            broken: false,
+            is_violation: false,
         },
         Case {
-            name: "a refusal of what has not run",
-            requests: vec![("a", seen(Kind::CallOnce, None, refused()))],
+            name: "a refusal of a call that did not run",
+            requests: vec![("a", record(Kind::CallOnce, None, refused()))],
             runs: Vec::new(),
-            broken: false,
+            is_violation: false,
         },
         Case {
-            name: "a denial of a kept turn",
+            name: "a stored turn that is reported as missing",
             requests: vec![
-                ("a", seen(Kind::KeptTurn, None, whole())),
+                ("a", record(Kind::StoredTurn, None, complete())),
                 (
                     "b",
-                    seen(Kind::KeptTurn, Some("a"), Some(answer(404, "", true))),
+                    record(Kind::StoredTurn, Some("a"), Some(answer(404, "", true))),
                 ),
             ],
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a turn without its conversation",
+            name: "a turn that ran without its conversation",
             requests: vec![
-                ("a", seen(Kind::KeptTurn, None, whole())),
-                ("b", seen(Kind::KeptTurn, Some("a"), None)),
+                ("a", record(Kind::StoredTurn, None, complete())),
+                ("b", record(Kind::StoredTurn, Some("a"), None)),
             ],
             runs: vec![run("a", "input "), run("b", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a run of what nobody sent",
+            name: "a run without a request",
             requests: Vec::new(),
             runs: vec![run("a", "input ")],
-            broken: true,
+            is_violation: true,
         },
         Case {
-            name: "a budget that is passed",
+            name: "a budget that is exceeded",
             requests: vec![
-                ("a", seen(Kind::Turn, None, whole())),
+                ("a", record(Kind::Turn, None, complete())),
                 (
                     "b",
-                    seen(Kind::Turn, None, Some(answer(200, &stream(1), false))),
+                    record(Kind::Turn, None, Some(answer(200, &stream(1), false))),
                 ),
             ],
             runs: vec![run("a", "input "), run("b", "input ")],
-            broken: true,
+            is_violation: true,
         },
     ]
 }
 
 #[test]
-fn every_checker_can_fail() {
+fn each_violation_is_detected() {
     for case in cases() {
         let requests = case.requests.into_iter();
-        let evidence = Evidence {
-            requests: requests.map(|(id, seen)| (id.to_owned(), seen)).collect(),
+        let observations = Observations {
+            requests: requests
+                .map(|(id, record)| (id.to_owned(), record))
+                .collect(),
             budgets: BTreeMap::from([("p".to_owned(), TURN_TOKENS)]),
             runs: case.runs,
         };
-        let broken = broken_promises(&evidence);
-        assert_eq!(!broken.is_empty(), case.broken, "{}: {broken:?}", case.name);
+        let found = violations(&observations);
+        assert_eq!(
+            !found.is_empty(),
+            case.is_violation,
+            "{}: {found:?}",
+            case.name
+        );
     }
 }
--- a/crates/cli/tests/soak/checks.rs
+++ b/crates/cli/tests/soak/checks.rs
@@ -1,48 +1,49 @@
-//! The promises, judged by what callers and workers have seen.
+//! Checks of the system's guarantees against what callers and workers observed.
 
 use std::collections::BTreeMap;
 
-use crate::callers::{Kind, Seen, TOKENS_PER_EVENT};
+use crate::callers::{Kind, RequestRecord, TOKENS_PER_EVENT};
 use crate::fleet::EVENTS;
 use crate::standin::worker::Run;
 
-/// What callers and workers have seen in one round.
-pub struct Evidence {
+/// Observations of callers and workers in one round.
+pub struct Observations {
     /// Requests by id.
-    pub requests: BTreeMap<String, Seen>,
-    /// Budgets by program.
+    pub requests: BTreeMap<String, RequestRecord>,
+    /// Budgets by program, in tokens.
     pub budgets: BTreeMap<String, u64>,
-    /// Runs of all workers.
+    /// Requests that workers ran.
     pub runs: Vec<Run>,
 }
 
-/// Statuses that promise that the request has not run and never will.
+/// Statuses that guarantee that the request has not run and will not run.
 const NOT_RUN: [u16; 5] = [402, 408, 421, 429, 503];
 
-/// Every promise that was broken.
-pub fn broken_promises(evidence: &Evidence) -> Vec<String> {
-    let requests = &evidence.requests;
-    let runs = runs_by_request(&evidence.runs);
-    let mut broken = Vec::new();
-    for (id, seen) in requests.iter() {
+/// Returns a description of every violated guarantee.
+pub fn violations(observations: &Observations) -> Vec<String> {
+    let requests = &observations.requests;
+    let runs = runs_by_request(&observations.runs);
+    let mut found = Vec::new();
+    for (id, record) in requests.iter() {
         let of_request = runs.get(id).map_or(&[][..], Vec::as_slice);
-        let broken_here = [
-            check_answer(seen),
-            check_runs(seen, of_request),
-            check_denial(seen, requests),
+        let of_record = [
+            check_answer(record),
+            check_runs(record, of_request),
+            check_stored_turn(record, requests),
         ];
-        let named = broken_here.into_iter().flatten();
-        broken.extend(named.map(|what| format!("{id} {seen:?}: {what}")));
+        let of_record = of_record.into_iter().flatten();
+        found.extend(of_record.map(|violation| format!("{id} {record:?}: {violation}")));
     }
     for (id, of_request) in &runs {
-        let seen = requests.get(*id);
-        let bodies = of_request.iter();
-        broken.extend(bodies.filter_map(|run| check_run(id, run, seen, requests)));
+        let record = requests.get(*id);
+        let runs = of_request.iter();
+        found.extend(runs.filter_map(|run| check_run(id, run, record, requests)));
     }
-    broken.extend(check_budgets(evidence));
-    broken
+    found.extend(check_budgets(observations));
+    found
 }
 
+/// Groups runs by the id of their request.
 fn runs_by_request(runs: &[Run]) -> BTreeMap<&String, Vec<&Run>> {
     let mut by_request: BTreeMap<&String, Vec<&Run>> = BTreeMap::new();
     for run in runs {
@@ -51,62 +52,72 @@
     by_request
 }
 
-/// An answer is a worker's own, whole and to this request.
-fn check_answer(seen: &Seen) -> Option<String> {
-    let answer = seen.answer.as_ref().filter(|answer| answer.status == 200)?;
+/// Checks that a successful answer is unmodified, complete or marked as incomplete, and belongs to
+/// this request.
+fn check_answer(record: &RequestRecord) -> Option<String> {
+    let answer = record
+        .answer
+        .as_ref()
+        .filter(|answer| answer.status == 200)?;
     if answer.stamp().is_none() {
-        return Some("a success without a worker's signature".to_owned());
+        return Some("a successful answer without a worker's stamp".to_owned());
     }
-    match seen.kind {
+    match record.kind {
         Kind::SafeCall | Kind::CallOnce => {
-            let is_whole = answer.is_whole && answer.body.ends_with(&seen.input);
-            (answer.is_whole && !is_whole).then(|| "another body".to_owned())
+            let is_expected = answer.is_whole && answer.body.ends_with(&record.input);
+            (answer.is_whole && !is_expected).then(|| "unexpected body".to_owned())
         }
-        Kind::Turn | Kind::TurnOnce | Kind::KeptTurn => match seen.events() {
+        Kind::Turn | Kind::TurnOnce | Kind::StoredTurn => match record.events() {
             None => Some("events are missing, repeated or out of order".to_owned()),
             Some(events) if answer.is_whole && events < EVENTS => {
-                Some("a part of a stream looks whole".to_owned())
+                Some("a partial stream ended as complete".to_owned())
             }
             Some(_) => None,
         },
     }
 }
 
-fn check_runs(seen: &Seen, runs: &[&Run]) -> Option<String> {
-    if seen.kind.at_most_once() && runs.len() > 1 {
+/// Checks how often a request ran: at most once where required, and not at all if the answer says
+/// so.
+fn check_runs(record: &RequestRecord, runs: &[&Run]) -> Option<String> {
+    if record.kind.at_most_once() && runs.len() > 1 {
         return Some(format!("ran {} times", runs.len()));
     }
-    let status = seen.answer.as_ref()?.status;
-    let is_broken = NOT_RUN.contains(&status) && !runs.is_empty();
-    is_broken.then(|| "said not to have run, and has".to_owned())
+    let status = record.answer.as_ref()?.status;
+    let is_violated = NOT_RUN.contains(&status) && !runs.is_empty();
+    is_violated.then(|| "reported as not run, but a worker ran it".to_owned())
 }
 
-/// A kept turn that was answered whole is never denied.
-fn check_denial(seen: &Seen, requests: &BTreeMap<String, Seen>) -> Option<String> {
-    let status = seen.answer.as_ref()?.status;
-    let previous = requests.get(seen.previous.as_ref()?)?;
-    let is_denied = [404, 410].contains(&status);
-    (is_denied && previous.is_whole_turn()).then(|| "a kept turn is denied".to_owned())
+/// Checks that a stored turn that was answered completely is never reported as missing.
+fn check_stored_turn(
+    record: &RequestRecord,
+    requests: &BTreeMap<String, RequestRecord>,
+) -> Option<String> {
+    let status = record.answer.as_ref()?.status;
+    let previous = requests.get(record.previous.as_ref()?)?;
+    let is_missing = [404, 410].contains(&status);
+    (is_missing && previous.is_complete_turn())
+        .then(|| "a stored turn is reported as missing".to_owned())
 }
 
-/// A worker runs what a caller has sent, with the conversation before it.
+/// Checks that a worker ran what a caller sent, preceded by the conversation so far.
 fn check_run(
     id: &str,
     run: &Run,
-    seen: Option<&Seen>,
-    requests: &BTreeMap<String, Seen>,
+    record: Option<&RequestRecord>,
+    requests: &BTreeMap<String, RequestRecord>,
 ) -> Option<String> {
-    let Some(seen) = seen else {
-        return Some(format!("{id}: a worker ran what nobody sent"));
+    let Some(record) = record else {
+        return Some(format!("{id}: a worker ran a request that no caller sent"));
     };
-    let expected = conversation(seen, requests) + &seen.input;
+    let expected = conversation(record, requests) + &record.input;
     (run.body != expected).then(|| format!("{id}: ran with {:?}, not {expected:?}", run.body))
 }
 
-/// Inputs and outputs of the turns before.
-fn conversation(seen: &Seen, requests: &BTreeMap<String, Seen>) -> String {
+/// Returns the inputs and outputs of the previous turns, in order.
+fn conversation(record: &RequestRecord, requests: &BTreeMap<String, RequestRecord>) -> String {
     let mut chain = Vec::new();
-    let mut next = seen.previous.as_ref();
+    let mut next = record.previous.as_ref();
     while let Some(turn) = next.and_then(|id| requests.get(id)) {
         chain.push(turn.input.clone() + &output());
         next = turn.previous.as_ref();
@@ -114,24 +125,24 @@
     chain.into_iter().rev().collect()
 }
 
-/// The data of every event of a whole stream, with a line feed behind each.
+/// Returns the output of a complete turn: the data of every event, each followed by a line feed.
 fn output() -> String {
     (1..=EVENTS)
         .map(|number| format!("piece-{number}\n"))
         .collect()
 }
 
-/// What callers have received of a program's turns stays within its budget.
-fn check_budgets(evidence: &Evidence) -> Vec<String> {
+/// Checks that the tokens received for a program's turns stay within its budget.
+fn check_budgets(observations: &Observations) -> Vec<String> {
     let mut used: BTreeMap<&str, u64> = BTreeMap::new();
-    for seen in evidence.requests.values() {
-        if matches!(seen.kind, Kind::SafeCall | Kind::CallOnce) {
+    for record in observations.requests.values() {
+        if matches!(record.kind, Kind::SafeCall | Kind::CallOnce) {
             continue;
         }
-        let events = u64::from(seen.events().unwrap_or(0));
-        *used.entry(&seen.program).or_default() += events * TOKENS_PER_EVENT;
+        let events = u64::from(record.events().unwrap_or(0));
+        *used.entry(&record.program).or_default() += events * TOKENS_PER_EVENT;
     }
-    let budgets = &evidence.budgets;
+    let budgets = &observations.budgets;
     used.into_iter()
         .filter(|(program, used)| *used > budgets[*program])
         .map(|(program, used)| {
--- a/crates/cli/tests/soak/faults.rs
+++ b/crates/cli/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and their ends, drawn from a seed.
+//! Faults: how they are drawn from a seed, injected and healed.
 
 use std::time::Duration;
 
@@ -6,63 +6,63 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::Fleet;
-use crate::proxy::Disturbance;
+use crate::proxy::LinkFault;
 use crate::standin::platform::configuration;
 use crate::standin::store::Trouble;
 use crate::standin::worker::Behaviour;
 
-/// One fault in force.
+/// Fault that is injected for a limited time.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A process stands still.
+    /// A process is paused by SIGSTOP.
     Pause { node: usize },
-    /// A process is killed; it starts again at the end.
+    /// A process is killed by SIGKILL; healing starts it again.
     Kill { node: usize },
-    /// A process is told to stop; it starts again at the end.
+    /// A process is stopped by SIGTERM; healing starts it again.
     Stop { node: usize },
-    /// Several processes, one after the other by their numbers, are told to stop at once; they start
-    /// again at the end.
+    /// `count` processes with consecutive numbers are stopped by SIGTERM at the same time; healing
+    /// starts them again.
     StopSeveral { first: usize, count: usize },
-    /// A process is killed and started, and told to stop while it starts.
+    /// A process is killed, started, and stopped by SIGTERM while it starts.
     StopWhileStarting { node: usize },
-    /// All processes are killed at once.
+    /// All processes are killed by SIGKILL at the same time.
     KillAll,
-    /// The connections of one process to the store fall silent for good; new ones work.
-    ForgetStoreLink { node: usize },
-    /// The same for the connections to a worker.
-    ForgetWorkerLink { worker: usize },
-    /// The store misbehaves for everyone.
+    /// The open connections of one process to the store carry no more data; new ones work.
+    BlackholeStoreLink { node: usize },
+    /// The open connections to a worker carry no more data; new ones work.
+    BlackholeWorkerLink { worker: usize },
+    /// The store has a fault that affects all processes.
     Store(Trouble),
-    /// The store misbehaves for one partition of the ledger.
-    StorePartition { partition: u64, trouble: Trouble },
-    /// The connections of one process to the store are disturbed.
-    StoreLink {
-        node: usize,
-        disturbance: Disturbance,
+    /// The store has a fault that affects one partition of the ledger.
+    StorePartition {
+        partition: u64,
+        store_fault: Trouble,
     },
-    /// The connections to one worker are disturbed.
+    /// The connections of one process to the store have a fault.
+    StoreLink { node: usize, link_fault: LinkFault },
+    /// The connections to one worker have a fault.
     WorkerLink {
         worker: usize,
-        disturbance: Disturbance,
+        link_fault: LinkFault,
     },
     /// A worker misbehaves.
     Worker { worker: usize, behaviour: Behaviour },
-    /// The store forgets the history of configurations, workers and nodes.
+    /// The store compacts the history of configurations, workers and nodes.
     Compact,
-    /// New configurations are published, one right after the other.
+    /// `count` new configurations are published in immediate succession.
     Configure { count: u64 },
 }
 
-/// Longest time that one fault is in force.
-const LONGEST: Duration = Duration::from_millis(1_800);
+/// Maximum duration of a fault.
+const MAX_FAULT_DURATION: Duration = Duration::from_millis(1_800);
 
-/// Most configurations published one right after the other; versions grow by this with each fault.
-pub const MOST_CONFIGURATIONS: u64 = 5;
+/// Maximum number of configurations published by one fault. Each fault reserves this many versions.
+pub const MAX_CONFIGURATIONS: u64 = 5;
 
-/// Shortest time.
-const SHORTEST: Duration = Duration::from_millis(200);
+/// Minimum duration of a fault.
+const MIN_FAULT_DURATION: Duration = Duration::from_millis(200);
 
-/// Draws a fault and how long it is in force.
+/// Draws a fault and its duration.
 pub fn draw(random: &mut ChaCha8Rng, fleet: &Fleet) -> (Fault, Duration) {
     let node = random.random_range(0..fleet.nodes.len());
     let worker = random.random_range(0..fleet.workers.len());
@@ -71,18 +71,18 @@
         2 | 3 => Fault::Kill { node },
         4 => Fault::Stop { node },
         5 => Fault::KillAll,
-        6 | 7 => Fault::Store(draw_trouble(random)),
+        6 | 7 => Fault::Store(draw_store_fault(random)),
         8 => Fault::StorePartition {
             partition: random.random_range(0..4),
-            trouble: draw_trouble(random),
+            store_fault: draw_store_fault(random),
         },
         9 => Fault::StoreLink {
             node,
-            disturbance: draw_disturbance(random),
+            link_fault: draw_link_fault(random),
         },
         10 => Fault::WorkerLink {
             worker,
-            disturbance: draw_disturbance(random),
+            link_fault: draw_link_fault(random),
         },
         11 => Fault::Worker {
             worker,
@@ -90,20 +90,23 @@
         },
         12 => Fault::Compact,
         13 | 14 => Fault::Configure {
-            count: random.random_range(1..=MOST_CONFIGURATIONS),
+            count: random.random_range(1..=MAX_CONFIGURATIONS),
         },
         15 => Fault::StopSeveral {
             first: node,
             count: random.random_range(2..=fleet.nodes.len().max(2)),
         },
         16 | 17 => Fault::StopWhileStarting { node },
-        18 => Fault::ForgetStoreLink { node },
-        _ => Fault::ForgetWorkerLink { worker },
+        18 => Fault::BlackholeStoreLink { node },
+        _ => Fault::BlackholeWorkerLink { worker },
     };
-    (fault, random.random_range(SHORTEST..LONGEST))
+    (
+        fault,
+        random.random_range(MIN_FAULT_DURATION..MAX_FAULT_DURATION),
+    )
 }
 
-fn draw_trouble(random: &mut ChaCha8Rng) -> Trouble {
+fn draw_store_fault(random: &mut ChaCha8Rng) -> Trouble {
     match random.random_range(0..8) {
         0 => Trouble::Busy,
         1 => Trouble::Throttled,
@@ -116,18 +119,18 @@
     }
 }
 
-fn draw_disturbance(random: &mut ChaCha8Rng) -> Disturbance {
+fn draw_link_fault(random: &mut ChaCha8Rng) -> LinkFault {
     match random.random_range(0..4) {
-        0 => Disturbance::Delay(random.random_range(5..300)),
-        1 => Disturbance::Silence,
-        2 => Disturbance::SilenceFromTarget,
-        _ => Disturbance::Reset,
+        0 => LinkFault::Delay(random.random_range(5..300)),
+        1 => LinkFault::Silence,
+        2 => LinkFault::SilenceFromTarget,
+        _ => LinkFault::Reset,
     }
 }
 
 fn draw_behaviour(random: &mut ChaCha8Rng, fleet: &Fleet, worker: usize) -> Behaviour {
-    let well_behaved = fleet.workers[worker].well_behaved();
-    let Behaviour::Events { count, .. } = well_behaved else {
+    let healthy_behaviour = fleet.workers[worker].healthy_behaviour();
+    let Behaviour::Events { count, .. } = healthy_behaviour else {
         return match random.random_range(0..8) {
             0 => Behaviour::Fail("500 Internal Server Error"),
             1 => Behaviour::Refuse,
@@ -150,14 +153,14 @@
     }
 }
 
-/// Brings a fault about.
-pub fn begin(fault: &Fault, fleet: &mut Fleet, version: u64) {
+/// Injects a fault. `version` is larger for each fault, so that configurations get new versions.
+pub fn inject(fault: &Fault, fleet: &mut Fleet, version: u64) {
     match fault {
         Fault::Pause { node } => fleet.nodes[*node].signal("-STOP"),
         Fault::Kill { node } => fleet.nodes[*node].kill(),
         Fault::Stop { node } => fleet.nodes[*node].signal("-TERM"),
         Fault::StopSeveral { first, count } => {
-            for node in several(fleet, *first, *count) {
+            for node in consecutive_nodes(fleet, *first, *count) {
                 fleet.nodes[node].signal("-TERM");
             }
         }
@@ -168,20 +171,26 @@
             node.signal("-TERM");
         }
         Fault::KillAll => fleet.nodes.iter_mut().for_each(|node| node.kill()),
-        Fault::ForgetStoreLink { node } => fleet.nodes[*node].store_link.forget(),
-        Fault::ForgetWorkerLink { worker } => fleet.workers[*worker].link.forget(),
-        Fault::Store(trouble) => fleet.deployment.store.set_trouble(*trouble),
-        Fault::StorePartition { partition, trouble } => {
+        Fault::BlackholeStoreLink { node } => {
+            fleet.nodes[*node].store_link.blackhole_open_connections()
+        }
+        Fault::BlackholeWorkerLink { worker } => {
+            fleet.workers[*worker].link.blackhole_open_connections()
+        }
+        Fault::Store(store_fault) => fleet.deployment.store.set_trouble(*store_fault),
+        Fault::StorePartition {
+            partition,
+            store_fault,
+        } => {
             let store = &fleet.deployment.store;
-            store.set_partition_trouble(*partition, *trouble);
+            store.set_partition_trouble(*partition, *store_fault);
         }
-        Fault::StoreLink { node, disturbance } => {
-            fleet.nodes[*node].store_link.disturb(*disturbance);
+        Fault::StoreLink { node, link_fault } => {
+            fleet.nodes[*node].store_link.set_fault(*link_fault);
+        }
+        Fault::WorkerLink { worker, link_fault } => {
+            fleet.workers[*worker].link.set_fault(*link_fault)
         }
-        Fault::WorkerLink {
-            worker,
-            disturbance,
-        } => fleet.workers[*worker].link.disturb(*disturbance),
         Fault::Worker { worker, behaviour } => {
             fleet.workers[*worker]
                 .worker
@@ -189,22 +198,22 @@
         }
         Fault::Compact => fleet.deployment.store.compact_keyed(),
         Fault::Configure { count } => {
-            for further in 0..*count {
-                let next = configuration(version * MOST_CONFIGURATIONS + further);
+            for index in 0..*count {
+                let next = configuration(version * MAX_CONFIGURATIONS + index);
                 fleet.deployment.configure(&next);
             }
         }
     }
 }
 
-/// Ends a fault.
-pub fn end(fault: &Fault, fleet: &mut Fleet) {
+/// Ends a fault and restores normal operation.
+pub fn heal(fault: &Fault, fleet: &mut Fleet) {
     match fault {
         Fault::Pause { node } => fleet.nodes[*node].signal("-CONT"),
         Fault::Kill { node } => fleet.nodes[*node].start(),
         Fault::Stop { node } | Fault::StopWhileStarting { node } => restart(fleet, *node),
         Fault::StopSeveral { first, count } => {
-            for node in several(fleet, *first, *count) {
+            for node in consecutive_nodes(fleet, *first, *count) {
                 restart(fleet, node);
             }
         }
@@ -214,18 +223,18 @@
             let store = &fleet.deployment.store;
             store.set_partition_trouble(*partition, Trouble::None);
         }
-        Fault::StoreLink { node, .. } => fleet.nodes[*node].store_link.disturb(Disturbance::None),
+        Fault::StoreLink { node, .. } => fleet.nodes[*node].store_link.set_fault(LinkFault::None),
         Fault::WorkerLink { worker, .. } => {
-            fleet.workers[*worker].link.disturb(Disturbance::None);
+            fleet.workers[*worker].link.set_fault(LinkFault::None);
         }
         Fault::Worker { worker, .. } => {
-            let reached = &fleet.workers[*worker];
-            reached.worker.set_behaviour(reached.well_behaved());
+            let proxied = &fleet.workers[*worker];
+            proxied.worker.set_behaviour(proxied.healthy_behaviour());
         }
         Fault::Compact
         | Fault::Configure { .. }
-        | Fault::ForgetStoreLink { .. }
-        | Fault::ForgetWorkerLink { .. } => {}
+        | Fault::BlackholeStoreLink { .. }
+        | Fault::BlackholeWorkerLink { .. } => {}
     }
 }
 
@@ -234,8 +243,9 @@
     fleet.nodes[node].start();
 }
 
-/// Numbers of `count` nodes from `first` on, in a circle; none twice.
-fn several(fleet: &Fleet, first: usize, count: usize) -> Vec<usize> {
+/// Returns the numbers of `count` consecutive nodes from `first` on, wrapping around, without
+/// duplicates.
+fn consecutive_nodes(fleet: &Fleet, first: usize, count: usize) -> Vec<usize> {
     let nodes = fleet.nodes.len();
     (first..first + count.min(nodes))
         .map(|number| number % nodes)
--- a/crates/cli/tests/soak/fleet.rs
+++ b/crates/cli/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of one round, with proxies between them and what they use.
+//! Gateway processes of one round, with proxies in front of the store and the workers.
 
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,115 +14,119 @@
 };
 use crate::standin::worker::{Behaviour, Worker};
 
-/// Most gateway processes of a usual round; each seed has its own number.
-const USUAL_NODES: usize = 7;
+/// Maximum number of gateway processes in a usual round; the seed determines the number.
+const MAX_USUAL_NODES: usize = 7;
 
-/// Fewest.
-const FEWEST_NODES: usize = 2;
+/// Minimum number of gateway processes in a usual round.
+const MIN_NODES: usize = 2;
 
-/// Gateway processes of a large round.
-const MOST_NODES: usize = 24;
+/// Number of gateway processes in a large round.
+const LARGE_ROUND_NODES: usize = 24;
 
-/// One seed in so many plays a large round.
-const LARGE_ROUNDS: u64 = 10;
+/// Seeds divisible by this number run a large round.
+const LARGE_ROUND_INTERVAL: u64 = 10;
 
-/// Fleets of one test process that have addresses of their own.
-const PLACES: usize = 10;
+/// Number of fleets of one test process that can run at the same time without sharing addresses.
+const ADDRESS_SLOTS: usize = 10;
 
-/// Fleets started so far by this test process.
-static FLEETS: AtomicUsize = AtomicUsize::new(0);
+/// Number of fleets started so far by this test process.
+static STARTED_FLEETS: AtomicUsize = AtomicUsize::new(0);
 
-/// Workers of each service.
+/// Number of workers of each service.
 const WORKERS: usize = 3;
 
-/// Events of each stream.
+/// Number of events in each stream.
 pub const EVENTS: u32 = 5;
 
-/// Pause between two events, in ms.
-const EVENT_PAUSE: u64 = 15;
+/// Pause between two events, in milliseconds.
+const EVENT_PAUSE_MS: u64 = 15;
 
-/// Ports of each process; it has an address of its own, so they meet no other's.
+/// First port of each process. Every process has its own address, so the ports do not collide.
 const FIRST_PORT: u16 = 7_301;
 
-/// Longest wait for a process's counters.
-const METRICS_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a request for metrics.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The counter of the most memory held.
-const PEAK_HELD: &str = "elderworks_gateway_held_peak_bytes";
+/// Name of the metric for the peak of buffered bytes.
+const PEAK_HELD_METRIC: &str = "elderworks_gateway_held_peak_bytes";
 
-/// Interval at which a wait looks again.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks before a wait is given up: half a minute.
-const LOOKS: u32 = 600;
+/// Number of polls after which a wait fails: half a minute.
+const MAX_POLLS: u32 = 600;
 
-/// One gateway process.
+/// Gateway process, which may be running or not.
 pub struct Node {
     name: String,
-    own: OwnAddress,
+    endpoints: OwnAddress,
     folder: PathBuf,
     child: Option<Child>,
-    /// Between the process and the store.
+    /// Proxy between the process and the store.
     pub store_link: Proxy,
 }
 
 impl Node {
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
-        SocketAddr::from((self.own.ip, self.own.callers))
+        SocketAddr::from((self.endpoints.ip, self.endpoints.callers))
     }
 
-    /// Where its counters are shown: the last of the ports for what nodes say to each other.
+    /// Returns the address of the metrics endpoint, the last of the ports for peers.
     fn metrics(&self) -> SocketAddr {
-        SocketAddr::from((self.own.ip, self.own.peers + 2))
+        SocketAddr::from((self.endpoints.ip, self.endpoints.peers + 2))
     }
 
+    /// Returns the address of the readiness endpoint.
     fn readiness(&self) -> SocketAddr {
-        SocketAddr::from((self.own.ip, self.own.readiness))
+        SocketAddr::from((self.endpoints.ip, self.endpoints.readiness))
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process unless it is running.
     pub fn start(&mut self) {
         if self.is_running() {
             return;
         }
         let settings = self.folder.join(format!("{}.json", self.name));
-        let text = settings_text_at(&self.name, self.store_link.address, self.own);
-        std::fs::write(&settings, text).expect("a folder for the round");
+        let text = settings_text_at(&self.name, self.store_link.address, self.endpoints);
+        std::fs::write(&settings, text).expect("the settings file can be written");
         let log = self.folder.join(format!("{}.log", self.name));
         let output = File::options()
             .create(true)
             .append(true)
             .open(log)
-            .expect("a log");
+            .expect("the log file can be opened");
         let child = Command::new(env!("CARGO_BIN_EXE_elderworks"))
             .arg("gateway")
             .env(SETTINGS_VARIABLE, settings)
             .stdin(Stdio::null())
-            .stdout(output.try_clone().expect("a log"))
+            .stdout(output.try_clone().expect("the log file can be shared"))
             .stderr(output)
             .spawn()
-            .expect("the program runs");
+            .expect("the gateway starts");
         self.child = Some(child);
     }
 
     fn is_running(&mut self) -> bool {
-        let ended = self
-            .child
-            .as_mut()
-            .is_none_or(|child| child.try_wait().expect("our child").is_some());
-        !ended
+        let has_exited = self.child.as_mut().is_none_or(|child| {
+            child
+                .try_wait()
+                .expect("the process is our child")
+                .is_some()
+        });
+        !has_exited
     }
 
-    /// Ends the process as a loss of power does.
+    /// Kills the process by SIGKILL, as a power failure would.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // Fails if the process has exited already.
             let _ = child.kill();
-            child.wait().expect("our child");
+            child.wait().expect("the process is our child");
         }
     }
 
-    /// Sends a signal, named as `kill` takes it.
+    /// Sends a signal, given as an option of `kill`, to the process if it is running.
     pub fn signal(&mut self, signal: &str) {
         if !self.is_running() {
             return;
@@ -140,29 +144,29 @@
     }
 }
 
-/// How many processes a seed plays with.
+/// Returns the number of processes in the round of a seed.
 fn node_count(seed: u64) -> usize {
-    if seed.is_multiple_of(LARGE_ROUNDS) {
-        return MOST_NODES;
+    if seed.is_multiple_of(LARGE_ROUND_INTERVAL) {
+        return LARGE_ROUND_NODES;
     }
-    let sizes = USUAL_NODES - FEWEST_NODES + 1;
-    FEWEST_NODES + usize::try_from(seed % 97).expect("a small number") % sizes
+    let sizes = MAX_USUAL_NODES - MIN_NODES + 1;
+    MIN_NODES + usize::try_from(seed % 97).expect("a small number") % sizes
 }
 
-/// A worker with the proxy in front of it.
-pub struct ReachedWorker {
+/// Worker with the proxy in front of it.
+pub struct ProxiedWorker {
     pub worker: Worker,
     pub service: &'static str,
     pub link: Proxy,
 }
 
-impl ReachedWorker {
-    /// What it does when nothing is wrong.
-    pub fn well_behaved(&self) -> Behaviour {
+impl ProxiedWorker {
+    /// Returns the behaviour of the worker without a fault.
+    pub fn healthy_behaviour(&self) -> Behaviour {
         if self.service == ENGINES {
             Behaviour::Events {
                 count: EVENTS,
-                pause: EVENT_PAUSE,
+                pause: EVENT_PAUSE_MS,
             }
         } else {
             Behaviour::Echo
@@ -170,17 +174,19 @@
     }
 }
 
+/// Service whose workers stream events.
 const ENGINES: &str = "engines";
+/// Service whose workers answer with the request.
 const TOOLS: &str = "tools";
 
-/// Everything that takes part in a round.
+/// Store, gateway processes and workers of a round.
 pub struct Fleet {
     pub deployment: Deployment,
     pub nodes: Vec<Node>,
-    pub workers: Vec<ReachedWorker>,
+    pub workers: Vec<ProxiedWorker>,
     folder: PathBuf,
-    /// Differs between fleets of one test process that run at the same time.
-    place: usize,
+    /// Range of addresses; differs between concurrent fleets of one test process.
+    address_slot: usize,
 }
 
 impl Fleet {
@@ -188,14 +194,14 @@
     pub async fn start(seed: u64) -> Self {
         let folder =
             std::env::temp_dir().join(format!("elderworks-soak-{}-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder for the round");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         let deployment = Deployment::start();
         let mut fleet = Self {
             workers: Vec::new(),
             nodes: Vec::new(),
             folder,
             deployment,
-            place: FLEETS.fetch_add(1, Ordering::Relaxed) % PLACES,
+            address_slot: STARTED_FLEETS.fetch_add(1, Ordering::Relaxed) % ADDRESS_SLOTS,
         };
         for service in [ENGINES, TOOLS] {
             for number in 0..WORKERS {
@@ -213,26 +219,27 @@
         fleet
     }
 
-    /// Where the processes' logs lie.
+    /// Returns the folder with the settings and logs of the processes.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
+    /// Starts a worker behind a proxy and lists it in the store.
     fn add_worker(&mut self, service: &'static str, id: &str) {
         let worker = Worker::start(id, &[]);
         let link = Proxy::start(worker.address);
-        let reached = ReachedWorker {
+        let proxied = ProxiedWorker {
             worker,
             service,
             link,
         };
-        reached.worker.set_behaviour(reached.well_behaved());
-        self.list(&reached, "ready");
-        self.workers.push(reached);
+        proxied.worker.set_behaviour(proxied.healthy_behaviour());
+        self.write_record(&proxied, "ready");
+        self.workers.push(proxied);
     }
 
-    /// Writes a worker's record.
-    pub fn list(&self, worker: &ReachedWorker, phase: &str) {
+    /// Writes a worker's record to the store.
+    pub fn write_record(&self, worker: &ProxiedWorker, phase: &str) {
         let record = worker
             .worker
             .record_at(worker.link.address, worker.service, phase);
@@ -242,10 +249,10 @@
 
     fn new_node(&self, number: usize) -> Node {
         let process = std::process::id().to_be_bytes();
-        let host = 2 + self.place * MOST_NODES + number;
-        let host = u8::try_from(host).expect("few nodes in few places");
+        let host = 2 + self.address_slot * LARGE_ROUND_NODES + number;
+        let host = u8::try_from(host).expect("all addresses fit into the last byte");
         let ip = Ipv4Addr::new(127, process[2] | 1, process[3], host);
-        let own = OwnAddress {
+        let endpoints = OwnAddress {
             ip,
             callers: FIRST_PORT,
             readiness: FIRST_PORT + 1,
@@ -254,35 +261,38 @@
         };
         Node {
             name: format!("node-{number}"),
-            own,
+            endpoints,
             folder: self.folder.clone(),
             child: None,
             store_link: Proxy::start(self.deployment.store.address),
         }
     }
 
-    /// The most that a process has held for callers, workers and peers since its last start.
+    /// Returns the maximum over all processes of the peak number of bytes buffered for callers,
+    /// workers and peers since the process started.
     pub async fn peak_held(&self) -> usize {
         let mut peak = 0;
         for node in &self.nodes {
             let request = Request::new("GET", "/metrics", "m");
-            let answer = request.try_send(node.metrics(), METRICS_PATIENCE).await;
-            let text = answer.expect("counters are shown").body;
-            let line = text.lines().find_map(|line| line.strip_prefix(PEAK_HELD));
+            let answer = request.try_send(node.metrics(), METRICS_TIMEOUT).await;
+            let text = answer.expect("the metrics endpoint responds").body;
+            let line = text
+                .lines()
+                .find_map(|line| line.strip_prefix(PEAK_HELD_METRIC));
             let held = line.and_then(|value| value.trim().parse().ok());
-            peak = peak.max(held.expect("the peak is among them"));
+            peak = peak.max(held.expect("the metric is exported"));
         }
         peak
     }
 
-    /// Waits until every node says that it is ready.
+    /// Waits until every node reports that it is ready.
     pub async fn wait_until_ready(&self) {
         for node in &self.nodes {
-            let mut looks = 0;
+            let mut polls = 0;
             while !answers_ready(node.readiness()).await {
-                looks += 1;
-                assert!(looks < LOOKS, "{} is never ready", node.name);
-                actix_rt::time::sleep(LOOK).await;
+                polls += 1;
+                assert!(polls < MAX_POLLS, "{} did not become ready", node.name);
+                actix_rt::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,17 +1,21 @@
-//! Real gateway processes under faults injected from outside: what callers and workers see must
-//! keep the promises of the platform's pages.
+//! Soak test of real gateway processes under injected faults. Checks that what callers and workers
+//! observe keeps the documented guarantees.
 //!
-//! Each seed draws a schedule of faults: signals to processes (pause, kill, restart, orderly stop),
-//! connections that a loopback proxy delays, resets, cuts one way, silences or forgets, troubles of the
-//! store, series of configurations, and workers that misbehave. Several are in force at a time, and
-//! one may begin before another has healed. Half of the callers send one request after the other on a
-//! connection until it ends; some ask for long streams and leave them unread for a while, and the most
-//! memory that a process held is printed. Time of day is not among the faults, since nothing that decides uses it;
-//! links between nodes are disturbed only through their processes.
+//! Each seed determines a schedule of overlapping faults: signals to processes (pause, kill,
+//! restart, orderly stop), proxied connections that are delayed, reset, blocked in one or both
+//! directions or dropped silently, store faults, series of configurations, and misbehaving workers.
+//! Half of the callers reuse connections until these close; some request long streams and delay
+//! reading them. The peak of buffered bytes is printed. The time of day is not changed, since no
+//! decision depends on it. Connections between nodes are affected only through faults of their
+//! processes.
 //!
-//! The test command plays the seeds of [`REGRESSIONS`] for a few seconds each. For a soak of minutes
-//! with fresh seeds, set `ELDERWORKS_SOAK_SECONDS`, and `ELDERWORKS_SOAK_SEED` to play one seed
-//! again: `ELDERWORKS_SOAK_SECONDS=300 cargo test --release -p elderworks-cli --test soak -- --nocapture`.
+//! By default, the seeds of [`REGRESSIONS`] run for a few seconds each. Set
+//! `ELDERWORKS_SOAK_SECONDS` to run random seeds for longer, and also `ELDERWORKS_SOAK_SEED` to
+//! repeat one seed:
+//!
+//! ```sh
+//! ELDERWORKS_SOAK_SECONDS=300 cargo test --release -p elderworks-cli --test soak -- --nocapture
+//! ```
 
 #[path = "../../../../platform/tests/standin/mod.rs"]
 mod standin;
@@ -26,41 +30,42 @@
 
 use std::time::{Duration, Instant};
 
-/// Seeds that every test run plays, each with the reason why it stays.
+/// Seeds of every test run, each with the reason for including it.
 const REGRESSIONS: &[(u64, &str)] = &[
-    (1, "no finding: a short schedule for every test run"),
-    (2, "no finding: another one"),
-    (3, "no finding: stops of several processes at once"),
-    (4, "no finding: further sizes"),
-    (5, "no finding: further sizes"),
-    (10, "no finding: a large round"),
+    (1, "baseline"),
+    (2, "second baseline"),
+    (3, "stops of several processes at the same time"),
+    (4, "another number of processes"),
+    (5, "another number of processes"),
+    (10, "large round"),
 ];
 
-/// Time under faults of one seed.
-const ROUND: Duration = Duration::from_secs(6);
+/// Duration of the fault schedule of one seed.
+const ROUND_DURATION: Duration = Duration::from_secs(6);
 
 #[actix_rt::test]
-async fn seeds_of_earlier_findings() {
+async fn regression_seeds_keep_the_guarantees() {
     for (seed, reason) in REGRESSIONS {
         println!("seed {seed}: {reason}");
-        round::play(*seed, ROUND).await;
+        round::run(*seed, ROUND_DURATION).await;
     }
 }
 
 #[actix_rt::test]
-async fn fresh_seeds_for_as_long_as_asked() {
-    let Some(seconds) = number("ELDERWORKS_SOAK_SECONDS") else {
+async fn random_seeds_keep_the_guarantees() {
+    let Some(seconds) = number_from_env("ELDERWORKS_SOAK_SECONDS") else {
         return;
     };
     let until = Instant::now() + Duration::from_secs(seconds);
-    if let Some(seed) = number("ELDERWORKS_SOAK_SEED") {
-        return round::play(seed, Duration::from_secs(seconds)).await;
+    if let Some(seed) = number_from_env("ELDERWORKS_SOAK_SEED") {
+        return round::run(seed, Duration::from_secs(seconds)).await;
     }
     while Instant::now() < until {
-        round::play(rand::random(), ROUND).await;
+        round::run(rand::random(), ROUND_DURATION).await;
     }
 }
 
-fn number(variable: &str) -> Option<u64> {
+/// Reads a number_from_env from an environment variable.
+fn number_from_env(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
--- a/crates/cli/tests/soak/proxy.rs
+++ b/crates/cli/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that can disturb what passes through it.
+//! A loopback TCP proxy that injects faults into its connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -9,174 +9,180 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What becomes of bytes.
+/// Fault of all connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Disturbance {
-    /// They pass.
+pub enum LinkFault {
+    /// Bytes are forwarded.
     #[default]
     None,
-    /// Each piece waits for this long, in ms.
+    /// Each chunk is delayed by this time, in milliseconds.
     Delay(u64),
-    /// They stay here, in both directions, until this ends.
+    /// Bytes in both directions are held back until the fault ends.
     Silence,
-    /// What the target sends stays here until this ends.
+    /// Bytes from the target are held back until the fault ends.
     SilenceFromTarget,
     /// Connections are reset.
     Reset,
 }
 
-/// Interval at which a silenced direction looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a connection checks whether the fault has changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running proxy.
 #[derive(Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    disturbance: Rc<Cell<Disturbance>>,
-    /// How often the connections of the time were forgotten.
-    forgotten: Rc<Cell<u64>>,
+    fault: Rc<Cell<LinkFault>>,
+    /// Number of calls of [`Proxy::blackhole_open_connections`].
+    blackhole_count: Rc<Cell<u64>>,
 }
 
-/// What one connection through the proxy meets.
-struct Passage {
-    disturbance: Rc<Cell<Disturbance>>,
-    forgotten: Rc<Cell<u64>>,
-    /// Value of `forgotten` when it was opened.
-    opened: u64,
+/// Fault state of one connection through the proxy.
+struct LinkState {
+    fault: Rc<Cell<LinkFault>>,
+    blackhole_count: Rc<Cell<u64>>,
+    /// Value of `blackhole_count` when the connection was opened.
+    count_at_open: u64,
 }
 
-impl Passage {
-    fn is_forgotten(&self) -> bool {
-        self.forgotten.get() > self.opened
+impl LinkState {
+    /// Returns whether the connection silently drops all data.
+    fn is_blackholed(&self) -> bool {
+        self.blackhole_count.get() > self.count_at_open
     }
 }
 
 impl Proxy {
-    /// Begins to pass connections on to a target.
+    /// Starts a proxy that forwards connections to a target.
     pub fn start(target: SocketAddr) -> Self {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("a socket");
-        let listener = TcpListener::from_std(listener).expect("a runtime");
+        listener
+            .set_nonblocking(true)
+            .expect("the listener can be non-blocking");
+        let listener = TcpListener::from_std(listener).expect("a runtime is running");
         let address = listener.local_addr().expect("an address");
-        let disturbance = Rc::new(Cell::new(Disturbance::None));
-        let forgotten = Rc::new(Cell::new(0));
-        let shared = (disturbance.clone(), forgotten.clone());
+        let fault = Rc::new(Cell::new(LinkFault::None));
+        let blackhole_count = Rc::new(Cell::new(0));
+        let shared = (fault.clone(), blackhole_count.clone());
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let passage = Passage {
-                    disturbance: shared.0.clone(),
-                    opened: shared.1.get(),
-                    forgotten: shared.1.clone(),
+                let state = LinkState {
+                    fault: shared.0.clone(),
+                    count_at_open: shared.1.get(),
+                    blackhole_count: shared.1.clone(),
                 };
-                actix_rt::spawn(pass(stream, target, passage));
+                actix_rt::spawn(forward(stream, target, state));
             }
         });
         Self {
             address,
-            disturbance,
-            forgotten,
+            fault,
+            blackhole_count,
         }
     }
 
-    /// Forgets the connections that are open: nothing passes on them any more, and nobody is told.
-    /// New ones work.
-    pub fn forget(&self) {
-        self.forgotten.set(self.forgotten.get() + 1);
+    /// Silently drops all further data on the connections that are open, without closing them. New
+    /// connections work.
+    pub fn blackhole_open_connections(&self) {
+        self.blackhole_count.set(self.blackhole_count.get() + 1);
     }
 
-    /// Sets what becomes of bytes from now on.
-    pub fn disturb(&self, disturbance: Disturbance) {
-        self.disturbance.set(disturbance);
+    /// Sets the fault of open and new connections.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.set(fault);
     }
 }
 
-async fn pass(stream: TcpStream, target: SocketAddr, passage: Passage) {
-    let Ok(onward) = TcpStream::connect(target).await else {
+/// Connects to the target and forwards data in both directions until the connection ends.
+async fn forward(stream: TcpStream, target: SocketAddr, state: LinkState) {
+    let Ok(target_stream) = TcpStream::connect(target).await else {
         return reset(&stream);
     };
-    for socket in [&stream, &onward] {
-        // A proxy without this is only slower.
+    for socket in [&stream, &target_stream] {
+        // Failure only makes the proxy slower.
         let _ = socket.set_nodelay(true);
     }
-    let reset_by = socket2::SockRef::from(&stream).try_clone();
+    let caller_socket = socket2::SockRef::from(&stream).try_clone();
     let (from_caller, to_caller) = stream.into_split();
-    let (from_target, to_target) = onward.into_split();
-    // A direction that was closed leaves the other one open; one that broke ends both.
+    let (from_target, to_target) = target_stream.into_split();
+    // A closed direction leaves the other one open; a failed direction ends both.
     let _ = tokio::try_join!(
-        copy(from_caller, to_target, &passage, false),
-        copy(from_target, to_caller, &passage, true),
+        copy(from_caller, to_target, &state, false),
+        copy(from_target, to_caller, &state, true),
     );
-    if passage.disturbance.get() == Disturbance::Reset
-        && let Ok(socket) = reset_by
+    if state.fault.get() == LinkFault::Reset
+        && let Ok(socket) = caller_socket
     {
-        // Closing then resets.
+        // With zero linger, closing the socket resets the connection.
         let _ = socket.set_linger(Some(Duration::ZERO));
     }
 }
 
+/// Makes the socket send a reset when it is closed.
 fn reset(stream: &TcpStream) {
-    // Closing resets with this option; without it, it closes.
+    // With zero linger, closing the socket resets the connection. On failure it closes normally.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Why a connection is of no further use.
-struct Broken;
+/// Error for a connection that failed or was reset.
+struct ConnectionFailed;
 
-/// Passes bytes on in one direction until its sender closes it.
+/// Forwards bytes in one direction until the sender closes it.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    passage: &Passage,
+    state: &LinkState,
     is_from_target: bool,
-) -> Result<(), Broken> {
-    let disturbance = &*passage.disturbance;
+) -> Result<(), ConnectionFailed> {
+    let fault = &*state.fault;
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = until_reset(disturbance) => return Err(Broken),
+            () = until_reset(fault) => return Err(ConnectionFailed),
         };
         let Ok(count) = read else {
-            return Err(Broken);
+            return Err(ConnectionFailed);
         };
         if count == 0 {
-            // The other side may be gone too.
+            // Fails if the receiver has closed the connection already.
             let _ = to.shutdown().await;
             return Ok(());
         }
-        if passage.is_forgotten() {
+        if state.is_blackholed() {
             continue;
         }
-        match disturbance.get() {
-            Disturbance::Delay(milliseconds) => {
+        match fault.get() {
+            LinkFault::Delay(milliseconds) => {
                 actix_rt::time::sleep(Duration::from_millis(milliseconds)).await;
             }
-            Disturbance::Reset => return Err(Broken),
-            _ => until_passing(disturbance, is_from_target).await,
+            LinkFault::Reset => return Err(ConnectionFailed),
+            _ => until_unblocked(fault, is_from_target).await,
         }
-        if passage.is_forgotten() {
+        if state.is_blackholed() {
             continue;
         }
-        if disturbance.get() == Disturbance::Reset || to.write_all(&buffer[..count]).await.is_err()
-        {
-            return Err(Broken);
+        if fault.get() == LinkFault::Reset || to.write_all(&buffer[..count]).await.is_err() {
+            return Err(ConnectionFailed);
         }
     }
 }
 
-async fn until_reset(disturbance: &Cell<Disturbance>) {
-    while disturbance.get() != Disturbance::Reset {
-        actix_rt::time::sleep(LOOK).await;
+/// Waits until the fault is [`LinkFault::Reset`].
+async fn until_reset(fault: &Cell<LinkFault>) {
+    while fault.get() != LinkFault::Reset {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn until_passing(disturbance: &Cell<Disturbance>, is_from_target: bool) {
+/// Waits until the fault no longer holds back this direction.
+async fn until_unblocked(fault: &Cell<LinkFault>, is_from_target: bool) {
     loop {
-        match disturbance.get() {
-            Disturbance::Silence => {}
-            Disturbance::SilenceFromTarget if is_from_target => {}
+        match fault.get() {
+            LinkFault::Silence => {}
+            LinkFault::SilenceFromTarget if is_from_target => {}
             _ => return,
         }
-        actix_rt::time::sleep(LOOK).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/tests/soak/round.rs
+++ b/crates/cli/tests/soak/round.rs
@@ -1,4 +1,4 @@
-//! One seed: faults for a while, then a calm in which everything must work again.
+//! One round: injects the faults of a seed, then checks that the system recovers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,68 +8,68 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::callers::{CallerTask, Records};
-use crate::checks::{Evidence, broken_promises};
+use crate::checks::{Observations, violations};
 use crate::faults::{self, Fault};
 use crate::fleet::Fleet;
 
-/// Callers at work at the same time.
+/// Number of concurrent callers that read without delay.
 const CALLERS: u64 = 8;
 
-/// Further ones that stop reading for a while.
+/// Number of additional callers that delay reading their answers.
 const SLOW_CALLERS: u64 = 3;
 
-/// Most faults in force at the same time.
-const MOST_FAULTS: usize = 6;
+/// Maximum number of concurrent faults.
+const MAX_ACTIVE_FAULTS: usize = 6;
 
-/// Interval at which faults begin and end.
+/// Interval at which faults are injected and healed, and at which conditions are polled.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Pause between the beginnings of two faults, on average.
-const FAULT_GAP: Duration = Duration::from_millis(250);
+/// Mean time between the injection of two faults.
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after the faults in which late effects may still show: what was done late, a request that
-/// was said not to run.
-const CALM: Duration = Duration::from_millis(3_500);
+/// Time after the faults in which late effects may appear, such as a delayed append or the run of a
+/// request that was reported as not run.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(3_500);
 
-/// Whole turns in the calm that show that the system serves again.
-const SERVED_AGAIN: usize = 20;
+/// Number of complete turns after the faults that shows that the system has recovered.
+const RECOVERED_TURNS: usize = 20;
 
-/// Plays a seed and panics if a promise was broken.
-pub async fn play(seed: u64, duration: Duration) {
+/// Runs the round of a seed and panics if a guarantee was violated.
+pub async fn run(seed: u64, duration: Duration) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = Fleet::start(seed).await;
     let records = Rc::new(Records::default());
     let stop = Rc::new(Cell::new(false));
     let tasks = start_callers(&fleet, &records, &stop, seed);
-    let schedule = disturb(&mut random, &mut fleet, duration).await;
+    let schedule = inject_faults(&mut random, &mut fleet, duration).await;
     fleet.wait_until_ready().await;
-    let whole_before = whole_turns(&records);
-    wait_until_served(&records, whole_before).await;
-    actix_rt::time::sleep(CALM).await;
+    let complete_before = complete_turns(&records);
+    wait_until_recovered(&records, complete_before).await;
+    actix_rt::time::sleep(RECOVERY_PERIOD).await;
     stop.set(true);
     for task in tasks {
-        task.await.expect("a caller ends");
+        task.await.expect("the caller task completes");
     }
-    let broken = broken_promises(&evidence(&fleet, &records));
+    let violations = violations(&observations(&fleet, &records));
     let peak = fleet.peak_held().await;
     report(seed, fleet.nodes.len(), &records, &schedule);
     println!("seed {seed}: at most {peak} bytes held by a process");
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "seed {seed}, logs in {}:\n{}\nschedule:\n{}",
         fleet.folder().display(),
-        broken.join("\n"),
+        violations.join("\n"),
         schedule.join("\n"),
     );
-    std::fs::remove_dir_all(fleet.folder()).expect("the round's own folder");
+    std::fs::remove_dir_all(fleet.folder()).expect("the folder of the round can be removed");
 }
 
-fn evidence(fleet: &Fleet, records: &Records) -> Evidence {
+fn observations(fleet: &Fleet, records: &Records) -> Observations {
     let workers = fleet.workers.iter();
-    Evidence {
+    Observations {
         requests: records.requests.borrow().clone(),
         budgets: records.budgets.borrow().clone(),
-        runs: workers.flat_map(|reached| reached.worker.runs()).collect(),
+        runs: workers.flat_map(|proxied| proxied.worker.runs()).collect(),
     }
 }
 
@@ -85,8 +85,8 @@
                 records: records.clone(),
                 nodes: fleet.nodes.iter().map(|node| node.callers()).collect(),
                 stop: stop.clone(),
-                keeps_connections: number % 2 == 0,
-                stops_reading: number >= CALLERS,
+                reuses_connections: number % 2 == 0,
+                delays_reading: number >= CALLERS,
                 connections: RefCell::default(),
                 seed: seed.wrapping_add(number),
             };
@@ -95,28 +95,35 @@
         .collect()
 }
 
-/// Lets faults come and go; returns what was done, with times.
-async fn disturb(random: &mut ChaCha8Rng, fleet: &mut Fleet, duration: Duration) -> Vec<String> {
+/// Injects and heals faults for a duration; returns a log of them with their times.
+async fn inject_faults(
+    random: &mut ChaCha8Rng,
+    fleet: &mut Fleet,
+    duration: Duration,
+) -> Vec<String> {
     let started = Instant::now();
     let mut schedule = Vec::new();
-    let mut in_force: Vec<(Fault, Instant)> = Vec::new();
+    let mut active: Vec<(Fault, Instant)> = Vec::new();
     let mut version = 1;
     while started.elapsed() < duration {
         let now = Instant::now();
-        end_due(fleet, &mut in_force, |until| until <= now);
-        let is_time = random.random_bool(STEP.as_secs_f64() / FAULT_GAP.as_secs_f64());
-        if is_time && in_force.len() < MOST_FAULTS {
-            let (fault, lasts) = faults::draw(random, fleet);
+        heal_due(fleet, &mut active, |until| until <= now);
+        let inject_now = random.random_bool(STEP.as_secs_f64() / MEAN_FAULT_INTERVAL.as_secs_f64());
+        if inject_now && active.len() < MAX_ACTIVE_FAULTS {
+            let (fault, fault_duration) = faults::draw(random, fleet);
             version += 1;
-            faults::begin(&fault, fleet, version);
+            faults::inject(&fault, fleet, version);
             let at = started.elapsed().as_millis();
-            schedule.push(format!("{at} ms: {fault:?} for {} ms", lasts.as_millis()));
-            in_force.push((fault, now + lasts));
+            schedule.push(format!(
+                "{at} ms: {fault:?} for {} ms",
+                fault_duration.as_millis()
+            ));
+            active.push((fault, now + fault_duration));
         }
         actix_rt::time::sleep(STEP).await;
     }
-    end_due(fleet, &mut in_force, |_| true);
-    // Faults may have ended one another's effects out of order.
+    heal_due(fleet, &mut active, |_| true);
+    // Overlapping faults may leave a node paused or stopped after the last of them has healed.
     for node in &mut fleet.nodes {
         node.signal("-CONT");
         node.start();
@@ -124,41 +131,44 @@
     schedule
 }
 
-fn end_due(
+/// Heals the active faults whose end time is due.
+fn heal_due(
     fleet: &mut Fleet,
-    in_force: &mut Vec<(Fault, Instant)>,
+    active: &mut Vec<(Fault, Instant)>,
     is_due: impl Fn(Instant) -> bool,
 ) {
-    for (fault, until) in std::mem::take(in_force) {
+    for (fault, until) in std::mem::take(active) {
         if is_due(until) {
-            faults::end(&fault, fleet);
+            faults::heal(&fault, fleet);
         } else {
-            in_force.push((fault, until));
+            active.push((fault, until));
         }
     }
 }
 
-fn whole_turns(records: &Records) -> usize {
+/// Returns the number of requests that were answered completely.
+fn complete_turns(records: &Records) -> usize {
     let requests = records.requests.borrow();
     requests
         .values()
-        .filter(|seen| seen.is_whole_turn())
+        .filter(|record| record.is_complete_turn())
         .count()
 }
 
-/// Looks before the wait is given up: half a minute.
-const LOOKS: u32 = 600;
+/// Number of polls after which the wait for recovery fails: half a minute.
+const MAX_POLLS: u32 = 600;
 
-async fn wait_until_served(records: &Records, before: usize) {
-    for _ in 0..LOOKS {
-        if whole_turns(records) >= before + SERVED_AGAIN {
+async fn wait_until_recovered(records: &Records, before: usize) {
+    for _ in 0..MAX_POLLS {
+        if complete_turns(records) >= before + RECOVERED_TURNS {
             return;
         }
         actix_rt::time::sleep(STEP).await;
     }
-    panic!("programs are not served again");
+    panic!("the system did not recover after the faults");
 }
 
+/// Prints a summary of the round.
 fn report(seed: u64, nodes: usize, records: &Records, schedule: &[String]) {
     let requests = records.requests.borrow();
     println!(
@@ -167,7 +177,7 @@
         requests.len(),
         requests
             .values()
-            .filter(|seen| seen.is_whole_turn())
+            .filter(|record| record.is_complete_turn())
             .count(),
     );
 }
--- a/crates/cli/tests/verbs.rs
+++ b/crates/cli/tests/verbs.rs
@@ -174,7 +174,9 @@
         }
     });
     let result = tokio::time::timeout(WAIT_TIMEOUT, watching).await;
-    result.expect("the lines come").expect("the watch goes on");
+    result
+        .expect("the changes arrive in time")
+        .expect("the watch does not fail");
     revisions
 }
 
@@ -226,7 +228,9 @@
         }
     });
     let result = tokio::time::timeout(WAIT_TIMEOUT, watching).await;
-    result.expect("the lines come").expect("the watch goes on");
+    result
+        .expect("the changes arrive in time")
+        .expect("the watch does not fail");
     assert_eq!(names, ["lublin", "other"]);
     node.drain().await;
     platform.stop().await;
