--- a/crates/cli/src/verbs/error.rs
+++ b/crates/cli/src/verbs/error.rs
@@ -24,7 +24,7 @@
     Manifest {
         /// Path as given on the command line.
         file: String,
-        /// Cause, with its position in the document.
+        /// Cause.
         source: ManifestError,
     },
     /// A node responded with an error.
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -199,11 +199,7 @@
                     .map_err(|error| VerbError::Unexpected(error.to_string()));
             }
             match timeout(SILENCE_LIMIT, self.response.next()).await {
-                Err(_) => {
-                    return Err(VerbError::ConnectionLost(
-                        "no data received in time".to_owned(),
-                    ));
-                }
+                Err(_) => return Err(VerbError::ConnectionLost("read timed out".to_owned())),
                 Ok(None) => return Ok(None),
                 Ok(Some(Err(error))) => return Err(VerbError::ConnectionLost(error.to_string())),
                 Ok(Some(Ok(piece))) => self.push(&piece)?,
