--- a/crates/cli/src/verbs/get.rs
+++ b/crates/cli/src/verbs/get.rs
@@ -51,7 +51,7 @@
     collection: Collection,
     name: &str,
 ) -> Result<Vec<String>, VerbError> {
-    let Collection::Written(Kind::Service | Kind::Budget) = collection else {
+    let Collection::Writable(Kind::Service | Kind::Budget) = collection else {
         return Ok(Vec::new());
     };
     let programs = client.list(Collection::Written(Kind::Program)).await?;
@@ -66,7 +66,7 @@
     let Some(spec) = &program.spec else {
         return false;
     };
-    if collection == Collection::Written(Kind::Budget) {
+    if collection == Collection::Writable(Kind::Budget) {
         return spec["budget"] == name;
     }
     let services = spec["services"].as_array();
--- a/crates/cli/src/verbs/table.rs
+++ b/crates/cli/src/verbs/table.rs
@@ -71,7 +71,7 @@
         return format!("no {collection}");
     }
     let columns = columns(collection);
-    let has_revision = matches!(collection, Collection::Written(_));
+    let has_revision = matches!(collection, Collection::Writable(_));
     let mut headings = vec!["NAME"];
     headings.extend(has_revision.then_some("REVISION"));
     headings.extend(columns.iter().map(|(heading, _)| *heading));
--- a/crates/cli/tests/gateway_logs.rs
+++ b/crates/cli/tests/gateway_logs.rs
@@ -12,7 +12,7 @@
 
 use standin::caller::{Connection, Request};
 use standin::platform::{
-    Deployment, OwnAddress, SETTINGS_VARIABLE, answers_ready, settings_text_at,
+    Deployment, NodeEndpoints, SETTINGS_VARIABLE, reports_ready, settings_text_at,
 };
 use standin::worker::Behaviour;
 
@@ -26,7 +26,7 @@
 /// processes do not collide.
 fn local_endpoints() -> OwnAddress {
     let process = std::process::id().to_be_bytes();
-    OwnAddress {
+    NodeEndpoints {
         ip: Ipv4Addr::new(127, process[2] | 1, process[3], 77),
         callers: 7_301,
         readiness: 7_302,
--- a/crates/cli/tests/soak/faults.rs
+++ b/crates/cli/tests/soak/faults.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Fleet;
 use crate::proxy::LinkFault;
 use crate::standin::platform::configuration;
-use crate::standin::store::Trouble;
+use crate::standin::store::StoreFault;
 use crate::standin::worker::Behaviour;
 
 /// Fault that is injected for a limited time.
@@ -108,14 +108,14 @@
 
 fn draw_store_fault(random: &mut ChaCha8Rng) -> Trouble {
     match random.random_range(0..8) {
-        0 => Trouble::Busy,
-        1 => Trouble::Throttled,
-        2 => Trouble::Full,
-        3 => Trouble::Silent,
-        4 => Trouble::Reset,
-        5 => Trouble::AnswersLost,
-        6 => Trouble::DoneLate(random.random_range(200..3_000)),
-        _ => Trouble::Slow(random.random_range(20..600)),
+        0 => StoreFault::Busy,
+        1 => StoreFault::Throttled,
+        2 => StoreFault::Full,
+        3 => StoreFault::Silent,
+        4 => StoreFault::Reset,
+        5 => StoreFault::AnswersLost,
+        6 => StoreFault::DoneLate(random.random_range(200..3_000)),
+        _ => StoreFault::Slow(random.random_range(20..600)),
     }
 }
 
@@ -218,10 +218,10 @@
             }
         }
         Fault::KillAll => fleet.nodes.iter_mut().for_each(|node| node.start()),
-        Fault::Store(_) => fleet.deployment.store.set_trouble(Trouble::None),
+        Fault::Store(_) => fleet.deployment.store.set_fault(StoreFault::None),
         Fault::StorePartition { partition, .. } => {
             let store = &fleet.deployment.store;
-            store.set_partition_trouble(*partition, Trouble::None);
+            store.set_partition_trouble(*partition, StoreFault::None);
         }
         Fault::StoreLink { node, .. } => fleet.nodes[*node].store_link.set_fault(LinkFault::None),
         Fault::WorkerLink { worker, .. } => {
--- a/crates/cli/tests/soak/fleet.rs
+++ b/crates/cli/tests/soak/fleet.rs
@@ -10,7 +10,7 @@
 use crate::proxy::Proxy;
 use crate::standin::caller::Request;
 use crate::standin::platform::{
-    Deployment, OwnAddress, SETTINGS_VARIABLE, answers_ready, settings_text_at,
+    Deployment, NodeEndpoints, SETTINGS_VARIABLE, reports_ready, settings_text_at,
 };
 use crate::standin::worker::{Behaviour, Worker};
 
--- /dev/null
+++ b/crates/gateway-core/src/log_streams.rs
@@ -0,0 +1,17 @@
+//! The streams of records in the platform's log that the gateway reads and writes.
+
+use elderworks_types::PartitionId;
+use serde::{Deserialize, Serialize};
+
+/// A stream of records.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum Stream {
+    /// Configuration published by the operator, compacted to the newest record per key.
+    Configuration,
+    /// Entries of workers, compacted to the newest record per key.
+    Workers,
+    /// Entries of nodes, compacted to the newest record per key.
+    Nodes,
+    /// Budgets and stored turns of the programs of one partition.
+    Ledger(PartitionId),
+}
--- a/crates/node-core/src/operator.rs
+++ b/crates/node-core/src/operator.rs
@@ -34,7 +34,7 @@
                 return;
             }
             OperatorRequest::Unwatch { watch } => {
-                self.watches.end(watch);
+                self.watches.unsubscribe(watch);
                 return;
             }
             OperatorRequest::Get { kind, name } => {
@@ -61,7 +61,9 @@
     fn own_runs(&self) -> Vec<RunSummary> {
         let held = self.ownership.held.values();
         let owned = held.filter(|held| held.epoch.is_some());
-        let mut runs: Vec<RunSummary> = owned.flat_map(|held| held.machine.summaries()).collect();
+        let mut runs: Vec<RunSummary> = owned
+            .flat_map(|held| held.machine.run_summaries())
+            .collect();
         runs.sort_by_key(|run| (Reverse(run.started), run.spec.id));
         runs.truncate(MAX_LISTED_RUNS);
         runs
@@ -80,7 +82,7 @@
     }
 
     fn open_watch(&mut self, watch: RequestId, kind: Option<Kind>, after: Offset) {
-        let begun = self.watches.begin(&self.control, watch, kind, after);
+        let begun = self.watches.subscribe(&self.control, watch, kind, after);
         let full = begun == Err(WatchError::TooMany);
         self.counters.watch_overflow += u64::from(full);
         let (reply, missed) = match begun {
@@ -98,7 +100,7 @@
 
     /// Tells every watcher that is interested in a change.
     pub(crate) fn tell_watchers(&mut self, change: &Change) {
-        for watch in self.watches.interested(change) {
+        for watch in self.watches.subscribers_of(change) {
             let change = change.clone();
             self.agenda.effect(Effect::WatchEvent { watch, change });
         }
