--- a/crates/cli/src/verbs/get.rs
+++ b/crates/cli/src/verbs/get.rs
@@ -54,7 +54,7 @@
     let Collection::Writable(Kind::Service | Kind::Budget) = collection else {
         return Ok(Vec::new());
     };
-    let programs = client.list(Collection::Written(Kind::Program)).await?;
+    let programs = client.list(Collection::Writable(Kind::Program)).await?;
     let referring_programs = programs.items.into_iter();
     Ok(referring_programs
         .filter(|program| refers_to(program, collection, name))
--- a/crates/cli/src/verbs/table.rs
+++ b/crates/cli/src/verbs/table.rs
@@ -55,10 +55,10 @@
 
 fn columns(collection: Collection) -> &'static [Column] {
     match collection {
-        Collection::Written(Kind::Program) => PROGRAM_COLUMNS,
-        Collection::Written(Kind::Service) => SERVICE_COLUMNS,
-        Collection::Written(Kind::Budget) => BUDGET_COLUMNS,
-        Collection::Written(Kind::Configuration) => CONFIGURATION_COLUMNS,
+        Collection::Writable(Kind::Program) => PROGRAM_COLUMNS,
+        Collection::Writable(Kind::Service) => SERVICE_COLUMNS,
+        Collection::Writable(Kind::Budget) => BUDGET_COLUMNS,
+        Collection::Writable(Kind::Configuration) => CONFIGURATION_COLUMNS,
         Collection::Runs => RUN_COLUMNS,
         Collection::Nodes => NODE_COLUMNS,
         Collection::Engines => ENGINE_COLUMNS,
--- a/crates/cli/tests/gateway_logs.rs
+++ b/crates/cli/tests/gateway_logs.rs
@@ -24,7 +24,7 @@
 
 /// Returns ports at a loopback address derived from the process id, so that concurrent test
 /// processes do not collide.
-fn local_endpoints() -> OwnAddress {
+fn local_endpoints() -> NodeEndpoints {
     let process = std::process::id().to_be_bytes();
     NodeEndpoints {
         ip: Ipv4Addr::new(127, process[2] | 1, process[3], 77),
@@ -47,7 +47,7 @@
     }
 }
 
-fn start(deployment: &Deployment, endpoints: OwnAddress) -> Gateway {
+fn start(deployment: &Deployment, endpoints: NodeEndpoints) -> Gateway {
     let text = settings_text_at("n1", deployment.store.address, endpoints);
     let name = format!("elderworks-logs-{}.json", std::process::id());
     let settings = std::env::temp_dir().join(name);
@@ -81,7 +81,7 @@
     let worker = deployment.worker("tools", "w1", &[Behaviour::Echo]);
     let endpoints = local_endpoints();
     let mut gateway = start(&deployment, endpoints);
-    while !answers_ready(SocketAddr::from((endpoints.ip, endpoints.readiness))).await {
+    while !reports_ready(SocketAddr::from((endpoints.ip, endpoints.readiness))).await {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let callers = SocketAddr::from((endpoints.ip, endpoints.callers));
--- a/crates/cli/tests/soak/callers.rs
+++ b/crates/cli/tests/soak/callers.rs
@@ -271,7 +271,9 @@
 ) -> Option<Answer> {
     let bytes = PADDING_BYTES.to_string();
     let request = request.clone().header(PADDING_HEADER, &bytes);
-    let answer = request.try_send_unread(node, delay, ANSWER_TIMEOUT).await;
+    let answer = request
+        .try_send_delayed_read(node, delay, ANSWER_TIMEOUT)
+        .await;
     answer.map(|answer| Answer {
         body: answer.body.replace(&padding(PADDING_BYTES), ""),
         ..answer
--- a/crates/cli/tests/soak/faults.rs
+++ b/crates/cli/tests/soak/faults.rs
@@ -32,11 +32,11 @@
     /// The open connections to a worker carry no more data; new ones work.
     BlackholeWorkerLink { worker: usize },
     /// The store has a fault that affects all processes.
-    Store(Trouble),
+    Store(StoreFault),
     /// The store has a fault that affects one partition of the ledger.
     StorePartition {
         partition: u64,
-        store_fault: Trouble,
+        store_fault: StoreFault,
     },
     /// The connections of one process to the store have a fault.
     StoreLink { node: usize, link_fault: LinkFault },
@@ -106,7 +106,7 @@
     )
 }
 
-fn draw_store_fault(random: &mut ChaCha8Rng) -> Trouble {
+fn draw_store_fault(random: &mut ChaCha8Rng) -> StoreFault {
     match random.random_range(0..8) {
         0 => StoreFault::Busy,
         1 => StoreFault::Throttled,
@@ -177,7 +177,7 @@
         Fault::BlackholeWorkerLink { worker } => {
             fleet.workers[*worker].link.blackhole_open_connections()
         }
-        Fault::Store(store_fault) => fleet.deployment.store.set_trouble(*store_fault),
+        Fault::Store(store_fault) => fleet.deployment.store.set_fault(*store_fault),
         Fault::StorePartition {
             partition,
             store_fault,
--- a/crates/cli/tests/soak/fleet.rs
+++ b/crates/cli/tests/soak/fleet.rs
@@ -59,7 +59,7 @@
 /// Gateway process, which may be running or not.
 pub struct Node {
     name: String,
-    endpoints: OwnAddress,
+    endpoints: NodeEndpoints,
     folder: PathBuf,
     child: Option<Child>,
     /// Proxy between the process and the store.
@@ -252,7 +252,7 @@
         let host = 2 + self.address_slot * LARGE_ROUND_NODES + number;
         let host = u8::try_from(host).expect("all addresses fit into the last byte");
         let ip = Ipv4Addr::new(127, process[2] | 1, process[3], host);
-        let endpoints = OwnAddress {
+        let endpoints = NodeEndpoints {
             ip,
             callers: FIRST_PORT,
             readiness: FIRST_PORT + 1,
@@ -289,7 +289,7 @@
     pub async fn wait_until_ready(&self) {
         for node in &self.nodes {
             let mut polls = 0;
-            while !answers_ready(node.readiness()).await {
+            while !reports_ready(node.readiness()).await {
                 polls += 1;
                 assert!(polls < MAX_POLLS, "{} did not become ready", node.name);
                 actix_rt::time::sleep(POLL_INTERVAL).await;
