--- a/crates/execution/examples/slopes.rs
+++ b/crates/execution/examples/slopes.rs
@@ -172,11 +172,11 @@
     for run in 0..runs {
         bench.start_run(RunId::root(run));
     }
-    let empty = bench.partition.approximate_bytes();
+    let empty = bench.partition.encoded_size();
     for run in 0..runs {
         bench.call(RunId::root(run), 1);
     }
-    let one_turn = bench.partition.approximate_bytes();
+    let one_turn = bench.partition.encoded_size();
 
     let begun = Instant::now();
     for call in 0..MEASURED_CALLS {
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod settings;
 
 mod retry;
-mod soft;
+mod soft_state;
 mod state;
 
 pub use counters::Counters;
--- a/crates/execution/src/partition.rs
+++ b/crates/execution/src/partition.rs
@@ -29,7 +29,7 @@
 };
 
 use crate::event::Connection;
-use crate::soft::Soft;
+use crate::soft_state::SoftState;
 use crate::state::{JournalState, Loader};
 use crate::{Counters, Effect, Event, ExecutionSettings};
 
@@ -44,9 +44,9 @@
     /// The epoch at which this node owns the partition.
     owned: Option<Epoch>,
     /// The wish to own it: whether without waiting for a release.
-    claim: Option<bool>,
+    pending_claim: Option<bool>,
     /// The epoch that this node's last claim asked for.
-    claimed: Option<Epoch>,
+    claimed_epoch: Option<Epoch>,
     /// Records that counted since the last whole snapshot.
     records_since_snapshot: u64,
     log_reachable: bool,
@@ -55,7 +55,7 @@
     /// Where the last whole snapshot begins.
     snapshot_offset: Option<Offset>,
     pending_snapshot: Option<Offset>,
-    soft: Soft,
+    soft: SoftState,
     counters: Counters,
     effects: Vec<Effect>,
 }
@@ -67,13 +67,13 @@
         Self {
             id,
             writer,
-            soft: Soft::new(&settings),
+            soft: SoftState::new(&settings),
             settings,
             journal: JournalState::default(),
             loader: Loader::Empty,
             owned: None,
-            claim: None,
-            claimed: None,
+            pending_claim: None,
+            claimed_epoch: None,
             records_since_snapshot: 0,
             log_reachable: true,
             tenant_limits: BTreeMap::new(),
@@ -96,7 +96,7 @@
     }
 
     /// The epoch at which this node owns the partition, if it does.
-    pub fn owned(&self) -> Option<Epoch> {
+    pub fn owned_epoch(&self) -> Option<Epoch> {
         self.owned
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Size of all that survives, encoded, in bytes.
-    pub fn approximate_bytes(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         self.journal.encode().len()
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Whether the engine rightly holds memory for the run: the run is active and was given to it.
-    pub fn holds_memory(&self, run: RunId, engine: &EngineId) -> bool {
+    pub fn may_hold_memory(&self, run: RunId, engine: &EngineId) -> bool {
         self.journal
             .runs
             .get(&run)
--- a/crates/execution/src/partition/allotments.rs
+++ b/crates/execution/src/partition/allotments.rs
@@ -5,7 +5,7 @@
 
 use super::Partition;
 use crate::Effect;
-use crate::soft::AllotmentRequest;
+use crate::soft_state::AllotmentRequest;
 
 impl Partition {
     /// What may still be reserved of a tenant's allotment.
@@ -86,7 +86,7 @@
 
     /// Tries again the runs of a tenant that wait for its allotment.
     fn advance_tenant(&mut self, now: Timestamp, tenant: &TenantId) {
-        for run in self.soft.queue.runs_short_of_allotment() {
+        for run in self.soft.queue.runs_awaiting_allotment() {
             if self.journal.run_of(tenant, run).is_some() {
                 self.advance(now, run);
             }
--- a/crates/execution/src/partition/attempts.rs
+++ b/crates/execution/src/partition/attempts.rs
@@ -10,13 +10,13 @@
 use super::Partition;
 use super::intake::refusal;
 use crate::effect::DispatchHints;
-use crate::soft::{AnswerBuffer, Running, Source, Stage, Taken};
+use crate::soft_state::{AnswerBuffer, AttemptOrigin, ChunkOrder, RunningAttempt, Stage};
 use crate::state::{CallState, attempt_cost};
 use crate::{BackendRequest, Effect};
 
 impl Partition {
     /// Begins the attempt that the journal permits.
-    pub(super) fn begin_attempt(&mut self, now: Timestamp, id: CallId) {
+    pub(super) fn start_attempt(&mut self, now: Timestamp, id: CallId) {
         if self.is_ending(id.run) {
             return self.cancel_open_call(now, id.run);
         }
@@ -34,7 +34,7 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        if late && !open.ran_before {
+        if late && !open.may_have_run {
             let refusal = refusal(RefusalReason::DeadlinePassed, None);
             return self.end_call(now, id, Outcome::Refused(refusal));
         }
@@ -89,13 +89,13 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        open.stage = Stage::Running(Running {
+        open.stage = Stage::Running(RunningAttempt {
             attempt,
-            source: Source::Dispatched,
+            origin: AttemptOrigin::Dispatched,
             sent: is_tool.then_some(now),
         });
         if is_tool {
-            self.soft.notes.attempt(id, attempt, None, now);
+            self.soft.notes.add_attempt(id, attempt, None, now);
             self.wake_at(now + limit, id.run);
         }
         self.count_attempt(now, attempt);
@@ -181,8 +181,8 @@
         }
         self.soft
             .notes
-            .attempt(id, attempt, Some(engine.clone()), now);
-        self.soft.notes.line(id, note);
+            .add_attempt(id, attempt, Some(engine.clone()), now);
+        self.soft.notes.add_line(id, note);
         self.wake_at(now + timeout + self.settings.timeout_grace, id.run);
         self.append(JournalBody::AttemptStarted {
             call: id,
@@ -207,7 +207,7 @@
     }
 
     /// The attempt, if it is the one that is out.
-    pub(super) fn running(&mut self, id: CallId, attempt: Attempt) -> Option<&mut Running> {
+    pub(super) fn running(&mut self, id: CallId, attempt: Attempt) -> Option<&mut RunningAttempt> {
         let open = self.soft.open(id.run, id.number)?;
         match &mut open.stage {
             Stage::Running(running) if running.attempt == attempt => Some(running),
@@ -229,17 +229,17 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        let taken = open.answer.take(attempt, index, text);
-        match taken {
-            Taken::Repeated => return,
-            Taken::Gap => {
+        let order = open.answer.take(attempt, index, text);
+        match order {
+            ChunkOrder::Repeated => return,
+            ChunkOrder::Gap => {
                 self.counters.chunk_gaps += 1;
                 return;
             }
-            Taken::Next => {}
+            ChunkOrder::Next => {}
         }
-        let due = open.callers.due(index);
-        self.soft.notes.chunk(id, attempt, now);
+        let due = open.callers.take_due(index);
+        self.soft.notes.record_chunk(id, attempt, now);
         for connection in due {
             let chunk = Chunk {
                 call: id,
@@ -298,6 +298,6 @@
 
 /// The key by which a tool recognises a repeat: the caller's, or one made from the call's id.
 pub(super) fn idempotency_key(id: CallId, call: &CallState) -> String {
-    let given = call.spec.idempotency_key.clone();
-    given.unwrap_or_else(|| id.to_string())
+    let explicit_key = call.spec.idempotency_key.clone();
+    explicit_key.unwrap_or_else(|| id.to_string())
 }
--- a/crates/execution/src/partition/broken.rs
+++ b/crates/execution/src/partition/broken.rs
@@ -5,7 +5,7 @@
 
 use super::Partition;
 use crate::effect::DispatchHints;
-use crate::soft::Submission;
+use crate::soft_state::Submission;
 use crate::{BackendRequest, Effect};
 
 impl Partition {
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -13,10 +13,10 @@
 use super::intake::refusal;
 use crate::Effect;
 use crate::event::Connection;
-use crate::soft::{Ending, OpenCall, Stage};
+use crate::soft_state::{OpenCall, RunEnding, Stage};
 
 /// How an open call is stopped when its run ends.
-enum Stop {
+enum CancelAction {
     /// Let it finish: it must not be repeated and has been sent.
     Finish,
     /// It was surely not run.
@@ -51,15 +51,15 @@
         chunks: u32,
     ) {
         self.count_outcome(&outcome);
-        self.soft.notes.end(id, now);
+        self.soft.notes.record_end(id, now);
         let expected_reuse = self
             .journal
             .call(id)
             .and_then(|call| call.spec.expected_reuse);
-        let work = self.soft.work(id.run, now);
-        work.idle_since = now;
-        if let Some(open) = work.open.take() {
-            self.tell_end(&open.callers, id, chunks, &outcome);
+        let activity = self.soft.activity(id.run, now);
+        activity.idle_since = now;
+        if let Some(open) = activity.open.take() {
+            self.send_end_to_callers(&open.callers, id, chunks, &outcome);
         }
         self.advance_ending(now, id.run);
         self.advance(now, id.run);
@@ -67,7 +67,7 @@
             .soft
             .runs
             .get(&id.run)
-            .is_none_or(|work| work.accepting.is_none());
+            .is_none_or(|activity| activity.accepting.is_none());
         if paused && self.is_live(id.run) {
             let run = id.run;
             self.emit(Effect::RunPaused {
@@ -103,7 +103,7 @@
         run: RunId,
     ) {
         if !self.is_serving() {
-            return self.turn_away([connection], run, None);
+            return self.redirect([connection], run, None);
         }
         let Some(state) = self.journal.run_of(tenant, run) else {
             let refusal = refusal(RefusalReason::RunNotFound, None);
@@ -113,16 +113,16 @@
         if !state.is_active() {
             return self.send(connection, NodeMessage::RunEnded { run, phase });
         }
-        self.begin_ending(now, run, RunPhase::Ended, Some(connection));
+        self.start_ending(now, run, RunPhase::Ended, Some(connection));
     }
 
     pub(super) fn is_ending(&self, run: RunId) -> bool {
-        let work = self.soft.runs.get(&run);
-        work.is_some_and(|work| work.ending.is_some())
+        let activity = self.soft.runs.get(&run);
+        activity.is_some_and(|activity| activity.ending.is_some())
     }
 
     /// Begins to end a run and its sub-agents.
-    pub(super) fn begin_ending(
+    pub(super) fn start_ending(
         &mut self,
         now: Timestamp,
         run: RunId,
@@ -132,22 +132,22 @@
         if !self.is_live(run) {
             return;
         }
-        let work = self.soft.work(run, now);
-        let begun = work.ending.is_some();
-        let ending = work.ending.get_or_insert_with(|| Ending {
+        let activity = self.soft.activity(run, now);
+        let already_ending = activity.ending.is_some();
+        let ending = activity.ending.get_or_insert_with(|| RunEnding {
             phase,
             connections: BTreeSet::new(),
             appended: false,
         });
         ending.connections.extend(connection);
-        if begun {
+        if already_ending {
             return;
         }
         self.refuse_all_waiting(run, phase);
         let children = self.journal.runs.get(&run).map(|state| &state.children);
         let children: Vec<RunId> = children.into_iter().flatten().copied().collect();
         for child in children {
-            self.begin_ending(now, child, RunPhase::Cancelled, None);
+            self.start_ending(now, child, RunPhase::Cancelled, None);
         }
         self.cancel_open_call(now, run);
         self.advance_ending(now, run);
@@ -169,11 +169,11 @@
             return;
         };
         let closed = state.open_call().is_none() && state.children.is_empty();
-        let Some(work) = self.soft.runs.get_mut(&run) else {
+        let Some(activity) = self.soft.runs.get_mut(&run) else {
             return;
         };
-        let busy = work.open.is_some() || work.accepting.is_some();
-        let Some(ending) = &mut work.ending else {
+        let busy = activity.open.is_some() || activity.accepting.is_some();
+        let Some(ending) = &mut activity.ending else {
             return;
         };
         if busy || !closed || ending.appended {
@@ -189,15 +189,15 @@
     }
 
     pub(super) fn on_run_ended(&mut self, now: Timestamp, run: RunId, phase: RunPhase) {
-        if let Some(work) = self.soft.runs.get_mut(&run)
-            && let Some(ending) = work.ending.take()
+        if let Some(activity) = self.soft.runs.get_mut(&run)
+            && let Some(ending) = activity.ending.take()
         {
             for connection in ending.connections {
                 self.send(connection, NodeMessage::RunEnded { run, phase });
             }
         }
-        self.drop_idle_work(run);
-        if let Some(due) = self.longest_life_end(run) {
+        self.drop_idle_activity(run);
+        if let Some(due) = self.max_duration_end(run) {
             self.soft.timers.remove(&(due, run));
         }
         self.begin_memory_release(now, run);
@@ -213,71 +213,80 @@
 
     /// A sub-agent was started while its parent was ending: end it too, then try again.
     pub(super) fn on_end_rejected(&mut self, now: Timestamp, run: RunId) {
-        if let Some(work) = self.soft.runs.get_mut(&run)
-            && let Some(ending) = &mut work.ending
+        if let Some(activity) = self.soft.runs.get_mut(&run)
+            && let Some(ending) = &mut activity.ending
         {
             ending.appended = false;
         }
         let children = self.journal.runs.get(&run).map(|state| &state.children);
         let children: Vec<RunId> = children.into_iter().flatten().copied().collect();
         for child in children {
-            self.begin_ending(now, child, RunPhase::Cancelled, None);
+            self.start_ending(now, child, RunPhase::Cancelled, None);
         }
     }
 
     /// Stops the open call of a run that is ending, if it can be stopped.
     pub(super) fn cancel_open_call(&mut self, now: Timestamp, run: RunId) {
-        let Some(open) = self.soft.runs.get(&run).and_then(|work| work.open.as_ref()) else {
+        let Some(open) = self
+            .soft
+            .runs
+            .get(&run)
+            .and_then(|activity| activity.open.as_ref())
+        else {
             return;
         };
         let id = CallId {
             run,
             number: open.number,
         };
-        let out = match &open.stage {
+        let running_attempt = match &open.stage {
             Stage::Running(running) => Some(running.attempt),
             Stage::Withdrawn(attempt) => Some(*attempt),
             Stage::Closing => return,
             _ => None,
         };
-        let stop = self.how_to_stop(id, open);
-        if matches!(stop, Stop::Finish) {
+        let action = self.cancel_action(id, open);
+        if matches!(action, CancelAction::Finish) {
             return;
         }
-        if let Some(attempt) = out {
+        if let Some(attempt) = running_attempt {
             self.emit(Effect::Cancel { call: id, attempt });
         }
-        let outcome = match stop {
-            Stop::Fail(cost) => Outcome::Failed(Failure {
+        let outcome = match action {
+            CancelAction::Fail(cost) => Outcome::Failed(Failure {
                 reason: FailureReason::Cancelled,
                 detail: String::new(),
                 cost,
             }),
-            Stop::Refuse | Stop::Finish => Outcome::Refused(refusal(RefusalReason::RunEnded, None)),
+            CancelAction::Refuse | CancelAction::Finish => {
+                Outcome::Refused(refusal(RefusalReason::RunEnded, None))
+            }
         };
         self.end_call(now, id, outcome);
     }
 
-    fn how_to_stop(&self, id: CallId, open: &OpenCall) -> Stop {
+    fn cancel_action(&self, id: CallId, open: &OpenCall) -> CancelAction {
         let Some(call) = self.journal.open_call(id) else {
-            return Stop::Finish;
+            return CancelAction::Finish;
         };
         let sent = match &open.stage {
             Stage::Running(running) => running.sent.is_some(),
             _ => false,
         };
         if sent && !call.spec.repeatable {
-            return Stop::Finish;
+            return CancelAction::Finish;
         }
         if sent {
-            return Stop::Fail(call.held());
+            return CancelAction::Fail(call.held());
         }
         match &open.stage {
-            Stage::Backoff(plan) | Stage::AwaitingCaller { then: plan, .. } if open.ran_before => {
-                Stop::Fail(plan.spent)
+            Stage::Backoff(plan) | Stage::AwaitingCaller { retry: plan, .. }
+                if open.may_have_run =>
+            {
+                CancelAction::Fail(plan.spent)
             }
-            _ if open.ran_before => Stop::Fail(call.held()),
-            _ => Stop::Refuse,
+            _ if open.may_have_run => CancelAction::Fail(call.held()),
+            _ => CancelAction::Refuse,
         }
     }
 }
--- a/crates/execution/src/partition/failures.rs
+++ b/crates/execution/src/partition/failures.rs
@@ -14,7 +14,7 @@
 use crate::Effect;
 use crate::event::AttemptFailure;
 use crate::retry::backoff;
-use crate::soft::{Backoff, Running, Source, Stage};
+use crate::soft_state::{AttemptOrigin, RetryPlan, RunningAttempt, Stage};
 use crate::state::{CallState, Inconsistency, reservation};
 
 /// How often a delayed retry looks whether it may go.
@@ -48,13 +48,13 @@
         attempt: Attempt,
         failure: AttemptFailure,
     ) {
-        let Some(source) = self.running(id, attempt).map(|running| running.source) else {
+        let Some(origin) = self.running(id, attempt).map(|running| running.origin) else {
             return;
         };
-        match source {
-            Source::Dispatched => self.on_dispatch_failed(now, id, attempt, failure),
-            Source::Resumed => self.on_resume_failed(now, id, attempt, failure),
-            Source::Queried => self.on_query_failed(now, id, failure),
+        match origin {
+            AttemptOrigin::Dispatched => self.on_dispatch_failed(now, id, attempt, failure),
+            AttemptOrigin::Resumed => self.on_resume_failed(now, id, attempt, failure),
+            AttemptOrigin::Queried => self.on_query_failed(now, id, failure),
         }
     }
 
@@ -66,9 +66,9 @@
         failure: AttemptFailure,
     ) {
         match failure {
-            AttemptFailure::NotSent => self.retry_unrun(now, id, attempt, None),
+            AttemptFailure::NotSent => self.retry_not_run(now, id, attempt, None),
             AttemptFailure::Rejected { retry_after } => {
-                self.retry_unrun(now, id, attempt, retry_after);
+                self.retry_not_run(now, id, attempt, retry_after);
             }
             AttemptFailure::Lost { reason, .. } => self.on_attempt_lost(now, id, attempt, reason),
             AttemptFailure::Errored { detail, usage } => {
@@ -78,7 +78,7 @@
     }
 
     /// The attempt was surely not run: the next costs nothing more.
-    fn retry_unrun(
+    fn retry_not_run(
         &mut self,
         now: Timestamp,
         id: CallId,
@@ -90,8 +90,8 @@
         };
         let asked = retry_after.unwrap_or_default();
         let wait = backoff(&self.settings, id, attempt).max(asked);
-        let plan = Backoff {
-            until: now + wait.min(self.settings.retry_backoff_limit),
+        let plan = RetryPlan {
+            due_at: now + wait.min(self.settings.retry_backoff_limit),
             since: now,
             spent: call.spent,
             reason: FailureReason::AttemptsExhausted,
@@ -100,7 +100,7 @@
         };
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} not run"));
+            .add_line(id, format!("attempt {attempt} not run"));
         self.plan_retry(id, plan);
     }
 
@@ -119,7 +119,7 @@
         let spent = call.held();
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} lost: {reason:?}"));
+            .add_line(id, format!("attempt {attempt} lost: {reason:?}"));
         if self.settings.faults.refuse_after_dispatch() {
             let refusal = refusal(RefusalReason::Overloaded, Some(SHORT_RETRY));
             return self.end_call(now, id, Outcome::Refused(refusal));
@@ -128,11 +128,11 @@
             return self.query_or_unknown(now, id, attempt, unknown_reason(reason));
         }
         if let Some(open) = self.soft.open(id.run, id.number) {
-            open.ran_before = true;
+            open.may_have_run = true;
         }
         self.emit(Effect::Cancel { call: id, attempt });
-        let plan = Backoff {
-            until: now + backoff(&self.settings, id, attempt),
+        let plan = RetryPlan {
+            due_at: now + backoff(&self.settings, id, attempt),
             since: now,
             spent,
             reason,
@@ -178,13 +178,15 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        open.stage = Stage::Running(Running {
+        open.stage = Stage::Running(RunningAttempt {
             attempt,
-            source: Source::Queried,
+            origin: AttemptOrigin::Queried,
             sent: Some(now),
         });
         self.counters.tool_queries += 1;
-        self.soft.notes.line(id, "asks the tool what became of it");
+        self.soft
+            .notes
+            .add_line(id, "asks the tool what became of it");
         self.wake_at(now + limit, id.run);
         self.emit(effect);
     }
@@ -205,16 +207,16 @@
         self.end_call(now, id, Outcome::Unknown(reason));
     }
 
-    pub(super) fn plan_retry(&mut self, id: CallId, plan: Backoff) {
-        let until = plan.until;
+    pub(super) fn plan_retry(&mut self, id: CallId, plan: RetryPlan) {
+        let due_at = plan.due_at;
         if let Some(open) = self.soft.open(id.run, id.number) {
             open.stage = Stage::Backoff(plan);
         }
-        self.wake_at(until, id.run);
+        self.wake_at(due_at, id.run);
     }
 
     /// Reserves the next attempt if limits and budgets permit it.
-    pub(super) fn try_retry(&mut self, now: Timestamp, id: CallId, plan: Backoff) {
+    pub(super) fn try_retry(&mut self, now: Timestamp, id: CallId, plan: RetryPlan) {
         let Some(call) = self.journal.open_call(id) else {
             return;
         };
@@ -238,21 +240,21 @@
         self.reserve_next(id, plan.spent, reserved);
     }
 
-    fn delay_retry(&mut self, now: Timestamp, id: CallId, plan: Backoff) {
-        let ran_before = self
+    fn delay_retry(&mut self, now: Timestamp, id: CallId, plan: RetryPlan) {
+        let may_have_run = self
             .soft
             .open(id.run, id.number)
-            .is_some_and(|open| open.ran_before);
-        let limit = if ran_before {
+            .is_some_and(|open| open.may_have_run);
+        let limit = if may_have_run {
             self.settings.retry_wait
         } else {
-            self.settings.unrun_retry_wait
+            self.settings.not_run_retry_wait
         };
         if now.since(plan.since) >= limit {
             return self.give_up(now, id, &plan);
         }
-        let until = now + RETRY_POLL;
-        self.plan_retry(id, Backoff { until, ..plan });
+        let due_at = now + RETRY_POLL;
+        self.plan_retry(id, RetryPlan { due_at, ..plan });
     }
 
     fn next_reservation(&self, id: CallId, call: &CallState) -> Option<Credits> {
@@ -273,7 +275,7 @@
             .soft
             .runs
             .get(&id.run)
-            .and_then(|work| work.open.as_ref());
+            .and_then(|activity| activity.open.as_ref());
         let Some(open) = open else {
             return (String::new(), 0);
         };
@@ -332,7 +334,7 @@
             .open(id.run, id.number)
             .is_some_and(|open| open.stage == Stage::Reserving);
         if reserving {
-            self.begin_attempt(now, id);
+            self.start_attempt(now, id);
         }
     }
 
@@ -346,8 +348,8 @@
         let Some(call) = self.journal.open_call(id) else {
             return;
         };
-        let plan = Backoff {
-            until: now,
+        let plan = RetryPlan {
+            due_at: now,
             since: now,
             spent: call.held(),
             reason: FailureReason::AttemptsExhausted,
@@ -357,7 +359,7 @@
         self.give_up(now, id, &plan);
     }
 
-    pub(super) fn give_up(&mut self, now: Timestamp, id: CallId, plan: &Backoff) {
+    pub(super) fn give_up(&mut self, now: Timestamp, id: CallId, plan: &RetryPlan) {
         let refusal = refusal(RefusalReason::Overloaded, plan.retry_after);
         let outcome = self.outcome_without_answer(id, plan.spent, plan.reason, refusal);
         self.end_call(now, id, outcome);
@@ -371,11 +373,11 @@
         reason: FailureReason,
         refusal: Refusal,
     ) -> Outcome {
-        let ran_before = self
+        let may_have_run = self
             .soft
             .open(id.run, id.number)
-            .is_none_or(|open| open.ran_before);
-        if !ran_before {
+            .is_none_or(|open| open.may_have_run);
+        if !may_have_run {
             return Outcome::Refused(refusal);
         }
         Outcome::Failed(Failure {
--- a/crates/execution/src/partition/intake.rs
+++ b/crates/execution/src/partition/intake.rs
@@ -12,7 +12,7 @@
 
 use super::Partition;
 use crate::event::{Connection, SubmittedCall};
-use crate::soft::{Callers, PendingStart, Stage, Submission};
+use crate::soft_state::{Callers, PendingStart, Stage, Submission};
 use crate::state::Inconsistency;
 
 /// When to come back after a refusal that a little time may cure.
@@ -39,7 +39,7 @@
     ) {
         let run = spec.id;
         if !self.is_serving() {
-            return self.turn_away([connection], run, None);
+            return self.redirect([connection], run, None);
         }
         if let Some(known) = self.journal.runs.get(&run) {
             let message = if known.spec == spec {
@@ -57,8 +57,8 @@
             }
             return self.refuse_start(connection, run, RefusalReason::RunNotFound, None);
         }
-        if self.sends_elsewhere() {
-            return self.turn_away([connection], run, None);
+        if self.redirects_new_work() {
+            return self.redirect([connection], run, None);
         }
         let parent_closed = spec.parent.and_then(|parent| self.closed_reason(parent));
         if let Some(reason) = parent_closed {
@@ -98,7 +98,7 @@
     }
 
     pub(super) fn on_run_started(&mut self, run: RunId) {
-        if let Some(due) = self.longest_life_end(run) {
+        if let Some(due) = self.max_duration_end(run) {
             self.wake_at(due, run);
         }
         let Some(pending) = self.soft.starting.remove(&run) else {
@@ -128,7 +128,7 @@
             number: request.spec.number,
         };
         if !self.is_serving() {
-            return self.turn_away([request.connection], id.run, Some(id.number));
+            return self.redirect([request.connection], id.run, Some(id.number));
         }
         if self.soft.starting.contains_key(&id.run) {
             let refusal = refusal(RefusalReason::RunNotFound, Some(SHORT_RETRY));
@@ -151,8 +151,8 @@
         if self.answer_barred(id, &request) || self.answer_known_call(now, id, &request) {
             return;
         }
-        if self.sends_elsewhere() {
-            return self.turn_away([request.connection], id.run, Some(id.number));
+        if self.redirects_new_work() {
+            return self.redirect([request.connection], id.run, Some(id.number));
         }
         match self.admit(now, id, &request) {
             Ok(terms) => self.enqueue(now, id, request, terms),
@@ -166,7 +166,7 @@
     }
 
     /// Whether new work goes to the next owner. While the log does not answer, there can be none.
-    fn sends_elsewhere(&self) -> bool {
+    fn redirects_new_work(&self) -> bool {
         self.soft.release.is_some() && self.log_reachable
     }
 
@@ -209,8 +209,9 @@
         if let Some(waiting) = self.soft.queue.get(id) {
             return Some(waiting.spec.clone());
         }
-        let work = self.soft.runs.get(&id.run)?;
-        work.accepting
+        let activity = self.soft.runs.get(&id.run)?;
+        activity
+            .accepting
             .as_ref()
             .map(|accepting| &accepting.submission.spec)
             .filter(|spec| spec.number == id.number)
@@ -222,21 +223,23 @@
         let connection = request.connection;
         if let Some(waiting) = self.soft.queue.get_mut(id) {
             waiting.callers.attach(connection, Some(0));
-            waiting.callers.tag(connection, request.submission);
+            waiting
+                .callers
+                .note_submission(connection, request.submission);
             waiting.abandoned_before = waiting.abandoned_before.max(request.abandoned_before);
             return self.advance(now, id.run);
         }
-        let Some(work) = self.soft.runs.get_mut(&id.run) else {
+        let Some(activity) = self.soft.runs.get_mut(&id.run) else {
             return;
         };
-        if let Some(accepting) = &mut work.accepting
+        if let Some(accepting) = &mut activity.accepting
             && accepting.submission.spec.number == id.number
         {
             let callers = &mut accepting.submission.callers;
             callers.attach(connection, Some(0));
-            return callers.tag(connection, request.submission);
+            return callers.note_submission(connection, request.submission);
         }
-        let Some(open) = &mut work.open else {
+        let Some(open) = &mut activity.open else {
             return;
         };
         let attempt = match &open.stage {
@@ -247,12 +250,12 @@
         if open.delivered.chunks < request.delivered.chunks {
             open.delivered = request.delivered.clone();
         }
-        let held = next.map(|next| open.answer.chunks_from(id, next));
-        let held = held.unwrap_or_default();
-        let next = next.map(|next| next + held.len() as u32);
+        let buffered_chunks = next.map(|next| open.answer.chunks_from(id, next));
+        let buffered_chunks = buffered_chunks.unwrap_or_default();
+        let next = next.map(|next| next + buffered_chunks.len() as u32);
         open.callers.attach(connection, next);
-        open.callers.tag(connection, request.submission);
-        for chunk in held {
+        open.callers.note_submission(connection, request.submission);
+        for chunk in buffered_chunks {
             self.send(connection, NodeMessage::Chunk(chunk));
         }
         self.on_caller_returned(now, id);
@@ -271,7 +274,7 @@
         if !self.log_reachable {
             return Err(refusal(RefusalReason::LogUnavailable, Some(LOG_RETRY)));
         }
-        if id.number < self.next_number(id.run) {
+        if id.number < self.first_free_number(id.run) {
             return Err(refusal(RefusalReason::CallNumberReused, None));
         }
         let terms = request.terms.clone()?;
@@ -280,15 +283,15 @@
         }
         let waiting = self.soft.queue.of_run(id.run).count();
         let run_full = waiting >= self.settings.max_waiting_per_run;
-        let full = self.soft.call_count() >= self.settings.max_open_calls;
-        if run_full || full {
+        let partition_full = self.soft.call_count() >= self.settings.max_open_calls;
+        if run_full || partition_full {
             return Err(refusal(RefusalReason::Overloaded, Some(SHORT_RETRY)));
         }
         Ok(terms)
     }
 
     /// The first number of a run that is not used or passed over.
-    fn next_number(&self, run: RunId) -> CallNumber {
+    fn first_free_number(&self, run: RunId) -> CallNumber {
         let state = self.journal.runs.get(&run);
         state.map_or(CallNumber(1), |state| state.next_number())
     }
@@ -296,8 +299,8 @@
     /// Why the run takes no more calls, if it does not.
     pub(super) fn closed_reason(&self, run: RunId) -> Option<RefusalReason> {
         let phase = self.journal.runs.get(&run)?.phase;
-        let ending = self.soft.runs.get(&run).and_then(|work| {
-            let ending = work.ending.as_ref()?;
+        let ending = self.soft.runs.get(&run).and_then(|activity| {
+            let ending = activity.ending.as_ref()?;
             Some(ending.phase)
         });
         match ending.unwrap_or(phase) {
@@ -310,26 +313,26 @@
     fn enqueue(&mut self, now: Timestamp, id: CallId, request: SubmittedCall, terms: CallTerms) {
         let mut callers = Callers::default();
         callers.attach(request.connection, Some(0));
-        callers.tag(request.connection, request.submission);
-        self.soft.notes.begin(id, now);
+        callers.note_submission(request.connection, request.submission);
+        self.soft.notes.start(id, now);
         let submission = Submission {
             spec: request.spec,
             terms,
             callers,
             received: now,
             abandoned_before: request.abandoned_before,
-            short_since: None,
+            awaiting_allotment_since: None,
         };
         let deadline = submission.spec.deadline;
         #[cfg(feature = "broken")]
         self.dispatch_before_turn(id, &submission);
-        self.soft.work(id.run, now);
+        self.soft.activity(id.run, now);
         self.soft.queue.insert(id, submission);
         self.advance(now, id.run);
         if self.soft.queue.get(id).is_none() {
             return;
         }
-        self.soft.notes.line(id, "waits for its turn");
+        self.soft.notes.add_line(id, "waits for its turn");
         self.wake_at(now + self.settings.earlier_call_wait, id.run);
         if let Some(deadline) = deadline {
             self.wake_at(deadline + Duration::from_micros(1), id.run);
@@ -367,14 +370,14 @@
             connections.remove(&connection);
         }
         self.soft.queue.detach(connection);
-        for work in self.soft.runs.values_mut() {
-            if let Some(accepting) = &mut work.accepting {
+        for activity in self.soft.runs.values_mut() {
+            if let Some(accepting) = &mut activity.accepting {
                 accepting.submission.callers.detach(connection);
             }
-            if let Some(open) = &mut work.open {
+            if let Some(open) = &mut activity.open {
                 open.callers.detach(connection);
             }
-            if let Some(ending) = &mut work.ending {
+            if let Some(ending) = &mut activity.ending {
                 ending.connections.remove(&connection);
             }
         }
--- a/crates/execution/src/partition/memory.rs
+++ b/crates/execution/src/partition/memory.rs
@@ -5,10 +5,10 @@
 
 use super::Partition;
 use crate::Effect;
-use crate::soft::MemoryRelease;
+use crate::soft_state::MemoryRelease;
 
 /// Most runs forgotten by one record.
-const MAX_FORGOTTEN: usize = 256;
+const MAX_FORGOTTEN_PER_RECORD: usize = 256;
 
 impl Partition {
     /// Begins to free what engines hold for an ended run.
@@ -45,7 +45,7 @@
 
     fn send_release(&mut self, now: Timestamp, run: RunId) {
         let limit = self.settings.memory_backoff_limit;
-        let believed = self.settings.faults.release_not_retried();
+        let assume_acknowledged = self.settings.faults.release_not_retried();
         let Some(release) = self.soft.memory.get_mut(&run) else {
             return;
         };
@@ -58,7 +58,7 @@
                 run,
                 engine: engine.clone(),
             });
-            if believed {
+            if assume_acknowledged {
                 self.on_memory_released(run, &engine);
             }
         }
@@ -94,7 +94,7 @@
 
     /// Forgets ended runs that are too many or too old, once their memory is free.
     pub(super) fn forget_ended(&mut self, now: Timestamp) {
-        if !self.is_serving() || self.soft.forgetting || !self.log_reachable {
+        if !self.is_serving() || self.soft.forget_in_flight || !self.log_reachable {
             return;
         }
         let surplus = self
@@ -112,17 +112,17 @@
             })
             .map(|(_, (_, run))| *run)
             .filter(|run| !self.journal.unreleased.contains(run))
-            .take(MAX_FORGOTTEN)
+            .take(MAX_FORGOTTEN_PER_RECORD)
             .collect();
         if runs.is_empty() {
             return;
         }
-        self.soft.forgetting = true;
+        self.soft.forget_in_flight = true;
         self.append(JournalBody::RunsForgotten { runs });
     }
 
     pub(super) fn on_runs_forgotten(&mut self, count: usize) {
-        self.soft.forgetting = false;
+        self.soft.forget_in_flight = false;
         self.counters.runs_forgotten += count as u64;
     }
 }
--- a/crates/execution/src/partition/ordering.rs
+++ b/crates/execution/src/partition/ordering.rs
@@ -8,15 +8,15 @@
 
 use super::Partition;
 use super::intake::{SHORT_RETRY, refusal};
-use crate::soft::{Accepting, OpenCall, Submission};
+use crate::soft_state::{Accepting, OpenCall, Submission};
 use crate::state::{Inconsistency, RunState, reservation};
 
 /// What is to become of the call whose turn it is.
-enum Turn {
+enum CallDecision {
     /// Accept it; this is the most it can cost.
     Accept(Credits),
     /// Its tenant's allotment is too small for now: by how much.
-    Short(TenantId, Credits),
+    AwaitAllotment(TenantId, Credits),
     /// Refuse it.
     Refuse(Refusal),
     /// The run is at its limit: end it.
@@ -26,69 +26,70 @@
 impl Partition {
     /// Accepts the run's next call if its turn has come.
     pub(super) fn advance(&mut self, now: Timestamp, run: RunId) {
-        while let Some((id, turn)) = self.next_turn(now, run) {
-            match turn {
-                Turn::Accept(reserved) => return self.accept(now, id, reserved),
-                Turn::Short(tenant, missing) => {
+        while let Some((id, decision)) = self.next_decision(now, run) {
+            match decision {
+                CallDecision::Accept(reserved) => return self.accept(now, id, reserved),
+                CallDecision::AwaitAllotment(tenant, missing) => {
                     return self.wait_for_allotment(now, id, tenant, missing);
                 }
-                Turn::Refuse(refusal) => self.refuse_waiting(id, refusal),
-                Turn::EndRun => return self.end_run_at_limit(now, run),
+                CallDecision::Refuse(refusal) => self.refuse_waiting(id, refusal),
+                CallDecision::EndRun => return self.end_run_at_limit(now, run),
             }
         }
-        self.drop_idle_work(run);
+        self.drop_idle_activity(run);
     }
 
-    fn next_turn(&self, now: Timestamp, run: RunId) -> Option<(CallId, Turn)> {
+    fn next_decision(&self, now: Timestamp, run: RunId) -> Option<(CallId, CallDecision)> {
         if !self.is_serving() || self.soft.release.is_some() || !self.log_reachable {
             return None;
         }
         let state = self.journal.runs.get(&run)?;
-        let work = self.soft.runs.get(&run)?;
-        let busy = work.accepting.is_some() || work.open.is_some() || work.ending.is_some();
+        let activity = self.soft.runs.get(&run)?;
+        let busy =
+            activity.accepting.is_some() || activity.open.is_some() || activity.ending.is_some();
         if busy || !state.is_active() || state.open_call().is_some() {
             return None;
         }
-        let id = self.soft.queue.call_in_turn(run, state.next_number())?;
+        let id = self.soft.queue.next_call(run, state.next_number())?;
         let submission = self.soft.queue.get(id)?;
-        Some((id, self.judge_turn(now, state, submission)))
+        Some((id, self.decide(now, state, submission)))
     }
 
-    fn judge_turn(&self, now: Timestamp, state: &RunState, submission: &Submission) -> Turn {
+    fn decide(&self, now: Timestamp, state: &RunState, submission: &Submission) -> CallDecision {
         let spec = &submission.spec;
         if state.calls.len() as u32 >= state.limits.max_turns {
-            return Turn::EndRun;
+            return CallDecision::EndRun;
         }
         if spec.deadline.is_some_and(|deadline| deadline < now) {
-            return Turn::Refuse(refusal(RefusalReason::DeadlinePassed, None));
+            return CallDecision::Refuse(refusal(RefusalReason::DeadlinePassed, None));
         }
         let prompt = match &spec.request {
             CallRequest::Model(model) => state.prompt(model.history_prefix, &model.messages),
             CallRequest::Tool(_) => Some(Vec::new()),
         };
         let Some(prompt) = prompt else {
-            return Turn::Refuse(refusal(RefusalReason::HistoryMissing, None));
+            return CallDecision::Refuse(refusal(RefusalReason::HistoryMissing, None));
         };
         let length: Tokens = prompt
             .iter()
             .map(|message| text::token_count(&message.content))
             .sum();
         if length > state.limits.max_history {
-            return Turn::EndRun;
+            return CallDecision::EndRun;
         }
         let reserved = if self.settings.faults.no_reservation() {
             Credits::ZERO
         } else {
             reservation(&submission.terms, &spec.request, &prompt, "")
         };
-        self.judge_budget(state, reserved)
+        self.decide_by_budget(state, reserved)
     }
 
-    fn judge_budget(&self, state: &RunState, reserved: Credits) -> Turn {
+    fn decide_by_budget(&self, state: &RunState, reserved: Credits) -> CallDecision {
         if state.available() < reserved {
             let reason = RefusalReason::RunBudgetExhausted;
             let may_return = state.carved > Credits::ZERO;
-            return Turn::Refuse(refusal(reason, may_return.then_some(SHORT_RETRY)));
+            return CallDecision::Refuse(refusal(reason, may_return.then_some(SHORT_RETRY)));
         }
         if state.limits.tenant_budget {
             let tenant = &state.spec.tenant;
@@ -96,10 +97,10 @@
             let available = self.allotment_available(tenant);
             if available < needed {
                 let missing = needed.saturating_sub(available);
-                return Turn::Short(tenant.clone(), missing);
+                return CallDecision::AwaitAllotment(tenant.clone(), missing);
             }
         }
-        Turn::Accept(reserved)
+        CallDecision::Accept(reserved)
     }
 
     fn accept(&mut self, now: Timestamp, id: CallId, reserved: Credits) {
@@ -144,13 +145,15 @@
         let Some(submission) = self.soft.queue.get_mut(id) else {
             return;
         };
-        let since = *submission.short_since.get_or_insert(now);
+        let since = *submission.awaiting_allotment_since.get_or_insert(now);
         if denied || now.since(since) >= wait {
             let reason = RefusalReason::TenantBudgetExhausted;
             self.refuse_waiting(id, refusal(reason, Some(wait)));
-            return self.drop_idle_work(id.run);
+            return self.drop_idle_activity(id.run);
         }
-        self.soft.notes.line(id, "waits for its tenant's allotment");
+        self.soft
+            .notes
+            .add_line(id, "waits for its tenant's allotment");
         self.wake_at(now + self.settings.allotment_interval, id.run);
     }
 
@@ -160,17 +163,17 @@
             return;
         };
         let number = accepting.submission.spec.number;
-        let work = self.soft.work(run, now);
-        work.open = Some(OpenCall::new(number, accepting.submission.callers));
+        let activity = self.soft.activity(run, now);
+        activity.open = Some(OpenCall::new(number, accepting.submission.callers));
         self.counters.calls_accepted += 1;
         let id = CallId { run, number };
         self.soft
             .notes
-            .line(id, format!("accepted, {} reserved", accepting.reserved));
+            .add_line(id, format!("accepted, {} reserved", accepting.reserved));
         if self.is_overdue_record(now, accepting.since) {
             return self.withdraw(now, id);
         }
-        self.begin_attempt(now, id);
+        self.start_attempt(now, id);
     }
 
     /// Whether a record took so long to be read back that what it permits is no longer wanted.
@@ -213,39 +216,39 @@
 
     fn end_run_at_limit(&mut self, now: Timestamp, run: RunId) {
         self.counters.limits_reached += 1;
-        self.begin_ending(now, run, RunPhase::LimitReached, None);
+        self.start_ending(now, run, RunPhase::LimitReached, None);
     }
 
     /// Refuses waiting calls whose answer would come too late.
-    pub(super) fn refuse_late(&mut self, now: Timestamp, run: RunId) {
+    pub(super) fn refuse_expired(&mut self, now: Timestamp, run: RunId) {
         let waiting = self.soft.queue.of_run(run);
-        let late: Vec<CallId> = waiting
+        let expired: Vec<CallId> = waiting
             .filter(|(_, submission)| submission.spec.deadline.is_some_and(|at| at < now))
             .map(|(id, _)| id)
             .collect();
-        for id in late {
+        for id in expired {
             self.refuse_waiting(id, refusal(RefusalReason::DeadlinePassed, None));
         }
     }
 
     /// Refuses calls that waited too long for one that has not arrived.
-    pub(super) fn refuse_overdue(&mut self, now: Timestamp, run: RunId) {
+    pub(super) fn refuse_without_predecessor(&mut self, now: Timestamp, run: RunId) {
         let Some(state) = self.journal.runs.get(&run) else {
             return;
         };
         let next = state.next_number();
         let wait = self.settings.earlier_call_wait;
-        let Some(work) = self.soft.runs.get(&run) else {
+        let Some(activity) = self.soft.runs.get(&run) else {
             return;
         };
-        let idle = work.open.is_none() && work.accepting.is_none();
-        if !idle || self.soft.queue.call_in_turn(run, next).is_some() {
+        let idle = activity.open.is_none() && activity.accepting.is_none();
+        if !idle || self.soft.queue.next_call(run, next).is_some() {
             return;
         }
         let mut overdue: Vec<CallId> = Vec::new();
         let mut due = None;
         for (id, submission) in self.soft.queue.of_run(run) {
-            let since = submission.received.max(work.idle_since);
+            let since = submission.received.max(activity.idle_since);
             if now.since(since) >= wait {
                 overdue.push(id);
             } else {
@@ -262,8 +265,12 @@
     }
 
     /// Forgets the work of a run that has none.
-    pub(super) fn drop_idle_work(&mut self, run: RunId) {
-        let idle = self.soft.runs.get(&run).is_some_and(|work| work.is_idle());
+    pub(super) fn drop_idle_activity(&mut self, run: RunId) {
+        let idle = self
+            .soft
+            .runs
+            .get(&run)
+            .is_some_and(|activity| activity.is_idle());
         if idle && self.soft.queue.of_run(run).next().is_none() {
             self.soft.runs.remove(&run);
         }
--- a/crates/execution/src/partition/ownership.rs
+++ b/crates/execution/src/partition/ownership.rs
@@ -7,7 +7,7 @@
 use super::Partition;
 use crate::Effect;
 use crate::event::Connection;
-use crate::soft::{OpenCall, Soft, Stage};
+use crate::soft_state::{OpenCall, SoftState, Stage};
 use crate::state::Loader;
 
 impl Partition {
@@ -15,24 +15,24 @@
         if self.is_serving() {
             return self.cancel_release(now);
         }
-        self.claim = Some(forced);
+        self.pending_claim = Some(forced);
         self.try_claim();
     }
 
     /// Appends the wished-for claim once it may be made.
     pub(super) fn try_claim(&mut self) {
-        let Some(forced) = self.claim.filter(|_| self.owned.is_none()) else {
+        let Some(forced) = self.pending_claim.filter(|_| self.owned.is_none()) else {
             return;
         };
         let ownership = &self.journal.ownership;
-        let free = ownership.owner.is_none();
+        let is_unowned = ownership.owner.is_none();
         let next_epoch = ownership.epoch.next();
-        let readable = matches!(self.loader, Loader::Done | Loader::Empty);
-        let claimed_already = self.claimed == Some(next_epoch);
-        if !readable || claimed_already || !(forced || free) {
+        let can_claim = matches!(self.loader, Loader::Done | Loader::Empty);
+        let claimed_already = self.claimed_epoch == Some(next_epoch);
+        if !can_claim || claimed_already || !(forced || is_unowned) {
             return;
         }
-        self.claimed = Some(next_epoch);
+        self.claimed_epoch = Some(next_epoch);
         self.emit(Effect::Append {
             epoch: next_epoch,
             body: JournalBody::Claim {
@@ -44,7 +44,7 @@
     /// A claim was read back as the winner of its epoch. A claim that an earlier machine of the same
     /// node made and has since released is only history: this machine owns nothing by it.
     pub(super) fn on_claim_won(&mut self, now: Timestamp, own: bool, epoch: Epoch) {
-        let awaited = self.claimed == Some(epoch);
+        let is_expected = self.claimed_epoch == Some(epoch);
         if self.owned.is_some() && !own && self.settings.faults.no_fencing() {
             return;
         }
@@ -52,9 +52,9 @@
             self.counters.fenced += 1;
             self.lose_ownership();
         }
-        self.claimed = None;
-        self.claim = None;
-        if own && awaited {
+        self.claimed_epoch = None;
+        self.pending_claim = None;
+        if own && is_expected {
             self.become_owner(now, epoch);
         }
     }
@@ -63,7 +63,7 @@
         log::info!("partition {} owned at epoch {epoch}", self.id);
         self.counters.takeovers += 1;
         self.owned = Some(epoch);
-        self.soft = Soft::new(&self.settings);
+        self.soft = SoftState::new(&self.settings);
         self.emit(Effect::OwnershipChanged { owned: Some(epoch) });
         self.recover(now, epoch);
     }
@@ -72,41 +72,41 @@
     pub(super) fn lose_ownership(&mut self) {
         log::info!("partition {} no longer owned", self.id);
         self.owned = None;
-        let mut soft = std::mem::replace(&mut self.soft, Soft::new(&self.settings));
+        let mut soft = std::mem::replace(&mut self.soft, SoftState::new(&self.settings));
         self.emit(Effect::OwnershipChanged { owned: None });
         for read in soft.reads.take_all() {
-            self.turn_away([read.connection], read.run, None);
+            self.redirect([read.connection], read.run, None);
         }
         for (run, start) in soft.starting {
-            self.turn_away(start.connections, run, None);
+            self.redirect(start.connections, run, None);
         }
         for ((call, _), connections) in soft.refusing {
-            self.send_on(connections, call);
+            self.notify_call_moved(connections, call);
         }
         let mut queue = soft.queue;
         for (id, submission) in queue.take_all() {
             let callers = submission.callers.connections();
-            self.turn_away(callers, id.run, Some(id.number));
+            self.redirect(callers, id.run, Some(id.number));
         }
-        for (run, work) in soft.runs {
-            if let Some(accepting) = work.accepting {
+        for (run, activity) in soft.runs {
+            if let Some(accepting) = activity.accepting {
                 let submission = accepting.submission;
                 let number = submission.spec.number;
                 let callers = submission.callers.connections();
-                self.send_on(callers, CallId { run, number });
+                self.notify_call_moved(callers, CallId { run, number });
             }
-            if let Some(open) = work.open {
-                self.abandon(run, &open);
+            if let Some(open) = activity.open {
+                self.detach_open_call(run, &open);
             }
-            if let Some(ending) = work.ending {
-                self.turn_away(ending.connections, run, None);
+            if let Some(ending) = activity.ending {
+                self.redirect(ending.connections, run, None);
             }
         }
     }
 
     /// Lets go of an open call. An attempt that placement still holds is withdrawn; one that a back
     /// end has is left to the next owner.
-    fn abandon(&mut self, run: RunId, open: &OpenCall) {
+    fn detach_open_call(&mut self, run: RunId, open: &OpenCall) {
         let call = CallId {
             run,
             number: open.number,
@@ -117,18 +117,22 @@
             let attempt = running.attempt;
             self.emit(Effect::Cancel { call, attempt });
         }
-        self.send_on(open.callers.connections(), call);
+        self.notify_call_moved(open.callers.connections(), call);
     }
 
     /// Tells connections that a call taken here may go on at another node.
-    fn send_on(&mut self, connections: impl IntoIterator<Item = Connection>, call: CallId) {
+    fn notify_call_moved(
+        &mut self,
+        connections: impl IntoIterator<Item = Connection>,
+        call: CallId,
+    ) {
         for connection in connections {
             self.send(connection, NodeMessage::CallMoved { call });
         }
     }
 
     /// Tells connections to ask another node.
-    pub(super) fn turn_away(
+    pub(super) fn redirect(
         &mut self,
         connections: impl IntoIterator<Item = Connection>,
         run: RunId,
--- a/crates/execution/src/partition/records.rs
+++ b/crates/execution/src/partition/records.rs
@@ -7,7 +7,7 @@
 use elderworks_types::{Offset, Timestamp};
 
 use super::Partition;
-use crate::state::{Inconsistency, JournalState, Loading, Verdict, snapshot_records};
+use crate::state::{ApplyOutcome, Inconsistency, JournalState, LoadStep, snapshot_records};
 
 impl Partition {
     pub(super) fn on_record_read(
@@ -17,9 +17,9 @@
         record: Record<JournalBody>,
     ) {
         match self.loader.take(offset, &record) {
-            Loading::Wait => {}
-            Loading::Apply => self.apply_record(now, offset, record),
-            Loading::Loaded(state, following) => {
+            LoadStep::Wait => {}
+            LoadStep::Apply => self.apply_record(now, offset, record),
+            LoadStep::Loaded(state, following) => {
                 self.journal = *state;
                 for (offset, record) in following {
                     self.apply_record(now, offset, record);
@@ -30,27 +30,27 @@
     }
 
     fn apply_record(&mut self, now: Timestamp, offset: Offset, record: Record<JournalBody>) {
-        let verdict = self.journal.apply(&record, &self.settings.faults);
-        self.count(verdict);
+        let outcome = self.journal.apply(&record, &self.settings.faults);
+        self.count(outcome);
         let own = record.writer == self.writer;
-        match verdict {
-            Verdict::Accepted => self.on_accepted(now, offset, own, record),
-            Verdict::Inconsistent(inconsistency) => {
+        match outcome {
+            ApplyOutcome::Accepted => self.on_accepted(now, offset, own, record),
+            ApplyOutcome::Inconsistent(inconsistency) => {
                 if own && self.owned == Some(record.epoch) {
                     self.soft.in_flight.pop_front();
                     self.on_own_rejected(now, record.body, inconsistency);
                 }
             }
-            Verdict::Repeated | Verdict::Fenced => {}
+            ApplyOutcome::Repeated | ApplyOutcome::Fenced => {}
         }
     }
 
-    fn count(&mut self, verdict: Verdict) {
-        let counter = match verdict {
-            Verdict::Accepted => &mut self.counters.records_accepted,
-            Verdict::Repeated => &mut self.counters.records_repeated,
-            Verdict::Fenced => &mut self.counters.records_fenced,
-            Verdict::Inconsistent(_) => &mut self.counters.records_inconsistent,
+    fn count(&mut self, outcome: ApplyOutcome) {
+        let counter = match outcome {
+            ApplyOutcome::Accepted => &mut self.counters.records_accepted,
+            ApplyOutcome::Repeated => &mut self.counters.records_repeated,
+            ApplyOutcome::Fenced => &mut self.counters.records_fenced,
+            ApplyOutcome::Inconsistent(_) => &mut self.counters.records_inconsistent,
         };
         *counter += 1;
     }
--- a/crates/execution/src/partition/recovery.rs
+++ b/crates/execution/src/partition/recovery.rs
@@ -8,10 +8,12 @@
 use super::intake::SHORT_RETRY;
 use crate::Effect;
 use crate::event::AttemptFailure;
-use crate::soft::{AnswerBuffer, Backoff, Callers, OpenCall, Running, Source, Stage};
+use crate::soft_state::{
+    AnswerBuffer, AttemptOrigin, Callers, OpenCall, RetryPlan, RunningAttempt, Stage,
+};
 
 /// What is known of a call that an earlier owner left open.
-enum Leftover {
+enum InheritedAttempt {
     /// No back end has seen the permitted attempt.
     Unsent,
     /// An engine was given it.
@@ -57,38 +59,48 @@
         let started = call
             .last_attempt()
             .filter(|started| started.attempt == attempt);
-        let leftover = match started {
-            _ if call.unsent_at == Some(epoch) => Leftover::Unsent,
+        let inherited = match started {
+            _ if call.unsent_at == Some(epoch) => InheritedAttempt::Unsent,
             Some(started) => match &started.engine {
-                Some(engine) => Leftover::OnEngine(attempt, engine.clone()),
-                None => Leftover::MaybeSent(attempt),
+                Some(engine) => InheritedAttempt::OnEngine(attempt, engine.clone()),
+                None => InheritedAttempt::MaybeSent(attempt),
             },
-            None if repeatable => Leftover::MaybeSent(attempt),
-            None => Leftover::Unsent,
+            None if repeatable => InheritedAttempt::MaybeSent(attempt),
+            None => InheritedAttempt::Unsent,
         };
-        let charged = call.spent.0 > 0;
+        let has_charged_attempt = call.spent.0 > 0;
         let mut open = OpenCall::new(id.number, Callers::default());
         open.answer = AnswerBuffer::continuing(call.continue_text.clone(), call.continue_chunks);
         open.recovered = true;
-        open.ran_before = charged || !matches!(leftover, Leftover::Unsent);
-        self.soft.work(run, now).open = Some(open);
-        self.soft.notes.begin(id, now);
-        self.soft.notes.line(id, "taken over from an earlier owner");
-        self.take_up(now, id, repeatable, leftover);
+        open.may_have_run = has_charged_attempt || !matches!(inherited, InheritedAttempt::Unsent);
+        self.soft.activity(run, now).open = Some(open);
+        self.soft.notes.start(id, now);
+        self.soft
+            .notes
+            .add_line(id, "taken over from an earlier owner");
+        self.recover_by_status(now, id, repeatable, inherited);
     }
 
-    fn take_up(&mut self, now: Timestamp, id: CallId, repeatable: bool, leftover: Leftover) {
-        match leftover {
-            Leftover::Unsent => self.begin_attempt(now, id),
-            Leftover::MaybeSent(attempt) if self.settings.faults.resend_after_takeover() => {
+    fn recover_by_status(
+        &mut self,
+        now: Timestamp,
+        id: CallId,
+        repeatable: bool,
+        inherited: InheritedAttempt,
+    ) {
+        match inherited {
+            InheritedAttempt::Unsent => self.start_attempt(now, id),
+            InheritedAttempt::MaybeSent(attempt)
+                if self.settings.faults.resend_after_takeover() =>
+            {
                 self.dispatch(now, id, attempt);
             }
-            Leftover::OnEngine(attempt, engine) => self.resume(now, id, attempt, engine),
-            Leftover::MaybeSent(_) if repeatable => {
+            InheritedAttempt::OnEngine(attempt, engine) => self.resume(now, id, attempt, engine),
+            InheritedAttempt::MaybeSent(_) if repeatable => {
                 let plan = self.recovery_plan(now, id);
                 self.try_retry(now, id, plan);
             }
-            Leftover::MaybeSent(attempt) => {
+            InheritedAttempt::MaybeSent(attempt) => {
                 self.query_or_unknown(now, id, attempt, UnknownReason::OwnerLost);
             }
         }
@@ -101,16 +113,16 @@
         let from_chunk = call.continue_chunks;
         let limit = call.terms.timeout + self.settings.timeout_grace;
         if let Some(open) = self.soft.open(id.run, id.number) {
-            open.stage = Stage::Running(Running {
+            open.stage = Stage::Running(RunningAttempt {
                 attempt,
-                source: Source::Resumed,
+                origin: AttemptOrigin::Resumed,
                 sent: Some(now),
             });
         }
         self.counters.resumed += 1;
         self.soft
             .notes
-            .attempt(id, attempt, Some(engine.clone()), now);
+            .add_attempt(id, attempt, Some(engine.clone()), now);
         self.wake_at(now + limit, id.run);
         self.emit(Effect::Resume {
             call: id,
@@ -122,13 +134,13 @@
 
     /// The next attempt of a call of which an earlier owner may have sent one: its reservation is
     /// charged in full, since nobody can say what it consumed.
-    fn recovery_plan(&self, now: Timestamp, id: CallId) -> Backoff {
+    fn recovery_plan(&self, now: Timestamp, id: CallId) -> RetryPlan {
         let spent = self
             .journal
             .open_call(id)
             .map_or_else(Default::default, |call| call.held());
-        Backoff {
-            until: now,
+        RetryPlan {
+            due_at: now,
             since: now,
             spent,
             reason: FailureReason::AttemptsExhausted,
@@ -159,7 +171,7 @@
         }
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} could not be resumed"));
+            .add_line(id, format!("attempt {attempt} could not be resumed"));
         let plan = self.recovery_plan(now, id);
         let wait = self.settings.resubmission_wait;
         let Some(open) = self.soft.open(id.run, id.number) else {
@@ -168,14 +180,17 @@
         if !is_model || !open.callers.is_empty() {
             return self.try_retry(now, id, plan);
         }
-        let until = now + wait;
-        open.stage = Stage::AwaitingCaller { until, then: plan };
-        self.wake_at(until, id.run);
+        let due_at = now + wait;
+        open.stage = Stage::AwaitingCaller {
+            due_at,
+            retry: plan,
+        };
+        self.wake_at(due_at, id.run);
     }
 
     fn treat_as_dispatched(&mut self, id: CallId, attempt: Attempt) {
         if let Some(running) = self.running(id, attempt) {
-            running.source = Source::Dispatched;
+            running.origin = AttemptOrigin::Dispatched;
         }
     }
 
@@ -184,8 +199,8 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        if let Stage::AwaitingCaller { then, .. } = &open.stage {
-            let plan = then.clone();
+        if let Stage::AwaitingCaller { retry, .. } = &open.stage {
+            let plan = retry.clone();
             self.try_retry(now, id, plan);
         }
     }
--- a/crates/execution/src/partition/refusals.rs
+++ b/crates/execution/src/partition/refusals.rs
@@ -15,7 +15,7 @@
 use super::intake::{LOG_RETRY, refusal};
 use crate::event::Connection;
 use crate::event::SubmittedCall;
-use crate::soft::{Callers, Submission};
+use crate::soft_state::{Callers, Submission};
 
 /// Refused submissions that a run remembers; later refusals speak for their owner alone.
 const MAX_BARRED_PER_RUN: usize = 256;
@@ -27,14 +27,14 @@
         &mut self,
         connection: Connection,
         id: CallId,
-        doubtful: Option<SubmissionId>,
+        resubmitted_id: Option<SubmissionId>,
         mut refusal: Refusal,
     ) {
         self.counters.calls_refused += 1;
         if self.settings.faults.no_retry_after() {
             refusal.retry_after = None;
         }
-        self.tell_refusal(connection, id, doubtful, refusal);
+        self.deliver_refusal(connection, id, resubmitted_id, refusal);
     }
 
     pub(super) fn refuse_submission(
@@ -43,13 +43,13 @@
         submission: &Submission,
         refusal: Refusal,
     ) {
-        for (connection, doubtful) in submission.callers.tagged() {
-            self.refuse(connection, id, doubtful, refusal.clone());
+        for (connection, resubmitted_id) in submission.callers.with_resubmitted_ids() {
+            self.refuse(connection, id, resubmitted_id, refusal.clone());
         }
     }
 
     /// Tells the callers of an accepted call how it ended.
-    pub(super) fn tell_end(
+    pub(super) fn send_end_to_callers(
         &mut self,
         callers: &Callers,
         id: CallId,
@@ -57,32 +57,32 @@
         outcome: &Outcome,
     ) {
         let attempt = self.last_attempt_of(id);
-        for (connection, doubtful) in callers.tagged() {
-            match (outcome, doubtful) {
+        for (connection, resubmitted_id) in callers.with_resubmitted_ids() {
+            match (outcome, resubmitted_id) {
                 (Outcome::Refused(refusal), Some(_)) => {
-                    self.tell_refusal(connection, id, doubtful, refusal.clone());
+                    self.deliver_refusal(connection, id, resubmitted_id, refusal.clone());
                 }
                 _ => self.send_end(connection, id, attempt, chunks, outcome.clone()),
             }
         }
     }
 
-    fn tell_refusal(
+    fn deliver_refusal(
         &mut self,
         connection: Connection,
         id: CallId,
-        doubtful: Option<SubmissionId>,
+        resubmitted_id: Option<SubmissionId>,
         refusal: Refusal,
     ) {
-        match doubtful.filter(|_| self.may_bar(id, refusal.reason)) {
-            Some(submission) => self.bar(connection, id, submission, refusal),
+        match resubmitted_id.filter(|_| self.can_bar(id, refusal.reason)) {
+            Some(submission) => self.journal_refusal(connection, id, submission, refusal),
             None => self.send_refusal(connection, id, refusal, None),
         }
     }
 
     /// Whether a refusal is worth a record: one that may pass is waited out by the sidecar, and a
     /// run that is not the caller's, or holds many already, has no place for it.
-    fn may_bar(&self, id: CallId, reason: RefusalReason) -> bool {
+    fn can_bar(&self, id: CallId, reason: RefusalReason) -> bool {
         let run = self.journal.runs.get(&id.run);
         let has_place = run.is_some_and(|run| run.barred.len() < MAX_BARRED_PER_RUN);
         has_place && !reason.may_pass() && reason != RefusalReason::RunNotFound
@@ -90,7 +90,7 @@
 
     /// Journals a refusal; it is told once it is read back. While the log does not answer the
     /// caller is asked to come back, which it takes for a refusal that proves nothing.
-    fn bar(
+    fn journal_refusal(
         &mut self,
         connection: Connection,
         call: CallId,
@@ -160,7 +160,7 @@
         for (id, submission) in self.soft.queue.take_all() {
             let reason = RefusalReason::LogUnavailable;
             self.refuse_submission(id, &submission, refusal(reason, Some(LOG_RETRY)));
-            self.drop_idle_work(id.run);
+            self.drop_idle_activity(id.run);
         }
     }
 
--- a/crates/execution/src/partition/release.rs
+++ b/crates/execution/src/partition/release.rs
@@ -5,11 +5,11 @@
 
 use super::Partition;
 use crate::Effect;
-use crate::soft::{OpenCall, ReleaseProgress, Running, Source, Stage};
+use crate::soft_state::{AttemptOrigin, OpenCall, ReleaseProgress, RunningAttempt, Stage};
 
 impl Partition {
     pub(super) fn on_release(&mut self, now: Timestamp) {
-        self.claim = None;
+        self.pending_claim = None;
         if self.owned.is_none() || self.soft.release.is_some() {
             return;
         }
@@ -17,14 +17,14 @@
             since: now,
             appended: false,
         });
-        self.turn_waiting_away();
+        self.redirect_queued_calls();
         self.prepare_release(now);
     }
 
-    fn turn_waiting_away(&mut self) {
+    fn redirect_queued_calls(&mut self) {
         for (id, submission) in self.soft.queue.take_all() {
             let connections = submission.callers.connections();
-            self.turn_away(connections, id.run, Some(id.number));
+            self.redirect(connections, id.run, Some(id.number));
         }
     }
 
@@ -35,9 +35,9 @@
         if !self.is_release_due(now) {
             return;
         }
-        let mut taken_back = Vec::new();
-        for (run, work) in &mut self.soft.runs {
-            let Some(open) = &mut work.open else {
+        let mut withdrawn = Vec::new();
+        for (run, activity) in &mut self.soft.runs {
+            let Some(open) = &mut activity.open else {
                 continue;
             };
             let call = CallId {
@@ -47,11 +47,11 @@
             if let Stage::Running(running) = &open.stage
                 && running.sent.is_none()
             {
-                taken_back.push((call, running.attempt));
+                withdrawn.push((call, running.attempt));
                 open.stage = Stage::Withdrawn(running.attempt);
             }
         }
-        for (call, attempt) in taken_back {
+        for (call, attempt) in withdrawn {
             self.emit(Effect::Cancel { call, attempt });
         }
     }
@@ -61,8 +61,8 @@
         if !self.is_release_due(now) {
             return;
         }
-        let waiting = self.soft.runs.values().any(|work| {
-            let open = work.open.as_ref();
+        let waiting = self.soft.runs.values().any(|activity| {
+            let open = activity.open.as_ref();
             open.is_some_and(is_unsent)
         });
         if waiting {
@@ -88,8 +88,8 @@
         if !self.soft.in_flight.is_empty() {
             return true;
         }
-        self.soft.runs.iter().any(|(run, work)| {
-            let open = work.open.as_ref();
+        self.soft.runs.iter().any(|(run, activity)| {
+            let open = activity.open.as_ref();
             open.is_some_and(|open| self.must_finish_here(*run, open))
         })
     }
@@ -114,8 +114,8 @@
 
     fn append_release(&mut self) {
         let mut unsent = Vec::new();
-        for (run, work) in &mut self.soft.runs {
-            let Some(open) = &mut work.open else {
+        for (run, activity) in &mut self.soft.runs {
+            let Some(open) = &mut activity.open else {
                 continue;
             };
             if let Stage::Withdrawn(_) | Stage::Idle = open.stage {
@@ -141,8 +141,8 @@
             .soft
             .runs
             .iter()
-            .filter_map(|(run, work)| {
-                let open = work.open.as_ref()?;
+            .filter_map(|(run, activity)| {
+                let open = activity.open.as_ref()?;
                 let is_withdrawn = matches!(open.stage, Stage::Withdrawn(_));
                 is_withdrawn.then_some(CallId {
                     run: *run,
@@ -151,7 +151,7 @@
             })
             .collect();
         for call in withdrawn {
-            self.begin_attempt(now, call);
+            self.start_attempt(now, call);
         }
     }
 
@@ -160,9 +160,9 @@
         if let Some(open) = self.soft.open(id.run, id.number)
             && open.stage == Stage::Withdrawn(attempt)
         {
-            open.stage = Stage::Running(Running {
+            open.stage = Stage::Running(RunningAttempt {
                 attempt,
-                source: Source::Dispatched,
+                origin: AttemptOrigin::Dispatched,
                 sent: None,
             });
         }
--- a/crates/execution/src/partition/timers.rs
+++ b/crates/execution/src/partition/timers.rs
@@ -4,13 +4,13 @@
 
 use super::Partition;
 use crate::event::AttemptFailure;
-use crate::soft::{Running, Stage};
+use crate::soft_state::{RunningAttempt, Stage};
 
 /// What is due for an open call.
-enum Due {
+enum DueAction {
     Retry,
-    GiveUpWaiting,
-    TimeOut(Running),
+    StopAwaitingCaller,
+    TimeOut(RunningAttempt),
 }
 
 impl Partition {
@@ -35,31 +35,31 @@
         if !self.is_serving() {
             return;
         }
-        self.end_overlong_run(now, run);
+        self.end_run_past_max_duration(now, run);
         self.on_call_due(now, run);
-        self.refuse_late(now, run);
-        self.refuse_overdue(now, run);
+        self.refuse_expired(now, run);
+        self.refuse_without_predecessor(now, run);
         self.advance(now, run);
     }
 
     /// When a run reaches the longest life that its program permits.
-    pub(super) fn longest_life_end(&self, run: RunId) -> Option<Timestamp> {
+    pub(super) fn max_duration_end(&self, run: RunId) -> Option<Timestamp> {
         let state = self.journal.runs.get(&run)?;
         Some(state.started + state.limits.max_duration)
     }
 
-    fn end_overlong_run(&mut self, now: Timestamp, run: RunId) {
-        let overlong = self.journal.runs.get(&run).is_some_and(|state| {
+    fn end_run_past_max_duration(&mut self, now: Timestamp, run: RunId) {
+        let is_past_max_duration = self.journal.runs.get(&run).is_some_and(|state| {
             state.is_active() && now.since(state.started) >= state.limits.max_duration
         });
-        if overlong && !self.is_ending(run) {
+        if is_past_max_duration && !self.is_ending(run) {
             self.counters.limits_reached += 1;
-            self.begin_ending(now, run, RunPhase::LimitReached, None);
+            self.start_ending(now, run, RunPhase::LimitReached, None);
         }
     }
 
     fn on_call_due(&mut self, now: Timestamp, run: RunId) {
-        let Some((id, due)) = self.due_of(now, run) else {
+        let Some((id, due)) = self.due_action(now, run) else {
             return;
         };
         let stage = self
@@ -67,33 +67,33 @@
             .open(run, id.number)
             .map(|open| open.stage.clone());
         match (due, stage) {
-            (Due::Retry, Some(Stage::Backoff(plan))) => self.try_retry(now, id, plan),
-            (Due::GiveUpWaiting, Some(Stage::AwaitingCaller { then, .. })) => {
-                self.try_retry(now, id, then);
+            (DueAction::Retry, Some(Stage::Backoff(plan))) => self.try_retry(now, id, plan),
+            (DueAction::StopAwaitingCaller, Some(Stage::AwaitingCaller { retry, .. })) => {
+                self.try_retry(now, id, retry);
             }
-            (Due::TimeOut(running), _) => self.time_out(now, id, &running),
+            (DueAction::TimeOut(running), _) => self.time_out(now, id, &running),
             _ => {}
         }
     }
 
-    fn due_of(&self, now: Timestamp, run: RunId) -> Option<(CallId, Due)> {
+    fn due_action(&self, now: Timestamp, run: RunId) -> Option<(CallId, DueAction)> {
         let open = self.soft.runs.get(&run)?.open.as_ref()?;
         let id = CallId {
             run,
             number: open.number,
         };
         let due = match &open.stage {
-            Stage::Backoff(plan) if plan.until <= now => Due::Retry,
-            Stage::AwaitingCaller { until, .. } if *until <= now => Due::GiveUpWaiting,
+            Stage::Backoff(plan) if plan.due_at <= now => DueAction::Retry,
+            Stage::AwaitingCaller { due_at, .. } if *due_at <= now => DueAction::StopAwaitingCaller,
             Stage::Running(running) if self.is_overdue(now, id, running) => {
-                Due::TimeOut(running.clone())
+                DueAction::TimeOut(running.clone())
             }
             _ => return None,
         };
         Some((id, due))
     }
 
-    fn is_overdue(&self, now: Timestamp, id: CallId, running: &Running) -> bool {
+    fn is_overdue(&self, now: Timestamp, id: CallId, running: &RunningAttempt) -> bool {
         let (Some(call), Some(sent)) = (self.journal.open_call(id), running.sent) else {
             return false;
         };
@@ -101,7 +101,7 @@
     }
 
     /// The back end, or the node's own driver, has kept silent for too long.
-    fn time_out(&mut self, now: Timestamp, id: CallId, running: &Running) {
+    fn time_out(&mut self, now: Timestamp, id: CallId, running: &RunningAttempt) {
         let failure = AttemptFailure::Lost {
             reason: FailureReason::TimedOut,
             usage: Default::default(),
--- a/crates/execution/src/partition/view.rs
+++ b/crates/execution/src/partition/view.rs
@@ -6,7 +6,7 @@
 
 use super::Partition;
 use crate::event::Connection;
-use crate::soft::PendingRead;
+use crate::soft_state::PendingRead;
 use crate::state::{CallState, RunState};
 
 /// A run in a list, without its history and calls.
@@ -49,7 +49,7 @@
         run: RunId,
     ) {
         if !self.is_serving() || self.soft.reads.is_full() {
-            return self.turn_away([connection], run, None);
+            return self.redirect([connection], run, None);
         }
         self.soft.reads.push(PendingRead {
             connection,
--- a/crates/execution/src/retry.rs
+++ b/crates/execution/src/retry.rs
@@ -9,42 +9,42 @@
 use crate::ExecutionSettings;
 
 /// Hundredths of a retry, so that a percentage of a first attempt is a whole number.
-const ONE_RETRY: u64 = 100;
+const HUNDREDTHS_PER_RETRY: u64 = 100;
 
 /// Most retries that can be saved up.
-const MAX_SAVED: u64 = 20 * ONE_RETRY;
+const MAX_SAVED_HUNDREDTHS: u64 = 20 * HUNDREDTHS_PER_RETRY;
 
 /// Doublings after which the wait has long reached its limit.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// First attempts within [`QUIET_PERIOD`] below which a partition is quiet.
-const QUIET_ATTEMPTS: usize = 10;
+const LOW_TRAFFIC_ATTEMPTS: usize = 10;
 
 /// Time over which a partition is judged to be quiet or not.
-const QUIET_PERIOD: Duration = Duration::from_secs(60);
+const LOW_TRAFFIC_PERIOD: Duration = Duration::from_secs(60);
 
 /// A quiet partition may make one retry in this time even if its first attempts earned none.
-const QUIET_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+const LOW_TRAFFIC_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Bounds the retries of a partition to a share of its first attempts, so that an outage is not
 /// answered by a storm. A partition with so few calls that they earn no retry gets a trickle.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    saved: u64,
+    saved_hundredths: u64,
     earned_by_first_attempt: u64,
     /// Times of the last few first attempts.
     recent: VecDeque<Timestamp>,
-    last_trickle: Option<Timestamp>,
+    last_low_traffic_retry: Option<Timestamp>,
 }
 
 impl RetryBudget {
     /// A budget holding the permitted burst.
     pub fn new(settings: &ExecutionSettings) -> Self {
         Self {
-            saved: u64::from(settings.retry_burst) * ONE_RETRY,
+            saved_hundredths: u64::from(settings.retry_burst) * HUNDREDTHS_PER_RETRY,
             earned_by_first_attempt: u64::from(settings.retry_percent),
-            recent: VecDeque::with_capacity(QUIET_ATTEMPTS),
-            last_trickle: None,
+            recent: VecDeque::with_capacity(LOW_TRAFFIC_ATTEMPTS),
+            last_low_traffic_retry: None,
         }
     }
 
@@ -55,8 +55,9 @@
 
     /// A first attempt was dispatched.
     pub fn earn(&mut self, now: Timestamp) {
-        self.saved = (self.saved + self.earned_by_first_attempt).min(MAX_SAVED);
-        if self.recent.len() == QUIET_ATTEMPTS {
+        self.saved_hundredths =
+            (self.saved_hundredths + self.earned_by_first_attempt).min(MAX_SAVED_HUNDREDTHS);
+        if self.recent.len() == LOW_TRAFFIC_ATTEMPTS {
             self.recent.pop_front();
         }
         self.recent.push_back(now);
@@ -64,24 +65,24 @@
 
     /// Takes one retry, if there is one.
     pub fn spend(&mut self, now: Timestamp) -> bool {
-        if let Some(rest) = self.saved.checked_sub(ONE_RETRY) {
-            self.saved = rest;
+        if let Some(rest) = self.saved_hundredths.checked_sub(HUNDREDTHS_PER_RETRY) {
+            self.saved_hundredths = rest;
             return true;
         }
         let waited = self
-            .last_trickle
-            .is_none_or(|last| now.since(last) >= QUIET_RETRY_INTERVAL);
-        let permitted = waited && self.is_quiet(now);
+            .last_low_traffic_retry
+            .is_none_or(|last| now.since(last) >= LOW_TRAFFIC_RETRY_INTERVAL);
+        let permitted = waited && self.has_low_traffic(now);
         if permitted {
-            self.last_trickle = Some(now);
+            self.last_low_traffic_retry = Some(now);
         }
         permitted
     }
 
-    fn is_quiet(&self, now: Timestamp) -> bool {
+    fn has_low_traffic(&self, now: Timestamp) -> bool {
         let oldest = self.recent.front();
-        let few = self.recent.len() < QUIET_ATTEMPTS;
-        few || oldest.is_some_and(|oldest| now.since(*oldest) >= QUIET_PERIOD)
+        let few = self.recent.len() < LOW_TRAFFIC_ATTEMPTS;
+        few || oldest.is_some_and(|oldest| now.since(*oldest) >= LOW_TRAFFIC_PERIOD)
     }
 }
 
--- a/crates/execution/src/settings.rs
+++ b/crates/execution/src/settings.rs
@@ -21,7 +21,7 @@
     pub retry_wait: Duration,
     /// Longest that a call that surely did not run waits to be retried; its caller is better served
     /// by a refusal.
-    pub unrun_retry_wait: Duration,
+    pub not_run_retry_wait: Duration,
     /// Calls of one run that may wait for earlier ones.
     pub max_waiting_per_run: usize,
     /// Calls that may be waiting or open in the whole partition.
@@ -68,7 +68,7 @@
             retry_backoff: Duration::from_millis(50),
             retry_backoff_limit: Duration::from_secs(2),
             retry_wait: Duration::from_secs(10),
-            unrun_retry_wait: Duration::from_secs(3),
+            not_run_retry_wait: Duration::from_secs(3),
             max_waiting_per_run: 32,
             max_open_calls: 4096,
             earlier_call_wait: Duration::from_secs(5),
--- a/crates/execution/src/soft.rs
+++ b/crates/execution/src/soft_state.rs
@@ -1,8 +1,8 @@
 //! What only the present owner knows and a takeover may forget.
 
 mod answer;
+mod call_notes;
 mod callers;
-mod notes;
 mod queue;
 mod reads;
 
@@ -20,15 +20,15 @@
 use crate::event::Connection;
 use crate::retry::RetryBudget;
 
-pub(crate) use answer::{AnswerBuffer, Taken};
+pub(crate) use answer::{AnswerBuffer, ChunkOrder};
+pub(crate) use call_notes::CallNoteStore;
 pub(crate) use callers::Callers;
-pub(crate) use notes::Notebook;
 pub(crate) use queue::CallQueue;
 pub(crate) use reads::{PendingRead, ReadQueue};
 
 /// The owner's working state.
 #[derive(Debug)]
-pub(crate) struct Soft {
+pub(crate) struct SoftState {
     /// Own records appended at the present epoch and not yet read back, in order.
     pub in_flight: VecDeque<JournalBody>,
     /// The release in progress, if this node is handing the partition over.
@@ -38,7 +38,7 @@
     /// Calls that arrived and were not accepted yet.
     pub queue: CallQueue,
     /// Work of runs that have any.
-    pub runs: BTreeMap<RunId, RunWork>,
+    pub runs: BTreeMap<RunId, RunActivity>,
     /// What calls on their way into the journal are about to reserve of each tenant's allotment.
     pub accepting: BTreeMap<TenantId, Credits>,
     /// When to look at a run again.
@@ -56,12 +56,12 @@
     /// Refusals that are on their way into the journal.
     pub refusing: BTreeMap<(CallId, SubmissionId), BTreeSet<Connection>>,
     /// Whether a forgetting of runs is on its way.
-    pub forgetting: bool,
+    pub forget_in_flight: bool,
     /// What `explain` shows beyond the journal.
-    pub notes: Notebook,
+    pub notes: CallNoteStore,
 }
 
-impl Soft {
+impl SoftState {
     /// An owner that has just begun.
     pub fn new(settings: &ExecutionSettings) -> Self {
         Self {
@@ -78,14 +78,16 @@
             retry: RetryBudget::new(settings),
             reads: ReadQueue::default(),
             refusing: BTreeMap::new(),
-            forgetting: false,
-            notes: Notebook::new(settings.max_call_notes),
+            forget_in_flight: false,
+            notes: CallNoteStore::new(settings.max_call_notes),
         }
     }
 
     /// The work of a run, begun if there was none.
-    pub fn work(&mut self, run: RunId, now: Timestamp) -> &mut RunWork {
-        self.runs.entry(run).or_insert_with(|| RunWork::new(now))
+    pub fn activity(&mut self, run: RunId, now: Timestamp) -> &mut RunActivity {
+        self.runs
+            .entry(run)
+            .or_insert_with(|| RunActivity::new(now))
     }
 
     /// The open call, if it has this number.
@@ -109,8 +111,8 @@
         if let Some(tenant) = &accepting.tenant {
             *self.accepting.entry(tenant.clone()).or_default() += accepting.reserved;
         }
-        if let Some(work) = self.runs.get_mut(&run) {
-            work.accepting = Some(accepting);
+        if let Some(activity) = self.runs.get_mut(&run) {
+            activity.accepting = Some(accepting);
         }
     }
 
@@ -148,18 +150,18 @@
 
 /// Work of one run.
 #[derive(Debug)]
-pub(crate) struct RunWork {
+pub(crate) struct RunActivity {
     /// The call whose acceptance was appended.
     pub accepting: Option<Accepting>,
     /// The call that is open in the journal.
     pub open: Option<OpenCall>,
     /// How the run is to end.
-    pub ending: Option<Ending>,
+    pub ending: Option<RunEnding>,
     /// Since when no call is open.
     pub idle_since: Timestamp,
 }
 
-impl RunWork {
+impl RunActivity {
     fn new(now: Timestamp) -> Self {
         Self {
             accepting: None,
@@ -189,7 +191,7 @@
     /// How many calls directly before it will not be made.
     pub abandoned_before: u32,
     /// Since when its tenant's allotment keeps it waiting.
-    pub short_since: Option<Timestamp>,
+    pub awaiting_allotment_since: Option<Timestamp>,
 }
 
 /// A call whose acceptance was appended.
@@ -219,7 +221,7 @@
     /// What a caller said it holds, before anything was dispatched here.
     pub delivered: Delivered,
     /// Whether an attempt before the present one may have run.
-    pub ran_before: bool,
+    pub may_have_run: bool,
     /// Whether an earlier owner left it behind.
     pub recovered: bool,
 }
@@ -233,7 +235,7 @@
             callers,
             answer: AnswerBuffer::default(),
             delivered: Delivered::default(),
-            ran_before: false,
+            may_have_run: false,
             recovered: false,
         }
     }
@@ -254,17 +256,17 @@
     /// An attempt was taken back from placement, which may just have sent it.
     Withdrawn(Attempt),
     /// An attempt is out.
-    Running(Running),
+    Running(RunningAttempt),
     /// The next attempt waits for its time.
-    Backoff(Backoff),
+    Backoff(RetryPlan),
     /// The reservation of the next attempt was appended.
     Reserving,
     /// The caller is given time to say what it holds of the answer.
     AwaitingCaller {
         /// Until when.
-        until: Timestamp,
+        due_at: Timestamp,
         /// The retry to make then.
-        then: Backoff,
+        retry: RetryPlan,
     },
     /// The end was appended, or the partition is being handed over.
     Closing,
@@ -272,18 +274,18 @@
 
 /// An attempt that is out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Running {
+pub(crate) struct RunningAttempt {
     /// Which.
     pub attempt: Attempt,
     /// How it came about.
-    pub source: Source,
+    pub origin: AttemptOrigin,
     /// When its back end got it; `None` while placement holds it.
     pub sent: Option<Timestamp>,
 }
 
 /// How an attempt came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum AttemptOrigin {
     /// It was dispatched here.
     Dispatched,
     /// It was taken up from an earlier owner.
@@ -294,9 +296,9 @@
 
 /// A retry that waits for its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Backoff {
+pub(crate) struct RetryPlan {
     /// When to try.
-    pub until: Timestamp,
+    pub due_at: Timestamp,
     /// Since when it waits.
     pub since: Timestamp,
     /// Cost of all attempts so far.
@@ -312,7 +314,7 @@
 
 /// How a run is to end.
 #[derive(Debug)]
-pub(crate) struct Ending {
+pub(crate) struct RunEnding {
     /// The phase to reach.
     pub phase: RunPhase,
     /// Who asked.
--- a/crates/execution/src/soft/answer.rs
+++ b/crates/execution/src/soft_state/answer.rs
@@ -16,7 +16,7 @@
 
 /// What became of an arriving chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum ChunkOrder {
     /// It is the next one.
     Next,
     /// It was there already.
@@ -50,16 +50,16 @@
     }
 
     /// Takes an arriving chunk.
-    pub fn take(&mut self, attempt: Attempt, index: u32, text: &str) -> Taken {
+    pub fn take(&mut self, attempt: Attempt, index: u32, text: &str) -> ChunkOrder {
         let expected = self.next_index();
         if index < expected {
-            return Taken::Repeated;
+            return ChunkOrder::Repeated;
         }
         if index > expected {
-            return Taken::Gap;
+            return ChunkOrder::Gap;
         }
         self.chunks.push((attempt, text.to_owned()));
-        Taken::Next
+        ChunkOrder::Next
     }
 
     /// The chunks from `index` on that are still held.
--- a/crates/execution/src/soft/notes.rs
+++ b/crates/execution/src/soft_state/call_notes.rs
@@ -6,11 +6,11 @@
 use elderworks_types::{Attempt, CallId, EngineId, Timestamp};
 
 /// Most lines kept of one call.
-const MAX_LINES: usize = 24;
+const MAX_NOTES_PER_CALL: usize = 24;
 
 /// Notes on recent calls; the oldest are dropped first.
 #[derive(Debug)]
-pub(crate) struct Notebook {
+pub(crate) struct CallNoteStore {
     limit: usize,
     calls: BTreeMap<CallId, CallNotes>,
     order: VecDeque<CallId>,
@@ -29,7 +29,7 @@
     pub lines: Vec<String>,
 }
 
-impl Notebook {
+impl CallNoteStore {
     /// A notebook for this many calls.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -40,21 +40,21 @@
     }
 
     /// Begins the notes of a call.
-    pub fn begin(&mut self, call: CallId, received: Timestamp) {
+    pub fn start(&mut self, call: CallId, received: Timestamp) {
         let notes = self.entry(call);
         notes.received = received;
     }
 
     /// Adds a line.
-    pub fn line(&mut self, call: CallId, line: impl Into<String>) {
+    pub fn add_line(&mut self, call: CallId, line: impl Into<String>) {
         let notes = self.entry(call);
-        if notes.lines.len() < MAX_LINES {
+        if notes.lines.len() < MAX_NOTES_PER_CALL {
             notes.lines.push(line.into());
         }
     }
 
     /// An attempt was sent.
-    pub fn attempt(
+    pub fn add_attempt(
         &mut self,
         call: CallId,
         attempt: Attempt,
@@ -63,7 +63,7 @@
     ) {
         let notes = self.entry(call);
         notes.attempts.retain(|view| view.attempt != attempt);
-        if notes.attempts.len() < MAX_LINES {
+        if notes.attempts.len() < MAX_NOTES_PER_CALL {
             notes.attempts.push(AttemptView {
                 attempt,
                 engine,
@@ -74,7 +74,7 @@
     }
 
     /// A chunk of an attempt arrived.
-    pub fn chunk(&mut self, call: CallId, attempt: Attempt, now: Timestamp) {
+    pub fn record_chunk(&mut self, call: CallId, attempt: Attempt, now: Timestamp) {
         let notes = self.entry(call);
         let view = notes
             .attempts
@@ -86,7 +86,7 @@
     }
 
     /// The call ended.
-    pub fn end(&mut self, call: CallId, now: Timestamp) {
+    pub fn record_end(&mut self, call: CallId, now: Timestamp) {
         self.entry(call).ended = Some(now);
     }
 
--- a/crates/execution/src/soft/callers.rs
+++ b/crates/execution/src/soft_state/callers.rs
@@ -28,14 +28,14 @@
     }
 
     /// Notes which submission a connection waits for.
-    pub fn tag(&mut self, connection: Connection, submission: SubmissionTag) {
+    pub fn note_submission(&mut self, connection: Connection, submission: SubmissionTag) {
         if let Some(id) = submission.doubtful() {
             self.resubmitted.insert(connection, id);
         }
     }
 
     /// Each connection, with its submission if a refusal must bind every owner.
-    pub fn tagged(&self) -> Vec<(Connection, Option<SubmissionId>)> {
+    pub fn with_resubmitted_ids(&self) -> Vec<(Connection, Option<SubmissionId>)> {
         let connections = self.next_chunk.keys();
         connections
             .map(|connection| (*connection, self.resubmitted.get(connection).copied()))
@@ -53,7 +53,7 @@
     }
 
     /// The connections that need the chunk `index` now; they are taken to have it.
-    pub fn due(&mut self, index: u32) -> Vec<Connection> {
+    pub fn take_due(&mut self, index: u32) -> Vec<Connection> {
         let mut due = Vec::new();
         for (connection, next) in &mut self.next_chunk {
             if *next == Some(index) {
--- a/crates/execution/src/soft/queue.rs
+++ b/crates/execution/src/soft_state/queue.rs
@@ -55,7 +55,7 @@
 
     /// The call of a run whose turn it is when `next` is the first number not used: that number, or
     /// one before which all unused numbers are abandoned.
-    pub fn call_in_turn(&self, run: RunId, next: CallNumber) -> Option<CallId> {
+    pub fn next_call(&self, run: RunId, next: CallNumber) -> Option<CallId> {
         let (call, submission) = self.of_run(run).find(|(call, _)| call.number >= next)?;
         let missing = call.number.0 - next.0;
         (missing <= submission.abandoned_before).then_some(call)
@@ -85,11 +85,11 @@
     }
 
     /// Runs of which a call waits for its tenant's allotment.
-    pub fn runs_short_of_allotment(&self) -> Vec<RunId> {
+    pub fn runs_awaiting_allotment(&self) -> Vec<RunId> {
         let short = self
             .calls
             .iter()
-            .filter(|(_, submission)| submission.short_since.is_some());
+            .filter(|(_, submission)| submission.awaiting_allotment_since.is_some());
         let mut runs: Vec<RunId> = short.map(|(call, _)| call.run).collect();
         runs.dedup();
         runs
--- a/crates/execution/src/soft/reads.rs
+++ b/crates/execution/src/soft_state/reads.rs
@@ -5,7 +5,7 @@
 use crate::event::Connection;
 
 /// Most reads that wait.
-const MAX_READS: usize = 1_024;
+const MAX_PENDING_READS: usize = 1_024;
 
 /// A read of a run.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
 impl ReadQueue {
     /// Whether no more reads can wait.
     pub fn is_full(&self) -> bool {
-        self.covered.len() + self.waiting.len() >= MAX_READS
+        self.covered.len() + self.waiting.len() >= MAX_PENDING_READS
     }
 
     /// Adds a read.
--- a/crates/execution/src/state.rs
+++ b/crates/execution/src/state.rs
@@ -12,11 +12,11 @@
 use elderworks_types::{CallId, RunId, TenantId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-pub(crate) use apply::{Inconsistency, Verdict};
+pub(crate) use apply::{ApplyOutcome, Inconsistency};
 pub(crate) use budget::{TenantAllotment, TenantGrants, attempt_cost, reservation};
 pub(crate) use ownership::Ownership;
 pub(crate) use run::{CallState, RunState};
-pub(crate) use snapshot::{Loader, Loading, snapshot_records};
+pub(crate) use snapshot::{LoadStep, Loader, snapshot_records};
 
 /// State of a partition as of one offset of its stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/execution/src/state/apply.rs
+++ b/crates/execution/src/state/apply.rs
@@ -10,13 +10,13 @@
 
 use super::JournalState;
 use super::budget::{TenantAllotment, settled_cost};
-use super::ownership::Fenced;
+use super::ownership::Rejection;
 use super::run::{AttemptState, CallEnd, CallState, RunState};
 use crate::Faults;
 
 /// What became of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum ApplyOutcome {
     /// It counts.
     Accepted,
     /// It was read before.
@@ -46,15 +46,15 @@
 
 impl JournalState {
     /// Judges the next record of the stream and, where it counts, applies it.
-    pub fn apply(&mut self, record: &Record<JournalBody>, faults: &Faults) -> Verdict {
+    pub fn apply(&mut self, record: &Record<JournalBody>, faults: &Faults) -> ApplyOutcome {
         match self.ownership.admit(record, faults) {
-            Err(Fenced::Repeated) => return Verdict::Repeated,
-            Err(Fenced::NotOwner) => return Verdict::Fenced,
+            Err(Rejection::Repeated) => return ApplyOutcome::Repeated,
+            Err(Rejection::NotOwner) => return ApplyOutcome::Fenced,
             Ok(()) => {}
         }
         match self.apply_body(&record.body, faults) {
-            Ok(()) => Verdict::Accepted,
-            Err(inconsistency) => Verdict::Inconsistent(inconsistency),
+            Ok(()) => ApplyOutcome::Accepted,
+            Err(inconsistency) => ApplyOutcome::Inconsistent(inconsistency),
         }
     }
 
--- a/crates/execution/src/state/ownership.rs
+++ b/crates/execution/src/state/ownership.rs
@@ -9,7 +9,7 @@
 
 /// Why a record does not count, whatever it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fenced {
+pub(crate) enum Rejection {
     /// The owner appended it again after a lost answer.
     Repeated,
     /// It is of an older epoch, or its writer does not own the partition.
@@ -30,7 +30,11 @@
 impl Ownership {
     /// Judges a record by its stamp and takes note of it. The first claim at the next epoch wins;
     /// all else counts only from the present owner, at the present epoch, once.
-    pub fn admit(&mut self, record: &Record<JournalBody>, faults: &Faults) -> Result<(), Fenced> {
+    pub fn admit(
+        &mut self,
+        record: &Record<JournalBody>,
+        faults: &Faults,
+    ) -> Result<(), Rejection> {
         if let JournalBody::Claim { owner } = &record.body {
             return self.admit_claim(record, *owner == record.writer.node);
         }
@@ -39,11 +43,11 @@
             return if faults.no_fencing() {
                 Ok(())
             } else {
-                Err(Fenced::NotOwner)
+                Err(Rejection::NotOwner)
             };
         }
         if record.sequence <= self.last_sequence && !faults.no_dedup() {
-            return Err(Fenced::Repeated);
+            return Err(Rejection::Repeated);
         }
         self.last_sequence = record.sequence.max(self.last_sequence);
         Ok(())
@@ -52,14 +56,14 @@
     fn admit_claim(
         &mut self,
         record: &Record<JournalBody>,
-        for_itself: bool,
-    ) -> Result<(), Fenced> {
+        claims_for_writer: bool,
+    ) -> Result<(), Rejection> {
         let repeated = record.epoch == self.epoch && self.owner.as_ref() == Some(&record.writer);
         if repeated {
-            return Err(Fenced::Repeated);
+            return Err(Rejection::Repeated);
         }
-        if !for_itself || record.epoch != self.epoch.next() {
-            return Err(Fenced::NotOwner);
+        if !claims_for_writer || record.epoch != self.epoch.next() {
+            return Err(Rejection::NotOwner);
         }
         self.epoch = record.epoch;
         self.owner = Some(record.writer.clone());
--- a/crates/execution/src/state/snapshot.rs
+++ b/crates/execution/src/state/snapshot.rs
@@ -13,7 +13,7 @@
 const FIRST_EPOCH: Epoch = Epoch(1);
 
 /// Bytes of state in one record.
-const PART_BYTES: usize = 256 * 1024;
+const MAX_PART_BYTES: usize = 256 * 1024;
 
 impl JournalState {
     /// The state as versioned bytes.
@@ -25,7 +25,7 @@
 /// Cuts a state into the records of one snapshot.
 pub(crate) fn snapshot_records(state: &JournalState) -> Vec<JournalBody> {
     let bytes = state.encode();
-    let pieces: Vec<&[u8]> = bytes.chunks(PART_BYTES).collect();
+    let pieces: Vec<&[u8]> = bytes.chunks(MAX_PART_BYTES).collect();
     let parts = pieces.len() as u32;
     (0..parts)
         .zip(pieces)
@@ -43,7 +43,7 @@
     /// Nothing was read yet.
     Empty,
     /// The first record was a snapshot's first part; the other parts are being gathered.
-    Gathering(Gathering),
+    PartialSnapshot(PartialSnapshot),
     /// The state is whole.
     Done,
     /// The snapshot broke off or cannot be read: start from an earlier one.
@@ -52,18 +52,18 @@
 
 /// A snapshot of which some parts are still missing.
 #[derive(Debug)]
-pub(crate) struct Gathering {
+pub(crate) struct PartialSnapshot {
     writer: Writer,
     epoch: Epoch,
     parts: u32,
     last_sequence: Sequence,
-    found: BTreeMap<u32, Vec<u8>>,
+    collected: BTreeMap<u32, Vec<u8>>,
     /// Other records met between the parts, to be applied after them.
-    between: Vec<(Offset, Record<JournalBody>)>,
+    interleaved: Vec<(Offset, Record<JournalBody>)>,
 }
 
 /// What a record did to a reader that is still loading.
-pub(crate) enum Loading {
+pub(crate) enum LoadStep {
     /// The state is whole already: apply the record.
     Apply,
     /// The record was taken in; there is nothing to apply yet.
@@ -74,80 +74,80 @@
 
 impl Loader {
     /// Shows a record to the loader.
-    pub fn take(&mut self, offset: Offset, record: &Record<JournalBody>) -> Loading {
+    pub fn take(&mut self, offset: Offset, record: &Record<JournalBody>) -> LoadStep {
         match self {
-            Loader::Done => Loading::Apply,
-            Loader::Failed => Loading::Wait,
-            Loader::Empty => self.begin(record),
-            Loader::Gathering(_) => self.gather(offset, record),
+            Loader::Done => LoadStep::Apply,
+            Loader::Failed => LoadStep::Wait,
+            Loader::Empty => self.start_loading(record),
+            Loader::PartialSnapshot(_) => self.collect_part(offset, record),
         }
     }
 
     /// Before a stream's first claim nothing counts, so a first state is either that claim's or a
     /// snapshot's; what a batch holds in front of either is passed over.
-    fn begin(&mut self, record: &Record<JournalBody>) -> Loading {
+    fn start_loading(&mut self, record: &Record<JournalBody>) -> LoadStep {
         match &record.body {
             JournalBody::Claim { .. } if record.epoch == FIRST_EPOCH => {
                 *self = Loader::Done;
-                Loading::Apply
+                LoadStep::Apply
             }
             JournalBody::Snapshot {
                 part: 0,
                 parts,
                 bytes,
             } => {
-                *self = Loader::Gathering(Gathering {
+                *self = Loader::PartialSnapshot(PartialSnapshot {
                     writer: record.writer.clone(),
                     epoch: record.epoch,
                     parts: *parts,
                     last_sequence: record.sequence,
-                    found: BTreeMap::from([(0, bytes.clone())]),
-                    between: Vec::new(),
+                    collected: BTreeMap::from([(0, bytes.clone())]),
+                    interleaved: Vec::new(),
                 });
                 self.finish()
             }
-            _ => Loading::Wait,
+            _ => LoadStep::Wait,
         }
     }
 
-    fn gather(&mut self, offset: Offset, record: &Record<JournalBody>) -> Loading {
-        let Loader::Gathering(gathering) = self else {
-            return Loading::Wait;
+    fn collect_part(&mut self, offset: Offset, record: &Record<JournalBody>) -> LoadStep {
+        let Loader::PartialSnapshot(partial) = self else {
+            return LoadStep::Wait;
         };
-        let same = record.writer == gathering.writer && record.epoch == gathering.epoch;
+        let is_same_snapshot = record.writer == partial.writer && record.epoch == partial.epoch;
         match &record.body {
-            JournalBody::Snapshot { part, bytes, .. } if same => {
-                gathering.found.entry(*part).or_insert(bytes.clone());
-                gathering.last_sequence = gathering.last_sequence.max(record.sequence);
+            JournalBody::Snapshot { part, bytes, .. } if is_same_snapshot => {
+                partial.collected.entry(*part).or_insert(bytes.clone());
+                partial.last_sequence = partial.last_sequence.max(record.sequence);
             }
-            JournalBody::Claim { .. } if record.epoch == gathering.epoch.next() => {
+            JournalBody::Claim { .. } if record.epoch == partial.epoch.next() => {
                 *self = Loader::Failed;
-                return Loading::Wait;
+                return LoadStep::Wait;
             }
-            _ => gathering.between.push((offset, record.clone())),
+            _ => partial.interleaved.push((offset, record.clone())),
         }
         self.finish()
     }
 
-    fn finish(&mut self) -> Loading {
-        let Loader::Gathering(gathering) = self else {
-            return Loading::Wait;
+    fn finish(&mut self) -> LoadStep {
+        let Loader::PartialSnapshot(partial) = self else {
+            return LoadStep::Wait;
         };
-        if gathering.found.len() < gathering.parts as usize {
-            return Loading::Wait;
+        if partial.collected.len() < partial.parts as usize {
+            return LoadStep::Wait;
         }
-        let bytes: Vec<u8> = gathering.found.values().flatten().copied().collect();
-        let between = std::mem::take(&mut gathering.between);
-        let last_sequence = gathering.last_sequence;
+        let bytes: Vec<u8> = partial.collected.values().flatten().copied().collect();
+        let interleaved = std::mem::take(&mut partial.interleaved);
+        let last_sequence = partial.last_sequence;
         match decode::<JournalState>(&bytes) {
             Ok(mut state) => {
                 state.ownership.last_sequence = last_sequence;
                 *self = Loader::Done;
-                Loading::Loaded(Box::new(state), between)
+                LoadStep::Loaded(Box::new(state), interleaved)
             }
             Err(_) => {
                 *self = Loader::Failed;
-                Loading::Wait
+                LoadStep::Wait
             }
         }
     }
--- a/crates/execution/tests/common/chaos.rs
+++ b/crates/execution/tests/common/chaos.rs
@@ -205,7 +205,8 @@
             };
             self.callers.calls.insert(call(run, number), held);
         }
-        let owner = (0..NODES).find(|node| self.world.nodes[*node].partition.owned().is_some());
+        let owner =
+            (0..NODES).find(|node| self.world.nodes[*node].partition.owned_epoch().is_some());
         if let Some(owner) = owner {
             self.resubmit(owner);
         }
--- a/crates/execution/tests/common/invariants.rs
+++ b/crates/execution/tests/common/invariants.rs
@@ -18,7 +18,7 @@
         self.feed(0, Event::Claim { forced: true });
         for round in 0..600 {
             self.quiet_round();
-            let owned = self.world.nodes[0].partition.owned().is_some();
+            let owned = self.world.nodes[0].partition.owned_epoch().is_some();
             if owned && round % 5 == 0 {
                 self.resubmit(0);
             }
@@ -83,7 +83,7 @@
     fn check_memory(&self) {
         let owner = &self.world.nodes[0].partition;
         for (run, engine) in &self.backends.held {
-            assert!(!owner.holds_memory(*run, engine), "{run} has ended");
+            assert!(!owner.may_hold_memory(*run, engine), "{run} has ended");
             let released = self.backends.released.contains(&(*run, engine.clone()));
             let view = owner.view(*run).expect("the run");
             let mut attempts = view.calls.iter().flat_map(|call| &call.attempts);
--- a/crates/execution/tests/failures.rs
+++ b/crates/execution/tests/failures.rs
@@ -243,7 +243,10 @@
     );
     log_reachable(&mut world, true);
     world.pass(Duration::from_millis(100));
-    assert!(world.nodes[0].partition.owned().is_none(), "it has left");
+    assert!(
+        world.nodes[0].partition.owned_epoch().is_none(),
+        "it has left"
+    );
 }
 
 #[test]
--- a/crates/execution/tests/lifecycle.rs
+++ b/crates/execution/tests/lifecycle.rs
@@ -14,7 +14,7 @@
     world.event(0, Event::Claim { forced: false });
     let owned = Some(Epoch(1));
     assert_eq!(world.take_effects(0), [Effect::OwnershipChanged { owned }]);
-    assert_eq!(world.nodes[0].partition.owned(), owned);
+    assert_eq!(world.nodes[0].partition.owned_epoch(), owned);
 }
 
 #[test]
--- a/crates/execution/tests/snapshots.rs
+++ b/crates/execution/tests/snapshots.rs
@@ -178,7 +178,7 @@
     assert!(
         world.nodes[0]
             .partition
-            .holds_memory(RUN, &"engine-a".into())
+            .may_hold_memory(RUN, &"engine-a".into())
     );
     world.complete(0, call(RUN, 1), 1, "ok");
     let end = Event::EndRun {
@@ -190,7 +190,7 @@
     assert!(
         !world.nodes[0]
             .partition
-            .holds_memory(RUN, &"engine-a".into())
+            .may_hold_memory(RUN, &"engine-a".into())
     );
     world.nodes[0].paused = true;
     world.take_over(1);
--- a/crates/execution/tests/takeover.rs
+++ b/crates/execution/tests/takeover.rs
@@ -255,7 +255,7 @@
     world.settle();
     let owners = |world: &World| -> Vec<Node> {
         (0..3)
-            .filter(|node| world.nodes[*node].partition.owned().is_some())
+            .filter(|node| world.nodes[*node].partition.owned_epoch().is_some())
             .collect()
     };
     assert_eq!(owners(&world), [0]);
@@ -271,17 +271,20 @@
     let (mut world, id) = world_with(tool_call(1), Progress::Accepted);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
-    assert!(world.nodes[0].partition.owned().is_some(), "a tool is out");
+    assert!(
+        world.nodes[0].partition.owned_epoch().is_some(),
+        "a tool is out"
+    );
     world.complete(0, id, 1, "declared");
     world.pass(Duration::from_millis(100));
-    assert!(world.nodes[0].partition.owned().is_none());
-    assert!(world.nodes[1].partition.owned().is_some());
+    assert!(world.nodes[0].partition.owned_epoch().is_none());
+    assert!(world.nodes[1].partition.owned_epoch().is_some());
 
     let (mut world, _) = world_with(model_call(1, 0, "hello"), Progress::Streaming);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
     world.pass(Duration::from_millis(100));
-    assert!(world.nodes[1].partition.owned().is_some());
+    assert!(world.nodes[1].partition.owned_epoch().is_some());
     let effects = world.take_effects(1);
     let resumed = effects
         .iter()
@@ -311,7 +314,7 @@
     world.event(0, Event::Release);
     world.place(0, id, 1, "engine-a");
     world.pass(Duration::from_millis(100));
-    assert!(world.nodes[1].partition.owned().is_some());
+    assert!(world.nodes[1].partition.owned_epoch().is_some());
     let effects = world.take_effects(1);
     let resumed = effects
         .iter()
@@ -341,7 +344,7 @@
     world.event(0, Event::Claim { forced: true });
     world.pass(Duration::from_secs(1));
     assert_eq!(world.take_dispatches(0).len(), 1);
-    assert!(world.nodes[0].partition.owned().is_some());
+    assert!(world.nodes[0].partition.owned_epoch().is_some());
 }
 
 /// Simulation seed 63 found it: a node that had released a partition followed it again, owned it
@@ -352,11 +355,11 @@
     world.take_over(1);
     world.take_effects(0);
     world.reopen(0);
-    assert_eq!(world.nodes[0].partition.owned(), None);
+    assert_eq!(world.nodes[0].partition.owned_epoch(), None);
     let effects = world.take_effects(0);
     assert!(effects.is_empty(), "{effects:?}");
 
     world.take_over(0);
-    assert!(world.nodes[0].partition.owned().is_some());
-    assert_eq!(world.nodes[1].partition.owned(), None);
+    assert!(world.nodes[0].partition.owned_epoch().is_some());
+    assert_eq!(world.nodes[1].partition.owned_epoch(), None);
 }
