--- a/crates/execution/src/counters.rs
+++ b/crates/execution/src/counters.rs
@@ -1,62 +1,63 @@
-//! What a partition counts.
+//! Counters of a partition.
 
-/// Counts since the partition was made, and sizes as of now.
+/// Counts since the partition was created, and current sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Records that counted.
+    /// Records applied.
     pub records_accepted: u64,
-    /// Records of an older epoch or of a writer that does not own the partition.
+    /// Records ignored because of an older epoch or a writer that does not own the partition.
     pub records_fenced: u64,
-    /// Records appended again after a lost answer.
+    /// Records ignored as duplicates of an append.
     pub records_repeated: u64,
-    /// Records that contradicted the state they met.
+    /// Records ignored because they contradict the state.
     pub records_inconsistent: u64,
-    /// Times this node became the owner.
+    /// Times that this node became the owner.
     pub takeovers: u64,
-    /// Times this node found that another had claimed the partition.
+    /// Times that this node lost the ownership to another node's claim.
     pub fenced: u64,
-    /// Calls accepted in the journal by this owner.
+    /// Calls accepted and journalled by this owner.
     pub calls_accepted: u64,
-    /// Calls that ended with an answer.
+    /// Calls completed with an answer.
     pub calls_completed: u64,
-    /// Calls refused, before or after they were accepted.
+    /// Calls refused, before or after their acceptance.
     pub calls_refused: u64,
     /// Calls that failed.
     pub calls_failed: u64,
-    /// Calls whose fate cannot be known.
+    /// Calls that ended with an unknown outcome.
     pub calls_unknown: u64,
     /// First attempts dispatched.
     pub first_attempts: u64,
-    /// Further attempts dispatched.
+    /// Attempts after the first dispatched.
     pub retries: u64,
-    /// Times that a retry had to wait for the retry budget.
+    /// Times that a retry was postponed because the retry budget was empty.
     pub retries_delayed: u64,
-    /// Attempts of an earlier owner taken up again.
+    /// Attempts of a previous owner resumed.
     pub resumed: u64,
-    /// Tools asked what became of an invocation.
+    /// Queries to tools for the result of an invocation.
     pub tool_queries: u64,
-    /// Chunks that did not follow the one before.
+    /// Chunks ignored because an earlier chunk was missing.
     pub chunk_gaps: u64,
-    /// Releases of engine memory sent, repeats included.
+    /// Releases of engine memory sent, including repetitions.
     pub memory_releases_sent: u64,
     /// Runs ended by a limit.
     pub limits_reached: u64,
-    /// Ended runs forgotten.
+    /// Ended runs removed from the state.
     pub runs_forgotten: u64,
-    /// Runs held now.
+    /// Current number of runs in the state.
     pub runs: u64,
-    /// Calls waiting or open now.
+    /// Current number of waiting and open calls.
     pub open_calls: u64,
-    /// Ended runs whose engine memory is not yet known to be free.
+    /// Current number of ended runs whose engine memory isn't known to be free.
     pub unreleased_runs: u64,
-    /// Times at which some run is to be looked at again.
+    /// Current number of timers.
     pub timers: u64,
-    /// Own records appended and not yet read back.
+    /// Current number of own records appended and not yet read back.
     pub records_in_flight: u64,
 }
 
 impl Counters {
-    /// The counts alone, for a partition that is no longer held.
+    /// Returns the counters with the current sizes set to zero, for a partition that this node no
+    /// longer follows.
     #[must_use]
     pub fn without_sizes(self) -> Self {
         Self {
--- a/crates/execution/src/effect.rs
+++ b/crates/execution/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a partition asks of its node.
+//! Outputs of a partition, to be carried out by its node.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_protocol::sidecar::NodeMessage;
@@ -12,44 +12,44 @@
 /// An output of [`crate::Partition::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Append a record at `epoch`; its read-back returns as [`crate::Event::RecordRead`].
+    /// Append a record to the partition's stream. It comes back as [`crate::Event::RecordRead`].
     Append {
-        /// Epoch to stamp.
+        /// Epoch of the record.
         epoch: Epoch,
-        /// The body.
+        /// Body of the record.
         body: JournalBody,
     },
-    /// Send to a sidecar.
+    /// Send a message to a sidecar.
     Send {
-        /// On this connection.
+        /// The sidecar's connection.
         connection: Connection,
         /// The message.
         message: NodeMessage,
     },
-    /// Hand an attempt to placement (model) or straight to its tool.
+    /// Pass an attempt to placement (model calls) or send it to its tool.
     Dispatch {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// What to run.
+        /// The request to run.
         request: BackendRequest,
-        /// What placement may weigh.
+        /// Information for placement.
         hints: DispatchHints,
     },
-    /// Try to take up an attempt that an earlier owner started, from a chunk on. Answered like a
-    /// dispatch; [`crate::event::AttemptFailure::NotSent`] says the engine does not know it.
+    /// Resume the stream of an attempt that a previous owner started. Reported like a dispatched
+    /// attempt; [`crate::event::AttemptFailure::NotSent`] means that the engine does not know it.
     Resume {
         /// The call.
         call: CallId,
-        /// The attempt, as the engine knows it.
+        /// The attempt number under which the engine received it.
         attempt: Attempt,
-        /// Where it ran.
+        /// The engine that was given the attempt.
         engine: EngineId,
-        /// First chunk wanted.
+        /// Index of the first chunk to stream.
         from_chunk: u32,
     },
-    /// Ask a tool what became of an invocation, by its idempotency key. Answered by
+    /// Query a tool for the result of an invocation by its idempotency key. Reported by
     /// [`crate::Event::AttemptCompleted`] or [`crate::Event::AttemptFailed`].
     QueryTool {
         /// The call.
@@ -58,58 +58,58 @@
         attempt: Attempt,
         /// The tool.
         tool: ToolName,
-        /// The key it was sent under.
+        /// Key with which the invocation was sent.
         idempotency_key: String,
     },
-    /// Stop an attempt; its end is no longer of interest.
+    /// Cancel an attempt, whose result is no longer needed.
     Cancel {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
     },
-    /// The run paused between calls: placement decides what of its memory to keep.
+    /// The run has no open call. Placement decides how much of its engine memory to keep.
     RunPaused {
         /// The run.
         run: RunId,
-        /// When the next call is expected, if the caller said so.
+        /// Expected time until the next call, if given by the caller.
         expected_reuse: Option<std::time::Duration>,
     },
-    /// The run has ended: free what this engine holds for it. Repeated until acknowledged.
+    /// Free the memory that an engine holds for an ended run. Repeated until acknowledged.
     ReleaseMemory {
         /// The run.
         run: RunId,
         /// The engine.
         engine: EngineId,
     },
-    /// Ask the partition that holds a tenant's budget for an allotment.
+    /// Request an allotment from the partition that holds a tenant's budget.
     RequestAllotment {
-        /// Whose budget.
+        /// Tenant whose budget is meant.
         tenant: TenantId,
         /// Number of the request.
         request: Sequence,
-        /// How much.
+        /// Credits requested or granted.
         amount: Credits,
     },
-    /// Answer another partition's request.
+    /// Respond to another partition's request for an allotment.
     GrantAllotment {
-        /// Whose budget.
+        /// Tenant whose budget is meant.
         tenant: TenantId,
-        /// To this partition.
+        /// The requesting partition.
         partition: PartitionId,
         /// Number of the request.
         request: Sequence,
-        /// How much.
+        /// Credits requested or granted.
         amount: Credits,
     },
-    /// Ownership changed: this node now owns the partition at `epoch`, or no longer does.
+    /// This node has become the owner of the partition, or has ceased to be it.
     OwnershipChanged {
-        /// The epoch owned, or `None`.
+        /// Epoch of the ownership, or `None`.
         owned: Option<Epoch>,
     },
 }
 
-/// What a back end is asked to run.
+/// A request to a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendRequest {
     /// Generate text.
@@ -118,12 +118,12 @@
         model: ModelName,
         /// The whole prompt.
         messages: Vec<Message>,
-        /// Text of the answer already delivered by a lost attempt, to be continued; usually empty.
-        /// Chunks of this attempt are numbered on from `continue_chunks`.
+        /// Text delivered by an earlier lost attempt, which this attempt continues; usually empty.
+        /// The chunks of this attempt are numbered from `continue_chunks`.
         continue_text: String,
-        /// Chunks of the answer already delivered.
+        /// Number of chunks already delivered.
         continue_chunks: u32,
-        /// Most tokens of the whole answer, the continued text included.
+        /// Maximum number of tokens of the answer, including the continued text.
         max_output: Tokens,
     },
     /// Invoke a tool.
@@ -132,32 +132,32 @@
         tool: ToolName,
         /// Arguments as JSON text.
         arguments: String,
-        /// Key under which the tool recognises a repeat.
+        /// Key by which the tool detects repeated invocations.
         idempotency_key: String,
     },
 }
 
-/// What placement may weigh beside the request itself.
+/// Information for placement in addition to the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchHints {
-    /// Whose run.
+    /// Tenant of the run.
     pub tenant: TenantId,
-    /// Its program.
+    /// Program of the run.
     pub program: ResourceName,
-    /// When the run started.
+    /// Start of the run.
     pub run_started: Timestamp,
-    /// Engine time that the run has had so far, in tokens prefilled and generated.
+    /// Engine time used by the run so far, in tokens prefilled and generated.
     pub attained: Tokens,
-    /// Calls made so far.
+    /// Number of calls of the run so far.
     pub turns: u32,
-    /// When the run should be done.
+    /// Time by which the run should be done.
     pub run_deadline: Option<Timestamp>,
-    /// When this answer stops being useful.
+    /// Time after which the answer is useless.
     pub call_deadline: Option<Timestamp>,
-    /// Larger is more urgent.
+    /// Priority; higher values are more urgent.
     pub priority: i32,
-    /// The parent, if the run is a sub-agent.
+    /// Parent run, if the run is a sub-agent.
     pub parent: Option<RunId>,
-    /// Longest time for this attempt.
+    /// Timeout of this attempt.
     pub timeout: std::time::Duration,
 }
--- a/crates/execution/src/event.rs
+++ b/crates/execution/src/event.rs
@@ -1,4 +1,4 @@
-//! What a partition is told.
+//! Inputs of a partition.
 
 pub use elderworks_protocol::journal::CallTerms;
 use elderworks_protocol::journal::{JournalBody, RunLimits};
@@ -9,213 +9,212 @@
     RunId, RunSpec, Sequence, TenantId, Usage,
 };
 
-/// Names a connection of a sidecar to this node; replies go to it.
+/// Identifier of a sidecar's connection to this node, to which replies are sent.
 pub type Connection = u64;
 
-/// A call as a caller submits it.
+/// A call submitted by a caller.
 #[derive(Clone, Debug)]
 pub struct SubmittedCall {
-    /// Where to reply.
+    /// Connection for the reply.
     pub connection: Connection,
-    /// On whose behalf.
+    /// The tenant that makes the request.
     pub tenant: TenantId,
     /// The run.
     pub run: RunId,
     /// The call.
     pub spec: CallSpec,
-    /// What the caller already has of the answer.
+    /// Part of the answer that the caller has already received.
     pub delivered: Delivered,
-    /// How many calls directly before it will not be made (any more); those that are not in
-    /// the journal are passed over.
+    /// Number of calls directly before this one that the sidecar has abandoned. Those that aren't
+    /// in the journal are skipped.
     pub abandoned_before: u32,
-    /// Which submission of the call this is a copy of.
+    /// Identifies the submission of which this is a copy.
     pub submission: SubmissionTag,
-    /// What the call can cost and how its service behaves; the refusal where no service
-    /// offers what it asks for.
+    /// Prices and timeout of the call's service, or the refusal if no service can run the call.
     pub terms: Result<CallTerms, Refusal>,
 }
 
 /// An input of [`crate::Partition::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The next record of the partition's stream, in offset order, including void and repeated
-    /// ones: the partition judges.
+    /// The next record of the partition's stream, in offset order. Fenced and repeated records are
+    /// passed in as well; the partition filters them.
     RecordRead {
-        /// Its offset (several records of one batch share it).
+        /// Offset of the record's batch; the records of a batch share it.
         offset: Offset,
         /// The record.
         record: Record<JournalBody>,
     },
-    /// This node should own the partition. `forced` means that the present owner is believed dead
-    /// (or has overstayed a hand-over); otherwise the claim waits for its release.
+    /// This node should become the owner of the partition.
     Claim {
-        /// Claim without waiting for a release.
+        /// Whether to claim without waiting for the current owner's release, because that owner is
+        /// considered dead or the hand-over takes too long.
         forced: bool,
     },
-    /// This node should hand the partition over in order.
+    /// This node should release the partition in an orderly hand-over.
     Release,
-    /// The log has not answered for some time (`false`), or answers again (`true`).
+    /// The log hasn't responded for some time (`false`), or responds again (`true`).
     LogReachable(bool),
-    /// A caller starts a run. `limits` is `None` where the program does not exist.
+    /// A caller starts a run.
     StartRun {
-        /// Where to reply.
+        /// Connection for the reply.
         connection: Connection,
-        /// What to start.
+        /// Specification of the run.
         spec: RunSpec,
-        /// The program's limits as of now.
+        /// Current limits of the program; `None` if the program does not exist.
         limits: Option<RunLimits>,
     },
-    /// A caller makes a call, or asks again for its answer.
+    /// A caller submits a call, or submits it again to receive its answer.
     SubmitCall(SubmittedCall),
-    /// The caller has the whole answer.
+    /// The caller has received the whole answer.
     Acknowledge {
-        /// Of this call.
+        /// The call.
         call: CallId,
     },
     /// A caller reads a run.
     ReadRun {
-        /// Where to reply.
+        /// Connection for the reply.
         connection: Connection,
-        /// Matches the reply.
+        /// Identifier of the query, repeated in the reply.
         query: u64,
-        /// On whose behalf.
+        /// The tenant that makes the request.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
     /// A caller ends a run.
     EndRun {
-        /// Where to reply.
+        /// Connection for the reply.
         connection: Connection,
-        /// On whose behalf.
+        /// The tenant that makes the request.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
-    /// A sidecar's connection is gone; nothing more can be sent on it.
+    /// A sidecar's connection was closed; nothing more can be sent on it.
     ConnectionClosed {
-        /// Which.
+        /// The one concerned.
         connection: Connection,
     },
-    /// Placement has chosen an engine for an attempt and is about to send it.
+    /// Placement has chosen a back end for an attempt and is about to send it.
     AttemptPlaced {
         /// The call.
         call: CallId,
-        /// The attempt, as named in [`crate::Effect::Dispatch`].
+        /// The attempt number in [`crate::Effect::Dispatch`].
         attempt: Attempt,
         /// The engine, for a model call.
         engine: Option<EngineId>,
-        /// Why there, and how long it waited, for `explain`.
+        /// Reason for the choice and time spent waiting, shown by `explain`.
         note: String,
     },
-    /// Placement gave the attempt up before any back end saw it.
+    /// Placement refused the attempt before any back end received it.
     AttemptRefused {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// Why, and when to come back.
+        /// Reason, and when to retry.
         refusal: Refusal,
     },
-    /// A piece of the answer.
+    /// A chunk of the answer.
     AttemptChunk {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// Position, from 0.
+        /// Index of the chunk in the answer, from 0.
         index: u32,
         /// The text.
         text: String,
     },
-    /// The attempt ran to its end.
+    /// The attempt completed.
     AttemptCompleted {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// All that this attempt generated, from its own first chunk on. The text that a dispatch
-        /// asked to continue is no part of it.
+        /// Text generated by this attempt, without the text that the dispatch asked to continue.
         content: String,
-        /// What was consumed.
+        /// Tokens consumed.
         usage: Usage,
     },
-    /// The attempt ended without an answer.
+    /// The attempt failed.
     AttemptFailed {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// Why.
+        /// Kind of failure.
         failure: AttemptFailure,
     },
-    /// An engine acknowledged that it holds nothing more for an ended run.
+    /// An engine acknowledged that it has freed the memory of an ended run.
     MemoryReleased {
         /// The run.
         run: RunId,
         /// The engine.
         engine: EngineId,
     },
-    /// An engine is gone for good, with all that it held.
+    /// An engine has terminated and its memory is lost.
     EngineGone {
-        /// Which.
+        /// The one concerned.
         engine: EngineId,
     },
-    /// Another partition wants part of a tenant's budget that this one holds.
+    /// Another partition requests part of a tenant's budget that this partition holds.
     AllotmentRequested {
-        /// Whose budget.
+        /// Tenant whose budget is meant.
         tenant: TenantId,
-        /// For this partition.
+        /// The requesting partition.
         partition: PartitionId,
         /// Number of the request.
         request: Sequence,
-        /// How much is wanted.
+        /// Requested credits.
         amount: Credits,
     },
-    /// Answer to this partition's own request.
+    /// Response to a request of this partition.
     AllotmentGranted {
-        /// Whose budget.
+        /// Tenant whose budget is meant.
         tenant: TenantId,
         /// Number of the request.
         request: Sequence,
-        /// How much was granted.
+        /// Granted credits.
         amount: Credits,
     },
-    /// The operators' limit of a tenant's budget, on its holder; `None` once deleted.
+    /// The operators' limit of a tenant's budget has changed; sent to the budget's holder.
     TenantLimit {
-        /// Whose budget.
+        /// Tenant whose budget is meant.
         tenant: TenantId,
-        /// The limit in force.
+        /// The limit in force; `None` if it was deleted.
         limit: Option<Credits>,
     },
-    /// Enough records followed the last snapshot: append another.
+    /// Append a snapshot.
     TakeSnapshot,
-    /// Time passed; sent at least every 100 ms while anything is open.
+    /// Time has passed. Must be sent at least every 100 ms while calls are open.
     Tick,
 }
 
-/// How an attempt failed.
+/// Failure of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The request surely never reached the back end (for example, connection refused).
+    /// The request was not sent (for example, connection refused).
     NotSent,
-    /// The back end surely did not run it and said so (for example, queue full).
+    /// The back end reported that it did not run the request (for example, queue full).
     Rejected {
-        /// When it may take it.
+        /// When the back end may accept the request, if it said so.
         retry_after: Option<std::time::Duration>,
     },
-    /// The connection broke, or time ran out, after the request may have been seen.
+    /// The connection broke or the attempt timed out, and the back end may have received the
+    /// request.
     Lost {
-        /// What happened.
+        /// Reason to report if this ends the call.
         reason: FailureReason,
-        /// What the attempt had consumed as far as known.
+        /// Tokens consumed, as far as known.
         usage: Usage,
     },
-    /// The back end ran it and answered with an error.
+    /// The back end ran the request and returned an error.
     Errored {
-        /// What it said.
+        /// Error message of the back end.
         detail: String,
-        /// What was consumed.
+        /// Tokens consumed.
         usage: Usage,
     },
 }
--- a/crates/execution/src/lib.rs
+++ b/crates/execution/src/lib.rs
@@ -1,9 +1,10 @@
-//! Run journals of one partition: call order, budgets, at-most-once dispatch, recovery.
+//! The state machine of one partition: call order, budgets, at-most-once dispatch and recovery.
 //!
-//! [`Partition`] is a deterministic state machine. Its only inputs are the events of [`event`], each
-//! with the reading of its node's clock; its only outputs are the effects of [`effect`]. State that
-//! must survive changes only in answer to [`event::Event::RecordRead`], that is, by replay of the
-//! partition's stream; everything else is soft and dies with its owner.
+//! [`Partition`] is deterministic and does no I/O. It takes the events of [`event`], each with the
+//! current time, and returns the effects of [`effect`]. Durable state changes only when a record is
+//! read back from the partition's stream ([`event::Event::RecordRead`]), so every reader of the
+//! stream computes the same state. All other state belongs to the current owner and is lost when
+//! the ownership changes.
 
 pub mod counters;
 pub mod effect;
--- a/crates/execution/src/partition.rs
+++ b/crates/execution/src/partition.rs
@@ -33,26 +33,27 @@
 use crate::state::{JournalState, Loader};
 use crate::{Counters, Effect, Event, ExecutionSettings};
 
-/// One partition, as one node sees it: follower or owner.
+/// The state machine of one partition on one node, which follows the partition's stream and may own
+/// the partition.
 pub struct Partition {
     id: PartitionId,
     writer: Writer,
     settings: ExecutionSettings,
-    /// What survives.
+    /// State computed from the partition's stream.
     journal: JournalState,
     loader: Loader,
     /// The epoch at which this node owns the partition.
     owned: Option<Epoch>,
-    /// The wish to own it: whether without waiting for a release.
+    /// Whether the pending claim is forced; `None` if this node need not claim the partition.
     pending_claim: Option<bool>,
-    /// The epoch that this node's last claim asked for.
+    /// Epoch of this node's claim that is not yet read back.
     claimed_epoch: Option<Epoch>,
-    /// Records that counted since the last whole snapshot.
+    /// Records applied since the last complete snapshot.
     records_since_snapshot: u64,
     log_reachable: bool,
-    /// Limits of the tenants whose budget this partition holds.
+    /// Budget limits of the tenants whose budget this partition holds.
     tenant_limits: BTreeMap<TenantId, Credits>,
-    /// Where the last whole snapshot begins.
+    /// Offset of the first part of the last complete snapshot.
     snapshot_offset: Option<Offset>,
     pending_snapshot: Option<Offset>,
     soft: SoftState,
@@ -61,8 +62,8 @@
 }
 
 impl Partition {
-    /// A partition of which nothing is known yet, on the node incarnation that `writer` names. Its
-    /// records must be stamped with the same writer.
+    /// Creates a partition that has read nothing yet, for the node incarnation `writer`. The node
+    /// must stamp the partition's records with the same writer.
     pub fn new(id: PartitionId, writer: Writer, settings: ExecutionSettings) -> Self {
         Self {
             id,
@@ -84,55 +85,58 @@
         }
     }
 
-    /// Changes limits and intervals; open calls meet them at their next step.
+    /// Replaces the settings; they apply to open calls from their next step.
     pub fn configure(&mut self, settings: ExecutionSettings) {
         self.soft.retry.configure(&settings);
         self.settings = settings;
     }
 
-    /// Which partition it is.
+    /// Returns the id of the partition.
     pub fn id(&self) -> PartitionId {
         self.id
     }
 
-    /// The epoch at which this node owns the partition, if it does.
+    /// Returns the epoch at which this node owns the partition, if it does.
     pub fn owned_epoch(&self) -> Option<Epoch> {
         self.owned
     }
 
-    /// The epoch of the last claim that won, and who won it; `None` after a release.
+    /// Returns the epoch of the last successful claim, and its writer unless the partition was
+    /// released since.
     pub fn owner(&self) -> (Epoch, Option<&Writer>) {
         let ownership = &self.journal.ownership;
         (ownership.epoch, ownership.owner.as_ref())
     }
 
-    /// Whether the state is whole: read from the stream's beginning, or from a whole snapshot.
+    /// Returns whether the state is complete, that is, loaded from a complete snapshot or read from
+    /// the start of the stream.
     pub fn is_loaded(&self) -> bool {
         matches!(self.loader, Loader::Done)
     }
 
-    /// Whether the snapshot that this reader began with broke off, so that it must be made anew and
-    /// fed from an earlier offset.
+    /// Returns whether the snapshot from which this reader started is incomplete or unreadable. The
+    /// caller then has to create a new partition and feed it from an earlier offset.
     pub fn load_failed(&self) -> bool {
         matches!(self.loader, Loader::Failed)
     }
 
-    /// Where the first part of the last whole snapshot is; a new reader may begin there.
+    /// Returns the offset of the first part of the last complete snapshot, from which a new reader
+    /// can start.
     pub fn snapshot_offset(&self) -> Option<Offset> {
         self.snapshot_offset
     }
 
-    /// Hash of all that survives; equal on all readers that have read as far.
+    /// Returns a hash of the durable state; readers at the same offset have equal hashes.
     pub fn state_digest(&self) -> u64 {
         self.journal.digest()
     }
 
-    /// Size of all that survives, encoded, in bytes.
+    /// Returns the size of the encoded durable state in bytes.
     pub fn encoded_size(&self) -> usize {
         self.journal.encode().len()
     }
 
-    /// Whether the run is active.
+    /// Returns whether the run is active.
     pub fn is_live(&self, run: RunId) -> bool {
         self.journal
             .runs
@@ -140,12 +144,13 @@
             .is_some_and(|state| state.is_active())
     }
 
-    /// The program of a run.
+    /// Returns the program of a run.
     pub fn program(&self, run: RunId) -> Option<&ResourceName> {
         self.journal.runs.get(&run).map(|state| &state.spec.program)
     }
 
-    /// Whether the engine rightly holds memory for the run: the run is active and was given to it.
+    /// Returns whether the engine may hold memory for the run: the run is active and one of its
+    /// calls was sent to this engine.
     pub fn may_hold_memory(&self, run: RunId, engine: &EngineId) -> bool {
         self.journal
             .runs
@@ -153,16 +158,16 @@
             .is_some_and(|state| state.is_active() && state.engines.contains(engine))
     }
 
-    /// Whether the end of this process now would leave something for the next owner to take up: an
-    /// open call, or a record that was not read back. A release does not count: without it the
-    /// next owner claims by force.
+    /// Returns whether a shutdown would leave work to the next owner: an open call, or a record
+    /// that was not read back. A pending release doesn't count, since the next owner can claim
+    /// without it.
     pub fn has_unfinished_work(&self) -> bool {
         let mut in_flight = self.soft.in_flight.iter();
         self.soft.call_count() > 0
             || in_flight.any(|body| !matches!(body, JournalBody::Release { .. }))
     }
 
-    /// Counts and sizes as of now.
+    /// Returns the counters and current sizes.
     pub fn counters(&self) -> Counters {
         Counters {
             runs: self.journal.runs.len() as u64,
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Processes one event and returns the effects to carry out, in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         match event {
             Event::RecordRead { offset, record } => self.on_record_read(now, offset, record),
@@ -207,7 +212,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Events from back ends and from other partitions.
+    /// Handles events from back ends and from other partitions.
     fn handle_report(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::AttemptPlaced {
@@ -256,7 +261,7 @@
         }
     }
 
-    /// Whether this node owns the partition and is not handing it over.
+    /// Returns whether this node owns the partition and hasn't appended its release.
     fn is_serving(&self) -> bool {
         let released = self.soft.release.is_some_and(|release| release.appended);
         self.owned.is_some() && !released
@@ -282,13 +287,13 @@
         self.emit(Effect::Append { epoch, body });
     }
 
-    /// Looks at a run again at a time.
+    /// Schedules a check of a run.
     fn wake_at(&mut self, at: Timestamp, run: RunId) {
         self.soft.timers.insert((at, run));
     }
 }
 
-/// The partition that holds a tenant's budget, out of `partition_count`.
+/// Returns which of `partition_count` partitions holds a tenant's budget.
 pub fn tenant_holder(tenant: &TenantId, partition_count: u32) -> PartitionId {
     let hash = xxhash_rust::xxh3::xxh3_64(tenant.as_str().as_bytes());
     PartitionId((hash % u64::from(partition_count.max(1))) as u32)
--- a/crates/execution/src/partition/allotments.rs
+++ b/crates/execution/src/partition/allotments.rs
@@ -1,4 +1,4 @@
-//! Tenants' budgets: allotments asked of their holder, and granted as holder.
+//! Tenants' budgets: requesting allotments from the holder, and granting them as the holder.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{Credits, PartitionId, Sequence, TenantId, Timestamp};
@@ -8,14 +8,14 @@
 use crate::soft_state::AllotmentRequest;
 
 impl Partition {
-    /// What may still be reserved of a tenant's allotment.
+    /// Returns the credits of a tenant's allotment that can still be reserved.
     pub(super) fn allotment_available(&self, tenant: &TenantId) -> Credits {
         let allotment = self.journal.allotments.get(tenant);
         allotment.map_or(Credits::ZERO, |allotment| allotment.available())
     }
 
-    /// Asks the holder for at least `missing`; returns whether it has just said that nothing is
-    /// left.
+    /// Requests at least `missing` credits from the holder, at most once per interval. Returns
+    /// whether the holder has answered since the last call that nothing is left.
     pub(super) fn request_allotment(
         &mut self,
         now: Timestamp,
@@ -84,7 +84,7 @@
         self.advance_tenant(now, tenant);
     }
 
-    /// Tries again the runs of a tenant that wait for its allotment.
+    /// Retries the waiting calls of a tenant's runs that need its allotment.
     fn advance_tenant(&mut self, now: Timestamp, tenant: &TenantId) {
         for run in self.soft.queue.runs_awaiting_allotment() {
             if self.journal.run_of(tenant, run).is_some() {
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Grants of a tenant's budget that were appended and not read back.
+    /// Returns the sum of the grants of a tenant's budget that were appended and not yet read back.
     fn pending_grants(&self, tenant: &TenantId) -> Credits {
         self.soft
             .in_flight
--- a/crates/execution/src/partition/attempts.rs
+++ b/crates/execution/src/partition/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending calls to back ends and taking in their answers.
+//! Attempts: sending calls to back ends and receiving their answers.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_protocol::sidecar::{Chunk, NodeMessage};
@@ -15,7 +15,7 @@
 use crate::{BackendRequest, Effect};
 
 impl Partition {
-    /// Begins the attempt that the journal permits.
+    /// Starts the attempt that the journal permits.
     pub(super) fn start_attempt(&mut self, now: Timestamp, id: CallId) {
         if self.is_ending(id.run) {
             return self.cancel_open_call(now, id.run);
@@ -25,7 +25,7 @@
         };
         let attempt = call.permitted;
         let repeatable = call.spec.repeatable;
-        // True of an attempt that its earlier owner journalled and surely did not send.
+        // The previous owner journalled the start of this attempt but did not send it.
         let already_started = call
             .last_attempt()
             .is_some_and(|started| started.attempt == attempt);
@@ -55,7 +55,8 @@
         });
     }
 
-    /// The start of an attempt counts; one that must not be repeated goes out only now.
+    /// Handles the read-back of an attempt's start. An attempt of a call that must not be repeated
+    /// is sent only now.
     pub(super) fn on_attempt_started(&mut self, now: Timestamp, id: CallId, attempt: Attempt) {
         let stage = self
             .soft
@@ -71,7 +72,7 @@
         if intended != attempt {
             return;
         }
-        if self.is_overdue_record(now, since) {
+        if self.is_read_back_too_late(now, since) {
             return self.withdraw(now, id);
         }
         if self.is_ending(id.run) {
@@ -148,7 +149,8 @@
         Some((request, hints))
     }
 
-    /// The prompt of an open model call: its own messages are the end of its run's history.
+    /// Returns the prompt of an open model call: the history of its run, which ends with the call's
+    /// own messages.
     pub(super) fn prompt_of(&self, id: CallId) -> Option<Vec<Message>> {
         #[cfg(feature = "broken")]
         if let Some(wrong) = self.wrong_prompt(id) {
@@ -191,7 +193,8 @@
         });
     }
 
-    /// An attempt was placed that is no longer wanted.
+    /// Cancels a placed attempt that is no longer needed, and releases the engine memory if the run
+    /// has ended.
     fn refuse_placement(&mut self, call: CallId, attempt: Attempt, engine: Option<EngineId>) {
         if self.settings.faults.dispatch_before_turn() {
             return;
@@ -206,7 +209,7 @@
         }
     }
 
-    /// The attempt, if it is the one that is out.
+    /// Returns the attempt if it is the running one.
     pub(super) fn running(&mut self, id: CallId, attempt: Attempt) -> Option<&mut RunningAttempt> {
         let open = self.soft.open(id.run, id.number)?;
         match &mut open.stage {
@@ -266,17 +269,17 @@
             return;
         };
         let cost = self.cost_so_far(call, &usage);
-        let whole = format!("{}{content}", call.continue_text);
+        let full_text = format!("{}{content}", call.continue_text);
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
         let streamed = open.answer.text();
         let content = if self.settings.faults.forget_beginning() {
             content
-        } else if streamed.len() > whole.len() {
+        } else if streamed.len() > full_text.len() {
             streamed
         } else {
-            whole
+            full_text
         };
         let answer = Answer {
             content,
@@ -286,7 +289,8 @@
         self.end_call(now, id, Outcome::Completed(answer));
     }
 
-    /// Cost of a call whose present attempt consumed `usage`, never more than was set aside.
+    /// Returns the cost of a call whose current attempt consumed `usage`, limited to the credits
+    /// set aside.
     pub(super) fn cost_so_far(&self, call: &CallState, usage: &Usage) -> Credits {
         let cost = attempt_cost(&call.terms, &call.spec.request, usage);
         if self.settings.faults.no_reservation() {
@@ -296,7 +300,8 @@
     }
 }
 
-/// The key by which a tool recognises a repeat: the caller's, or one made from the call's id.
+/// Returns the key by which a tool detects a repeated invocation: the caller's key, or the id of
+/// the call.
 pub(super) fn idempotency_key(id: CallId, call: &CallState) -> String {
     let explicit_key = call.spec.idempotency_key.clone();
     explicit_key.unwrap_or_else(|| id.to_string())
--- a/crates/execution/src/partition/broken.rs
+++ b/crates/execution/src/partition/broken.rs
@@ -1,5 +1,5 @@
-//! What a partition does wrong on purpose, so that checkers can be shown to notice. Compiled only under
-//! the cargo feature `broken`.
+//! Deliberately incorrect behaviour, used to test that checkers detect it. Compiled only with the
+//! cargo feature `broken`.
 
 use elderworks_types::{Attempt, CallId, CallRequest, Message};
 
@@ -9,7 +9,7 @@
 use crate::{BackendRequest, Effect};
 
 impl Partition {
-    /// Sends a tool call that the journal has not accepted.
+    /// Sends a tool call before its acceptance is journalled, if this fault is enabled.
     pub(super) fn dispatch_before_turn(&mut self, id: CallId, submission: &Submission) {
         if !self.settings.faults.dispatch_before_turn {
             return;
@@ -43,7 +43,7 @@
         });
     }
 
-    /// A prompt that is not the run's history.
+    /// Returns an incorrect prompt if one of the prompt faults is enabled.
     pub(super) fn wrong_prompt(&self, id: CallId) -> Option<Vec<Message>> {
         if self.settings.faults.mix_histories {
             return Some(self.journal.runs.values().next()?.history());
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -1,4 +1,4 @@
-//! Ends of calls and of runs.
+//! Ending of calls and of runs.
 
 use std::collections::BTreeSet;
 
@@ -15,18 +15,19 @@
 use crate::event::Connection;
 use crate::soft_state::{OpenCall, RunEnding, Stage};
 
-/// How an open call is stopped when its run ends.
+/// How an open call is cancelled when its run ends.
 enum CancelAction {
-    /// Let it finish: it must not be repeated and has been sent.
+    /// Let it finish, because it was sent and must not be repeated.
     Finish,
-    /// It was surely not run.
+    /// Refuse it, because it did not run.
     Refuse,
-    /// It may have run; the whole of what was set aside is charged.
+    /// Fail it with this cost, because it may have run.
     Fail(Credits),
 }
 
 impl Partition {
-    /// Journals the one outcome of an open call; its callers hear of it once it is read back.
+    /// Journals the outcome of an open call. It is sent to the callers once the record is read
+    /// back.
     pub(super) fn end_call(&mut self, _now: Timestamp, id: CallId, outcome: Outcome) {
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
@@ -77,7 +78,7 @@
         }
         let gap_due = now + self.settings.earlier_call_wait;
         self.wake_at(gap_due, id.run);
-        self.prepare_release(now);
+        self.withdraw_unsent_attempts(now);
     }
 
     pub(super) fn last_attempt_of(&self, id: CallId) -> Option<Attempt> {
@@ -121,7 +122,7 @@
         activity.is_some_and(|activity| activity.ending.is_some())
     }
 
-    /// Begins to end a run and its sub-agents.
+    /// Starts to end a run and its sub-agents.
     pub(super) fn start_ending(
         &mut self,
         now: Timestamp,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Appends the end of a run once nothing of it is open.
+    /// Appends the end of a run if it has no open call and no active sub-agent.
     pub(super) fn advance_ending(&mut self, now: Timestamp, run: RunId) {
         let Some(state) = self.journal.runs.get(&run) else {
             return;
@@ -211,7 +212,8 @@
         }
     }
 
-    /// A sub-agent was started while its parent was ending: end it too, then try again.
+    /// Handles a rejected end of a run, which happens if a sub-agent was started while the run was
+    /// ending. Ends the sub-agent; the end of the run is then appended again.
     pub(super) fn on_end_rejected(&mut self, now: Timestamp, run: RunId) {
         if let Some(activity) = self.soft.runs.get_mut(&run)
             && let Some(ending) = &mut activity.ending
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Stops the open call of a run that is ending, if it can be stopped.
+    /// Cancels the open call of a run that is ending, if that is possible.
     pub(super) fn cancel_open_call(&mut self, now: Timestamp, run: RunId) {
         let Some(open) = self
             .soft
--- a/crates/execution/src/partition/failures.rs
+++ b/crates/execution/src/partition/failures.rs
@@ -1,4 +1,4 @@
-//! Failed attempts: which are repeated, which end their call, and how.
+//! Handling of failed attempts: retry the call or end it.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 
 use super::Partition;
 use super::attempts::idempotency_key;
-use super::intake::{SHORT_RETRY, refusal};
+use super::intake::{SHORT_RETRY_AFTER, refusal};
 use crate::Effect;
 use crate::event::AttemptFailure;
 use crate::retry::backoff;
 use crate::soft_state::{AttemptOrigin, RetryPlan, RunningAttempt, Stage};
 use crate::state::{CallState, Inconsistency, reservation};
 
-/// How often a delayed retry looks whether it may go.
-const RETRY_POLL: Duration = Duration::from_millis(100);
+/// Interval at which a postponed retry is checked again.
+const RETRY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Partition {
-    /// Placement gave the attempt up; no back end saw it.
+    /// Handles a refusal by placement; the attempt was not sent.
     pub(super) fn on_attempt_refused(
         &mut self,
         now: Timestamp,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The attempt was surely not run: the next costs nothing more.
+    /// Plans a retry of an attempt that did not run and costs nothing.
     fn retry_not_run(
         &mut self,
         now: Timestamp,
@@ -95,16 +95,17 @@
             since: now,
             spent: call.spent,
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(retry_after.unwrap_or(SHORT_RETRY)),
+            retry_after: Some(retry_after.unwrap_or(SHORT_RETRY_AFTER)),
             for_recovery: false,
         };
         self.soft
             .notes
-            .add_line(id, format!("attempt {attempt} not run"));
+            .add_line(id, format!("attempt {attempt} did not run"));
         self.plan_retry(id, plan);
     }
 
-    /// The attempt may have run, and what it consumed cannot be known: its reservation is charged.
+    /// Handles an attempt that may have run. Its consumption is unknown, so its whole reservation
+    /// is charged.
     pub(super) fn on_attempt_lost(
         &mut self,
         now: Timestamp,
@@ -121,7 +122,7 @@
             .notes
             .add_line(id, format!("attempt {attempt} lost: {reason:?}"));
         if self.settings.faults.refuse_after_dispatch() {
-            let refusal = refusal(RefusalReason::Overloaded, Some(SHORT_RETRY));
+            let refusal = refusal(RefusalReason::Overloaded, Some(SHORT_RETRY_AFTER));
             return self.end_call(now, id, Outcome::Refused(refusal));
         }
         if !repeatable {
@@ -136,7 +137,7 @@
             since: now,
             spent,
             reason,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: false,
         };
         self.plan_retry(id, plan);
@@ -154,7 +155,8 @@
         self.end_call(now, id, Outcome::Failed(failure));
     }
 
-    /// A call that must not be repeated was sent and not answered: only its tool can tell.
+    /// Handles a call that was sent without a result and must not be repeated: queries its tool for
+    /// the result, or ends a model call with an unknown outcome.
     pub(super) fn query_or_unknown(
         &mut self,
         now: Timestamp,
@@ -186,7 +188,7 @@
         self.counters.tool_queries += 1;
         self.soft
             .notes
-            .add_line(id, "asks the tool what became of it");
+            .add_line(id, "querying the tool for the result");
         self.wake_at(now + limit, id.run);
         self.emit(effect);
     }
@@ -215,7 +217,8 @@
         self.wake_at(due_at, id.run);
     }
 
-    /// Reserves the next attempt if limits and budgets permit it.
+    /// Reserves the next attempt if limits and budgets permit it; otherwise postpones it or gives
+    /// up.
     pub(super) fn try_retry(&mut self, now: Timestamp, id: CallId, plan: RetryPlan) {
         let Some(call) = self.journal.open_call(id) else {
             return;
@@ -253,7 +256,7 @@
         if now.since(plan.since) >= limit {
             return self.give_up(now, id, &plan);
         }
-        let due_at = now + RETRY_POLL;
+        let due_at = now + RETRY_POLL_INTERVAL;
         self.plan_retry(id, RetryPlan { due_at, ..plan });
     }
 
@@ -266,7 +269,8 @@
         Some(reservation(&call.terms, &call.spec.request, &prompt, &text))
     }
 
-    /// What the next attempt is to continue: the answer so far, as held here or by the caller.
+    /// Returns the text that the next attempt is to continue, and its number of chunks: the longer
+    /// of the answer received here and the part reported by the caller.
     fn text_to_continue(&self, id: CallId, call: &CallState) -> (String, u32) {
         if let CallRequest::Tool(_) = call.spec.request {
             return (String::new(), 0);
@@ -327,7 +331,7 @@
         });
     }
 
-    /// The reservation counts: the next attempt may go out.
+    /// Handles the read-back of a reservation: the next attempt can be started.
     pub(super) fn on_attempt_reserved(&mut self, now: Timestamp, id: CallId) {
         let reserving = self
             .soft
@@ -338,7 +342,7 @@
         }
     }
 
-    /// The reservation will never count.
+    /// Handles a reservation that contradicted the state: ends the call.
     pub(super) fn on_reservation_rejected(
         &mut self,
         now: Timestamp,
@@ -353,7 +357,7 @@
             since: now,
             spent: call.held(),
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: false,
         };
         self.give_up(now, id, &plan);
@@ -365,7 +369,7 @@
         self.end_call(now, id, outcome);
     }
 
-    /// A refusal where surely nothing ran, else a failure.
+    /// Returns a refusal if no attempt ran, otherwise a failure.
     pub(super) fn outcome_without_answer(
         &mut self,
         id: CallId,
@@ -388,7 +392,7 @@
     }
 }
 
-/// The reason to give where a lost attempt cannot be followed up.
+/// Returns the reason to report for a lost attempt whose result can't be determined.
 pub(super) fn unknown_reason(reason: FailureReason) -> UnknownReason {
     match reason {
         FailureReason::TimedOut => UnknownReason::NoAnswer,
--- a/crates/execution/src/partition/intake.rs
+++ b/crates/execution/src/partition/intake.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: starting runs and making calls.
+//! Handling of callers' requests: starting runs and submitting calls.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::soft_state::{Callers, PendingStart, Stage, Submission};
 use crate::state::Inconsistency;
 
-/// When to come back after a refusal that a little time may cure.
-pub(super) const SHORT_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay reported with refusals for conditions that usually pass quickly.
+pub(super) const SHORT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When to come back while the log does not answer.
-pub(super) const LOG_RETRY: Duration = Duration::from_secs(5);
+/// Retry delay reported while the log doesn't respond.
+pub(super) const LOG_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A refusal for `reason`, to be asked again after `retry_after`.
+/// Creates a refusal for `reason`, to be retried after `retry_after`.
 pub(super) fn refusal(reason: RefusalReason, retry_after: Option<Duration>) -> Refusal {
     Refusal {
         reason,
@@ -69,11 +69,11 @@
         };
         if !self.log_reachable {
             let reason = RefusalReason::LogUnavailable;
-            return self.refuse_start(connection, run, reason, Some(LOG_RETRY));
+            return self.refuse_start(connection, run, reason, Some(LOG_RETRY_AFTER));
         }
         if self.soft.starting.len() >= self.settings.max_open_calls {
             let reason = RefusalReason::Overloaded;
-            return self.refuse_start(connection, run, reason, Some(SHORT_RETRY));
+            return self.refuse_start(connection, run, reason, Some(SHORT_RETRY_AFTER));
         }
         let body = JournalBody::RunStarted {
             spec: spec.clone(),
@@ -131,7 +131,7 @@
             return self.redirect([request.connection], id.run, Some(id.number));
         }
         if self.soft.starting.contains_key(&id.run) {
-            let refusal = refusal(RefusalReason::RunNotFound, Some(SHORT_RETRY));
+            let refusal = refusal(RefusalReason::RunNotFound, Some(SHORT_RETRY_AFTER));
             return self.refuse(
                 request.connection,
                 id,
@@ -165,13 +165,14 @@
         }
     }
 
-    /// Whether new work goes to the next owner. While the log does not answer, there can be none.
+    /// Returns whether new work is redirected to the next owner because a release is in progress.
+    /// While the log doesn't respond, no other node can become the owner.
     fn redirects_new_work(&self) -> bool {
         self.soft.release.is_some() && self.log_reachable
     }
 
-    /// Serves a call whose number was used before: its outcome, its stream, or a refusal if it is a
-    /// different call. Returns whether that was so.
+    /// Answers a call whose number was used before with its outcome or its stream, or refuses it if
+    /// it differs from the earlier call. Returns `false` if the number is unused.
     fn answer_known_call(&mut self, now: Timestamp, id: CallId, request: &SubmittedCall) -> bool {
         let known = self.known_spec(id);
         let Some(known) = known else {
@@ -201,7 +202,7 @@
         true
     }
 
-    /// The call known under a number, wherever it stands.
+    /// Returns the call with this number, whether it is waiting, being accepted, open or ended.
     fn known_spec(&self, id: CallId) -> Option<CallSpec> {
         if let Some(call) = self.journal.call(id) {
             return Some(call.spec.clone());
@@ -261,7 +262,11 @@
         self.on_caller_returned(now, id);
     }
 
-    /// Whether a call may wait for its turn.
+    /// Checks whether a call can be queued.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal if it can't.
     fn admit(
         &self,
         now: Timestamp,
@@ -272,7 +277,10 @@
             return Err(refusal(reason, None));
         }
         if !self.log_reachable {
-            return Err(refusal(RefusalReason::LogUnavailable, Some(LOG_RETRY)));
+            return Err(refusal(
+                RefusalReason::LogUnavailable,
+                Some(LOG_RETRY_AFTER),
+            ));
         }
         if id.number < self.first_free_number(id.run) {
             return Err(refusal(RefusalReason::CallNumberReused, None));
@@ -285,18 +293,18 @@
         let run_full = waiting >= self.settings.max_waiting_per_run;
         let partition_full = self.soft.call_count() >= self.settings.max_open_calls;
         if run_full || partition_full {
-            return Err(refusal(RefusalReason::Overloaded, Some(SHORT_RETRY)));
+            return Err(refusal(RefusalReason::Overloaded, Some(SHORT_RETRY_AFTER)));
         }
         Ok(terms)
     }
 
-    /// The first number of a run that is not used or passed over.
+    /// Returns the first number of a run that is neither used nor skipped.
     fn first_free_number(&self, run: RunId) -> CallNumber {
         let state = self.journal.runs.get(&run);
         state.map_or(CallNumber(1), |state| state.next_number())
     }
 
-    /// Why the run takes no more calls, if it does not.
+    /// Returns the reason to refuse further calls of the run, if it has ended or is ending.
     pub(super) fn closed_reason(&self, run: RunId) -> Option<RefusalReason> {
         let phase = self.journal.runs.get(&run)?.phase;
         let ending = self.soft.runs.get(&run).and_then(|activity| {
@@ -332,7 +340,7 @@
         if self.soft.queue.get(id).is_none() {
             return;
         }
-        self.soft.notes.add_line(id, "waits for its turn");
+        self.soft.notes.add_line(id, "queued");
         self.wake_at(now + self.settings.earlier_call_wait, id.run);
         if let Some(deadline) = deadline {
             self.wake_at(deadline + Duration::from_micros(1), id.run);
--- a/crates/execution/src/partition/memory.rs
+++ b/crates/execution/src/partition/memory.rs
@@ -1,4 +1,4 @@
-//! Engine memory of ended runs, and the forgetting of the runs themselves.
+//! Release of ended runs' engine memory, and removal of ended runs from the state.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{EngineId, RunId, Timestamp};
@@ -7,11 +7,11 @@
 use crate::Effect;
 use crate::soft_state::MemoryRelease;
 
-/// Most runs forgotten by one record.
+/// Maximum number of runs removed by one record.
 const MAX_FORGOTTEN_PER_RECORD: usize = 256;
 
 impl Partition {
-    /// Begins to free what engines hold for an ended run.
+    /// Starts to release the engine memory of an ended run.
     pub(super) fn begin_memory_release(&mut self, now: Timestamp, run: RunId) {
         if !self.journal.unreleased.contains(&run) {
             return;
@@ -29,7 +29,7 @@
         self.send_release(now, run);
     }
 
-    /// Sends the releases whose time has come.
+    /// Repeats the releases that are due.
     pub(super) fn repeat_releases(&mut self, now: Timestamp) {
         let due: Vec<RunId> = self
             .soft
@@ -92,7 +92,7 @@
         self.soft.memory.remove(&run);
     }
 
-    /// Forgets ended runs that are too many or too old, once their memory is free.
+    /// Removes ended runs that exceed the maximum number or age, if their memory was released.
     pub(super) fn forget_ended(&mut self, now: Timestamp) {
         if !self.is_serving() || self.soft.forget_in_flight || !self.log_reachable {
             return;
--- a/crates/execution/src/partition/ordering.rs
+++ b/crates/execution/src/partition/ordering.rs
@@ -1,4 +1,4 @@
-//! The order of a run's calls: the next one is accepted once the one before has ended.
+//! Order of a run's calls: each call is accepted after the previous one has ended.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{
@@ -7,24 +7,24 @@
 };
 
 use super::Partition;
-use super::intake::{SHORT_RETRY, refusal};
+use super::intake::{SHORT_RETRY_AFTER, refusal};
 use crate::soft_state::{Accepting, OpenCall, Submission};
 use crate::state::{Inconsistency, RunState, reservation};
 
-/// What is to become of the call whose turn it is.
+/// What to do with the next waiting call of a run.
 enum CallDecision {
-    /// Accept it; this is the most it can cost.
+    /// Accept it and reserve its maximum cost.
     Accept(Credits),
-    /// Its tenant's allotment is too small for now: by how much.
+    /// Wait for a larger allotment of this tenant; the amount is missing.
     AwaitAllotment(TenantId, Credits),
     /// Refuse it.
     Refuse(Refusal),
-    /// The run is at its limit: end it.
+    /// End the run because it has reached a limit.
     EndRun,
 }
 
 impl Partition {
-    /// Accepts the run's next call if its turn has come.
+    /// Accepts the run's next call if no other call is open.
     pub(super) fn advance(&mut self, now: Timestamp, run: RunId) {
         while let Some((id, decision)) = self.next_decision(now, run) {
             match decision {
@@ -89,7 +89,7 @@
         if state.available() < reserved {
             let reason = RefusalReason::RunBudgetExhausted;
             let may_return = state.carved > Credits::ZERO;
-            return CallDecision::Refuse(refusal(reason, may_return.then_some(SHORT_RETRY)));
+            return CallDecision::Refuse(refusal(reason, may_return.then_some(SHORT_RETRY_AFTER)));
         }
         if state.limits.tenant_budget {
             let tenant = &state.spec.tenant;
@@ -105,8 +105,8 @@
 
     fn accept(&mut self, now: Timestamp, id: CallId, reserved: Credits) {
         let tenant = self.journal.runs.get(&id.run).and_then(|state| {
-            let draws = state.limits.tenant_budget;
-            draws.then(|| state.spec.tenant.clone())
+            let uses_tenant_budget = state.limits.tenant_budget;
+            uses_tenant_budget.then(|| state.spec.tenant.clone())
         });
         let Some(submission) = self.soft.queue.remove(id) else {
             return;
@@ -153,11 +153,11 @@
         }
         self.soft
             .notes
-            .add_line(id, "waits for its tenant's allotment");
+            .add_line(id, "waiting for its tenant's allotment");
         self.wake_at(now + self.settings.allotment_interval, id.run);
     }
 
-    /// The acceptance counts: the call is open.
+    /// Handles the read-back of an acceptance: the call is now open.
     pub(super) fn on_call_accepted(&mut self, now: Timestamp, run: RunId) {
         let Some(accepting) = self.soft.finish_accepting(run) else {
             return;
@@ -170,25 +170,27 @@
         self.soft
             .notes
             .add_line(id, format!("accepted, {} reserved", accepting.reserved));
-        if self.is_overdue_record(now, accepting.since) {
+        if self.is_read_back_too_late(now, accepting.since) {
             return self.withdraw(now, id);
         }
         self.start_attempt(now, id);
     }
 
-    /// Whether a record took so long to be read back that what it permits is no longer wanted.
-    pub(super) fn is_overdue_record(&self, now: Timestamp, appended: Timestamp) -> bool {
+    /// Returns whether a record took so long to be read back that the attempt it permits must not
+    /// be sent.
+    pub(super) fn is_read_back_too_late(&self, now: Timestamp, appended: Timestamp) -> bool {
         now.since(appended) >= self.settings.withdraw_after
     }
 
-    /// Ends an accepted call that was not sent, and will not be, as refused.
+    /// Ends an accepted call that was not sent with a refusal.
     pub(super) fn withdraw(&mut self, now: Timestamp, id: CallId) {
         let reason = RefusalReason::LogUnavailable;
-        let refusal = refusal(reason, Some(SHORT_RETRY));
+        let refusal = refusal(reason, Some(SHORT_RETRY_AFTER));
         self.end_call(now, id, Outcome::Refused(refusal));
     }
 
-    /// The acceptance will never count: nothing was run and nothing can follow.
+    /// Handles an acceptance that contradicted the state: the call was not accepted and has not
+    /// run.
     pub(super) fn on_acceptance_rejected(
         &mut self,
         now: Timestamp,
@@ -219,7 +221,7 @@
         self.start_ending(now, run, RunPhase::LimitReached, None);
     }
 
-    /// Refuses waiting calls whose answer would come too late.
+    /// Refuses waiting calls whose deadline has passed.
     pub(super) fn refuse_expired(&mut self, now: Timestamp, run: RunId) {
         let waiting = self.soft.queue.of_run(run);
         let expired: Vec<CallId> = waiting
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Refuses calls that waited too long for one that has not arrived.
+    /// Refuses calls that have waited too long for an earlier call that hasn't arrived.
     pub(super) fn refuse_without_predecessor(&mut self, now: Timestamp, run: RunId) {
         let Some(state) = self.journal.runs.get(&run) else {
             return;
@@ -257,14 +259,14 @@
         }
         for id in overdue {
             let reason = RefusalReason::EarlierCallMissing;
-            self.refuse_waiting(id, refusal(reason, Some(SHORT_RETRY)));
+            self.refuse_waiting(id, refusal(reason, Some(SHORT_RETRY_AFTER)));
         }
         if let Some(due) = due {
             self.wake_at(due, run);
         }
     }
 
-    /// Forgets the work of a run that has none.
+    /// Removes the activity of a run if nothing is waiting or in progress.
     pub(super) fn drop_idle_activity(&mut self, run: RunId) {
         let idle = self
             .soft
--- a/crates/execution/src/partition/ownership.rs
+++ b/crates/execution/src/partition/ownership.rs
@@ -1,4 +1,4 @@
-//! Claiming, releasing and losing the partition.
+//! Claiming and losing the ownership of the partition.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_protocol::sidecar::NodeMessage;
@@ -19,7 +19,7 @@
         self.try_claim();
     }
 
-    /// Appends the wished-for claim once it may be made.
+    /// Appends the pending claim if it is permitted now.
     pub(super) fn try_claim(&mut self) {
         let Some(forced) = self.pending_claim.filter(|_| self.owned.is_none()) else {
             return;
@@ -41,8 +41,9 @@
         });
     }
 
-    /// A claim was read back as the winner of its epoch. A claim that an earlier machine of the same
-    /// node made and has since released is only history: this machine owns nothing by it.
+    /// Handles a successful claim of this or another node. `own` means that the claim has this
+    /// node's writer. It makes this node the owner only if this instance appended it: an earlier
+    /// instance with the same writer may have claimed and released the partition before.
     pub(super) fn on_claim_won(&mut self, now: Timestamp, own: bool, epoch: Epoch) {
         let is_expected = self.claimed_epoch == Some(epoch);
         if self.owned.is_some() && !own && self.settings.faults.no_fencing() {
@@ -60,7 +61,7 @@
     }
 
     fn become_owner(&mut self, now: Timestamp, epoch: Epoch) {
-        log::info!("partition {} owned at epoch {epoch}", self.id);
+        log::info!("became owner of partition {} at epoch {epoch}", self.id);
         self.counters.takeovers += 1;
         self.owned = Some(epoch);
         self.soft = SoftState::new(&self.settings);
@@ -68,9 +69,9 @@
         self.recover(now, epoch);
     }
 
-    /// Forgets all that only an owner knows and sends waiting callers elsewhere.
+    /// Discards the owner's state and redirects waiting callers.
     pub(super) fn lose_ownership(&mut self) {
-        log::info!("partition {} no longer owned", self.id);
+        log::info!("no longer owner of partition {}", self.id);
         self.owned = None;
         let mut soft = std::mem::replace(&mut self.soft, SoftState::new(&self.settings));
         self.emit(Effect::OwnershipChanged { owned: None });
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Lets go of an open call. An attempt that placement still holds is withdrawn; one that a back
-    /// end has is left to the next owner.
+    /// Hands an open call over to the next owner. An attempt that is still in placement is
+    /// cancelled; one that was sent to a back end continues.
     fn detach_open_call(&mut self, run: RunId, open: &OpenCall) {
         let call = CallId {
             run,
@@ -120,7 +121,7 @@
         self.notify_call_moved(open.callers.connections(), call);
     }
 
-    /// Tells connections that a call taken here may go on at another node.
+    /// Notifies connections that a call accepted here may continue on another node.
     fn notify_call_moved(
         &mut self,
         connections: impl IntoIterator<Item = Connection>,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Tells connections to ask another node.
+    /// Notifies connections that this node does not serve the partition.
     pub(super) fn redirect(
         &mut self,
         connections: impl IntoIterator<Item = Connection>,
--- a/crates/execution/src/partition/records.rs
+++ b/crates/execution/src/partition/records.rs
@@ -1,4 +1,4 @@
-//! Reading records back.
+//! Processing of records read from the partition's stream, and taking snapshots.
 
 use std::borrow::Cow;
 
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns where a snapshot begins once its last part is there.
+    /// Records a part of a snapshot. Returns the offset of the first part when the last one was
+    /// read.
     fn note_snapshot(&mut self, offset: Offset, part: u32, parts: u32) -> Option<Offset> {
         if part == 0 {
             self.pending_snapshot = Some(offset);
@@ -104,7 +105,7 @@
         Some(first)
     }
 
-    /// Takes a snapshot once enough records followed the last.
+    /// Takes a snapshot if enough records were applied since the last one.
     pub(super) fn snapshot_if_due(&mut self) {
         let due = self.records_since_snapshot >= self.settings.snapshot_interval;
         if due && self.log_reachable && self.is_serving() {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A record of this owner now counts.
+    /// Handles the read-back of a record that this owner appended.
     fn on_own_record(&mut self, now: Timestamp, body: JournalBody) {
         match body {
             JournalBody::RunStarted { spec, .. } => self.on_run_started(spec.id),
@@ -152,7 +153,7 @@
         }
     }
 
-    /// A record of this owner contradicted the state it met; it will never count.
+    /// Handles a record of this owner that was ignored because it contradicted the state.
     fn on_own_rejected(&mut self, now: Timestamp, body: JournalBody, why: Inconsistency) {
         match body {
             JournalBody::RunStarted { spec, .. } => self.on_start_rejected(spec.id, why),
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Appends the state as it will be once all records now in flight are read back; the parts
-    /// follow those records directly, since one writer's records keep their order.
+    /// Appends a snapshot of the state after all records in flight. A writer's records keep their
+    /// order, so the snapshot's parts directly follow those records.
     pub(super) fn on_take_snapshot(&mut self) {
         if !self.is_serving() {
             return;
--- a/crates/execution/src/partition/recovery.rs
+++ b/crates/execution/src/partition/recovery.rs
@@ -1,29 +1,30 @@
-//! Taking over: what becomes of the calls that an earlier owner left open.
+//! Recovery after a takeover: continues the calls that the previous owner left open.
 
 use elderworks_types::{
     Attempt, CallId, CallRequest, EngineId, Epoch, FailureReason, RunId, Timestamp, UnknownReason,
 };
 
 use super::Partition;
-use super::intake::SHORT_RETRY;
+use super::intake::SHORT_RETRY_AFTER;
 use crate::Effect;
 use crate::event::AttemptFailure;
 use crate::soft_state::{
     AnswerBuffer, AttemptOrigin, Callers, OpenCall, RetryPlan, RunningAttempt, Stage,
 };
 
-/// What is known of a call that an earlier owner left open.
+/// What the journal says about the permitted attempt of a call that the previous owner left open.
 enum InheritedAttempt {
-    /// No back end has seen the permitted attempt.
+    /// The attempt was not sent.
     Unsent,
-    /// An engine was given it.
+    /// The attempt was sent to this engine.
     OnEngine(Attempt, EngineId),
-    /// It may be out, to a tool or to an engine that is not known.
+    /// The attempt may have been sent to a tool or to an unknown engine.
     MaybeSent(Attempt),
 }
 
 impl Partition {
-    /// Takes up everything open: runs with open calls first, then what engines still hold.
+    /// Recovers open calls, then unfinished releases of engine memory, then the timers of active
+    /// runs.
     pub(super) fn recover(&mut self, now: Timestamp, epoch: Epoch) {
         let open: Vec<RunId> = self.journal.open.iter().copied().collect();
         for run in open {
@@ -77,7 +78,7 @@
         self.soft.notes.start(id, now);
         self.soft
             .notes
-            .add_line(id, "taken over from an earlier owner");
+            .add_line(id, "taken over from the previous owner");
         self.recover_by_status(now, id, repeatable, inherited);
     }
 
@@ -132,8 +133,8 @@
         });
     }
 
-    /// The next attempt of a call of which an earlier owner may have sent one: its reservation is
-    /// charged in full, since nobody can say what it consumed.
+    /// Returns the plan for the next attempt of a call that the previous owner may have sent. The
+    /// consumption of that attempt is unknown, so its whole reservation is charged.
     fn recovery_plan(&self, now: Timestamp, id: CallId) -> RetryPlan {
         let spent = self
             .journal
@@ -144,13 +145,14 @@
             since: now,
             spent,
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: true,
         }
     }
 
-    /// The engine could not go on with an attempt of an earlier owner. Before the call is run anew
-    /// its caller has a while to say what it holds of the answer, so that it can be continued.
+    /// Handles an attempt of the previous owner that could not be resumed. If no caller of a model
+    /// call is connected, waits for one to report which part of the answer it has received, so that
+    /// the next attempt can continue it.
     pub(super) fn on_resume_failed(
         &mut self,
         now: Timestamp,
@@ -194,7 +196,8 @@
         }
     }
 
-    /// A caller is back, and has said what it holds.
+    /// Handles a resubmission by a caller, which reports the part of the answer that it has
+    /// received.
     pub(super) fn on_caller_returned(&mut self, now: Timestamp, id: CallId) {
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
--- a/crates/execution/src/partition/refusals.rs
+++ b/crates/execution/src/partition/refusals.rs
@@ -1,9 +1,11 @@
-//! Refusals of calls that were not accepted, and which of them bind every owner.
+//! Refusals of calls that were not accepted.
 //!
-//! A refusal speaks for this owner alone: a copy of the call may be in the journal that this node has
-//! not read, or wait at a node that is to own the partition next. Where a sidecar says that another
-//! copy is about, a refusal that would be final is therefore journalled first. Earlier owners can
-//! accept nothing any more once it counts, and later ones read it before they own anything.
+//! A refusal alone doesn't prevent another owner from accepting a copy of the same submission:
+//! the copy may be in a part of the journal that this node hasn't read, or wait at a node that
+//! becomes the owner later. If a sidecar reports that another copy may exist, a final refusal is
+//! therefore journalled before it is sent. Once the record is applied, earlier owners can't accept
+//! anything, and later owners read the record before they become owners. Such a submission is
+//! called barred.
 
 use std::collections::btree_map::Entry;
 
@@ -12,17 +14,18 @@
 use elderworks_types::{CallId, Outcome, Refusal, RefusalReason, Timestamp};
 
 use super::Partition;
-use super::intake::{LOG_RETRY, refusal};
+use super::intake::{LOG_RETRY_AFTER, refusal};
 use crate::event::Connection;
 use crate::event::SubmittedCall;
 use crate::soft_state::{Callers, Submission};
 
-/// Refused submissions that a run remembers; later refusals speak for their owner alone.
+/// Maximum number of barred submissions per run. Further refusals aren't journalled, so they don't
+/// prevent another owner from accepting a copy.
 const MAX_BARRED_PER_RUN: usize = 256;
 
 impl Partition {
-    /// Refuses a call that was not accepted. `doubtful` names its submission if another copy of it
-    /// may have been taken.
+    /// Refuses a call that was not accepted. `resubmitted_id` is the id of its submission if
+    /// another copy of it may exist.
     pub(super) fn refuse(
         &mut self,
         connection: Connection,
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Tells the callers of an accepted call how it ended.
+    /// Sends the outcome of an accepted call to its callers.
     pub(super) fn send_end_to_callers(
         &mut self,
         callers: &Callers,
@@ -80,16 +83,17 @@
         }
     }
 
-    /// Whether a refusal is worth a record: one that may pass is waited out by the sidecar, and a
-    /// run that is not the caller's, or holds many already, has no place for it.
+    /// Returns whether a refusal is to be journalled. A transient refusal is retried by the
+    /// sidecar, an unknown run can't record a refusal, and the number of records per run is
+    /// limited.
     fn can_bar(&self, id: CallId, reason: RefusalReason) -> bool {
         let run = self.journal.runs.get(&id.run);
         let has_place = run.is_some_and(|run| run.barred.len() < MAX_BARRED_PER_RUN);
         has_place && !reason.may_pass() && reason != RefusalReason::RunNotFound
     }
 
-    /// Journals a refusal; it is told once it is read back. While the log does not answer the
-    /// caller is asked to come back, which it takes for a refusal that proves nothing.
+    /// Journals a refusal, which is sent once the record is read back. While the log doesn't
+    /// respond, sends a transient refusal instead, so that the sidecar tries again.
     fn journal_refusal(
         &mut self,
         connection: Connection,
@@ -98,7 +102,7 @@
         reason: Refusal,
     ) {
         if !self.log_reachable {
-            let unavailable = refusal(RefusalReason::LogUnavailable, Some(LOG_RETRY));
+            let unavailable = refusal(RefusalReason::LogUnavailable, Some(LOG_RETRY_AFTER));
             return self.send_refusal(connection, call, unavailable, None);
         }
         match self.soft.refusing.entry((call, submission)) {
@@ -116,7 +120,7 @@
         }
     }
 
-    /// The refusal counts: no owner takes this submission any more.
+    /// Handles the read-back of a refusal: every owner now refuses the submission.
     pub(super) fn on_submission_refused(
         &mut self,
         call: CallId,
@@ -124,7 +128,7 @@
         refusal: &Refusal,
     ) {
         let connections = self.soft.refusing.remove(&(call, submission));
-        // A run that was forgotten meanwhile holds no bar.
+        // If the run was removed in the meantime, the submission isn't barred.
         let is_kept = self.journal.runs.contains_key(&call.run);
         for connection in connections.unwrap_or_default() {
             let barred = is_kept.then_some(submission);
@@ -132,8 +136,8 @@
         }
     }
 
-    /// Answers a copy of a submission that no owner takes any more, or that is about to become one.
-    /// Returns whether it is one.
+    /// Answers a copy of a submission that is barred or whose refusal is being journalled. Returns
+    /// whether that was the case.
     pub(super) fn answer_barred(&mut self, id: CallId, request: &SubmittedCall) -> bool {
         let submission = request.submission.id;
         if let Some(waiting) = self.soft.refusing.get_mut(&(id, submission)) {
@@ -149,17 +153,17 @@
         true
     }
 
-    /// Refuses at once what is not in the journal yet while the log does not answer; what is in
-    /// flight to it stays, since it may have been taken.
+    /// Handles a change of the log's reachability. When the log stops responding, all waiting calls
+    /// are refused. Calls whose acceptance was appended stay, since the log may have stored it.
     pub(super) fn on_log_reachable(&mut self, now: Timestamp, reachable: bool) {
         self.log_reachable = reachable;
         if reachable {
-            self.prepare_release(now);
+            self.withdraw_unsent_attempts(now);
             return;
         }
         for (id, submission) in self.soft.queue.take_all() {
             let reason = RefusalReason::LogUnavailable;
-            self.refuse_submission(id, &submission, refusal(reason, Some(LOG_RETRY)));
+            self.refuse_submission(id, &submission, refusal(reason, Some(LOG_RETRY_AFTER)));
             self.drop_idle_activity(id.run);
         }
     }
--- a/crates/execution/src/partition/release.rs
+++ b/crates/execution/src/partition/release.rs
@@ -1,4 +1,4 @@
-//! Handing the partition over in order.
+//! Orderly hand-over of the partition to another node.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{Attempt, CallId, RunId, Timestamp};
@@ -18,7 +18,7 @@
             appended: false,
         });
         self.redirect_queued_calls();
-        self.prepare_release(now);
+        self.withdraw_unsent_attempts(now);
     }
 
     fn redirect_queued_calls(&mut self) {
@@ -28,10 +28,10 @@
         }
     }
 
-    /// Takes back from placement what no back end has, once nothing else speaks against the
-    /// release. It is appended at a later tick, when word of an attempt that was sent in the same
-    /// moment has arrived.
-    pub(super) fn prepare_release(&mut self, now: Timestamp) {
+    /// Withdraws unsent attempts from placement once nothing else blocks the release. The release
+    /// is appended at a later tick, so that placement can first report attempts that it sent at the
+    /// same time.
+    pub(super) fn withdraw_unsent_attempts(&mut self, now: Timestamp) {
         if !self.is_release_due(now) {
             return;
         }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Appends the release if it is due and everything unsent was taken back before.
+    /// Appends the release if it is due and all unsent attempts were withdrawn before.
     pub(super) fn finish_release(&mut self, now: Timestamp) {
         if !self.is_release_due(now) {
             return;
@@ -66,13 +66,12 @@
             open.is_some_and(is_unsent)
         });
         if waiting {
-            return self.prepare_release(now);
+            return self.withdraw_unsent_attempts(now);
         }
         self.append_release();
     }
 
-    /// Whether nothing stands in the way of the release, or has had its time: records on their way,
-    /// and calls that another owner could not take up.
+    /// Returns whether nothing blocks the release any more, or the maximum wait is over.
     fn is_release_due(&self, now: Timestamp) -> bool {
         let Some(release) = self.soft.release else {
             return false;
@@ -94,8 +93,8 @@
         })
     }
 
-    /// Whether another owner could not take the call up where it is: everything that is out and is
-    /// not a stream of an engine.
+    /// Returns whether another owner could not resume the call's attempt. Only streams of engines
+    /// can be resumed.
     fn must_finish_here(&self, run: RunId, open: &OpenCall) -> bool {
         let Stage::Running(running) = &open.stage else {
             return false;
@@ -132,7 +131,7 @@
         }
     }
 
-    /// The partition is to stay here after all: what was taken back is dispatched again.
+    /// Cancels a release in progress and dispatches the withdrawn attempts again.
     pub(super) fn cancel_release(&mut self, now: Timestamp) {
         if self.soft.release.take().is_none() {
             return;
@@ -155,7 +154,7 @@
         }
     }
 
-    /// An attempt that was taken back had been sent all the same.
+    /// Restores an attempt that placement sent before it received the withdrawal.
     pub(super) fn restore_withdrawn(&mut self, id: CallId, attempt: Attempt) {
         if let Some(open) = self.soft.open(id.run, id.number)
             && open.stage == Stage::Withdrawn(attempt)
@@ -169,7 +168,7 @@
     }
 }
 
-/// Whether placement holds the call's attempt.
+/// Returns whether the call's attempt is in placement and unsent.
 fn is_unsent(open: &OpenCall) -> bool {
     matches!(&open.stage, Stage::Running(running) if running.sent.is_none())
 }
--- a/crates/execution/src/partition/timers.rs
+++ b/crates/execution/src/partition/timers.rs
@@ -1,4 +1,4 @@
-//! What the passing of time brings about.
+//! Timers and periodic work.
 
 use elderworks_types::{CallId, FailureReason, RunId, RunPhase, Timestamp};
 
@@ -6,7 +6,7 @@
 use crate::event::AttemptFailure;
 use crate::soft_state::{RunningAttempt, Stage};
 
-/// What is due for an open call.
+/// Action that is due for an open call.
 enum DueAction {
     Retry,
     StopAwaitingCaller,
@@ -42,7 +42,7 @@
         self.advance(now, run);
     }
 
-    /// When a run reaches the longest life that its program permits.
+    /// Returns when a run reaches the maximum duration that its program permits.
     pub(super) fn max_duration_end(&self, run: RunId) -> Option<Timestamp> {
         let state = self.journal.runs.get(&run)?;
         Some(state.started + state.limits.max_duration)
@@ -85,7 +85,7 @@
         let due = match &open.stage {
             Stage::Backoff(plan) if plan.due_at <= now => DueAction::Retry,
             Stage::AwaitingCaller { due_at, .. } if *due_at <= now => DueAction::StopAwaitingCaller,
-            Stage::Running(running) if self.is_overdue(now, id, running) => {
+            Stage::Running(running) if self.has_timed_out(now, id, running) => {
                 DueAction::TimeOut(running.clone())
             }
             _ => return None,
@@ -93,14 +93,14 @@
         Some((id, due))
     }
 
-    fn is_overdue(&self, now: Timestamp, id: CallId, running: &RunningAttempt) -> bool {
+    fn has_timed_out(&self, now: Timestamp, id: CallId, running: &RunningAttempt) -> bool {
         let (Some(call), Some(sent)) = (self.journal.open_call(id), running.sent) else {
             return false;
         };
         now.since(sent) >= call.terms.timeout + self.settings.timeout_grace
     }
 
-    /// The back end, or the node's own driver, has kept silent for too long.
+    /// Treats an attempt without a result as lost.
     fn time_out(&mut self, now: Timestamp, id: CallId, running: &RunningAttempt) {
         let failure = AttemptFailure::Lost {
             reason: FailureReason::TimedOut,
--- a/crates/execution/src/partition/view.rs
+++ b/crates/execution/src/partition/view.rs
@@ -1,4 +1,4 @@
-//! A run as its caller may read it.
+//! Read access to runs for callers and operators.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_protocol::sidecar::{AttemptView, CallView, NodeMessage, RunView};
@@ -9,23 +9,24 @@
 use crate::soft_state::PendingRead;
 use crate::state::{CallState, RunState};
 
-/// A run in a list, without its history and calls.
+/// Summary of a run, without its history and calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunSummary {
-    /// What its caller fixed.
+    /// Specification given by the caller.
     pub spec: RunSpec,
-    /// Where it stands.
+    /// Current phase.
     pub phase: RunPhase,
-    /// When it started.
+    /// Time of the start.
     pub started: Timestamp,
-    /// Spent so far.
+    /// Credits spent so far.
     pub spent: Credits,
-    /// Calls made so far.
+    /// Number of calls so far.
     pub calls: usize,
 }
 
 impl Partition {
-    /// Every run that this node has read, in order of id; for operators.
+    /// Returns summaries of all runs in this node's copy of the state, ordered by id. Intended for
+    /// operators: the copy may be outdated and all tenants are included.
     pub fn summaries(&self) -> impl Iterator<Item = RunSummary> {
         self.journal.runs.values().map(|state| RunSummary {
             spec: state.spec.clone(),
@@ -36,7 +37,8 @@
         })
     }
 
-    /// The run as this node has read it, whoever asks; for operators.
+    /// Returns a run from this node's copy of the state. Intended for operators: the copy may be
+    /// outdated and the tenant isn't checked.
     pub fn view(&self, run: RunId) -> Option<RunView> {
         Some(self.run_view(self.journal.runs.get(&run)?))
     }
@@ -60,15 +62,16 @@
         self.begin_barrier();
     }
 
-    /// A node that was paused may have lost the partition without knowing. What it answers to a
-    /// read must not be older than the question, so it first reads a record of its own back.
+    /// Appends a barrier for the waiting reads, unless one is in flight. A node that was paused may
+    /// have lost the ownership without having read the other node's claim. Reading a record of its
+    /// own back proves that its state is at least as recent as the requests.
     fn begin_barrier(&mut self) {
         if self.soft.reads.begin_barrier() {
             self.append(JournalBody::Barrier);
         }
     }
 
-    /// This node still owned the partition after the covered reads had come.
+    /// Answers the reads covered by the barrier: this node was still the owner after they arrived.
     pub(super) fn on_barrier(&mut self) {
         for read in self.soft.reads.finish_barrier() {
             let state = self.journal.run_of(&read.tenant, read.run);
--- a/crates/execution/src/retry.rs
+++ b/crates/execution/src/retry.rs
@@ -1,4 +1,4 @@
-//! When an attempt may be repeated.
+//! Limits on retries, and the delay before a retry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,37 +8,39 @@
 
 use crate::ExecutionSettings;
 
-/// Hundredths of a retry, so that a percentage of a first attempt is a whole number.
+/// The retry budget is counted in hundredths of a retry, so that a percentage of an attempt is an
+/// integer.
 const HUNDREDTHS_PER_RETRY: u64 = 100;
 
-/// Most retries that can be saved up.
+/// Maximum balance of the retry budget, in hundredths of a retry.
 const MAX_SAVED_HUNDREDTHS: u64 = 20 * HUNDREDTHS_PER_RETRY;
 
-/// Doublings after which the wait has long reached its limit.
+/// Maximum number of doublings of the delay; prevents an overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// First attempts within [`QUIET_PERIOD`] below which a partition is quiet.
+/// A partition has low traffic if it makes fewer first attempts than this per
+/// [`LOW_TRAFFIC_PERIOD`].
 const LOW_TRAFFIC_ATTEMPTS: usize = 10;
 
-/// Time over which a partition is judged to be quiet or not.
+/// Period over which first attempts are counted to detect low traffic.
 const LOW_TRAFFIC_PERIOD: Duration = Duration::from_secs(60);
 
-/// A quiet partition may make one retry in this time even if its first attempts earned none.
+/// Interval at which a partition with low traffic may retry even if its retry budget is empty.
 const LOW_TRAFFIC_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Bounds the retries of a partition to a share of its first attempts, so that an outage is not
-/// answered by a storm. A partition with so few calls that they earn no retry gets a trickle.
+/// Limits the retries of a partition to a percentage of its first attempts, so that an outage
+/// doesn't cause a retry storm. A partition with low traffic may always retry at a low rate.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     saved_hundredths: u64,
     earned_by_first_attempt: u64,
-    /// Times of the last few first attempts.
+    /// Times of the last [`LOW_TRAFFIC_ATTEMPTS`] first attempts.
     recent: VecDeque<Timestamp>,
     last_low_traffic_retry: Option<Timestamp>,
 }
 
 impl RetryBudget {
-    /// A budget holding the permitted burst.
+    /// Creates a budget with the initial number of retries.
     pub fn new(settings: &ExecutionSettings) -> Self {
         Self {
             saved_hundredths: u64::from(settings.retry_burst) * HUNDREDTHS_PER_RETRY,
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Changes what first attempts earn from now on.
+    /// Applies new settings to future first attempts.
     pub fn configure(&mut self, settings: &ExecutionSettings) {
         self.earned_by_first_attempt = u64::from(settings.retry_percent);
     }
 
-    /// A first attempt was dispatched.
+    /// Records the dispatch of a first attempt, which adds to the budget.
     pub fn earn(&mut self, now: Timestamp) {
         self.saved_hundredths =
             (self.saved_hundredths + self.earned_by_first_attempt).min(MAX_SAVED_HUNDREDTHS);
@@ -63,7 +65,7 @@
         self.recent.push_back(now);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; returns whether a retry is permitted.
     pub fn spend(&mut self, now: Timestamp) -> bool {
         if let Some(rest) = self.saved_hundredths.checked_sub(HUNDREDTHS_PER_RETRY) {
             self.saved_hundredths = rest;
@@ -86,8 +88,9 @@
     }
 }
 
-/// Wait before the attempt after `failed`: exponential, between half and all of each step, spread
-/// by a hash so that calls that failed together do not return together.
+/// Returns the delay before the attempt after `failed`: exponential backoff with a jitter of up to
+/// half the delay. The jitter is derived from a hash, so that the result is deterministic but
+/// differs between calls that failed at the same time.
 pub(crate) fn backoff(settings: &ExecutionSettings, call: CallId, failed: Attempt) -> Duration {
     let doublings = failed.0.saturating_sub(1).min(MAX_DOUBLINGS);
     let step = settings
@@ -99,7 +102,7 @@
     step / 2 + jitter(step / 2, hash)
 }
 
-/// A part of `span` chosen by `hash`.
+/// Returns a fraction of `span` selected by `hash`.
 fn jitter(span: Duration, hash: u64) -> Duration {
     const PARTS: u32 = 1024;
     span * (hash as u32 % PARTS) / PARTS
--- a/crates/execution/src/settings.rs
+++ b/crates/execution/src/settings.rs
@@ -7,55 +7,56 @@
 /// Limits and intervals of execution.
 #[derive(Clone, Debug)]
 pub struct ExecutionSettings {
-    /// Attempts of one call, the first included.
+    /// Maximum number of attempts per call, including the first.
     pub max_attempts: u32,
-    /// Retries permitted per hundred first attempts, beside [`Self::retry_burst`].
+    /// Retries permitted per hundred first attempts, in addition to [`Self::retry_burst`].
     pub retry_percent: u32,
-    /// Retries permitted before any first attempt has earned one.
+    /// Initial number of permitted retries.
     pub retry_burst: u32,
-    /// Wait before the first retry; doubles with each further one.
+    /// Delay before the first retry; doubles with each further retry.
     pub retry_backoff: Duration,
-    /// Longest wait between two attempts.
+    /// Maximum delay between two attempts.
     pub retry_backoff_limit: Duration,
-    /// Longest that a call that may have run waits to be retried; it can only fail after that.
+    /// Maximum time for which the retry of a call that may have run is postponed for lack of retry
+    /// budget or allotment. After that the call fails.
     pub retry_wait: Duration,
-    /// Longest that a call that surely did not run waits to be retried; its caller is better served
-    /// by a refusal.
+    /// Same for a call that is known not to have run. After that the call is refused.
     pub not_run_retry_wait: Duration,
-    /// Calls of one run that may wait for earlier ones.
+    /// Maximum number of calls of one run that wait for earlier calls.
     pub max_waiting_per_run: usize,
-    /// Calls that may be waiting or open in the whole partition.
+    /// Maximum number of waiting and open calls of the partition.
     pub max_open_calls: usize,
-    /// Longest that a call waits for an earlier one that has not arrived.
+    /// Maximum time for which a call waits for an earlier call that hasn't arrived.
     pub earlier_call_wait: Duration,
-    /// Time after which a call whose acceptance was slow to be read back is no longer sent.
+    /// If a call's record takes longer than this to be read back, the call is refused instead of
+    /// sent.
     pub withdraw_after: Duration,
-    /// Longest that a call waits for its tenant's allotment.
+    /// Maximum time for which a call waits for its tenant's allotment.
     pub allotment_wait: Duration,
-    /// Smallest allotment asked for, so that most calls find one ready.
+    /// Minimum size of a requested allotment, so that most calls don't have to wait for one.
     pub allotment_size: Credits,
-    /// How often an unanswered request for an allotment is repeated.
+    /// Interval at which an unanswered request for an allotment is repeated.
     pub allotment_interval: Duration,
-    /// How long a new owner waits for a caller to say what it holds of an answer, before it runs
-    /// the call from the start.
+    /// How long a new owner waits for a caller to resubmit a call with the text that it has already
+    /// received, before the call is run from the start.
     pub resubmission_wait: Duration,
-    /// Added to an attempt's own limit before the partition gives it up by itself.
+    /// Added to an attempt's timeout before the partition treats the attempt as lost.
     pub timeout_grace: Duration,
-    /// Longest that open calls hold up a release.
+    /// Maximum time for which open calls delay a release of the partition.
     pub release_wait: Duration,
-    /// Wait before a release of engine memory is repeated; doubles with each repeat.
+    /// Delay before a release of engine memory is repeated; doubles with each repetition.
     pub memory_backoff: Duration,
-    /// Longest wait between two releases of the same memory.
+    /// Maximum delay between two releases of the same memory.
     pub memory_backoff_limit: Duration,
-    /// How long an ended run can be read.
+    /// How long an ended run is kept for readers.
     pub retain_ended: Duration,
-    /// How many ended runs can be read; the oldest go first.
+    /// Maximum number of ended runs kept for readers; the oldest are removed first.
     pub max_ended_runs: usize,
-    /// Calls whose notes are kept for `explain`.
+    /// Maximum number of calls whose notes are kept for `explain`.
     pub max_call_notes: usize,
-    /// Records after which the owner takes a snapshot by itself.
+    /// Number of records after which the owner takes a snapshot.
     pub snapshot_interval: u64,
-    /// Ways to break the partition on purpose; all off.
+    /// Fault injection; all faults are off by default.
     pub faults: Faults,
 }
 
@@ -92,8 +93,8 @@
 
 macro_rules! faults {
     ($($(#[$doc:meta])* $name:ident),+ $(,)?) => {
-        /// Ways to break a partition, or its node, on purpose, so that checkers can be shown to notice. They
-        /// exist only under the cargo feature `broken`.
+        /// Faults that can be injected into a partition or its node to test that checkers detect
+        /// them. They can be enabled only with the cargo feature `broken`.
         #[derive(Clone, Copy, Debug, Default)]
         pub struct Faults {
             $(
@@ -122,34 +123,35 @@
 }
 
 faults! {
-    /// Records of older epochs and of other writers count, and a later claim ends no ownership.
+    /// Records of older epochs and of other writers are applied, and a later claim doesn't end the
+    /// ownership.
     no_fencing,
-    /// A repeated append counts twice.
+    /// Repeated appends are applied again.
     no_dedup,
-    /// Calls and attempts reserve nothing.
+    /// Calls and attempts reserve no credits.
     no_reservation,
-    /// A release of engine memory is sent once and then believed.
+    /// A release of engine memory is sent once and assumed to have been acknowledged.
     release_not_retried,
-    /// A new owner sends again what an earlier one may have sent.
+    /// A new owner resends attempts that the previous owner may have sent.
     resend_after_takeover,
-    /// A call that was sent and lost is reported as refused.
+    /// A call that was sent and lost is reported as refused, as if it had not run.
     refuse_after_dispatch,
-    /// A prompt is built from the history of the first run of the partition.
+    /// Prompts are built from the history of the partition's first run.
     mix_histories,
-    /// A prompt is built from the call's own messages alone.
+    /// Prompts contain only the call's own messages.
     forget_history,
-    /// A tool call is sent as soon as it arrives, whether or not its turn has come.
+    /// Tool calls are sent on arrival, without waiting for earlier calls.
     dispatch_before_turn,
-    /// An answer continued after a lost attempt is reported without its beginning.
+    /// An answer continued after a lost attempt is reported without the part before it.
     forget_beginning,
-    /// A new owner does not take up the open calls that it finds.
+    /// A new owner ignores the open calls of the previous owner.
     abandon_open_calls,
-    /// A refusal does not say when to come back.
+    /// Refusals don't say when to retry.
     no_retry_after,
-    /// The node gives work to engines that are leaving.
+    /// The node sends calls to engines that are leaving.
     ignore_leaving,
-    /// The node exits as soon as it is told to drain.
+    /// The node exits immediately when asked to drain.
     drain_at_once,
-    /// The node tells an operator that a change is accepted before it has read it back.
+    /// The node reports an operator's change as accepted before reading it back.
     accept_unread,
 }
--- a/crates/execution/src/soft_state.rs
+++ b/crates/execution/src/soft_state.rs
@@ -1,4 +1,4 @@
-//! What only the present owner knows and a takeover may forget.
+//! State of the current owner that isn't journalled and is lost on a takeover.
 
 mod answer;
 mod call_notes;
@@ -26,43 +26,43 @@
 pub(crate) use queue::CallQueue;
 pub(crate) use reads::{PendingRead, ReadQueue};
 
-/// The owner's working state.
+/// The current owner's state that isn't journalled.
 #[derive(Debug)]
 pub(crate) struct SoftState {
-    /// Own records appended at the present epoch and not yet read back, in order.
+    /// Own records appended in the current epoch and not yet read back, in order.
     pub in_flight: VecDeque<JournalBody>,
-    /// The release in progress, if this node is handing the partition over.
+    /// Progress of the release of the partition, if one was requested.
     pub release: Option<ReleaseProgress>,
-    /// Runs whose start was appended.
+    /// Runs whose start was appended and not yet read back.
     pub starting: BTreeMap<RunId, PendingStart>,
-    /// Calls that arrived and were not accepted yet.
+    /// Submitted calls that are not yet accepted.
     pub queue: CallQueue,
-    /// Work of runs that have any.
+    /// Activity of runs with waiting calls, an open call or an end in progress.
     pub runs: BTreeMap<RunId, RunActivity>,
-    /// What calls on their way into the journal are about to reserve of each tenant's allotment.
+    /// Credits of each tenant's allotment reserved by acceptances that are not yet read back.
     pub accepting: BTreeMap<TenantId, Credits>,
-    /// When to look at a run again.
+    /// Times at which a run has to be checked again.
     pub timers: BTreeSet<(Timestamp, RunId)>,
-    /// Allotments asked for.
+    /// Pending requests for allotments.
     pub requests: BTreeMap<TenantId, AllotmentRequest>,
-    /// Grants appended and not yet read back.
+    /// Grants appended and not yet read back, with the number of the request.
     pub granting: BTreeMap<(TenantId, PartitionId), Sequence>,
-    /// Memory of ended runs being released.
+    /// Releases of ended runs' engine memory that are not yet acknowledged by every engine.
     pub memory: BTreeMap<RunId, MemoryRelease>,
-    /// Bounds retries.
+    /// Retry budget.
     pub retry: RetryBudget,
-    /// Reads that wait until this node knows that it still owns the partition.
+    /// Reads that wait for confirmation that this node still owns the partition.
     pub reads: ReadQueue,
-    /// Refusals that are on their way into the journal.
+    /// Refusals appended and not yet read back, with the connections to notify.
     pub refusing: BTreeMap<(CallId, SubmissionId), BTreeSet<Connection>>,
-    /// Whether a forgetting of runs is on its way.
+    /// Whether a record that removes ended runs was appended and not yet read back.
     pub forget_in_flight: bool,
-    /// What `explain` shows beyond the journal.
+    /// Notes on calls, shown by `explain`.
     pub notes: CallNoteStore,
 }
 
 impl SoftState {
-    /// An owner that has just begun.
+    /// Creates the state of a new owner.
     pub fn new(settings: &ExecutionSettings) -> Self {
         Self {
             in_flight: VecDeque::new(),
@@ -83,20 +83,20 @@
         }
     }
 
-    /// The work of a run, begun if there was none.
+    /// Returns the activity of a run; inserts an empty one if there is none.
     pub fn activity(&mut self, run: RunId, now: Timestamp) -> &mut RunActivity {
         self.runs
             .entry(run)
             .or_insert_with(|| RunActivity::new(now))
     }
 
-    /// The open call, if it has this number.
+    /// Returns the run's open call if it has this number.
     pub fn open(&mut self, run: RunId, number: CallNumber) -> Option<&mut OpenCall> {
         let open = self.runs.get_mut(&run)?.open.as_mut()?;
         (open.number == number).then_some(open)
     }
 
-    /// At most how many calls are waiting, being accepted or open.
+    /// Returns an upper bound on the number of calls that are waiting, being accepted or open.
     pub fn call_count(&self) -> usize {
         self.queue.len() + self.runs.len()
     }
@@ -106,7 +106,7 @@
         self.accepting.get(tenant).copied().unwrap_or_default()
     }
 
-    /// Notes a call whose acceptance was appended.
+    /// Records that the acceptance of a call was appended.
     pub fn begin_accepting(&mut self, run: RunId, accepting: Accepting) {
         if let Some(tenant) = &accepting.tenant {
             *self.accepting.entry(tenant.clone()).or_default() += accepting.reserved;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The run's call whose acceptance was read back.
+    /// Removes and returns the run's call whose acceptance was read back.
     pub fn finish_accepting(&mut self, run: RunId) -> Option<Accepting> {
         let accepting = self.runs.get_mut(&run)?.accepting.take()?;
         if let Some(tenant) = &accepting.tenant {
@@ -130,34 +130,34 @@
     }
 }
 
-/// A release under way.
+/// Progress of a release of the partition.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReleaseProgress {
-    /// When it was asked for.
+    /// Time of the request.
     pub since: Timestamp,
-    /// Whether its record was appended.
+    /// Whether the release record was appended.
     pub appended: bool,
 }
 
-/// A run whose start was appended.
+/// A run whose start was appended and not yet read back.
 #[derive(Debug)]
 pub(crate) struct PendingStart {
-    /// What it starts.
+    /// Specification of the run.
     pub spec: RunSpec,
-    /// Who asked.
+    /// Connections to notify.
     pub connections: BTreeSet<Connection>,
 }
 
-/// Work of one run.
+/// Calls and end of one run that are in progress.
 #[derive(Debug)]
 pub(crate) struct RunActivity {
-    /// The call whose acceptance was appended.
+    /// The call whose acceptance was appended and not yet read back.
     pub accepting: Option<Accepting>,
     /// The call that is open in the journal.
     pub open: Option<OpenCall>,
-    /// How the run is to end.
+    /// The run's end, if one is in progress.
     pub ending: Option<RunEnding>,
-    /// Since when no call is open.
+    /// Time since which no call has been open.
     pub idle_since: Timestamp,
 }
 
@@ -171,63 +171,63 @@
         }
     }
 
-    /// Whether there is nothing to remember.
+    /// Returns whether nothing is in progress.
     pub fn is_idle(&self) -> bool {
         self.accepting.is_none() && self.open.is_none() && self.ending.is_none()
     }
 }
 
-/// A call that arrived.
+/// A submitted call.
 #[derive(Debug)]
 pub(crate) struct Submission {
-    /// The call as made.
+    /// The call as submitted.
     pub spec: CallSpec,
-    /// Prices and limits.
+    /// Prices and timeout of the call's service.
     pub terms: CallTerms,
-    /// Who waits for it.
+    /// Connections that wait for the call.
     pub callers: Callers,
-    /// When it arrived.
+    /// Time of arrival.
     pub received: Timestamp,
-    /// How many calls directly before it will not be made.
+    /// Number of calls directly before this one that the sidecar has abandoned.
     pub abandoned_before: u32,
-    /// Since when its tenant's allotment keeps it waiting.
+    /// Time since which the call has been waiting for its tenant's allotment.
     pub awaiting_allotment_since: Option<Timestamp>,
 }
 
-/// A call whose acceptance was appended.
+/// A call whose acceptance was appended and not yet read back.
 #[derive(Debug)]
 pub(crate) struct Accepting {
     /// The call.
     pub submission: Submission,
-    /// What it is about to reserve.
+    /// Credits to reserve.
     pub reserved: Credits,
-    /// When it was appended.
+    /// Time of the append.
     pub since: Timestamp,
-    /// The tenant, where its budget is drawn on.
+    /// The tenant, if the call is charged to the tenant's budget.
     pub tenant: Option<TenantId>,
 }
 
-/// A call that is open in the journal.
+/// The owner's state of a call that is open in the journal.
 #[derive(Debug)]
 pub(crate) struct OpenCall {
-    /// Its number within the run.
+    /// Number of the call within its run.
     pub number: CallNumber,
-    /// Where it stands.
+    /// Current stage.
     pub stage: Stage,
-    /// Who waits for it.
+    /// Connections that wait for the call.
     pub callers: Callers,
-    /// What of the answer has come.
+    /// Part of the answer received from back ends so far.
     pub answer: AnswerBuffer,
-    /// What a caller said it holds, before anything was dispatched here.
+    /// Longest part of the answer that a caller reported to have received.
     pub delivered: Delivered,
-    /// Whether an attempt before the present one may have run.
+    /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
-    /// Whether an earlier owner left it behind.
+    /// Whether the call was accepted by a previous owner.
     pub recovered: bool,
 }
 
 impl OpenCall {
-    /// A call at the beginning of its work here.
+    /// Creates a call without attempts.
     pub fn new(number: CallNumber, callers: Callers) -> Self {
         Self {
             number,
@@ -241,112 +241,112 @@
     }
 }
 
-/// Where an open call stands.
+/// Stage of an open call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Nothing was begun.
+    /// No attempt was started by this owner.
     Idle,
-    /// The start of an attempt was appended; it goes out once that is read back.
+    /// The start of an attempt was appended; the attempt is sent once the record is read back.
     Intent {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// When it was appended.
+        /// Time of the append.
         since: Timestamp,
     },
-    /// An attempt was taken back from placement, which may just have sent it.
+    /// An attempt was withdrawn from placement, which may have sent it at the same time.
     Withdrawn(Attempt),
-    /// An attempt is out.
+    /// An attempt was passed to placement or to a back end.
     Running(RunningAttempt),
-    /// The next attempt waits for its time.
+    /// The call waits until the next attempt is due.
     Backoff(RetryPlan),
-    /// The reservation of the next attempt was appended.
+    /// The reservation of the next attempt was appended and not yet read back.
     Reserving,
-    /// The caller is given time to say what it holds of the answer.
+    /// The call waits for its caller to report which part of the answer it has received.
     AwaitingCaller {
-        /// Until when.
+        /// End of the wait.
         due_at: Timestamp,
-        /// The retry to make then.
+        /// The retry to make after the wait.
         retry: RetryPlan,
     },
-    /// The end was appended, or the partition is being handed over.
+    /// The end of the call or the release of the partition was appended.
     Closing,
 }
 
-/// An attempt that is out.
+/// An attempt that was passed to placement or to a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RunningAttempt {
-    /// Which.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// How it came about.
+    /// How the attempt was started.
     pub origin: AttemptOrigin,
-    /// When its back end got it; `None` while placement holds it.
+    /// Time at which it was sent to its back end; `None` while it is in placement.
     pub sent: Option<Timestamp>,
 }
 
-/// How an attempt came about.
+/// How an attempt was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOrigin {
-    /// It was dispatched here.
+    /// Dispatched by this owner.
     Dispatched,
-    /// It was taken up from an earlier owner.
+    /// Started by a previous owner and resumed by this one.
     Resumed,
-    /// A tool was asked what became of it.
+    /// Sent to a tool earlier; the tool was queried for its result.
     Queried,
 }
 
-/// A retry that waits for its time.
+/// A planned retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RetryPlan {
-    /// When to try.
+    /// Time of the retry.
     pub due_at: Timestamp,
-    /// Since when it waits.
+    /// Time at which the retry was planned.
     pub since: Timestamp,
-    /// Cost of all attempts so far.
+    /// Total cost of the attempts so far.
     pub spent: Credits,
-    /// How the last attempt failed.
+    /// Reason of the last failure.
     pub reason: FailureReason,
-    /// What to tell the caller if this is given up.
+    /// Delay to report to the caller if the call is refused instead.
     pub retry_after: Option<Duration>,
-    /// Whether the retry is owed to a lost owner rather than to a back end, and so is free of the
-    /// limits on retries.
+    /// Whether the retry is caused by a change of owner rather than by a back end. Such a retry is
+    /// exempt from the attempt limit and the retry budget.
     pub for_recovery: bool,
 }
 
 /// How a run is to end.
 #[derive(Debug)]
 pub(crate) struct RunEnding {
-    /// The phase to reach.
+    /// Phase that the run will have after its end.
     pub phase: RunPhase,
-    /// Who asked.
+    /// Connections to notify.
     pub connections: BTreeSet<Connection>,
-    /// Whether the record was appended.
+    /// Whether the end record was appended.
     pub appended: bool,
 }
 
-/// An allotment asked for.
+/// A pending request for an allotment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AllotmentRequest {
-    /// Its number.
+    /// Number of the request.
     pub request: Sequence,
-    /// How much was asked for.
+    /// Requested credits.
     pub amount: Credits,
-    /// When to ask again.
+    /// Time at which to repeat the request.
     pub repeat_at: Timestamp,
-    /// Whether the grant was appended.
+    /// Whether the received grant was appended and not yet read back.
     pub receiving: bool,
-    /// Whether the holder had nothing to give.
+    /// Whether the holder answered that nothing is left.
     pub denied: bool,
 }
 
-/// Release of an ended run's memory.
+/// Release of an ended run's memory on its engines.
 #[derive(Debug)]
 pub(crate) struct MemoryRelease {
-    /// Engines that have not acknowledged.
+    /// Engines that haven't acknowledged the release.
     pub engines: BTreeSet<EngineId>,
-    /// When to send again.
+    /// Time at which to repeat the release.
     pub repeat_at: Timestamp,
-    /// The wait after that.
+    /// Delay between that repetition and the next one.
     pub backoff: Duration,
-    /// Whether the end of the release was appended.
+    /// Whether the completion of the release was appended.
     pub appended: bool,
 }
--- a/crates/execution/src/soft_state/answer.rs
+++ b/crates/execution/src/soft_state/answer.rs
@@ -1,32 +1,33 @@
-//! The answer of an open call as it arrives.
+//! Buffer for the answer of an open call.
 
 use elderworks_protocol::sidecar::{Chunk, Delivered};
 use elderworks_types::{Attempt, CallId};
 
-/// Chunks of an answer, kept until the call has ended so that a caller that returns misses none.
+/// Chunks of an answer, kept until the call has ended so that a reconnecting caller gets all of
+/// them.
 #[derive(Debug, Default)]
 pub(crate) struct AnswerBuffer {
-    /// Text that was delivered before this buffer began.
+    /// Text that was delivered before this buffer was created.
     base_text: String,
-    /// How many chunks that text came in.
+    /// Number of chunks in which that text was delivered.
     base_chunks: u32,
-    /// The chunks that followed, with the attempt that each is of.
+    /// The chunks after that text, each with its attempt.
     chunks: Vec<(Attempt, String)>,
 }
 
-/// What became of an arriving chunk.
+/// Position of an arriving chunk relative to the buffered ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOrder {
-    /// It is the next one.
+    /// The next chunk.
     Next,
-    /// It was there already.
+    /// A chunk that was received before.
     Repeated,
-    /// Others before it are missing.
+    /// A chunk after a gap.
     Gap,
 }
 
 impl AnswerBuffer {
-    /// An answer that continues text delivered before.
+    /// Creates a buffer for an answer that continues text delivered before.
     pub fn continuing(text: String, chunks: u32) -> Self {
         Self {
             base_text: text,
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Number of chunks so far, and so the number of the next.
+    /// Returns the index of the next chunk.
     pub fn next_index(&self) -> u32 {
         self.base_chunks + self.chunks.len() as u32
     }
 
-    /// All of the text so far.
+    /// Returns all text so far.
     pub fn text(&self) -> String {
         let mut text = self.base_text.clone();
         for (_, chunk) in &self.chunks {
@@ -49,7 +50,7 @@
         text
     }
 
-    /// Takes an arriving chunk.
+    /// Adds an arriving chunk if it is the next one.
     pub fn take(&mut self, attempt: Attempt, index: u32, text: &str) -> ChunkOrder {
         let expected = self.next_index();
         if index < expected {
@@ -62,7 +63,7 @@
         ChunkOrder::Next
     }
 
-    /// The chunks from `index` on that are still held.
+    /// Returns the buffered chunks from `index` on.
     pub fn chunks_from(&self, call: CallId, index: u32) -> Vec<Chunk> {
         let skipped = index.saturating_sub(self.base_chunks) as usize;
         self.chunks
@@ -78,12 +79,12 @@
             .collect()
     }
 
-    /// The number of the first chunk that a caller holding `delivered` still needs; `None` if the
-    /// chunks held here could not be joined to what it holds.
+    /// Returns the index of the first chunk to send to a caller that has already received
+    /// `delivered`, or `None` if the buffered chunks can't be joined to `delivered`.
     ///
-    /// `current` is the attempt that is out. A caller that holds chunks of an earlier attempt,
-    /// which this answer does not continue, gets the answer from its start: it compares the
-    /// repetition with what it has.
+    /// `current` is the running attempt. A caller with chunks of an earlier attempt that this
+    /// answer does not continue gets the answer from its start, and compares it with the text that
+    /// it has.
     pub fn resume_index(&self, delivered: &Delivered, current: Option<Attempt>) -> Option<u32> {
         let from_start = (self.base_chunks == 0).then_some(0);
         if delivered.chunks == 0 {
--- a/crates/execution/src/soft_state/call_notes.rs
+++ b/crates/execution/src/soft_state/call_notes.rs
@@ -1,14 +1,14 @@
-//! What `explain` shows beyond the journal.
+//! Notes on recent calls, shown by `explain` in addition to the journal.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use elderworks_protocol::sidecar::AttemptView;
 use elderworks_types::{Attempt, CallId, EngineId, Timestamp};
 
-/// Most lines kept of one call.
+/// Maximum number of lines, and of attempts, kept per call.
 const MAX_NOTES_PER_CALL: usize = 24;
 
-/// Notes on recent calls; the oldest are dropped first.
+/// Notes on recent calls; the oldest are removed first.
 #[derive(Debug)]
 pub(crate) struct CallNoteStore {
     limit: usize,
@@ -19,18 +19,18 @@
 /// Notes on one call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallNotes {
-    /// When it arrived.
+    /// Time of arrival.
     pub received: Timestamp,
-    /// When it ended.
+    /// Time of the end.
     pub ended: Option<Timestamp>,
-    /// Its attempts.
+    /// Attempts sent, with their times.
     pub attempts: Vec<AttemptView>,
-    /// One line for each wait and decision.
+    /// Descriptions of waits and decisions, one per line.
     pub lines: Vec<String>,
 }
 
 impl CallNoteStore {
-    /// A notebook for this many calls.
+    /// Creates a store for at most `limit` calls.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Begins the notes of a call.
+    /// Creates the notes of a call.
     pub fn start(&mut self, call: CallId, received: Timestamp) {
         let notes = self.entry(call);
         notes.received = received;
     }
 
-    /// Adds a line.
+    /// Adds a line to the notes of a call.
     pub fn add_line(&mut self, call: CallId, line: impl Into<String>) {
         let notes = self.entry(call);
         if notes.lines.len() < MAX_NOTES_PER_CALL {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub fn add_attempt(
         &mut self,
         call: CallId,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A chunk of an attempt arrived.
+    /// Records the arrival of a chunk; only the time of an attempt's first chunk is kept.
     pub fn record_chunk(&mut self, call: CallId, attempt: Attempt, now: Timestamp) {
         let notes = self.entry(call);
         let view = notes
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The call ended.
+    /// Records the end of a call.
     pub fn record_end(&mut self, call: CallId, now: Timestamp) {
         self.entry(call).ended = Some(now);
     }
 
-    /// The notes of a call, if they are still kept.
+    /// Returns the notes of a call if they are still kept.
     pub fn get(&self, call: CallId) -> Option<&CallNotes> {
         self.calls.get(&call)
     }
--- a/crates/execution/src/soft_state/callers.rs
+++ b/crates/execution/src/soft_state/callers.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for one call.
+//! The connections that wait for a call.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +6,17 @@
 
 use crate::event::Connection;
 
-/// Connections that wait for one call, each with the number of the chunk that it needs next;
-/// `None` where only the end may be sent.
+/// The connections that wait for a call, each with the index of the next chunk to send; `None` if
+/// only the outcome may be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Callers {
     next_chunk: BTreeMap<Connection, Option<u32>>,
-    /// Connections of which another copy of the submission may have been taken.
+    /// Connections whose submission may also have been accepted by another node.
     resubmitted: BTreeMap<Connection, SubmissionId>,
 }
 
 impl Callers {
-    /// Adds a connection, or corrects what it needs.
+    /// Adds a connection or changes its next chunk.
     pub fn attach(&mut self, connection: Connection, next_chunk: Option<u32>) {
         self.next_chunk.insert(connection, next_chunk);
     }
@@ -27,14 +27,15 @@
         self.resubmitted.remove(&connection);
     }
 
-    /// Notes which submission a connection waits for.
+    /// Records the submission of a connection if another copy of it may exist.
     pub fn note_submission(&mut self, connection: Connection, submission: SubmissionTag) {
         if let Some(id) = submission.doubtful() {
             self.resubmitted.insert(connection, id);
         }
     }
 
-    /// Each connection, with its submission if a refusal must bind every owner.
+    /// Returns each connection, with its submission if a refusal has to be journalled before it is
+    /// sent.
     pub fn with_resubmitted_ids(&self) -> Vec<(Connection, Option<SubmissionId>)> {
         let connections = self.next_chunk.keys();
         connections
@@ -42,17 +43,17 @@
             .collect()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no connection waits.
     pub fn is_empty(&self) -> bool {
         self.next_chunk.is_empty()
     }
 
-    /// The connections.
+    /// Returns all connections.
     pub fn connections(&self) -> Vec<Connection> {
         self.next_chunk.keys().copied().collect()
     }
 
-    /// The connections that need the chunk `index` now; they are taken to have it.
+    /// Returns the connections whose next chunk is `index`, and advances them past it.
     pub fn take_due(&mut self, index: u32) -> Vec<Connection> {
         let mut due = Vec::new();
         for (connection, next) in &mut self.next_chunk {
--- a/crates/execution/src/soft_state/queue.rs
+++ b/crates/execution/src/soft_state/queue.rs
@@ -1,4 +1,4 @@
-//! Calls that arrived and were not accepted yet.
+//! Queue of submitted calls that are not yet accepted.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use super::Submission;
 use crate::event::Connection;
 
-/// Waiting calls of all runs, by run and number.
+/// Waiting calls of all runs, ordered by run and number.
 #[derive(Debug, Default)]
 pub(crate) struct CallQueue {
     calls: BTreeMap<CallId, Submission>,
 }
 
 impl CallQueue {
-    /// How many calls wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
@@ -24,22 +24,22 @@
         self.calls.insert(call, submission);
     }
 
-    /// A waiting call.
+    /// Returns a waiting call.
     pub fn get(&self, call: CallId) -> Option<&Submission> {
         self.calls.get(&call)
     }
 
-    /// A waiting call.
+    /// Returns a waiting call.
     pub fn get_mut(&mut self, call: CallId) -> Option<&mut Submission> {
         self.calls.get_mut(&call)
     }
 
-    /// Takes a call out.
+    /// Removes and returns a call.
     pub fn remove(&mut self, call: CallId) -> Option<Submission> {
         self.calls.remove(&call)
     }
 
-    /// The waiting calls of one run in order.
+    /// Returns the waiting calls of one run in ascending order of their numbers.
     pub fn of_run(&self, run: RunId) -> impl Iterator<Item = (CallId, &Submission)> {
         let first = CallId {
             run,
@@ -53,15 +53,16 @@
         range.map(|(call, submission)| (*call, submission))
     }
 
-    /// The call of a run whose turn it is when `next` is the first number not used: that number, or
-    /// one before which all unused numbers are abandoned.
+    /// Returns the call of a run that may be accepted next, where `next` is the first unused
+    /// number: the call with that number, or the first later one if all numbers between were
+    /// abandoned.
     pub fn next_call(&self, run: RunId, next: CallNumber) -> Option<CallId> {
         let (call, submission) = self.of_run(run).find(|(call, _)| call.number >= next)?;
         let missing = call.number.0 - next.0;
         (missing <= submission.abandoned_before).then_some(call)
     }
 
-    /// Takes all calls of one run out.
+    /// Removes and returns all calls of one run.
     pub fn take_run(&mut self, run: RunId) -> Vec<(CallId, Submission)> {
         let calls: Vec<CallId> = self.of_run(run).map(|(call, _)| call).collect();
         calls
@@ -70,12 +71,12 @@
             .collect()
     }
 
-    /// Takes all calls out.
+    /// Removes and returns all calls.
     pub fn take_all(&mut self) -> BTreeMap<CallId, Submission> {
         std::mem::take(&mut self.calls)
     }
 
-    /// Removes a connection; calls for which nobody waits any more go with it.
+    /// Removes a connection, and the calls for which no other connection waits.
     pub fn detach(&mut self, connection: Connection) {
         for submission in self.calls.values_mut() {
             submission.callers.detach(connection);
@@ -84,7 +85,7 @@
             .retain(|_, submission| !submission.callers.is_empty());
     }
 
-    /// Runs of which a call waits for its tenant's allotment.
+    /// Returns the runs with a call that waits for its tenant's allotment.
     pub fn runs_awaiting_allotment(&self) -> Vec<RunId> {
         let short = self
             .calls
--- a/crates/execution/src/soft_state/reads.rs
+++ b/crates/execution/src/soft_state/reads.rs
@@ -1,26 +1,26 @@
-//! Reads that wait for a barrier.
+//! Queue of reads that wait for a barrier record to be read back.
 
 use elderworks_types::{RunId, TenantId};
 
 use crate::event::Connection;
 
-/// Most reads that wait.
+/// Maximum number of waiting reads.
 const MAX_PENDING_READS: usize = 1_024;
 
-/// A read of a run.
+/// A request to read a run.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
-    /// Where to reply.
+    /// Connection for the reply.
     pub connection: Connection,
-    /// Matches the reply.
+    /// Identifier of the query, repeated in the reply.
     pub query: u64,
-    /// On whose behalf.
+    /// The tenant that makes the request.
     pub tenant: TenantId,
-    /// The run.
+    /// The run to read.
     pub run: RunId,
 }
 
-/// Reads in two groups: those that the barrier in flight covers, and those that came after it.
+/// Waiting reads: those covered by the barrier in flight, and those that arrived after it.
 #[derive(Debug, Default)]
 pub(crate) struct ReadQueue {
     covered: Vec<PendingRead>,
@@ -28,17 +28,18 @@
 }
 
 impl ReadQueue {
-    /// Whether no more reads can wait.
+    /// Returns whether the maximum number of reads is waiting.
     pub fn is_full(&self) -> bool {
         self.covered.len() + self.waiting.len() >= MAX_PENDING_READS
     }
 
-    /// Adds a read.
+    /// Adds a read that the barrier in flight does not cover.
     pub fn push(&mut self, read: PendingRead) {
         self.waiting.push(read);
     }
 
-    /// Covers all that wait by a new barrier; `false` if one is in flight or nothing waits.
+    /// Covers all waiting reads by a new barrier; returns whether the barrier has to be appended.
+    /// Returns `false` if a barrier is in flight or no read waits.
     pub fn begin_barrier(&mut self) -> bool {
         if !self.covered.is_empty() || self.waiting.is_empty() {
             return false;
@@ -47,12 +48,12 @@
         true
     }
 
-    /// The barrier was read back: these reads can be answered.
+    /// Removes and returns the reads that can be answered after the barrier was read back.
     pub fn finish_barrier(&mut self) -> Vec<PendingRead> {
         std::mem::take(&mut self.covered)
     }
 
-    /// Takes all reads out.
+    /// Removes and returns all reads.
     pub fn take_all(&mut self) -> Vec<PendingRead> {
         let mut reads = std::mem::take(&mut self.covered);
         reads.append(&mut self.waiting);
--- a/crates/execution/src/state.rs
+++ b/crates/execution/src/state.rs
@@ -1,4 +1,4 @@
-//! What survives: the state that every reader of the stream rebuilds alike.
+//! Durable state: computed from the records of the partition's stream, identical on every reader.
 
 mod apply;
 mod budget;
@@ -21,41 +21,41 @@
 /// State of a partition as of one offset of its stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct JournalState {
-    /// Whose records count.
+    /// The current owner, whose records are applied.
     pub ownership: Ownership,
-    /// Runs, active and ended.
+    /// Active and ended runs.
     pub runs: BTreeMap<RunId, RunState>,
-    /// Runs that have an open call.
+    /// Runs with an open call.
     pub open: BTreeSet<RunId>,
-    /// Ended runs by the time of their end.
+    /// Ended runs, ordered by the time of their end.
     pub ended: BTreeSet<(Timestamp, RunId)>,
-    /// Ended runs for which engines may still hold memory.
+    /// Ended runs whose memory an engine may still hold.
     pub unreleased: BTreeSet<RunId>,
-    /// What this partition may spend of each tenant's budget.
+    /// This partition's share of each tenant's budget.
     pub allotments: BTreeMap<TenantId, TenantAllotment>,
-    /// What this partition, as holder, has granted of each tenant's budget.
+    /// Grants to other partitions, for each tenant whose budget this partition holds.
     pub grants: BTreeMap<TenantId, TenantGrants>,
 }
 
 impl JournalState {
-    /// The run, if it belongs to `tenant`.
+    /// Returns the run if it belongs to `tenant`.
     pub fn run_of(&self, tenant: &TenantId, run: RunId) -> Option<&RunState> {
         self.runs
             .get(&run)
             .filter(|state| state.spec.tenant == *tenant)
     }
 
-    /// The call, open or ended.
+    /// Returns the call, open or ended.
     pub fn call(&self, call: CallId) -> Option<&CallState> {
         self.runs.get(&call.run)?.call(call.number)
     }
 
-    /// The call, while it is open.
+    /// Returns the call if it is open.
     pub fn open_call(&self, call: CallId) -> Option<&CallState> {
         self.call(call).filter(|state| state.end.is_none())
     }
 
-    /// Hash of the whole state; equal on all readers that have read as far.
+    /// Returns a hash of the state; readers at the same offset have equal hashes.
     pub fn digest(&self) -> u64 {
         xxhash_rust::xxh3::xxh3_64(&self.encode())
     }
--- a/crates/execution/src/state/apply.rs
+++ b/crates/execution/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! Applying records. Every reader accepts and rejects the same ones.
+//! Application of records to the state. Every reader accepts and rejects the same records.
 
 use elderworks_protocol::journal::{JournalBody, RunLimits};
 use elderworks_protocol::record::Record;
@@ -14,38 +14,38 @@
 use super::run::{AttemptState, CallEnd, CallState, RunState};
 use crate::Faults;
 
-/// What became of a record.
+/// Result of applying a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ApplyOutcome {
-    /// It counts.
+    /// The record was applied.
     Accepted,
-    /// It was read before.
+    /// The record was read before.
     Repeated,
-    /// Its writer did not own the partition at its epoch.
+    /// The record's writer did not own the partition at the record's epoch.
     Fenced,
-    /// It contradicts the state it met, and changes nothing.
+    /// The record contradicts the state and was ignored.
     Inconsistent(Inconsistency),
 }
 
-/// How a record contradicts the state it met.
+/// How a record contradicts the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Inconsistency {
-    /// It names a run that is not there, or one that is there already.
+    /// The run doesn't exist or isn't active, or a run to be started already exists.
     Run,
-    /// It is about a call or attempt whose turn it is not.
+    /// The call or attempt is out of order.
     Order,
-    /// The run's budget does not cover it.
+    /// The run's budget is too small.
     RunBudget,
-    /// The tenant's allotment does not cover it.
+    /// The tenant's allotment is too small.
     TenantBudget,
-    /// It repeats a settled request.
+    /// The request was already handled.
     Request,
 }
 
 type Applied = Result<(), Inconsistency>;
 
 impl JournalState {
-    /// Judges the next record of the stream and, where it counts, applies it.
+    /// Checks the next record of the stream and applies it if it is valid.
     pub fn apply(&mut self, record: &Record<JournalBody>, faults: &Faults) -> ApplyOutcome {
         match self.ownership.admit(record, faults) {
             Err(Rejection::Repeated) => return ApplyOutcome::Repeated,
@@ -293,7 +293,7 @@
         Ok(())
     }
 
-    /// A run that has ended takes no call at all, so nothing need be remembered for it.
+    /// Records a refusal. An ended run refuses every call, so nothing is recorded for it.
     fn bar_submission(&mut self, id: CallId, submission: SubmissionId, refusal: &Refusal) {
         let run = self.runs.get_mut(&id.run).filter(|run| run.is_active());
         if let Some(run) = run {
@@ -375,7 +375,8 @@
 }
 
 impl RunState {
-    /// Takes the call that has just ended into the history, or out of it if it was refused.
+    /// Adds the answer of the call that has just ended to the context, or removes the call if it
+    /// was refused.
     fn settle_history(&mut self, outcome: &Outcome) {
         if let Outcome::Refused(_) = outcome {
             if let Some(call) = self.calls.pop() {
--- a/crates/execution/src/state/budget.rs
+++ b/crates/execution/src/state/budget.rs
@@ -1,4 +1,4 @@
-//! What calls cost, and the books of tenants.
+//! Cost of calls, and tenants' budgets.
 
 use std::collections::BTreeMap;
 
@@ -10,42 +10,42 @@
 
 use super::run::CallState;
 
-/// What this partition may spend of a tenant's budget.
+/// This partition's share of a tenant's budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TenantAllotment {
-    /// Received in all.
+    /// Total credits received from the holder of the budget.
     pub received: Credits,
-    /// Set aside for open calls.
+    /// Credits reserved for open calls.
     pub reserved: Credits,
-    /// Settled.
+    /// Settled cost of ended calls.
     pub spent: Credits,
-    /// Number of the last request that was answered with a grant.
+    /// Number of the last request that received a grant.
     pub last_request: Sequence,
 }
 
 impl TenantAllotment {
-    /// What can still be reserved.
+    /// Returns the credits that can still be reserved.
     pub fn available(&self) -> Credits {
         self.received.saturating_sub(self.reserved + self.spent)
     }
 
-    /// Replaces one reservation by another.
+    /// Replaces a reservation by another.
     pub fn adjust(&mut self, released: Credits, reserved: Credits) {
         self.reserved = self.reserved.saturating_sub(released) + reserved;
     }
 }
 
-/// What the holder of a tenant's budget has granted.
+/// Grants made by the holder of a tenant's budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TenantGrants {
-    /// Granted in all.
+    /// Sum of all grants.
     pub total: Credits,
-    /// Last request of each partition, and what it was granted.
+    /// Last granted request of each partition, with the amount.
     pub partitions: BTreeMap<PartitionId, (Sequence, Credits)>,
 }
 
 impl TenantGrants {
-    /// Number of the last request granted to a partition; 0 before the first.
+    /// Returns the number of the last request granted to a partition; 0 before the first.
     pub fn last_request(&self, partition: PartitionId) -> Sequence {
         self.partitions
             .get(&partition)
@@ -53,7 +53,7 @@
     }
 }
 
-/// The most that one attempt can cost.
+/// Returns the maximum cost of one attempt.
 pub(crate) fn reservation(
     terms: &CallTerms,
     request: &CallRequest,
@@ -73,13 +73,14 @@
     attempt_cost(terms, request, &usage)
 }
 
-/// Tokens that may still be generated once part of an answer was delivered; at least one.
+/// Returns how many more tokens may be generated if `continue_text` was already delivered; at least
+/// one.
 fn remaining_output(max_output: Tokens, continue_text: &str) -> Tokens {
     let rest = max_output.saturating_sub(text::token_count(continue_text));
     rest.max(Tokens(1))
 }
 
-/// What one attempt cost by its usage.
+/// Returns the cost of one attempt with this usage.
 pub(crate) fn attempt_cost(terms: &CallTerms, request: &CallRequest, usage: &Usage) -> Credits {
     match request {
         CallRequest::Model(_) => {
@@ -91,7 +92,7 @@
     }
 }
 
-/// What a call costs its run once it has ended so.
+/// Returns what the run pays for a call that ended with `outcome`.
 pub(crate) fn settled_cost(call: &CallState, outcome: &Outcome) -> Credits {
     match outcome {
         Outcome::Completed(answer) => answer.cost,
--- a/crates/execution/src/state/history.rs
+++ b/crates/execution/src/state/history.rs
@@ -1,37 +1,38 @@
-//! A run's history: which messages the next prompt may begin with.
+//! The history of a run: the messages that the next prompt can start with.
 //!
-//! Messages are stored once, inside the calls that brought them; the context only refers to them.
+//! Each message is stored once, in the call that sent or produced it. The context refers to
+//! messages by index.
 
 use elderworks_types::{CallRequest, Message, Outcome, Role};
 use serde::{Deserialize, Serialize};
 
 use super::run::{CallState, RunState};
 
-/// Refers to one message of a run.
+/// Reference to one message of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ContextEntry {
-    /// A message that a call sent.
+    /// A message sent by a call.
     Sent {
-        /// Index of the call.
+        /// Index in [`RunState::calls`].
         call: u32,
-        /// Index of the message within it.
+        /// Index in the call's messages.
         message: u32,
     },
-    /// The answer of a call.
+    /// The answer to a call.
     Answer {
-        /// Index of the call.
+        /// Index in [`RunState::calls`].
         call: u32,
     },
 }
 
 impl RunState {
-    /// Every message of the context in order.
+    /// Returns all messages of the context in order.
     pub fn history(&self) -> Vec<Message> {
         self.messages(&self.context)
     }
 
-    /// Every message that any call sent or received, in order, whether or not a later call dropped
-    /// it from its prompt.
+    /// Returns all messages that any call sent or received, in order, including those that a later
+    /// call removed from its prompt.
     pub fn full_history(&self) -> Vec<Message> {
         let mut messages = Vec::new();
         for call in &self.calls {
@@ -41,8 +42,8 @@
         messages
     }
 
-    /// The prompt of a call that begins with `prefix` messages of the history, or `None` if the
-    /// history is shorter than that.
+    /// Returns the first `prefix` messages of the context followed by `messages`, or `None` if the
+    /// context is shorter than `prefix`.
     pub fn prompt(&self, prefix: u32, messages: &[Message]) -> Option<Vec<Message>> {
         let entries = self.context.get(..prefix as usize)?;
         let mut prompt = self.messages(entries);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Puts the messages of a call about to be pushed on the context; returns the entries dropped.
+    /// Truncates the context to the prefix that the call uses and appends the call's messages. Must
+    /// be called before the call is added to [`Self::calls`]. Returns the removed entries.
     pub fn extend_context(&mut self, request: &CallRequest) -> Vec<ContextEntry> {
         let CallRequest::Model(model) = request else {
             return Vec::new();
@@ -81,7 +83,7 @@
         dropped
     }
 
-    /// Undoes [`Self::extend_context`] for a call that was refused and has just been removed.
+    /// Reverts [`Self::extend_context`] for a refused call, after its removal from [`Self::calls`].
     pub fn restore_context(&mut self, call: CallState) {
         let CallRequest::Model(model) = &call.spec.request else {
             return;
--- a/crates/execution/src/state/ownership.rs
+++ b/crates/execution/src/state/ownership.rs
@@ -1,4 +1,4 @@
-//! Whose records count.
+//! Ownership of the partition and fencing of former owners.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_protocol::record::{Record, Writer};
@@ -7,29 +7,34 @@
 
 use crate::Faults;
 
-/// Why a record does not count, whatever it says.
+/// Reason why a record is ignored regardless of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rejection {
-    /// The owner appended it again after a lost answer.
+    /// Duplicate of a record that was already read: the owner retried an append.
     Repeated,
-    /// It is of an older epoch, or its writer does not own the partition.
+    /// The record has an older epoch, or its writer does not own the partition.
     NotOwner,
 }
 
-/// The present owner.
+/// The current owner of the partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ownership {
-    /// Epoch of the last claim that won; 0 before the first.
+    /// Epoch of the last successful claim; 0 before the first.
     pub epoch: Epoch,
-    /// Who won it; `None` before the first claim and after a release.
+    /// Writer of that claim; `None` before the first claim and after a release.
     pub owner: Option<Writer>,
-    /// Number of the owner's last record that was read.
+    /// Sequence number of the owner's last record that was read.
     pub last_sequence: Sequence,
 }
 
 impl Ownership {
-    /// Judges a record by its stamp and takes note of it. The first claim at the next epoch wins;
-    /// all else counts only from the present owner, at the present epoch, once.
+    /// Checks the writer, epoch and sequence number of a record and updates the ownership. The
+    /// first claim for the next epoch succeeds. Every other record is accepted only once, from the
+    /// current owner and with the current epoch.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the record has to be ignored.
     pub fn admit(
         &mut self,
         record: &Record<JournalBody>,
--- a/crates/execution/src/state/run.rs
+++ b/crates/execution/src/state/run.rs
@@ -1,4 +1,4 @@
-//! One run and its calls.
+//! Durable state of one run and its calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,38 +12,38 @@
 
 use super::history::ContextEntry;
 
-/// A run.
+/// Durable state of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RunState {
-    /// What its caller fixed.
+    /// Specification given by the caller.
     pub spec: RunSpec,
-    /// Limits of its program when it started.
+    /// Limits of the run's program at the time of the start.
     pub limits: RunLimits,
-    /// When it started.
+    /// Time of the start.
     pub started: Timestamp,
-    /// Where it stands.
+    /// Current phase.
     pub phase: RunPhase,
-    /// Settled cost of its ended calls and ended sub-agents.
+    /// Settled cost of ended calls and ended sub-agents.
     pub spent: Credits,
-    /// Budgets of its active sub-agents.
+    /// Sum of the budgets reserved for active sub-agents.
     pub carved: Credits,
-    /// Its active sub-agents.
+    /// Active sub-agents.
     pub children: BTreeSet<RunId>,
-    /// Its calls in order of their numbers, some of which may be passed over; only the last can be
-    /// open.
+    /// Calls in ascending order of their numbers, which may have gaps. Only the last can be open.
     pub calls: Vec<CallState>,
-    /// The messages with which the next prompt may begin.
+    /// Messages that the next prompt can start with.
     pub context: Vec<ContextEntry>,
-    /// Submissions that no owner takes any more, by call, with the reason that was given.
+    /// Submissions that every owner refuses, with the refusal sent to the caller.
     pub barred: BTreeMap<(CallNumber, SubmissionId), Refusal>,
-    /// Engines that were given a call of this run.
+    /// Engines to which a call of this run was sent.
     pub engines: BTreeSet<EngineId>,
-    /// Tokens prefilled and generated for it.
+    /// Tokens prefilled and generated for this run; placement uses them as the engine time
+    /// received.
     pub attained: Tokens,
 }
 
 impl RunState {
-    /// A run that has just started.
+    /// Creates an active run without calls.
     pub fn new(spec: RunSpec, limits: RunLimits, started: Timestamp) -> Self {
         Self {
             spec,
@@ -61,18 +61,18 @@
         }
     }
 
-    /// Whether it takes calls.
+    /// Returns whether the run accepts calls.
     pub fn is_active(&self) -> bool {
         self.phase == RunPhase::Active
     }
 
-    /// The smallest number that its next call can have.
+    /// Returns the smallest number that the next call can have.
     pub fn next_number(&self) -> CallNumber {
         let last = self.calls.last().map(|call| call.spec.number);
         last.unwrap_or_default().next()
     }
 
-    /// A call by its number.
+    /// Returns the call with this number.
     pub fn call(&self, number: CallNumber) -> Option<&CallState> {
         let found = self
             .calls
@@ -80,33 +80,33 @@
         self.calls.get(found.ok()?)
     }
 
-    /// The open call, if there is one.
+    /// Returns the open call, if there is one.
     pub fn open_call(&self) -> Option<&CallState> {
         self.calls.last().filter(|call| call.end.is_none())
     }
 
-    /// The open call, if it has this number.
+    /// Returns the open call if it has this number.
     pub fn open_call_mut(&mut self, number: CallNumber) -> Option<&mut CallState> {
         self.calls
             .last_mut()
             .filter(|call| call.end.is_none() && call.spec.number == number)
     }
 
-    /// Forgets barred submissions whose number is used for good by a call that has ended: their
-    /// copies are turned away by the number alone. After a refusal the number is free again.
+    /// Removes barred submissions whose number was used by a call that has ended: the number alone
+    /// is enough to refuse their copies. A refused call does not use up its number.
     pub fn forget_barred(&mut self, ended: CallNumber, outcome: &Outcome) {
         if !matches!(outcome, Outcome::Refused(_)) {
             self.barred.retain(|(number, _), _| *number > ended);
         }
     }
 
-    /// Set aside for the open call and for sub-agents.
+    /// Returns the credits reserved for the open call and for sub-agents.
     pub fn reserved(&self) -> Credits {
         let open = self.open_call().map_or(Credits::ZERO, CallState::held);
         open + self.carved
     }
 
-    /// What can still be reserved.
+    /// Returns the credits that can still be reserved.
     pub fn available(&self) -> Credits {
         self.spec
             .budget
@@ -114,59 +114,60 @@
     }
 }
 
-/// A call that was accepted.
+/// Durable state of an accepted call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CallState {
-    /// The call as made.
+    /// The call as submitted.
     pub spec: CallSpec,
-    /// Prices and limits.
+    /// Prices and timeout of the call's service.
     pub terms: CallTerms,
-    /// Reserved for the present attempt.
+    /// Credits reserved for the current attempt.
     pub reserved: Credits,
-    /// Charged for the attempts before it.
+    /// Credits charged for earlier attempts.
     pub spent: Credits,
-    /// The attempt that may run now.
+    /// The attempt that may currently run.
     pub permitted: Attempt,
-    /// The epoch at whose beginning surely no back end had seen the permitted attempt.
+    /// Epoch at whose start the permitted attempt was known not to have been sent, as stated by the
+    /// previous owner's release.
     pub unsent_at: Option<Epoch>,
-    /// Attempts given to a back end.
+    /// Attempts sent to a back end.
     pub attempts: Vec<AttemptState>,
-    /// Text of the answer that the present attempt continues.
+    /// Text of the answer that the current attempt continues.
     pub continue_text: String,
-    /// How many chunks that text came in.
+    /// Number of chunks in which that text was delivered.
     pub continue_chunks: u32,
-    /// Context that the call dropped by a shorter prefix, in case it is refused.
+    /// Context entries that this call removed by using a shorter prefix; restored if it is refused.
     pub dropped: Vec<ContextEntry>,
-    /// How it ended.
+    /// Outcome, once the call has ended.
     pub end: Option<CallEnd>,
 }
 
 impl CallState {
-    /// All that is set aside for it.
+    /// Returns all credits set aside for the call, charged or reserved.
     pub fn held(&self) -> Credits {
         self.spent + self.reserved
     }
 
-    /// The last attempt given to a back end.
+    /// Returns the last attempt sent to a back end.
     pub fn last_attempt(&self) -> Option<&AttemptState> {
         self.attempts.last()
     }
 }
 
-/// An attempt that was given to a back end, or was about to be.
+/// An attempt that was sent to a back end, or was about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AttemptState {
-    /// Which.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The engine, for a model call, once placed.
+    /// The engine of a model call, once placed.
     pub engine: Option<EngineId>,
 }
 
-/// How a call ended.
+/// Outcome of an ended call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CallEnd {
-    /// Its one outcome.
+    /// The outcome reported to the caller.
     pub outcome: Outcome,
-    /// Chunks of the answer.
+    /// Number of chunks of the answer.
     pub chunks: u32,
 }
--- a/crates/execution/src/state/snapshot.rs
+++ b/crates/execution/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the state as records, and a reader that starts from them.
+//! Snapshots: encoding the state into records, and loading it from them.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 
 use super::JournalState;
 
-/// Epoch of a stream's first claim.
+/// Epoch of the first claim of a stream.
 const FIRST_EPOCH: Epoch = Epoch(1);
 
-/// Bytes of state in one record.
+/// Maximum number of bytes of state per snapshot record.
 const MAX_PART_BYTES: usize = 256 * 1024;
 
 impl JournalState {
-    /// The state as versioned bytes.
+    /// Encodes the state, with a version.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 }
 
-/// Cuts a state into the records of one snapshot.
+/// Splits a state into the records of one snapshot.
 pub(crate) fn snapshot_records(state: &JournalState) -> Vec<JournalBody> {
     let bytes = state.encode();
     let pieces: Vec<&[u8]> = bytes.chunks(MAX_PART_BYTES).collect();
@@ -37,20 +37,20 @@
         .collect()
 }
 
-/// How a reader comes by its first state.
+/// Progress of loading a reader's initial state.
 #[derive(Debug)]
 pub(crate) enum Loader {
-    /// Nothing was read yet.
+    /// No claim or snapshot has been read yet.
     Empty,
-    /// The first record was a snapshot's first part; the other parts are being gathered.
+    /// The first part of a snapshot was read; further parts are missing.
     PartialSnapshot(PartialSnapshot),
-    /// The state is whole.
+    /// The state is complete.
     Done,
-    /// The snapshot broke off or cannot be read: start from an earlier one.
+    /// The snapshot is incomplete or can't be decoded; the reader has to start from an earlier one.
     Failed,
 }
 
-/// A snapshot of which some parts are still missing.
+/// A snapshot with some parts still missing.
 #[derive(Debug)]
 pub(crate) struct PartialSnapshot {
     writer: Writer,
@@ -58,22 +58,22 @@
     parts: u32,
     last_sequence: Sequence,
     collected: BTreeMap<u32, Vec<u8>>,
-    /// Other records met between the parts, to be applied after them.
+    /// Records read between the parts, to be applied after the snapshot.
     interleaved: Vec<(Offset, Record<JournalBody>)>,
 }
 
-/// What a record did to a reader that is still loading.
+/// What to do after a record was passed to [`Loader::take`].
 pub(crate) enum LoadStep {
-    /// The state is whole already: apply the record.
+    /// Apply the record: the state was already complete.
     Apply,
-    /// The record was taken in; there is nothing to apply yet.
+    /// Apply nothing: the state is still incomplete.
     Wait,
-    /// The state is whole now; these records follow it.
+    /// Replace the state by this one, then apply these records.
     Loaded(Box<JournalState>, Vec<(Offset, Record<JournalBody>)>),
 }
 
 impl Loader {
-    /// Shows a record to the loader.
+    /// Processes the next record of the stream.
     pub fn take(&mut self, offset: Offset, record: &Record<JournalBody>) -> LoadStep {
         match self {
             Loader::Done => LoadStep::Apply,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Before a stream's first claim nothing counts, so a first state is either that claim's or a
-    /// snapshot's; what a batch holds in front of either is passed over.
+    /// Starts from the stream's first claim or from the first part of a snapshot. Earlier records
+    /// of the same batch are skipped.
     fn start_loading(&mut self, record: &Record<JournalBody>) -> LoadStep {
         match &record.body {
             JournalBody::Claim { .. } if record.epoch == FIRST_EPOCH => {
