--- a/crates/execution/examples/slopes.rs
+++ b/crates/execution/examples/slopes.rs
@@ -1,6 +1,6 @@
-//! Measures what a partition costs as it grows: time per call, per tick, per takeover and per
-//! snapshot, and bytes of state per run and per turn. Prints one line of comma-separated values per
-//! size, under a line of names.
+//! Measures how the cost of a partition grows with the number of runs: time per call, tick,
+//! replayed record, takeover and snapshot, and bytes of state per run and turn. Prints CSV with a
+//! header line and one line per number of runs.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -18,13 +18,13 @@
 
 const SIZES: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// Calls over which the time per call is averaged.
+/// Number of calls over which the time per call is averaged.
 const MEASURED_CALLS: u64 = 2_000;
 
-/// Bytes of each message and of each answer.
+/// Size of each message and each answer in bytes.
 const MESSAGE_BYTES: usize = 200;
 
-/// A partition whose appends are read back at once.
+/// A partition whose records are read back immediately.
 struct Bench {
     partition: Partition,
     writer: Writer,
@@ -178,26 +178,26 @@
     }
     let one_turn = bench.partition.encoded_size();
 
-    let begun = Instant::now();
+    let started = Instant::now();
     for call in 0..MEASURED_CALLS {
         let number = 2 + (call / runs) as u32;
         bench.call(RunId::root(call % runs), number);
     }
-    let per_call = micros(begun.elapsed(), MEASURED_CALLS);
+    let per_call = micros(started.elapsed(), MEASURED_CALLS);
 
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..100 {
         bench.event(Event::Tick);
     }
-    let per_tick = micros(begun.elapsed(), 100);
+    let per_tick = micros(started.elapsed(), 100);
 
-    let begun = Instant::now();
+    let started = Instant::now();
     let snapshot = bench.partition.handle(bench.now, Event::TakeSnapshot);
-    let per_snapshot = micros(begun.elapsed(), 1);
+    let per_snapshot = micros(started.elapsed(), 1);
     drop(snapshot);
 
     let mut follower = Bench::follower("node-b");
-    let begun = Instant::now();
+    let started = Instant::now();
     for record in &bench.records {
         follower.partition.handle(
             follower.now,
@@ -207,10 +207,10 @@
             },
         );
     }
-    let per_record = micros(begun.elapsed(), bench.records.len() as u64);
-    let begun = Instant::now();
+    let per_record = micros(started.elapsed(), bench.records.len() as u64);
+    let started = Instant::now();
     follower.event(Event::Claim { forced: true });
-    let takeover = micros(begun.elapsed(), 1);
+    let takeover = micros(started.elapsed(), 1);
     println!(
         "{runs},{per_call:.2},{per_tick:.2},{per_record:.2},{takeover:.1},{per_snapshot:.1},{:.1},{:.1}",
         empty as f64 / runs as f64,
--- a/crates/execution/tests/budget.rs
+++ b/crates/execution/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets of runs, of sub-agents and of tenants.
+//! Tests of the budgets of runs, sub-agents and tenants.
 
 mod common;
 
@@ -14,7 +14,8 @@
     Credits, Outcome, PartitionId, RefusalReason, RunId, RunSpec, Sequence, TenantId,
 };
 
-/// A one-message call costs at most: prompt `<|user|>x\n` of 3 tokens, and 10 tokens at 2 credits.
+/// Maximum cost in credits of a call with the message `x`: the prompt `<|user|>x\n` has 3 tokens at
+/// 1 credit, and the answer up to 10 tokens at 2 credits.
 const CALL: u64 = 3 + 20;
 
 fn started(budget: u64) -> World {
@@ -24,7 +25,7 @@
     world
 }
 
-fn books(world: &World, run: RunId) -> (u64, u64) {
+fn spent_and_reserved(world: &World, run: RunId) -> (u64, u64) {
     let view = world.nodes[0].partition.view(run).expect("the run");
     (view.spent.0, view.reserved.0)
 }
@@ -41,17 +42,17 @@
 }
 
 #[test]
-fn the_most_a_call_can_cost_is_reserved_and_then_settled() {
+fn maximum_cost_is_reserved_and_actual_cost_is_settled() {
     let mut world = started(100);
     world.event(0, submit(RUN, model_call(1, 0, "x")));
-    assert_eq!(books(&world, RUN), (0, CALL));
+    assert_eq!(spent_and_reserved(&world, RUN), (0, CALL));
     world.place(0, call(RUN, 1), 1, "engine-a");
     world.complete(0, call(RUN, 1), 1, "ok");
-    assert_eq!(books(&world, RUN), (4 + 2 * 2, 0));
+    assert_eq!(spent_and_reserved(&world, RUN), (4 + 2 * 2, 0));
 }
 
 #[test]
-fn a_call_that_the_budget_cannot_cover_is_refused_unrun() {
+fn call_exceeding_the_run_budget_is_refused() {
     let mut world = started(CALL - 1);
     world.event(0, submit(RUN, model_call(1, 0, "x")));
     assert_eq!(refusals(&mut world), [RefusalReason::RunBudgetExhausted]);
@@ -59,15 +60,15 @@
 }
 
 #[test]
-fn a_retry_is_reserved_beside_the_lost_attempt_or_not_made() {
+fn retry_requires_budget_beyond_the_lost_attempt() {
     for (budget, attempts) in [(2 * CALL, 2), (2 * CALL - 1, 1)] {
         let mut world = started(budget);
         world.event(0, submit(RUN, model_call(1, 0, "x")));
         world.place(0, call(RUN, 1), 1, "engine-a");
-        world.fail(0, call(RUN, 1), 1, lost());
-        world.pass(Duration::from_secs(1));
+        world.fail(0, call(RUN, 1), 1, lost_failure());
+        world.advance_time(Duration::from_secs(1));
         assert_eq!(world.take_dispatches(0).len(), attempts, "budget {budget}");
-        let (spent, reserved) = books(&world, RUN);
+        let (spent, reserved) = spent_and_reserved(&world, RUN);
         assert!(spent + reserved <= budget);
     }
 }
@@ -82,9 +83,9 @@
         world.event(0, submit(RUN, model_call(1, 0, "x")));
         world.place(0, call(RUN, 1), 1, "engine-a");
         world.fail(0, call(RUN, 1), 1, failure);
-        world.pass(Duration::from_secs(1));
+        world.advance_time(Duration::from_secs(1));
         assert_eq!(world.take_dispatches(0).len(), 2);
-        assert_eq!(books(&world, RUN), (0, CALL));
+        assert_eq!(spent_and_reserved(&world, RUN), (0, CALL));
     }
 }
 
@@ -96,16 +97,16 @@
 }
 
 #[test]
-fn a_sub_agents_budget_is_carved_from_its_parents_and_the_rest_returns() {
+fn sub_agent_budget_is_reserved_from_the_parent_and_the_rest_is_returned() {
     let mut world = started(100);
     world.event(0, start_with(sub_agent(1, 60), limits()));
-    assert_eq!(books(&world, RUN), (0, 60));
+    assert_eq!(spent_and_reserved(&world, RUN), (0, 60));
     world.event(0, start_with(sub_agent(2, 41), limits()));
     let refused = world.take_messages(0).into_iter().any(|message| {
         matches!(message, NodeMessage::RunRefused { refusal, .. }
             if refusal.reason == RefusalReason::RunBudgetExhausted)
     });
-    assert!(refused, "41 of the 40 left");
+    assert!(refused, "41 requested, 40 available");
 
     let child = RUN.child(1);
     world.event(0, submit(child, model_call(1, 0, "x")));
@@ -117,7 +118,7 @@
         run: child,
     };
     world.event(0, end);
-    assert_eq!(books(&world, RUN), (8, 0));
+    assert_eq!(spent_and_reserved(&world, RUN), (8, 0));
 }
 
 fn tenant_limits() -> RunLimits {
@@ -162,7 +163,7 @@
     world.event(0, submit(RUN, model_call(1, 0, "x")));
     assert!(world.take_dispatches(0).is_empty());
     assert_eq!(requests(&mut world), [(Sequence(1), Credits(CALL))]);
-    world.pass(Duration::from_secs(1));
+    world.advance_time(Duration::from_secs(1));
     let repeats = requests(&mut world);
     assert!(!repeats.is_empty() && repeats.iter().all(|(request, _)| *request == Sequence(1)));
     world.event(0, grant(1, CALL));
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn a_tenant_with_nothing_left_is_refused() {
+fn call_is_refused_when_the_tenant_budget_is_exhausted() {
     let mut world = World::owned_with(small_allotments());
     world.event(0, start_with(run_spec(RUN, 1_000), tenant_limits()));
     world.event(0, submit(RUN, model_call(1, 0, "x")));
@@ -180,7 +181,7 @@
     assert_eq!(refusals(&mut world), [RefusalReason::TenantBudgetExhausted]);
 }
 
-fn ask(partition: u32, request: u64, amount: u64) -> Event {
+fn allotment_request(partition: u32, request: u64, amount: u64) -> Event {
     Event::AllotmentRequested {
         tenant: tenant(),
         partition: PartitionId(partition),
@@ -189,7 +190,7 @@
     }
 }
 
-fn granted(world: &mut World, node: usize) -> Vec<(PartitionId, Credits)> {
+fn grants(world: &mut World, node: usize) -> Vec<(PartitionId, Credits)> {
     let effects = world.take_effects(node);
     effects
         .into_iter()
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_holder_never_grants_past_the_limit_and_repeats_cost_nothing() {
+fn holder_never_grants_more_than_the_limit_and_repeats_are_free() {
     let mut world = World::owned();
     for node in 0..2 {
         let limit = Event::TenantLimit {
@@ -212,36 +213,36 @@
         };
         world.event(node, limit);
     }
-    world.event(0, ask(3, 1, 60));
-    world.event(0, ask(3, 1, 60));
-    world.event(0, ask(4, 1, 60));
+    world.event(0, allotment_request(3, 1, 60));
+    world.event(0, allotment_request(3, 1, 60));
+    world.event(0, allotment_request(4, 1, 60));
     let expected = [
         (PartitionId(3), Credits(60)),
         (PartitionId(3), Credits(60)),
         (PartitionId(4), Credits(40)),
     ];
-    assert_eq!(granted(&mut world, 0), expected);
+    assert_eq!(grants(&mut world, 0), expected);
 
     world.nodes[0].paused = true;
     world.take_over(1);
-    world.event(1, ask(3, 1, 60));
-    world.event(1, ask(5, 1, 1));
+    world.event(1, allotment_request(3, 1, 60));
+    world.event(1, allotment_request(5, 1, 1));
     let expected = [(PartitionId(3), Credits(60)), (PartitionId(5), Credits(0))];
-    assert_eq!(granted(&mut world, 1), expected);
+    assert_eq!(grants(&mut world, 1), expected);
 }
 
 #[test]
-fn two_requests_in_flight_are_not_granted_twice_over() {
+fn concurrent_requests_do_not_exceed_the_limit() {
     let mut world = World::owned();
     let limit = Event::TenantLimit {
         tenant: tenant(),
         limit: Some(Credits(100)),
     };
     world.event(0, limit);
-    world.feed(0, ask(3, 1, 60));
-    world.feed(0, ask(4, 1, 60));
+    world.feed(0, allotment_request(3, 1, 60));
+    world.feed(0, allotment_request(4, 1, 60));
     world.settle();
-    let total: u64 = granted(&mut world, 0)
+    let total: u64 = grants(&mut world, 0)
         .iter()
         .map(|(_, amount)| amount.0)
         .sum();
--- a/crates/execution/tests/common/build.rs
+++ b/crates/execution/tests/common/build.rs
@@ -1,4 +1,4 @@
-//! Values that tests need over and over.
+//! Builders for specifications, terms and events used by several tests.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A tool call that must not be repeated.
+/// Returns a tool call that must not be repeated.
 pub fn tool_call(number: u32) -> CallSpec {
     CallSpec {
         number: CallNumber(number),
@@ -128,7 +128,7 @@
     }
 }
 
-pub fn lost() -> AttemptFailure {
+pub fn lost_failure() -> AttemptFailure {
     AttemptFailure::Lost {
         reason: FailureReason::AttemptsExhausted,
         usage: Usage::default(),
--- a/crates/execution/tests/common/chaos.rs
+++ b/crates/execution/tests/common/chaos.rs
@@ -1,4 +1,5 @@
-//! Random histories of a partition: crashes, pauses, takeovers, lost and late answers.
+//! Execution of random histories of a partition with crashes, pauses, takeovers, and lost and late
+//! responses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,21 +12,23 @@
 };
 
 use super::build::*;
-use super::machines::{Backends, Callers, HeldCall, Reply, ReplyKind, Wire, whole_answer};
+use super::environment::{
+    Backends, Callers, PendingCall, ReplyInTransit, ReplyKind, RequestInTransit, complete_answer,
+};
 use super::{Node, World};
 
 pub const NODES: usize = 3;
 
-/// Budgets of the runs: one seldom reached, one that three calls exhaust.
+/// Budgets of the runs in credits. The first is rarely exhausted, the second by three calls.
 pub const BUDGETS: [u64; 2] = [400, 90];
 
-/// One thing that happens.
+/// One step of a random history.
 #[derive(Clone, Debug)]
 pub enum Step {
     Submit {
         run: u64,
         tool: bool,
-        crossed: bool,
+        reordered: bool,
     },
     Resubmit {
         node: Node,
@@ -60,7 +63,7 @@
     Pause {
         node: Node,
     },
-    Wake {
+    Unpause {
         node: Node,
     },
     Restart {
@@ -76,7 +79,7 @@
         run: u64,
         node: Node,
     },
-    Pass {
+    AdvanceTime {
         millis: u64,
     },
 }
@@ -85,10 +88,10 @@
     pub world: World,
     pub backends: Backends,
     pub callers: Callers,
-    /// Attempts that a node's placement holds.
+    /// Attempts in the placement of a node.
     placing: Vec<(Node, CallId, Attempt, BackendRequest)>,
-    wires: Vec<Wire>,
-    replies: Vec<Reply>,
+    requests_in_transit: Vec<RequestInTransit>,
+    replies_in_transit: Vec<ReplyInTransit>,
     lost_releases: BTreeSet<(RunId, EngineId)>,
 }
 
@@ -101,27 +104,31 @@
             backends: Backends::default(),
             callers: Callers::default(),
             placing: Vec::new(),
-            wires: Vec::new(),
-            replies: Vec::new(),
+            requests_in_transit: Vec::new(),
+            replies_in_transit: Vec::new(),
             lost_releases: BTreeSet::new(),
         };
         for (run, budget) in (0..).zip(BUDGETS) {
             chaos.world.event(0, start(RunId::root(run), budget));
         }
-        chaos.absorb();
+        chaos.process_effects();
         chaos
     }
 
-    /// Lets one step happen and checks what can be checked at once.
+    /// Executes one step and processes the resulting effects.
     pub fn step(&mut self, step: &Step) {
         match *step {
-            Step::Submit { run, tool, crossed } => self.submit(RunId::root(run), tool, crossed),
+            Step::Submit {
+                run,
+                tool,
+                reordered,
+            } => self.submit(RunId::root(run), tool, reordered),
             Step::Resubmit { node } => self.resubmit(node),
             Step::Flush { node, copies } => self.world.flush_node(node, copies),
             Step::Deliver { node, records } => {
                 for _ in 0..records {
                     self.world.deliver_one(node);
-                    self.absorb();
+                    self.process_effects();
                 }
             }
             Step::Place { pick, refuse } => self.place(pick, refuse),
@@ -134,20 +141,20 @@
             Step::Claim { node } => self.feed(node, Event::Claim { forced: true }),
             Step::Release { node } => self.feed(node, Event::Release),
             Step::Pause { node } => self.world.nodes[node].paused = true,
-            Step::Wake { node } => self.world.nodes[node].paused = false,
+            Step::Unpause { node } => self.world.nodes[node].paused = false,
             Step::Restart { node } => self.restart(node),
             Step::Snapshot { node } => self.feed(node, Event::TakeSnapshot),
             Step::LogUp { up } => self.set_log(up),
             Step::EndRun { run, node } => self.end_run(RunId::root(run), node),
-            Step::Pass { millis } => self.pass(millis),
+            Step::AdvanceTime { millis } => self.advance_time(millis),
         }
-        self.absorb();
+        self.process_effects();
     }
 
     pub(super) fn feed(&mut self, node: Node, event: Event) {
         if !self.world.nodes[node].paused {
             self.world.feed(node, event);
-            self.absorb();
+            self.process_effects();
         }
     }
 
@@ -158,7 +165,7 @@
         }
     }
 
-    pub(super) fn pass(&mut self, millis: u64) {
+    pub(super) fn advance_time(&mut self, millis: u64) {
         self.world.now = self.world.now + Duration::from_millis(millis);
         for node in 0..NODES {
             self.feed(node, Event::Tick);
@@ -171,21 +178,21 @@
         self.world.restart_unread(node);
     }
 
-    /// The next call of a run, and the one after it first if they cross on the way.
-    fn submit(&mut self, run: RunId, tool: bool, crossed: bool) {
-        let mine = self
+    /// Submits the next call of a run; if `reordered`, also the call after it, which arrives first.
+    fn submit(&mut self, run: RunId, tool: bool, reordered: bool) {
+        let calls_of_run = self
             .callers
             .calls
             .iter()
             .filter(|(call, _)| call.run == run);
-        let unfinished = mine.clone().any(|(_, held)| {
+        let unfinished = calls_of_run.clone().any(|(_, held)| {
             !matches!(&held.outcome, Some(outcome) if !matches!(outcome, Outcome::Refused(_)))
         });
-        let next = mine.count() as u32 + 1;
+        let next = calls_of_run.count() as u32 + 1;
         if unfinished || next > 8 {
             return;
         }
-        let numbers = if crossed {
+        let numbers = if reordered {
             vec![next + 1, next]
         } else {
             vec![next]
@@ -196,11 +203,11 @@
             } else {
                 model_call(number, 0, &format!("question {number} of {run}"))
             };
-            let held = HeldCall {
+            let held = PendingCall {
                 spec,
-                at: None,
-                maybe_taken: false,
-                doubts: 0,
+                last_node: None,
+                may_be_accepted_elsewhere: false,
+                inconclusive_refusals: 0,
                 outcome: None,
             };
             self.callers.calls.insert(call(run, number), held);
@@ -217,12 +224,12 @@
             return;
         }
         for id in self.callers.open().into_iter().rev() {
-            self.callers.hand_to(id, node);
+            self.callers.sent_to(id, node);
             let spec = self.callers.calls[&id].spec.clone();
             let connection = node as u64;
             let mut event = submit_on(connection, id.run, spec, Delivered::default());
             if let Event::SubmitCall(SubmittedCall { submission, .. }) = &mut event {
-                submission.resubmitted = self.callers.calls[&id].maybe_taken;
+                submission.resubmitted = self.callers.calls[&id].may_be_accepted_elsewhere;
             }
             self.feed(node, event);
         }
@@ -260,7 +267,7 @@
             return self.feed(node, event);
         }
         let engine = EngineId::new(format!("engine-{}", pick % 2));
-        self.wires.push(Wire {
+        self.requests_in_transit.push(RequestInTransit {
             from: self.world.nodes[node].writer.clone(),
             call: id,
             attempt,
@@ -276,19 +283,21 @@
         self.feed(node, placed);
     }
 
-    /// A request arrives, or surely never will.
+    /// Delivers a request to its back end, or reports that it was not sent.
     pub(super) fn execute(&mut self, pick: usize, lose: bool) {
-        if self.wires.is_empty() {
+        if self.requests_in_transit.is_empty() {
             return;
         }
-        let wire = self.wires.swap_remove(pick % self.wires.len());
+        let wire = self
+            .requests_in_transit
+            .swap_remove(pick % self.requests_in_transit.len());
         let kind = if lose {
             ReplyKind::NotSent
         } else {
             self.check_execution(&wire);
             self.backends.execute(&wire)
         };
-        self.replies.push(Reply {
+        self.replies_in_transit.push(ReplyInTransit {
             to: wire.from,
             call: wire.call,
             attempt: wire.attempt,
@@ -296,12 +305,12 @@
         });
     }
 
-    fn check_execution(&self, wire: &Wire) {
+    fn check_execution(&self, wire: &RequestInTransit) {
         let held = &self.callers.calls[&wire.call];
         let refused = matches!(held.outcome, Some(Outcome::Refused(_)));
         assert!(
             !refused,
-            "{} ran after its caller heard it had not",
+            "{} ran after its caller received a refusal",
             wire.call
         );
         if let BackendRequest::Model { messages, .. } = &wire.request {
@@ -309,19 +318,25 @@
             let foreign = messages
                 .iter()
                 .any(|message| !message.content.contains(&run));
-            assert!(!foreign, "{}: a foreign message in {messages:?}", wire.call);
+            assert!(
+                !foreign,
+                "{}: message of another run in {messages:?}",
+                wire.call
+            );
         }
     }
 
-    /// An answer reaches its node, whole, in part, or not at all.
+    /// Delivers a response to its node completely, in part, or not at all.
     pub(super) fn answer(&mut self, pick: usize, partial: bool, lose: bool) {
-        if self.replies.is_empty() {
+        if self.replies_in_transit.is_empty() {
             return;
         }
-        let reply = self.replies.swap_remove(pick % self.replies.len());
+        let reply = self
+            .replies_in_transit
+            .swap_remove(pick % self.replies_in_transit.len());
         let mut lose = lose;
         if let ReplyKind::Released(engine) = &reply.kind {
-            // The first release of each is always lost.
+            // The first release of each run on each engine is always lost.
             lose |= self.lost_releases.insert((reply.call.run, engine.clone()));
             if !lose {
                 self.backends.release(reply.call.run, engine);
@@ -358,7 +373,7 @@
                     self.first_chunk(node, call, attempt, &content);
                 }
                 let event = if lose || partial {
-                    let failure = lost();
+                    let failure = lost_failure();
                     Event::AttemptFailed {
                         call,
                         attempt,
@@ -378,8 +393,8 @@
     }
 
     fn first_chunk(&mut self, node: Node, call: CallId, attempt: Attempt, content: &str) {
-        let whole = whole_answer(call);
-        if content.len() < whole.len() {
+        let complete = complete_answer(call);
+        if content.len() < complete.len() {
             return;
         }
         let text = content[..4].to_owned();
@@ -395,16 +410,16 @@
         );
     }
 
-    /// Carries every effect to where it belongs.
-    pub(super) fn absorb(&mut self) {
+    /// Processes the pending effects of all nodes.
+    pub(super) fn process_effects(&mut self) {
         for node in 0..NODES {
             for effect in self.world.take_effects(node) {
-                self.carry(node, effect);
+                self.process_effect(node, effect);
             }
         }
     }
 
-    fn carry(&mut self, node: Node, effect: Effect) {
+    fn process_effect(&mut self, node: Node, effect: Effect) {
         let from = self.world.nodes[node].writer.clone();
         match effect {
             Effect::Send { message, .. } => self.callers.receive(node, message),
@@ -419,7 +434,7 @@
                     return self.placing.push((node, call, attempt, request));
                 }
                 let engine = None;
-                self.wires.push(Wire {
+                self.requests_in_transit.push(RequestInTransit {
                     from,
                     call,
                     attempt,
@@ -428,8 +443,8 @@
                 });
             }
             Effect::Resume { call, attempt, .. } | Effect::QueryTool { call, attempt, .. } => {
-                let kind = self.backends.recall(call, attempt);
-                self.replies.push(Reply {
+                let kind = self.backends.stored_reply(call, attempt);
+                self.replies_in_transit.push(ReplyInTransit {
                     to: from,
                     call,
                     attempt,
@@ -447,7 +462,7 @@
                     number: CallNumber(0),
                 };
                 let kind = ReplyKind::Released(engine);
-                self.replies.push(Reply {
+                self.replies_in_transit.push(ReplyInTransit {
                     to: from,
                     call,
                     attempt: Attempt(0),
@@ -458,7 +473,7 @@
         }
     }
 
-    /// A call is dispatched only once the one before has its outcome.
+    /// Asserts that all earlier calls of the run have an outcome when a call is dispatched.
     fn check_order(&self, node: Node, id: CallId) {
         let view = self.world.nodes[node]
             .partition
@@ -467,7 +482,7 @@
         let before = &view.calls[..id.number.0 as usize - 1];
         assert!(
             before.iter().all(|call| call.outcome.is_some()),
-            "{id} overtook another"
+            "{id} was dispatched before an earlier call ended"
         );
     }
 }
--- a/crates/execution/tests/common/machines.rs
+++ b/crates/execution/tests/common/environment.rs
@@ -1,4 +1,4 @@
-//! Back ends and callers for random histories, with what they saw.
+//! Simulated back ends and callers for random histories.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,9 +13,9 @@
 use super::Node;
 use super::build::{model_terms, tool_terms};
 
-/// A request on its way to a back end; it arrives even if its sender is gone.
+/// A request in transit to a back end. It can arrive after its sender has stopped.
 #[derive(Clone, Debug)]
-pub struct Wire {
+pub struct RequestInTransit {
     pub from: Writer,
     pub call: CallId,
     pub attempt: Attempt,
@@ -23,9 +23,9 @@
     pub request: BackendRequest,
 }
 
-/// An answer on its way to a node.
+/// A response in transit to a node.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct ReplyInTransit {
     pub to: Writer,
     pub call: CallId,
     pub attempt: Attempt,
@@ -39,62 +39,62 @@
     Released(EngineId),
 }
 
-/// Everything that back ends did.
+/// Simulated back ends and a record of what they executed.
 #[derive(Default)]
 pub struct Backends {
-    /// How often each call was run, by attempt.
+    /// Number of executions, answer and usage of each attempt.
     pub runs: BTreeMap<(CallId, Attempt), (u32, String, Usage)>,
-    /// How often each call was run that must not be repeated.
-    pub single: BTreeMap<CallId, u32>,
-    /// What each run really cost.
+    /// Number of executions of each call that must not be repeated.
+    pub unrepeatable_runs: BTreeMap<CallId, u32>,
+    /// Actual cost of each run.
     pub cost: BTreeMap<RunId, Credits>,
-    /// What engines hold.
+    /// Runs for which each engine holds memory.
     pub held: BTreeSet<(RunId, EngineId)>,
-    /// What engines were ever told to release.
+    /// Runs for which each engine has received a release.
     pub released: BTreeSet<(RunId, EngineId)>,
     pub executed: BTreeSet<CallId>,
 }
 
-/// The whole answer of a model call.
-pub fn whole_answer(call: CallId) -> String {
+/// Returns the complete answer to a call.
+pub fn complete_answer(call: CallId) -> String {
     format!("{call} says this")
 }
 
 impl Backends {
-    /// Runs a request.
-    pub fn execute(&mut self, wire: &Wire) -> ReplyKind {
-        let (content, usage, cost) = match &wire.request {
+    /// Executes a request.
+    pub fn execute(&mut self, request: &RequestInTransit) -> ReplyKind {
+        let (content, usage, cost) = match &request.request {
             BackendRequest::Model {
                 messages,
                 continue_text,
                 ..
-            } => model_answer(wire.call, messages, continue_text),
+            } => model_answer(request.call, messages, continue_text),
             BackendRequest::Tool { .. } => {
-                *self.single.entry(wire.call).or_default() += 1;
+                *self.unrepeatable_runs.entry(request.call).or_default() += 1;
                 let cost = tool_terms().per_invocation;
-                (whole_answer(wire.call), Usage::default(), cost)
+                (complete_answer(request.call), Usage::default(), cost)
             }
         };
-        self.executed.insert(wire.call);
-        *self.cost.entry(wire.call.run).or_default() += cost;
-        if let Some(engine) = &wire.engine {
-            self.held.insert((wire.call.run, engine.clone()));
+        self.executed.insert(request.call);
+        *self.cost.entry(request.call.run).or_default() += cost;
+        if let Some(engine) = &request.engine {
+            self.held.insert((request.call.run, engine.clone()));
         }
-        let key = (wire.call, wire.attempt);
+        let key = (request.call, request.attempt);
         let entry = self.runs.entry(key).or_insert((0, content.clone(), usage));
         entry.0 += 1;
         ReplyKind::Completed { content, usage }
     }
 
-    /// A release arrives.
+    /// Handles a release of engine memory.
     pub fn release(&mut self, run: RunId, engine: &EngineId) {
         let held = (run, engine.clone());
         self.held.remove(&held);
         self.released.insert(held);
     }
 
-    /// What became of an attempt, as its back end remembers it.
-    pub fn recall(&self, call: CallId, attempt: Attempt) -> ReplyKind {
+    /// Returns the stored response to an attempt, or `NotSent` if the attempt is unknown.
+    pub fn stored_reply(&self, call: CallId, attempt: Attempt) -> ReplyKind {
         match self.runs.get(&(call, attempt)) {
             Some((_, content, usage)) => ReplyKind::Completed {
                 content: content.clone(),
@@ -106,7 +106,7 @@
 }
 
 fn model_answer(call: CallId, messages: &[Message], continued: &str) -> (String, Usage, Credits) {
-    let rest = whole_answer(call)[continued.len()..].to_owned();
+    let rest = complete_answer(call)[continued.len()..].to_owned();
     let prompt = text::token_count(&text::render_prompt(messages)) + text::token_count(continued);
     let usage = Usage {
         prompt,
@@ -119,32 +119,32 @@
     (rest, usage, Credits(cost))
 }
 
-/// Doubtful refusals after which a sidecar gives up.
-const MAX_DOUBTS: u32 = 10;
+/// Number of inconclusive refusals after which a sidecar gives up.
+const MAX_INCONCLUSIVE_REFUSALS: u32 = 10;
 
-/// A call as its caller's sidecar holds it.
+/// A call tracked by its caller's sidecar.
 #[derive(Debug)]
-pub struct HeldCall {
+pub struct PendingCall {
     pub spec: CallSpec,
-    /// The node that was asked last.
-    pub at: Option<Node>,
-    /// Whether another node may have taken it.
-    pub maybe_taken: bool,
-    /// Refusals that did not speak for all nodes.
-    pub doubts: u32,
+    /// Node to which the call was last sent.
+    pub last_node: Option<Node>,
+    /// Whether another node may have accepted the call.
+    pub may_be_accepted_elsewhere: bool,
+    /// Number of refusals that don't prevent another node from accepting the call.
+    pub inconclusive_refusals: u32,
     pub outcome: Option<Outcome>,
 }
 
-/// Callers' sidecars, and what callers were told.
+/// Sidecars of the callers, and the responses that they received.
 #[derive(Default)]
 pub struct Callers {
-    pub calls: BTreeMap<CallId, HeldCall>,
+    pub calls: BTreeMap<CallId, PendingCall>,
     pub ended: BTreeSet<RunId>,
     pub started: BTreeSet<RunId>,
 }
 
 impl Callers {
-    /// A node's message arrives.
+    /// Handles a message from a node.
     pub fn receive(&mut self, from: Node, message: NodeMessage) {
         match message {
             NodeMessage::RunStarted { run } => {
@@ -157,8 +157,8 @@
                 run,
                 number: Some(number),
                 ..
-            } => self.leave(CallId { run, number }, from, false),
-            NodeMessage::CallMoved { call } => self.leave(call, from, true),
+            } => self.redirected(CallId { run, number }, from, false),
+            NodeMessage::CallMoved { call } => self.redirected(call, from, true),
             NodeMessage::CallEnded {
                 call,
                 outcome,
@@ -169,13 +169,13 @@
         }
     }
 
-    fn leave(&mut self, call: CallId, from: Node, taken: bool) {
+    fn redirected(&mut self, call: CallId, from: Node, accepted: bool) {
         let Some(held) = self.calls.get_mut(&call) else {
             return;
         };
-        if held.at == Some(from) {
-            held.at = None;
-            held.maybe_taken |= taken;
+        if held.last_node == Some(from) {
+            held.last_node = None;
+            held.may_be_accepted_elsewhere |= accepted;
         }
     }
 
@@ -192,37 +192,39 @@
             assert!(!contradicts, "{call}: {first:?}, then {outcome:?}");
             return;
         }
-        if held.at != Some(from) && !matches!(outcome, Outcome::Completed(_)) {
+        if held.last_node != Some(from) && !matches!(outcome, Outcome::Completed(_)) {
             return;
         }
         held.outcome = match outcome {
-            Outcome::Refused(refusal) if held.maybe_taken && !binds_all => {
-                held.at = None;
-                held.doubts += 1;
-                // A refusal that time may cure is asked again for a while; then, or if it is
-                // another, the fate stays unknown.
-                let hopeless = refusal.retry_after.is_none() || held.doubts > MAX_DOUBTS;
-                hopeless.then_some(Outcome::Unknown(UnknownReason::OwnerLost))
+            Outcome::Refused(refusal) if held.may_be_accepted_elsewhere && !binds_all => {
+                held.last_node = None;
+                held.inconclusive_refusals += 1;
+                // A transient refusal is retried a limited number of times. After that, or for any
+                // other refusal, the outcome is unknown.
+                let gives_up = refusal.retry_after.is_none()
+                    || held.inconclusive_refusals > MAX_INCONCLUSIVE_REFUSALS;
+                gives_up.then_some(Outcome::Unknown(UnknownReason::OwnerLost))
             }
             outcome => Some(outcome),
         };
     }
 
-    /// A call goes to a node; if it was with another, that one may have taken it.
-    pub fn hand_to(&mut self, call: CallId, node: Node) {
+    /// Records that a call is sent to a node. If it was sent to another node before, that one may
+    /// have accepted it.
+    pub fn sent_to(&mut self, call: CallId, node: Node) {
         let Some(held) = self.calls.get_mut(&call) else {
             return;
         };
-        held.maybe_taken |= held.at.is_some_and(|before| before != node);
-        held.at = Some(node);
+        held.may_be_accepted_elsewhere |= held.last_node.is_some_and(|before| before != node);
+        held.last_node = Some(node);
     }
 
-    /// A node's connections break.
+    /// Handles the loss of all connections to a node.
     pub fn disconnected(&mut self, node: Node) {
         for held in self.calls.values_mut() {
-            if held.at == Some(node) {
-                held.at = None;
-                held.maybe_taken = true;
+            if held.last_node == Some(node) {
+                held.last_node = None;
+                held.may_be_accepted_elsewhere = true;
             }
         }
     }
--- a/crates/execution/tests/common/invariants.rs
+++ b/crates/execution/tests/common/invariants.rs
@@ -1,23 +1,23 @@
-//! How a random history ends, and what must hold then.
+//! End of a random history, and the invariants checked after it.
 
 use elderworks_execution::Event;
 use elderworks_types::{Credits, Outcome, RunId};
 
 use super::chaos::{BUDGETS, Chaos, NODES};
-use super::machines::whole_answer;
+use super::environment::complete_answer;
 
 impl Chaos {
-    /// Lets everything come right, then ends every run.
-    pub fn heal(&mut self) {
+    /// Continues without faults until no call is open, and ends every run.
+    pub fn recover_and_end_runs(&mut self) {
         for node in 0..NODES {
             self.world.nodes[node].paused = false;
         }
         self.set_log(true);
         self.world.settle();
-        self.absorb();
+        self.process_effects();
         self.feed(0, Event::Claim { forced: true });
         for round in 0..600 {
-            self.quiet_round();
+            self.round_without_faults();
             let owned = self.world.nodes[0].partition.owned_epoch().is_some();
             if owned && round % 5 == 0 {
                 self.resubmit(0);
@@ -30,20 +30,20 @@
         }
     }
 
-    fn quiet_round(&mut self) {
+    fn round_without_faults(&mut self) {
         self.world.settle();
-        self.absorb();
+        self.process_effects();
         self.place(0, false);
         self.execute(0, false);
         self.answer(0, false, false);
-        self.pass(100);
+        self.advance_time(100);
         self.world.settle();
-        self.absorb();
+        self.process_effects();
     }
 
-    /// What must hold whatever happened.
+    /// Asserts the invariants that hold after every history.
     pub fn check(&mut self) {
-        for (call, count) in &self.backends.single {
+        for (call, count) in &self.backends.unrepeatable_runs {
             assert!(*count <= 1, "{call} ran {count} times");
         }
         for (run, cost) in &self.backends.cost {
@@ -54,12 +54,17 @@
             let outcome = held.outcome.as_ref();
             let outcome = outcome.unwrap_or_else(|| panic!("{id} has no outcome: {held:?}"));
             match outcome {
-                Outcome::Completed(answer) => assert_eq!(answer.content, whole_answer(*id)),
+                Outcome::Completed(answer) => assert_eq!(answer.content, complete_answer(*id)),
                 Outcome::Refused(_) => {
-                    assert!(!self.backends.executed.contains(id), "{id} had run");
+                    assert!(
+                        !self.backends.executed.contains(id),
+                        "{id} was refused after it had run"
+                    );
                 }
                 Outcome::Failed(_) => {}
-                Outcome::Unknown(_) => assert!(!held.spec.repeatable || held.maybe_taken),
+                Outcome::Unknown(_) => {
+                    assert!(!held.spec.repeatable || held.may_be_accepted_elsewhere)
+                }
             }
         }
         let owner = &self.world.nodes[0].partition;
@@ -78,17 +83,20 @@
         self.check_memory();
     }
 
-    /// What the journal knows that engines held was released; the rest is found by comparing it
-    /// with what engines hold.
+    /// Asserts that all engine memory recorded in the journal was released. Memory that isn't
+    /// recorded is found by comparing the runs on an engine with `Partition::may_hold_memory`.
     fn check_memory(&self) {
         let owner = &self.world.nodes[0].partition;
         for (run, engine) in &self.backends.held {
-            assert!(!owner.may_hold_memory(*run, engine), "{run} has ended");
+            assert!(
+                !owner.may_hold_memory(*run, engine),
+                "{run} has ended, but its memory is considered in use"
+            );
             let released = self.backends.released.contains(&(*run, engine.clone()));
             let view = owner.view(*run).expect("the run");
             let mut attempts = view.calls.iter().flat_map(|call| &call.attempts);
             let known = attempts.any(|attempt| attempt.engine.as_ref() == Some(engine));
-            assert!(released || !known, "{engine} was not told to free {run}");
+            assert!(released || !known, "{engine} received no release of {run}");
         }
     }
 }
--- a/crates/execution/tests/common/mod.rs
+++ b/crates/execution/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A log in memory, nodes that follow it, and a back end that answers what a test tells it to.
+//! An in-memory log, the nodes that follow it, and helpers for the events of back ends.
 #![allow(dead_code)]
 
 pub mod build;
 pub mod chaos;
+pub mod environment;
 pub mod invariants;
-pub mod machines;
 
 use std::time::Duration;
 
@@ -18,32 +18,32 @@
     Timestamp, Usage,
 };
 
-/// Which node of the world.
+/// Index of a node in [`World::nodes`].
 pub type Node = usize;
 
-/// One node's view of the partition.
+/// A node that follows the partition.
 pub struct Follower {
     pub partition: Partition,
     pub writer: Writer,
-    /// Records stamped and not yet appended.
+    /// Records that aren't appended yet.
     pub outbox: Vec<Record<JournalBody>>,
     sequence: Sequence,
     read: usize,
-    /// A paused node handles nothing.
+    /// Whether the node is paused: a paused node processes no events.
     pub paused: bool,
-    /// Effects other than appends, in order, since the test last took them.
+    /// Effects other than appends, in order, that the test hasn't taken yet.
     pub effects: Vec<Effect>,
 }
 
-/// The log and its followers.
+/// The log and the nodes that follow it.
 pub struct World {
     pub now: Timestamp,
     pub log: Vec<Record<JournalBody>>,
     pub nodes: Vec<Follower>,
     settings: ExecutionSettings,
-    /// Whether appends reach the log.
+    /// Whether the log accepts appends.
     pub log_up: bool,
-    /// How often each append lands.
+    /// Number of times that each append is stored, to simulate duplicates.
     pub copies: usize,
 }
 
@@ -67,7 +67,7 @@
         world
     }
 
-    /// A world whose node 0 owns the partition.
+    /// Creates a world in which node 0 owns the partition.
     pub fn owned() -> Self {
         Self::owned_with(ExecutionSettings::default())
     }
@@ -101,21 +101,21 @@
         }
     }
 
-    /// The node loses its memory; what it had not appended is gone.
+    /// Restarts a node and delivers the log to it. Records that it had not appended are lost.
     pub fn restart(&mut self, node: Node) {
         self.restart_unread(node);
         self.settle();
     }
 
-    /// As [`Self::restart`], with the log still to be read.
+    /// Same as [`Self::restart`], without delivering the log.
     pub fn restart_unread(&mut self, node: Node) {
         let old = &self.nodes[node].writer;
         let fresh = self.follower(old.node.clone(), old.incarnation.next());
         self.nodes[node] = fresh;
     }
 
-    /// The node stops following the partition and follows it again: the same writer goes on with its
-    /// sequence, and reads the stream from its beginning.
+    /// Makes a node stop following the partition and follow it again from the start of the stream.
+    /// Its writer and sequence numbers continue.
     pub fn reopen(&mut self, node: Node) {
         let old = &self.nodes[node];
         let fresh = Follower {
@@ -126,13 +126,13 @@
         self.settle();
     }
 
-    /// Feeds an event and lets everything that follows happen.
+    /// Passes an event to a node, then appends and delivers all resulting records.
     pub fn event(&mut self, node: Node, event: Event) {
         self.feed(node, event);
         self.settle();
     }
 
-    /// Feeds an event; its appends stay in the outbox.
+    /// Passes an event to a node; the resulting records stay in the outbox.
     pub fn feed(&mut self, node: Node, event: Event) {
         let now = self.now;
         let follower = &mut self.nodes[node];
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Moves outboxes to the log and the log to its readers until nothing moves.
+    /// Appends all outboxes and delivers the log to all nodes until nothing is left to do.
     pub fn settle(&mut self) {
         loop {
             let appended = self.flush();
@@ -174,7 +174,7 @@
         moved
     }
 
-    /// Appends what one node has ready, `copies` times; 0 leaves it for another try.
+    /// Appends the outbox of one node `copies` times; with 0 copies the outbox stays as it is.
     pub fn flush_node(&mut self, node: Node, copies: usize) {
         if !self.log_up || copies == 0 || self.nodes[node].paused {
             return;
@@ -195,7 +195,7 @@
         moved
     }
 
-    /// Feeds a node the next record of the log, if there is one.
+    /// Delivers the next record of the log to a node. Returns whether there was one.
     pub fn deliver_one(&mut self, node: Node) -> bool {
         let position = self.nodes[node].read;
         if self.nodes[node].paused || position >= self.log.len() {
@@ -210,7 +210,7 @@
         true
     }
 
-    /// A new reader fed from an offset on.
+    /// Returns a new reader that has read the log from `offset` on.
     pub fn reader_from(&self, offset: usize) -> Partition {
         let mut reader = self.follower(NodeId::new("reader"), Incarnation(1));
         for (position, record) in self.log.iter().enumerate().skip(offset) {
@@ -223,8 +223,8 @@
         reader.partition
     }
 
-    /// Lets time pass in small steps, with ticks.
-    pub fn pass(&mut self, duration: Duration) {
+    /// Advances the time in small steps and sends a tick to every node at each step.
+    pub fn advance_time(&mut self, duration: Duration) {
         const STEP: Duration = Duration::from_millis(100);
         let end = self.now + duration;
         while self.now < end {
@@ -242,7 +242,7 @@
         std::mem::take(&mut self.nodes[node].effects)
     }
 
-    /// Messages sent by a node since the effects were last taken; other effects stay.
+    /// Removes and returns the messages sent by a node; other effects stay.
     pub fn take_messages(&mut self, node: Node) -> Vec<NodeMessage> {
         let effects = self.take_effects(node);
         let mut messages = Vec::new();
@@ -255,7 +255,7 @@
         messages
     }
 
-    /// Outcomes sent by a node since the effects were last taken.
+    /// Removes the messages sent by a node and returns the outcomes among them.
     pub fn take_outcomes(&mut self, node: Node) -> Vec<(CallId, Outcome)> {
         let messages = self.take_messages(node);
         messages
@@ -267,7 +267,7 @@
             .collect()
     }
 
-    /// The dispatches of a node since the effects were last taken; other effects stay.
+    /// Removes and returns the dispatches of a node; other effects stay.
     pub fn take_dispatches(&mut self, node: Node) -> Vec<(CallId, Attempt, BackendRequest)> {
         let effects = self.take_effects(node);
         let mut dispatches = Vec::new();
@@ -328,7 +328,7 @@
         self.event(node, event);
     }
 
-    /// Node `node` takes the partition from whoever has it.
+    /// Makes a node claim the partition without waiting for a release.
     pub fn take_over(&mut self, node: Node) {
         self.event(node, Event::Claim { forced: true });
     }
--- a/crates/execution/tests/crashes.rs
+++ b/crates/execution/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Whatever order crashes, pauses, takeovers and lost answers come in, the invariants hold.
+//! Property test: the invariants hold for random sequences of crashes, pauses, takeovers and lost
+//! responses.
 
 mod common;
 
@@ -14,7 +15,7 @@
     let pick = 0..8usize;
     prop_oneof![
         6 => (0..2u64, any::<bool>(), any::<bool>())
-            .prop_map(|(run, tool, crossed)| Step::Submit { run, tool, crossed }),
+            .prop_map(|(run, tool, reordered)| Step::Submit { run, tool, reordered }),
         3 => node.clone().prop_map(|node| Step::Resubmit { node }),
         12 => (node.clone(), 0..3usize).prop_map(|(node, copies)| Step::Flush { node, copies }),
         14 => (node.clone(), 1..6usize)
@@ -28,16 +29,16 @@
         3 => node.clone().prop_map(|node| Step::Claim { node }),
         1 => node.clone().prop_map(|node| Step::Release { node }),
         2 => node.clone().prop_map(|node| Step::Pause { node }),
-        3 => node.clone().prop_map(|node| Step::Wake { node }),
+        3 => node.clone().prop_map(|node| Step::Unpause { node }),
         1 => node.clone().prop_map(|node| Step::Restart { node }),
         1 => node.clone().prop_map(|node| Step::Snapshot { node }),
         2 => prop::bool::weighted(0.7).prop_map(|up| Step::LogUp { up }),
         1 => (0..2u64, node).prop_map(|(run, node)| Step::EndRun { run, node }),
-        6 => (10..2_000u64).prop_map(|millis| Step::Pass { millis }),
+        6 => (10..2_000u64).prop_map(|millis| Step::AdvanceTime { millis }),
     ]
 }
 
-/// What a set of histories went through.
+/// Sums of counters over a set of histories, to check that each kind of event occurred.
 #[derive(Default)]
 struct Coverage {
     completed: u64,
@@ -67,7 +68,7 @@
         }
     }
 
-    fn least(&self) -> u64 {
+    fn min_count(&self) -> u64 {
         let counts = [
             self.completed,
             self.refused,
@@ -83,7 +84,8 @@
     }
 }
 
-/// Runs random histories under `settings` and returns what they went through, or what broke.
+/// Runs random histories with `settings`. Returns their coverage, or the description of the first
+/// failure.
 fn run_histories(settings: &ExecutionSettings, cases: u32) -> Result<Coverage, String> {
     let config = Config {
         cases,
@@ -100,7 +102,7 @@
         for step in &steps {
             chaos.step(step);
         }
-        chaos.heal();
+        chaos.recover_and_end_runs();
         chaos.check();
         coverage.borrow_mut().add(&chaos);
         Ok(())
@@ -118,10 +120,13 @@
         ..ExecutionSettings::default()
     };
     let coverage = run_histories(&settings, 1_500).unwrap_or_else(|error| panic!("{error}"));
-    assert!(coverage.least() > 10, "histories that went through little");
+    assert!(
+        coverage.min_count() > 10,
+        "some kind of event occurred too rarely"
+    );
 }
 
-/// Each deliberate fault is noticed.
+/// Guards against checks that would miss a fault: every injected fault must fail the property test.
 #[cfg(feature = "broken")]
 #[test]
 fn deliberately_broken_variants_are_caught() {
@@ -184,7 +189,7 @@
             ..ExecutionSettings::default()
         };
         let error = run_histories(&settings, 1_000).err();
-        let error = error.unwrap_or_else(|| panic!("{name} went unnoticed"));
+        let error = error.unwrap_or_else(|| panic!("{name} was not detected"));
         let reason = error.lines().next().unwrap_or_default();
         println!("{name}: {reason}");
     }
--- a/crates/execution/tests/failures.rs
+++ b/crates/execution/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failed attempts, hung back ends, outages of the log and of engines.
+//! Tests of failed attempts, hung back ends, and outages of the log and of engines.
 
 mod common;
 
@@ -31,25 +31,26 @@
     }
 }
 
-/// Short names of outcomes, for tables.
+/// Kind of an outcome other than a completion, for use in tables.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ends {
+enum EndKind {
     Refused(RefusalReason),
     Failed(FailureReason),
     Unknown(UnknownReason),
 }
 
-fn ends(outcome: &Outcome) -> Option<Ends> {
+fn end_kind(outcome: &Outcome) -> Option<EndKind> {
     match outcome {
         Outcome::Completed(_) => None,
-        Outcome::Refused(refusal) => Some(Ends::Refused(refusal.reason)),
-        Outcome::Failed(failure) => Some(Ends::Failed(failure.reason)),
-        Outcome::Unknown(reason) => Some(Ends::Unknown(*reason)),
+        Outcome::Refused(refusal) => Some(EndKind::Refused(refusal.reason)),
+        Outcome::Failed(failure) => Some(EndKind::Failed(failure.reason)),
+        Outcome::Unknown(reason) => Some(EndKind::Unknown(*reason)),
     }
 }
 
-/// Fails every attempt in the same way; returns how many there were and how the call ended.
-fn fail_always(spec: CallSpec, failure: &AttemptFailure) -> (u32, Option<Ends>) {
+/// Fails every attempt of a call with `failure`. Returns the number of attempts and how the call
+/// ended.
+fn fail_always(spec: CallSpec, failure: &AttemptFailure) -> (u32, Option<EndKind>) {
     let settings = ExecutionSettings {
         retry_burst: 10,
         ..ExecutionSettings::default()
@@ -73,14 +74,14 @@
                 world.fail(0, id, attempt.0, AttemptFailure::NotSent);
             }
         }
-        world.pass(Duration::from_secs(1));
+        world.advance_time(Duration::from_secs(1));
     }
     let view = world.nodes[0].partition.view(RUN).expect("the run");
     let outcome = view.calls.last().and_then(|call| call.outcome.clone());
     let counters = world.nodes[0].partition.counters();
     let refused = counters.calls_refused > 0;
-    let unanswered = refused.then_some(Ends::Refused(RefusalReason::Overloaded));
-    (attempts, outcome.as_ref().and_then(ends).or(unanswered))
+    let unanswered = refused.then_some(EndKind::Refused(RefusalReason::Overloaded));
+    (attempts, outcome.as_ref().and_then(end_kind).or(unanswered))
 }
 
 fn spec_is_model(world: &World) -> bool {
@@ -88,27 +89,27 @@
     view.calls.last().is_some_and(|call| call.spec.repeatable)
 }
 
-/// `(call, failure of each attempt, attempts made, end)`.
-fn failure_table() -> Vec<(CallSpec, AttemptFailure, u32, Ends)> {
+/// Returns `(call, failure of each attempt, expected attempts, expected end)`.
+fn failure_table() -> Vec<(CallSpec, AttemptFailure, u32, EndKind)> {
     let model = || model_call(1, 0, "x");
-    let refused = Ends::Refused(RefusalReason::Overloaded);
-    let exhausted = Ends::Failed(FailureReason::AttemptsExhausted);
-    let error = Ends::Failed(FailureReason::BackendError);
-    let unknown = Ends::Unknown(UnknownReason::ConnectionLost);
+    let refused = EndKind::Refused(RefusalReason::Overloaded);
+    let exhausted = EndKind::Failed(FailureReason::AttemptsExhausted);
+    let error = EndKind::Failed(FailureReason::BackendError);
+    let unknown = EndKind::Unknown(UnknownReason::ConnectionLost);
     vec![
         (model(), AttemptFailure::NotSent, 4, refused),
         (model(), rejected(), 4, refused),
-        (model(), lost(), 4, exhausted),
+        (model(), lost_failure(), 4, exhausted),
         (model(), errored(), 1, error),
         (tool_call(1), AttemptFailure::NotSent, 4, refused),
         (tool_call(1), rejected(), 4, refused),
-        (tool_call(1), lost(), 1, unknown),
+        (tool_call(1), lost_failure(), 1, unknown),
         (tool_call(1), errored(), 1, error),
     ]
 }
 
 #[test]
-fn failures_are_repeated_only_where_that_is_harmless() {
+fn attempts_are_retried_only_if_that_is_safe() {
     for (spec, failure, attempts, end) in failure_table() {
         let seen = fail_always(spec.clone(), &failure);
         let repeatable = spec.repeatable;
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn an_outage_of_all_engines_is_not_answered_by_a_storm() {
+fn engine_outage_does_not_cause_a_retry_storm() {
     const RUNS: u64 = 200;
     let mut world = World::owned();
     for run in 0..RUNS {
@@ -131,9 +132,9 @@
         for (id, attempt, _) in world.take_dispatches(0) {
             attempts += 1;
             world.place(0, id, attempt.0, "engine-a");
-            world.fail(0, id, attempt.0, lost());
+            world.fail(0, id, attempt.0, lost_failure());
         }
-        world.pass(Duration::from_secs(1));
+        world.advance_time(Duration::from_secs(1));
     }
     let burst = u64::from(ExecutionSettings::default().retry_burst);
     assert!(attempts <= RUNS + RUNS / 10 + burst, "{attempts} attempts");
@@ -141,33 +142,33 @@
 }
 
 #[test]
-fn a_hung_tool_is_asked_once_and_then_given_up() {
+fn hung_tool_is_queried_once_before_giving_up() {
     let mut world = started();
     world.event(0, submit(RUN, tool_call(1)));
-    world.pass(Duration::from_secs(32));
+    world.advance_time(Duration::from_secs(32));
     let asked = world
         .take_effects(0)
         .iter()
         .filter(|effect| matches!(effect, Effect::QueryTool { .. }))
         .count();
     assert_eq!(asked, 1);
-    world.pass(Duration::from_secs(32));
+    world.advance_time(Duration::from_secs(32));
     let outcomes = world.take_outcomes(0);
     let [(_, outcome)] = outcomes.as_slice() else {
         panic!("one outcome expected: {outcomes:?}");
     };
-    assert!(matches!(ends(outcome), Some(Ends::Unknown(_))));
+    assert!(matches!(end_kind(outcome), Some(EndKind::Unknown(_))));
 }
 
 #[test]
-fn a_stream_broken_off_is_continued_where_it_broke() {
+fn interrupted_stream_is_continued_after_the_delivered_part() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(1, 0, "x")));
     let id = call(RUN, 1);
     world.place(0, id, 1, "engine-a");
     world.chunk(0, id, 1, 0, "one ");
-    world.fail(0, id, 1, lost());
-    world.pass(Duration::from_secs(1));
+    world.fail(0, id, 1, lost_failure());
+    world.advance_time(Duration::from_secs(1));
     world.place(0, id, 2, "engine-b");
     world.chunk(0, id, 2, 1, "two");
     world.complete(0, id, 2, "two");
@@ -210,15 +211,18 @@
     let outcomes = world.take_outcomes(0);
     assert!(matches!(outcomes.as_slice(), [(waiting, outcome)]
         if waiting.number.0 == 2
-            && ends(outcome) == Some(Ends::Refused(RefusalReason::LogUnavailable))));
+            && end_kind(outcome) == Some(EndKind::Refused(RefusalReason::LogUnavailable))));
     world.chunk(0, id, 1, 1, "whole");
     assert!(matches!(
         world.take_messages(0).as_slice(),
         [NodeMessage::Chunk(_)]
     ));
     world.complete(0, id, 1, "half whole");
-    world.pass(Duration::from_secs(3_600 / 12));
-    assert!(world.take_outcomes(0).is_empty(), "not durable yet");
+    world.advance_time(Duration::from_secs(3_600 / 12));
+    assert!(
+        world.take_outcomes(0).is_empty(),
+        "the outcome is not journalled yet"
+    );
 
     log_reachable(&mut world, true);
     let outcomes = world.take_outcomes(0);
@@ -226,14 +230,14 @@
 }
 
 #[test]
-fn an_owner_that_is_to_leave_during_an_outage_refuses_at_once_until_the_log_is_back() {
+fn releasing_owner_refuses_new_work_while_the_log_is_unreachable() {
     let mut world = started();
     log_reachable(&mut world, false);
     world.event(0, Event::Release);
     world.event(0, submit(RUN, model_call(1, 0, "x")));
     let outcomes = world.take_outcomes(0);
     assert!(matches!(outcomes.as_slice(), [(_, outcome)]
-        if ends(outcome) == Some(Ends::Refused(RefusalReason::LogUnavailable))));
+        if end_kind(outcome) == Some(EndKind::Refused(RefusalReason::LogUnavailable))));
     world.event(0, start(RunId::root(8), 100));
     let messages = world.take_messages(0);
     assert!(
@@ -242,26 +246,29 @@
         "{messages:?}"
     );
     log_reachable(&mut world, true);
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     assert!(
         world.nodes[0].partition.owned_epoch().is_none(),
-        "it has left"
+        "the partition is released"
     );
 }
 
 #[test]
-fn a_call_caught_by_an_outage_is_withdrawn_not_sent_late() {
+fn call_accepted_late_because_of_an_outage_is_refused() {
     for spec in [tool_call(1), model_call(1, 0, "x")] {
         let mut world = started();
         world.log_up = false;
         world.event(0, submit(RUN, spec));
         log_reachable(&mut world, false);
-        world.pass(Duration::from_secs(60));
-        assert!(world.take_outcomes(0).is_empty(), "it may be in the log");
+        world.advance_time(Duration::from_secs(60));
+        assert!(
+            world.take_outcomes(0).is_empty(),
+            "the acceptance may be in the log"
+        );
         log_reachable(&mut world, true);
         let outcomes = world.take_outcomes(0);
         assert!(matches!(outcomes.as_slice(), [(_, outcome)]
-            if ends(outcome) == Some(Ends::Refused(RefusalReason::LogUnavailable))));
+            if end_kind(outcome) == Some(EndKind::Refused(RefusalReason::LogUnavailable))));
         assert!(world.take_dispatches(0).is_empty());
         let view = world.nodes[0].partition.view(RUN).expect("the run");
         assert_eq!((view.spent.0, view.reserved.0), (0, 0));
@@ -269,7 +276,7 @@
 }
 
 #[test]
-fn what_waits_for_the_log_is_bounded() {
+fn number_of_calls_waiting_for_the_log_is_bounded() {
     let settings = ExecutionSettings {
         max_open_calls: 3,
         ..ExecutionSettings::default()
@@ -286,12 +293,12 @@
     let outcomes = world.take_outcomes(0);
     assert!(matches!(outcomes.as_slice(), [(refused, outcome)]
         if refused.run == RunId::root(3)
-            && ends(outcome) == Some(Ends::Refused(RefusalReason::Overloaded))));
+            && end_kind(outcome) == Some(EndKind::Refused(RefusalReason::Overloaded))));
     assert_eq!(world.nodes[0].partition.counters().records_in_flight, 3);
 }
 
 #[test]
-fn ending_a_run_stops_what_may_be_stopped_and_waits_for_the_rest() {
+fn ending_a_run_cancels_repeatable_calls_and_waits_for_others() {
     let mut world = started();
     world.event(0, submit(RUN, tool_call(1)));
     let end = Event::EndRun {
@@ -301,7 +308,10 @@
     };
     world.take_effects(0);
     world.event(0, end.clone());
-    assert!(world.take_messages(0).is_empty(), "the submission is out");
+    assert!(
+        world.take_messages(0).is_empty(),
+        "the tool call is running"
+    );
     world.complete(0, call(RUN, 1), 1, "declared");
     let messages = world.take_messages(0);
     assert!(matches!(
@@ -328,6 +338,6 @@
     assert!(effects.contains(&cancel));
     let view = world.nodes[0].partition.view(RUN).expect("the run");
     let outcome = view.calls[0].outcome.as_ref();
-    let cancelled = Some(Ends::Failed(FailureReason::Cancelled));
-    assert_eq!(outcome.and_then(ends), cancelled);
+    let cancelled = Some(EndKind::Failed(FailureReason::Cancelled));
+    assert_eq!(outcome.and_then(end_kind), cancelled);
 }
--- a/crates/execution/tests/lifecycle.rs
+++ b/crates/execution/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The plain life of runs and calls.
+//! Tests of the life cycle of runs and calls without failures.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use elderworks_types::{Attempt, Epoch, Outcome, Role, RunPhase};
 
 #[test]
-fn claim_is_owned_once_read_back() {
+fn claim_takes_effect_when_read_back() {
     let mut world = World::new(1);
     world.event(0, Event::Claim { forced: false });
     let owned = Some(Epoch(1));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_must_not_be_repeated_goes_out_only_after_its_start_is_read_back() {
+fn unrepeatable_call_is_sent_only_after_its_start_is_read_back() {
     let mut world = World::owned();
     world.event(0, start(RUN, 1_000));
     world.log_up = false;
@@ -77,7 +77,10 @@
     world.flush();
     world.log_up = false;
     world.settle();
-    assert!(world.take_dispatches(0).is_empty(), "accepted, not started");
+    assert!(
+        world.take_dispatches(0).is_empty(),
+        "the call is accepted, but its start is not journalled"
+    );
     world.log_up = true;
     world.settle();
     assert_eq!(world.take_dispatches(0).len(), 1);
@@ -99,7 +102,7 @@
         run: RUN,
     };
     world.event(0, end);
-    world.pass(std::time::Duration::from_secs(40));
+    world.advance_time(std::time::Duration::from_secs(40));
     assert_eq!(world.nodes[0].partition.counters().timers, 0);
 }
 
@@ -130,10 +133,13 @@
         },
     };
     assert_eq!(world.take_effects(0), [ended, release.clone()]);
-    world.pass(std::time::Duration::from_secs(5));
-    assert!(world.take_effects(0).contains(&release), "not repeated");
+    world.advance_time(std::time::Duration::from_secs(5));
+    assert!(
+        world.take_effects(0).contains(&release),
+        "the release is not repeated"
+    );
     world.event(0, Event::MemoryReleased { run: RUN, engine });
     assert_eq!(world.nodes[0].partition.counters().unreleased_runs, 0);
-    world.pass(std::time::Duration::from_secs(20));
+    world.advance_time(std::time::Duration::from_secs(20));
     assert!(world.take_effects(0).is_empty());
 }
--- a/crates/execution/tests/order.rs
+++ b/crates/execution/tests/order.rs
@@ -1,4 +1,4 @@
-//! The order of a run's calls, repeats, and its history.
+//! Tests of the order of a run's calls, of resubmitted calls, and of the run's history.
 
 mod common;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn calls_that_arrive_crossed_run_in_the_order_of_their_numbers() {
+fn calls_arriving_out_of_order_run_in_order_of_their_numbers() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(3, 0, "third")));
     world.event(0, submit(RUN, model_call(2, 0, "second")));
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn a_call_whose_predecessor_never_comes_is_refused_after_a_while() {
+fn call_is_refused_if_its_predecessor_does_not_arrive() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(2, 0, "second")));
-    world.pass(Duration::from_secs(4));
+    world.advance_time(Duration::from_secs(4));
     assert!(world.take_outcomes(0).is_empty());
-    world.pass(Duration::from_secs(2));
+    world.advance_time(Duration::from_secs(2));
     assert_eq!(only_refusal(&mut world), RefusalReason::EarlierCallMissing);
 }
 
 #[test]
-fn numbers_that_their_sidecar_gave_up_are_passed_over() {
+fn abandoned_call_numbers_are_skipped() {
     let mut world = started();
     let mut third = submit(RUN, model_call(3, 0, "third"));
     if let Event::SubmitCall(SubmittedCall {
@@ -78,12 +78,15 @@
         *abandoned_before = 1;
     }
     world.event(0, third.clone());
-    assert!(world.take_dispatches(0).is_empty(), "1 is still awaited");
+    assert!(
+        world.take_dispatches(0).is_empty(),
+        "call 1 has not arrived"
+    );
     world.event(0, submit(RUN, model_call(1, 0, "first")));
     finish(&mut world, 1, "ok");
     world.take_effects(0);
     let view = world.nodes[0].partition.view(RUN).expect("the run");
-    assert_eq!(view.calls.len(), 2, "2 is passed over");
+    assert_eq!(view.calls.len(), 2, "call 2 is skipped");
     finish(&mut world, 3, "ok");
     world.take_effects(0);
     world.event(0, submit(RUN, model_call(2, 0, "late")));
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn calls_that_wait_are_bounded() {
+fn number_of_waiting_calls_is_bounded() {
     let mut world = started();
     for number in 2..=33 {
         world.event(0, submit(RUN, model_call(number, 0, "early")));
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_first_outcome_and_runs_nothing() {
+fn resubmitted_call_gets_the_first_outcome_without_running_again() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(1, 0, "hello")));
     world.take_dispatches(0);
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn a_caller_that_returns_gets_the_chunks_it_lacks() {
+fn reconnecting_caller_gets_the_missing_chunks() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(1, 0, "hello")));
     let id = call(RUN, 1);
@@ -152,7 +155,8 @@
     assert_eq!(indexes, [1, 2, 3]);
 }
 
-/// `(what is submitted, the reason that it is refused for)`, after call 1 has completed.
+/// Returns `(call, run, expected reason of the refusal)` for calls submitted after call 1 has
+/// completed.
 fn refused_calls() -> Vec<(CallSpec, RunId, RefusalReason)> {
     let late = CallSpec {
         deadline: Some(elderworks_types::Timestamp(1)),
@@ -218,14 +222,14 @@
 }
 
 #[test]
-fn a_prompt_begins_with_the_named_part_of_the_history() {
+fn prompt_starts_with_the_requested_prefix_of_the_history() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(1, 0, "one")));
     finish(&mut world, 1, "answer one");
     world.event(0, submit(RUN, model_call(2, 2, "two")));
     finish(&mut world, 2, "answer two");
     world.take_effects(0);
-    // The caller rewrites: it keeps the first exchange only.
+    // The caller replaces its second message: the prompt keeps only the first exchange.
     world.event(0, submit(RUN, model_call(3, 2, "two, put otherwise")));
     let dispatches = world.take_dispatches(0);
     let [(_, _, BackendRequest::Model { messages, .. })] = dispatches.as_slice() else {
@@ -238,11 +242,15 @@
     ];
     assert_eq!(messages.as_slice(), expected);
     let view = world.nodes[0].partition.view(RUN).expect("the run");
-    assert_eq!(view.history.len(), 5, "what was dropped can still be read");
+    assert_eq!(
+        view.history.len(),
+        5,
+        "messages removed from the prompt can still be read"
+    );
 }
 
 #[test]
-fn a_refused_call_leaves_number_and_history_as_they_were() {
+fn refused_call_changes_neither_number_nor_history() {
     let mut world = started();
     world.event(0, submit(RUN, model_call(1, 0, "one")));
     let refused = Event::AttemptRefused {
@@ -264,7 +272,7 @@
 }
 
 #[test]
-fn a_run_at_its_limit_of_turns_ends() {
+fn run_ends_at_its_turn_limit() {
     let mut world = started();
     for number in 1..=10 {
         world.event(0, submit(RUN, model_call(number, 0, "again")));
@@ -278,7 +286,7 @@
 }
 
 #[test]
-fn a_run_that_lives_too_long_ends_with_its_sub_agents_also_after_a_takeover() {
+fn run_past_its_max_duration_ends_with_its_sub_agents_after_a_takeover() {
     let mut world = started();
     let child = RUN.child(1);
     let mut spec = run_spec(child, 100);
@@ -288,7 +296,7 @@
     world.place(0, call(child, 1), 1, "engine-a");
     world.nodes[0].paused = true;
     world.take_over(1);
-    world.pass(Duration::from_secs(601));
+    world.advance_time(Duration::from_secs(601));
     for (run, phase) in [(RUN, RunPhase::LimitReached), (child, RunPhase::Cancelled)] {
         let view = world.nodes[1].partition.view(run).expect("the run");
         assert_eq!(view.phase, phase, "{run}");
--- a/crates/execution/tests/snapshots.rs
+++ b/crates/execution/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots, new readers, and the forgetting of ended runs.
+//! Tests of snapshots, of new readers, and of the removal of ended runs.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use elderworks_protocol::record::{Record, Writer};
 use elderworks_types::{Epoch, Incarnation, NodeId, Offset, RunId, Sequence, Timestamp};
 
-/// A world with enough state for a snapshot of several parts.
+/// Creates a world whose snapshot has several parts.
 fn large_world() -> World {
     let mut world = World::owned();
     let text = "x".repeat(30_000);
@@ -58,32 +58,32 @@
 #[test]
 fn a_reader_from_the_snapshot_equals_one_from_the_start() {
     let mut world = large_world();
-    // Records are in flight when the snapshot is taken.
+    // The snapshot is taken while a record is in flight.
     world.feed(0, start(RunId::root(100), 500));
     world.feed(0, Event::TakeSnapshot);
     world.feed(0, submit(RunId::root(1), model_call(2, 0, "after")));
     world.settle();
     world.event(0, start(RunId::root(101), 500));
     let parts = parts(&world);
-    assert!(parts.len() > 1, "several parts");
+    assert!(parts.len() > 1, "the snapshot has several parts");
     let first = Offset(parts[0] as u64);
     let confirmed = world.log.iter().any(|record| {
         matches!(record.body, JournalBody::SnapshotConfirmed { first: begins } if begins == first)
     });
-    assert!(confirmed, "the owner confirms what it has read back");
+    assert!(confirmed, "the owner confirms its snapshot");
     let owner = &world.nodes[0].partition;
     assert_eq!(owner.snapshot_offset(), Some(Offset(parts[0] as u64)));
     let restored = world.reader_from(parts[0]);
     assert!(restored.is_loaded());
     assert_eq!(restored.state_digest(), owner.state_digest());
     assert_eq!(world.reader_from(0).state_digest(), owner.state_digest());
-    // A batch may hold records in front of the first part.
+    // A batch can contain records before the first part of the snapshot.
     let earlier = world.reader_from(parts[0] - 1);
     assert_eq!(earlier.state_digest(), owner.state_digest());
 }
 
 #[test]
-fn parts_may_be_doubled_and_mixed_with_void_records() {
+fn snapshot_parts_may_be_repeated_and_interleaved_with_fenced_records() {
     let mut world = large_world();
     world.event(0, Event::TakeSnapshot);
     let parts = parts(&world);
@@ -103,7 +103,7 @@
         feed(&mut reader, *position, &world.log[*position]);
     }
     assert!(reader.is_loaded());
-    // The owner's confirmation of its snapshot follows.
+    // The remaining records include the owner's confirmation of the snapshot.
     let last = parts[parts.len() - 1];
     for (position, record) in world.log.iter().enumerate().skip(last + 1) {
         feed(&mut reader, position, record);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_snapshot_that_broke_off_is_not_taken_for_whole() {
+fn incomplete_snapshot_fails_to_load() {
     let mut world = large_world();
     world.event(0, Event::TakeSnapshot);
     let parts = parts(&world);
@@ -127,12 +127,12 @@
     let effects = reader.handle(Timestamp(0), Event::Claim { forced: true });
     assert!(
         effects.is_empty(),
-        "a reader that knows nothing claims nothing"
+        "a reader without state must not claim the partition"
     );
 }
 
 #[test]
-fn ended_runs_are_forgotten_by_number_and_by_age() {
+fn ended_runs_are_removed_by_count_and_age() {
     let settings = ExecutionSettings {
         max_ended_runs: 5,
         retain_ended: Duration::from_secs(60),
@@ -151,10 +151,14 @@
             run: id,
         };
         world.event(0, end);
-        world.pass(Duration::from_millis(100));
+        world.advance_time(Duration::from_millis(100));
     }
     let runs = |world: &World| world.nodes[0].partition.counters().runs;
-    assert_eq!(runs(&world), 8, "their memory is not released yet");
+    assert_eq!(
+        runs(&world),
+        8,
+        "the engine memory of the runs is not released yet"
+    );
     for run in 0..8 {
         let released = Event::MemoryReleased {
             run: RunId::root(run),
@@ -162,15 +166,15 @@
         };
         world.event(0, released);
     }
-    world.pass(Duration::from_secs(1));
+    world.advance_time(Duration::from_secs(1));
     assert_eq!(runs(&world), 5);
-    world.pass(Duration::from_secs(61));
+    world.advance_time(Duration::from_secs(61));
     assert_eq!(runs(&world), 0);
     assert_eq!(world.digests()[0], world.digests()[1]);
 }
 
 #[test]
-fn a_gone_engine_holds_up_no_release_and_a_takeover_forgets_none() {
+fn memory_release_survives_a_takeover_and_skips_terminated_engines() {
     let mut world = World::owned();
     world.event(0, start(RUN, 1_000));
     world.event(0, submit(RUN, model_call(1, 0, "x")));
--- a/crates/execution/tests/takeover.rs
+++ b/crates/execution/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What becomes of open calls when their owner is lost, paused or released.
+//! Tests of open calls after the owner was lost, paused or released the partition.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use elderworks_protocol::sidecar::{Delivered, NodeMessage};
 use elderworks_types::{Attempt, CallId, CallSpec, Outcome, UnknownReason};
 
-/// How far the first owner came before it was lost.
+/// How far the first owner had processed the call before it was lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Progress {
     Accepted,
@@ -75,11 +75,14 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_resumed_is_continued_from_what_the_caller_holds() {
+fn unresumable_answer_is_continued_from_the_callers_part() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Streaming);
     effects_after_takeover(&mut world);
     world.fail(1, id, 1, AttemptFailure::NotSent);
-    assert!(world.take_dispatches(1).is_empty(), "waits for the caller");
+    assert!(
+        world.take_dispatches(1).is_empty(),
+        "the call waits for its caller"
+    );
     let delivered = Delivered {
         attempt: Some(Attempt(1)),
         chunks: 2,
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn a_repeatable_call_that_may_be_out_is_charged_before_it_is_sent_again() {
+fn repeatable_call_that_may_have_been_sent_is_charged_before_the_retry() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Accepted);
     let before = world.nodes[0]
         .partition
@@ -127,11 +130,11 @@
 }
 
 #[test]
-fn what_must_not_be_repeated_is_never_sent_again() {
+fn unrepeatable_call_is_never_sent_twice() {
     let failures = [
         AttemptFailure::NotSent,
         AttemptFailure::Rejected { retry_after: None },
-        lost(),
+        lost_failure(),
     ];
     for failure in failures {
         let (mut world, id) = world_with(tool_call(1), Progress::Accepted);
@@ -145,13 +148,13 @@
         world.fail(1, id, 1, failure);
         let expected = Outcome::Unknown(UnknownReason::OwnerLost);
         assert_eq!(world.take_outcomes(1), [(id, expected)]);
-        world.pass(Duration::from_secs(60));
+        world.advance_time(Duration::from_secs(60));
         assert!(world.take_dispatches(1).is_empty());
     }
 }
 
 #[test]
-fn a_tool_that_remembers_answers_for_a_lost_owner() {
+fn tool_query_returns_the_result_after_a_takeover() {
     let (mut world, id) = world_with(tool_call(1), Progress::Accepted);
     effects_after_takeover(&mut world);
     world.event(1, submit_on(9, RUN, tool_call(1), Delivered::default()));
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn an_intent_that_never_counted_lets_the_new_owner_send() {
+fn new_owner_sends_a_call_whose_start_was_not_journalled() {
     let mut world = World::owned();
     world.event(0, start(RUN, 1_000));
     world.log_up = false;
@@ -174,7 +177,11 @@
     world.nodes[0].paused = true;
     world.settle();
     world.take_over(1);
-    assert_eq!(world.take_dispatches(1).len(), 1, "accepted, not started");
+    assert_eq!(
+        world.take_dispatches(1).len(),
+        1,
+        "the call was accepted, but its start was not journalled"
+    );
     world.nodes[0].paused = false;
     world.settle();
     assert!(
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn a_paused_owner_that_wakes_is_fenced() {
+fn resumed_owner_is_fenced() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Placed);
     world.take_effects(0);
     effects_after_takeover(&mut world);
@@ -198,12 +205,12 @@
     world.nodes[0].paused = false;
     world.settle();
     let effects = world.take_effects(0);
-    let lost = Effect::OwnershipChanged { owned: None };
-    let turned_away = Effect::Send {
+    let ownership_lost = Effect::OwnershipChanged { owned: None };
+    let call_moved = Effect::Send {
         connection: 1,
         message: NodeMessage::CallMoved { call: id },
     };
-    assert_eq!(effects, [lost, turned_away]);
+    assert_eq!(effects, [ownership_lost, call_moved]);
     assert_eq!(world.digests()[0], world.digests()[1]);
     assert!(
         world.nodes[1].partition.view(RUN).expect("the run").calls[0]
@@ -212,10 +219,10 @@
     );
 }
 
-/// Simulation seed 1067 found it: a paused owner woke and answered a read from before the other's
-/// time.
+/// Guards against stale reads: an owner that was paused during a takeover must not answer a read
+/// from its outdated state.
 #[test]
-fn a_paused_owner_that_wakes_answers_no_read_from_memory() {
+fn resumed_owner_does_not_answer_reads_from_stale_state() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Placed);
     effects_after_takeover(&mut world);
     world.complete(1, id, 1, "answered elsewhere");
@@ -227,7 +234,10 @@
         run: RUN,
     };
     world.feed(0, read.clone());
-    assert!(world.take_effects(0).is_empty(), "not known to be current");
+    assert!(
+        world.take_effects(0).is_empty(),
+        "the read waits for a barrier"
+    );
     world.nodes[0].paused = false;
     world.settle();
     let messages = world.take_messages(0);
@@ -247,7 +257,7 @@
 }
 
 #[test]
-fn of_two_claims_at_one_epoch_the_first_read_wins_everywhere() {
+fn first_of_concurrent_claims_wins_on_every_node() {
     let mut world = World::new(3);
     for node in 0..3 {
         world.feed(node, Event::Claim { forced: true });
@@ -267,23 +277,23 @@
 }
 
 #[test]
-fn a_release_waits_for_what_cannot_be_handed_over_and_for_nothing_else() {
+fn release_waits_only_for_calls_that_cannot_be_resumed() {
     let (mut world, id) = world_with(tool_call(1), Progress::Accepted);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
     assert!(
         world.nodes[0].partition.owned_epoch().is_some(),
-        "a tool is out"
+        "a tool call is running"
     );
     world.complete(0, id, 1, "declared");
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     assert!(world.nodes[0].partition.owned_epoch().is_none());
     assert!(world.nodes[1].partition.owned_epoch().is_some());
 
     let (mut world, _) = world_with(model_call(1, 0, "hello"), Progress::Streaming);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     assert!(world.nodes[1].partition.owned_epoch().is_some());
     let effects = world.take_effects(1);
     let resumed = effects
@@ -293,7 +303,7 @@
 }
 
 #[test]
-fn an_unsent_call_handed_over_in_order_is_sent_once_and_charged_once() {
+fn unsent_call_is_sent_and_charged_once_after_a_release() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Accepted);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
@@ -302,18 +312,18 @@
         attempt: Attempt(1),
     };
     assert!(world.take_effects(0).contains(&cancel));
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     let dispatches = world.take_dispatches(1);
     assert!(matches!(dispatches.as_slice(), [(_, Attempt(1), _)]));
 }
 
 #[test]
-fn an_attempt_sent_while_the_partition_was_released_is_not_called_unsent() {
+fn attempt_sent_during_a_release_is_resumed_by_the_next_owner() {
     let (mut world, id) = world_with(model_call(1, 0, "hello"), Progress::Accepted);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
     world.place(0, id, 1, "engine-a");
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     assert!(world.nodes[1].partition.owned_epoch().is_some());
     let effects = world.take_effects(1);
     let resumed = effects
@@ -323,7 +333,7 @@
 }
 
 #[test]
-fn an_unsent_call_that_must_not_be_repeated_is_sent_by_the_next_owner() {
+fn unsent_unrepeatable_call_is_sent_by_the_next_owner() {
     let spec = CallSpec {
         repeatable: false,
         ..model_call(1, 0, "hello")
@@ -331,26 +341,26 @@
     let (mut world, id) = world_with(spec, Progress::Accepted);
     world.event(1, Event::Claim { forced: false });
     world.event(0, Event::Release);
-    world.pass(Duration::from_millis(100));
+    world.advance_time(Duration::from_millis(100));
     let dispatches = world.take_dispatches(1);
     assert!(matches!(dispatches.as_slice(), [(sent, Attempt(1), _)] if *sent == id));
 }
 
 #[test]
-fn a_release_that_is_called_off_dispatches_again() {
+fn cancelled_release_dispatches_withdrawn_attempts_again() {
     let (mut world, _) = world_with(model_call(1, 0, "hello"), Progress::Accepted);
     world.take_dispatches(0);
     world.event(0, Event::Release);
     world.event(0, Event::Claim { forced: true });
-    world.pass(Duration::from_secs(1));
+    world.advance_time(Duration::from_secs(1));
     assert_eq!(world.take_dispatches(0).len(), 1);
     assert!(world.nodes[0].partition.owned_epoch().is_some());
 }
 
-/// Simulation seed 63 found it: a node that had released a partition followed it again, owned it
-/// while it read its own old claim back, and answered a read from half the history.
+/// Guards against a node that follows a partition again and, on reading its own earlier claim,
+/// treats itself as the owner before it has read the rest of the stream.
 #[test]
-fn an_old_claim_read_again_makes_no_owner() {
+fn rereading_an_old_claim_does_not_make_an_owner() {
     let (mut world, _) = world_with(model_call(1, 0, "hello"), Progress::Streaming);
     world.take_over(1);
     world.take_effects(0);
