--- a/crates/execution/src/effect.rs
+++ b/crates/execution/src/effect.rs
@@ -16,21 +16,21 @@
     Append {
         /// Epoch of the record.
         epoch: Epoch,
-        /// Body of the record.
+        /// Content of the record.
         body: JournalBody,
     },
     /// Send a message to a sidecar.
     Send {
-        /// The sidecar's connection.
+        /// Connection on which to send the message.
         connection: Connection,
-        /// The message.
+        /// Message to send.
         message: NodeMessage,
     },
     /// Pass an attempt to placement (model calls) or send it to its tool.
     Dispatch {
-        /// The call.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: Attempt,
         /// The request to run.
         request: BackendRequest,
@@ -40,7 +40,7 @@
     /// Resume the stream of an attempt that a previous owner started. Reported like a dispatched
     /// attempt; [`crate::event::AttemptFailure::NotSent`] means that the engine does not know it.
     Resume {
-        /// The call.
+        /// Call to which the attempt belongs.
         call: CallId,
         /// The attempt number under which the engine received it.
         attempt: Attempt,
@@ -52,41 +52,41 @@
     /// Query a tool for the result of an invocation by its idempotency key. Reported by
     /// [`crate::Event::AttemptCompleted`] or [`crate::Event::AttemptFailed`].
     QueryTool {
-        /// The call.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// The tool.
+        /// Name of the tool.
         tool: ToolName,
         /// Key with which the invocation was sent.
         idempotency_key: String,
     },
     /// Cancel an attempt, whose result is no longer needed.
     Cancel {
-        /// The call.
+        /// Call to which the attempt belongs.
         call: CallId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: Attempt,
     },
     /// The run has no open call. Placement decides how much of its engine memory to keep.
     RunPaused {
-        /// The run.
+        /// Id of the run.
         run: RunId,
         /// Expected time until the next call, if given by the caller.
         expected_reuse: Option<std::time::Duration>,
     },
     /// Free the memory that an engine holds for an ended run. Repeated until acknowledged.
     ReleaseMemory {
-        /// The run.
+        /// Id of the run.
         run: RunId,
-        /// The engine.
+        /// Engine that holds the memory.
         engine: EngineId,
     },
     /// Request an allotment from the partition that holds a tenant's budget.
     RequestAllotment {
         /// Tenant whose budget is meant.
         tenant: TenantId,
-        /// Number of the request.
+        /// Number of the request, ascending per tenant and requesting partition.
         request: Sequence,
         /// Credits requested or granted.
         amount: Credits,
@@ -97,7 +97,7 @@
         tenant: TenantId,
         /// The requesting partition.
         partition: PartitionId,
-        /// Number of the request.
+        /// Number of the request, ascending per tenant and requesting partition.
         request: Sequence,
         /// Credits requested or granted.
         amount: Credits,
@@ -114,9 +114,9 @@
 pub enum BackendRequest {
     /// Generate text.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// The whole prompt.
+        /// Complete prompt: the history of the run and the call's own messages.
         messages: Vec<Message>,
         /// Text delivered by an earlier lost attempt, which this attempt continues; usually empty.
         /// The chunks of this attempt are numbered from `continue_chunks`.
@@ -128,7 +128,7 @@
     },
     /// Invoke a tool.
     Tool {
-        /// The tool.
+        /// Name of the tool.
         tool: ToolName,
         /// Arguments as JSON text.
         arguments: String,
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -76,8 +76,8 @@
                 expected_reuse,
             });
         }
-        let gap_due = now + self.settings.earlier_call_wait;
-        self.wake_at(gap_due, id.run);
+        let predecessor_due = now + self.settings.earlier_call_wait;
+        self.wake_at(predecessor_due, id.run);
         self.withdraw_unsent_attempts(now);
     }
 
@@ -201,7 +201,7 @@
         if let Some(due) = self.max_duration_end(run) {
             self.soft.timers.remove(&(due, run));
         }
-        self.begin_memory_release(now, run);
+        self.start_memory_release(now, run);
         let parent = self
             .journal
             .runs
--- a/crates/execution/src/partition/memory.rs
+++ b/crates/execution/src/partition/memory.rs
@@ -12,7 +12,7 @@
 
 impl Partition {
     /// Starts to release the engine memory of an ended run.
-    pub(super) fn begin_memory_release(&mut self, now: Timestamp, run: RunId) {
+    pub(super) fn start_memory_release(&mut self, now: Timestamp, run: RunId) {
         if !self.journal.unreleased.contains(&run) {
             return;
         }
@@ -26,11 +26,11 @@
             appended: false,
         };
         self.soft.memory.insert(run, release);
-        self.send_release(now, run);
+        self.send_memory_releases(now, run);
     }
 
     /// Repeats the releases that are due.
-    pub(super) fn repeat_releases(&mut self, now: Timestamp) {
+    pub(super) fn repeat_memory_releases(&mut self, now: Timestamp) {
         let due: Vec<RunId> = self
             .soft
             .memory
@@ -39,11 +39,11 @@
             .map(|(run, _)| *run)
             .collect();
         for run in due {
-            self.send_release(now, run);
+            self.send_memory_releases(now, run);
         }
     }
 
-    fn send_release(&mut self, now: Timestamp, run: RunId) {
+    fn send_memory_releases(&mut self, now: Timestamp, run: RunId) {
         let limit = self.settings.memory_backoff_limit;
         let assume_acknowledged = self.settings.faults.release_not_retried();
         let Some(release) = self.soft.memory.get_mut(&run) else {
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn on_release_journalled(&mut self, run: RunId) {
+    pub(super) fn on_memory_release_journalled(&mut self, run: RunId) {
         self.soft.memory.remove(&run);
     }
 
--- a/crates/execution/src/partition/ordering.rs
+++ b/crates/execution/src/partition/ordering.rs
@@ -17,7 +17,7 @@
     Accept(Credits),
     /// Wait for a larger allotment of this tenant; the amount is missing.
     AwaitAllotment(TenantId, Credits),
-    /// Refuse it.
+    /// Refuse it for this reason.
     Refuse(Refusal),
     /// End the run because it has reached a limit.
     EndRun,
@@ -123,7 +123,7 @@
             since: now,
             tenant,
         };
-        self.soft.begin_accepting(id.run, accepting);
+        self.soft.start_accepting(id.run, accepting);
         self.append(body);
     }
 
--- a/crates/execution/src/partition/records.rs
+++ b/crates/execution/src/partition/records.rs
@@ -135,7 +135,7 @@
                 refusal,
             } => self.on_submission_refused(call, submission, &refusal),
             JournalBody::Barrier => self.on_barrier(),
-            JournalBody::MemoryReleased { run } => self.on_release_journalled(run),
+            JournalBody::MemoryReleased { run } => self.on_memory_release_journalled(run),
             JournalBody::RunsForgotten { runs } => self.on_runs_forgotten(runs.len()),
             JournalBody::AllotmentGranted {
                 tenant,
@@ -163,7 +163,7 @@
             }
             JournalBody::RunEnded { run, .. } => self.on_end_rejected(now, run),
             JournalBody::RunsForgotten { .. } => self.on_runs_forgotten(0),
-            JournalBody::MemoryReleased { run } => self.on_release_journalled(run),
+            JournalBody::MemoryReleased { run } => self.on_memory_release_journalled(run),
             JournalBody::AllotmentGranted {
                 tenant, partition, ..
             } => {
--- a/crates/execution/src/partition/recovery.rs
+++ b/crates/execution/src/partition/recovery.rs
@@ -32,7 +32,7 @@
         }
         let unreleased: Vec<RunId> = self.journal.unreleased.iter().copied().collect();
         for run in unreleased {
-            self.begin_memory_release(now, run);
+            self.start_memory_release(now, run);
         }
         let due: Vec<(Timestamp, RunId)> = self
             .journal
--- a/crates/execution/src/partition/release.rs
+++ b/crates/execution/src/partition/release.rs
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Withdraws unsent attempts from placement once nothing else blocks the release. The release
-    /// is appended at a later tick, so that placement can first report attempts that it sent at the
-    /// same time.
+    /// Withdraws unsent attempts from placement if a release is pending and nothing else blocks it.
+    /// The release is appended at a later tick, so that placement can first report attempts that it
+    /// sent at the same time.
     pub(super) fn withdraw_unsent_attempts(&mut self, now: Timestamp) {
         if !self.is_release_due(now) {
             return;
--- a/crates/execution/src/partition/timers.rs
+++ b/crates/execution/src/partition/timers.rs
@@ -25,7 +25,7 @@
             self.soft.timers.pop_first();
             self.on_timer(now, run);
         }
-        self.repeat_releases(now);
+        self.repeat_memory_releases(now);
         self.forget_ended(now);
         self.finish_release(now);
         self.snapshot_if_due();
--- a/crates/execution/src/partition/view.rs
+++ b/crates/execution/src/partition/view.rs
@@ -59,14 +59,14 @@
             tenant: tenant.clone(),
             run,
         });
-        self.begin_barrier();
+        self.append_barrier();
     }
 
     /// Appends a barrier for the waiting reads, unless one is in flight. A node that was paused may
     /// have lost the ownership without having read the other node's claim. Reading a record of its
     /// own back proves that its state is at least as recent as the requests.
-    fn begin_barrier(&mut self) {
-        if self.soft.reads.begin_barrier() {
+    fn append_barrier(&mut self) {
+        if self.soft.reads.start_barrier() {
             self.append(JournalBody::Barrier);
         }
     }
@@ -80,7 +80,7 @@
             self.send(read.connection, NodeMessage::RunView { query, view });
         }
         if self.is_serving() {
-            self.begin_barrier();
+            self.append_barrier();
         }
     }
 
--- a/crates/execution/src/settings.rs
+++ b/crates/execution/src/settings.rs
@@ -1,10 +1,10 @@
-//! Limits and intervals of execution.
+//! Settings of a partition: limits, delays and injected faults.
 
 use std::time::Duration;
 
 use elderworks_types::Credits;
 
-/// Limits and intervals of execution.
+/// Settings of a partition: limits, delays and injected faults.
 #[derive(Clone, Debug)]
 pub struct ExecutionSettings {
     /// Maximum number of attempts per call, including the first.
--- a/crates/execution/src/soft_state.rs
+++ b/crates/execution/src/soft_state.rs
@@ -49,7 +49,6 @@
     pub granting: BTreeMap<(TenantId, PartitionId), Sequence>,
     /// Releases of ended runs' engine memory that are not yet acknowledged by every engine.
     pub memory: BTreeMap<RunId, MemoryRelease>,
-    /// Retry budget.
     pub retry: RetryBudget,
     /// Reads that wait for confirmation that this node still owns the partition.
     pub reads: ReadQueue,
@@ -101,13 +100,13 @@
         self.queue.len() + self.runs.len()
     }
 
-    /// What calls on their way into the journal are about to reserve of a tenant's allotment.
+    /// Returns the credits of a tenant's allotment reserved by acceptances that are not yet read back.
     pub fn accepting_reservations(&self, tenant: &TenantId) -> Credits {
         self.accepting.get(tenant).copied().unwrap_or_default()
     }
 
     /// Records that the acceptance of a call was appended.
-    pub fn begin_accepting(&mut self, run: RunId, accepting: Accepting) {
+    pub fn start_accepting(&mut self, run: RunId, accepting: Accepting) {
         if let Some(tenant) = &accepting.tenant {
             *self.accepting.entry(tenant.clone()).or_default() += accepting.reserved;
         }
@@ -153,7 +152,7 @@
 pub(crate) struct RunActivity {
     /// The call whose acceptance was appended and not yet read back.
     pub accepting: Option<Accepting>,
-    /// The call that is open in the journal.
+    /// The call that is open in the journal, if there is one.
     pub open: Option<OpenCall>,
     /// The run's end, if one is in progress.
     pub ending: Option<RunEnding>,
@@ -197,7 +196,6 @@
 /// A call whose acceptance was appended and not yet read back.
 #[derive(Debug)]
 pub(crate) struct Accepting {
-    /// The call.
     pub submission: Submission,
     /// Credits to reserve.
     pub reserved: Credits,
@@ -248,7 +246,6 @@
     Idle,
     /// The start of an attempt was appended; the attempt is sent once the record is read back.
     Intent {
-        /// Number of the attempt.
         attempt: Attempt,
         /// Time of the append.
         since: Timestamp,
@@ -275,7 +272,6 @@
 /// An attempt that was passed to placement or to a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RunningAttempt {
-    /// Number of the attempt.
     pub attempt: Attempt,
     /// How the attempt was started.
     pub origin: AttemptOrigin,
@@ -312,7 +308,7 @@
     pub for_recovery: bool,
 }
 
-/// How a run is to end.
+/// A run's end that is in progress.
 #[derive(Debug)]
 pub(crate) struct RunEnding {
     /// Phase that the run will have after its end.
@@ -326,7 +322,6 @@
 /// A pending request for an allotment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AllotmentRequest {
-    /// Number of the request.
     pub request: Sequence,
     /// Requested credits.
     pub amount: Credits,
--- a/crates/execution/src/soft_state/call_notes.rs
+++ b/crates/execution/src/soft_state/call_notes.rs
@@ -16,7 +16,7 @@
     order: VecDeque<CallId>,
 }
 
-/// Notes on one call.
+/// Notes on one call, shown by `explain`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallNotes {
     /// Time of arrival.
--- a/crates/execution/src/soft_state/callers.rs
+++ b/crates/execution/src/soft_state/callers.rs
@@ -21,7 +21,6 @@
         self.next_chunk.insert(connection, next_chunk);
     }
 
-    /// Removes a connection.
     pub fn detach(&mut self, connection: Connection) {
         self.next_chunk.remove(&connection);
         self.resubmitted.remove(&connection);
@@ -48,7 +47,6 @@
         self.next_chunk.is_empty()
     }
 
-    /// Returns all connections.
     pub fn connections(&self) -> Vec<Connection> {
         self.next_chunk.keys().copied().collect()
     }
--- a/crates/execution/src/soft_state/queue.rs
+++ b/crates/execution/src/soft_state/queue.rs
@@ -19,22 +19,18 @@
         self.calls.len()
     }
 
-    /// Adds a call.
     pub fn insert(&mut self, call: CallId, submission: Submission) {
         self.calls.insert(call, submission);
     }
 
-    /// Returns a waiting call.
     pub fn get(&self, call: CallId) -> Option<&Submission> {
         self.calls.get(&call)
     }
 
-    /// Returns a waiting call.
     pub fn get_mut(&mut self, call: CallId) -> Option<&mut Submission> {
         self.calls.get_mut(&call)
     }
 
-    /// Removes and returns a call.
     pub fn remove(&mut self, call: CallId) -> Option<Submission> {
         self.calls.remove(&call)
     }
@@ -71,7 +67,6 @@
             .collect()
     }
 
-    /// Removes and returns all calls.
     pub fn take_all(&mut self) -> BTreeMap<CallId, Submission> {
         std::mem::take(&mut self.calls)
     }
--- a/crates/execution/src/state/run.rs
+++ b/crates/execution/src/state/run.rs
@@ -21,7 +21,6 @@
     pub limits: RunLimits,
     /// Time of the start.
     pub started: Timestamp,
-    /// Current phase.
     pub phase: RunPhase,
     /// Settled cost of ended calls and ended sub-agents.
     pub spent: Credits,
@@ -157,7 +156,6 @@
 /// An attempt that was sent to a back end, or was about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AttemptState {
-    /// Number of the attempt.
     pub attempt: Attempt,
     /// The engine of a model call, once placed.
     pub engine: Option<EngineId>,
