--- a/crates/execution/src/soft_state/reads.rs
+++ b/crates/execution/src/soft_state/reads.rs
@@ -23,14 +23,14 @@
 /// Waiting reads: those covered by the barrier in flight, and those that arrived after it.
 #[derive(Debug, Default)]
 pub(crate) struct ReadQueue {
-    covered_by_barrier: Vec<PendingRead>,
+    covered: Vec<PendingRead>,
     waiting: Vec<PendingRead>,
 }
 
 impl ReadQueue {
     /// Returns whether the maximum number of reads is waiting.
     pub fn is_full(&self) -> bool {
-        self.covered_by_barrier.len() + self.waiting.len() >= MAX_PENDING_READS
+        self.covered.len() + self.waiting.len() >= MAX_PENDING_READS
     }
 
     /// Adds a read that the barrier in flight does not cover.
@@ -41,21 +41,21 @@
     /// Covers all waiting reads by a new barrier; returns whether the barrier has to be appended.
     /// Returns `false` if a barrier is in flight or no read waits.
     pub fn start_barrier(&mut self) -> bool {
-        if !self.covered_by_barrier.is_empty() || self.waiting.is_empty() {
+        if !self.covered.is_empty() || self.waiting.is_empty() {
             return false;
         }
-        self.covered_by_barrier = std::mem::take(&mut self.waiting);
+        self.covered = std::mem::take(&mut self.waiting);
         true
     }
 
     /// Removes and returns the reads that can be answered after the barrier was read back.
     pub fn finish_barrier(&mut self) -> Vec<PendingRead> {
-        std::mem::take(&mut self.covered_by_barrier)
+        std::mem::take(&mut self.covered)
     }
 
     /// Removes and returns all reads.
     pub fn take_all(&mut self) -> Vec<PendingRead> {
-        let mut reads = std::mem::take(&mut self.covered_by_barrier);
+        let mut reads = std::mem::take(&mut self.covered);
         reads.append(&mut self.waiting);
         reads
     }
--- a/crates/execution/tests/common/chaos.rs
+++ b/crates/execution/tests/common/chaos.rs
@@ -13,7 +13,7 @@
 
 use super::build::*;
 use super::environment::{
-    Backends, Callers, PendingCall, ReplyInTransit, ReplyKind, RequestInTransit, complete_answer,
+    Backends, Callers, ReplyInTransit, ReplyKind, RequestInTransit, TrackedCall, complete_answer,
 };
 use super::{Node, World};
 
@@ -203,7 +203,7 @@
             } else {
                 model_call(number, 0, &format!("question {number} of {run}"))
             };
-            let held = PendingCall {
+            let held = TrackedCall {
                 spec,
                 last_node: None,
                 may_be_accepted_elsewhere: false,
@@ -288,40 +288,40 @@
         if self.requests_in_transit.is_empty() {
             return;
         }
-        let wire = self
+        let request = self
             .requests_in_transit
             .swap_remove(pick % self.requests_in_transit.len());
         let kind = if lose {
             ReplyKind::NotSent
         } else {
-            self.check_execution(&wire);
-            self.backends.execute(&wire)
+            self.check_execution(&request);
+            self.backends.execute(&request)
         };
         self.replies_in_transit.push(ReplyInTransit {
-            to: wire.from,
-            call: wire.call,
-            attempt: wire.attempt,
+            to: request.from,
+            call: request.call,
+            attempt: request.attempt,
             kind,
         });
     }
 
-    fn check_execution(&self, wire: &RequestInTransit) {
-        let held = &self.callers.calls[&wire.call];
+    fn check_execution(&self, request: &RequestInTransit) {
+        let held = &self.callers.calls[&request.call];
         let refused = matches!(held.outcome, Some(Outcome::Refused(_)));
         assert!(
             !refused,
             "{} ran after its caller received a refusal",
-            wire.call
+            request.call
         );
-        if let BackendRequest::Model { messages, .. } = &wire.request {
-            let run = wire.call.run.to_string();
+        if let BackendRequest::Model { messages, .. } = &request.request {
+            let run = request.call.run.to_string();
             let foreign = messages
                 .iter()
                 .any(|message| !message.content.contains(&run));
             assert!(
                 !foreign,
                 "{}: message of another run in {messages:?}",
-                wire.call
+                request.call
             );
         }
     }
--- a/crates/execution/tests/common/environment.rs
+++ b/crates/execution/tests/common/environment.rs
@@ -124,9 +124,9 @@
 
 /// A call tracked by its caller's sidecar.
 #[derive(Debug)]
-pub struct PendingCall {
+pub struct TrackedCall {
     pub spec: CallSpec,
-    /// Node to which the call was last sent.
+    /// Node to which the call was last sent; `None` once that node redirected it or disconnected.
     pub last_node: Option<Node>,
     /// Whether another node may have accepted the call.
     pub may_be_accepted_elsewhere: bool,
@@ -138,7 +138,7 @@
 /// Sidecars of the callers, and the responses that they received.
 #[derive(Default)]
 pub struct Callers {
-    pub calls: BTreeMap<CallId, PendingCall>,
+    pub calls: BTreeMap<CallId, TrackedCall>,
     pub ended: BTreeSet<RunId>,
     pub started: BTreeSet<RunId>,
 }
