--- a/crates/execution/src/state/apply.rs
+++ b/crates/execution/src/state/apply.rs
@@ -156,14 +156,14 @@
             return Err(Inconsistency::Run);
         }
         if let Some(parent) = spec.parent {
-            self.carve_budget(parent, spec)?;
+            self.reserve_child_budget(parent, spec)?;
         }
         let run = RunState::new(spec.clone(), *limits, started);
         self.runs.insert(spec.id, run);
         Ok(())
     }
 
-    fn carve_budget(&mut self, parent: RunId, spec: &RunSpec) -> Applied {
+    fn reserve_child_budget(&mut self, parent: RunId, spec: &RunSpec) -> Applied {
         let same_tree = parent.root == spec.id.root;
         let parent = self
             .runs
@@ -282,8 +282,8 @@
             chunks,
         });
         run.spent += cost;
-        run.settle_history(outcome);
-        run.forget_barred(id.number, outcome);
+        run.update_context_after_end(outcome);
+        run.remove_barred_up_to(id.number, outcome);
         if run.limits.tenant_budget {
             let allotment = self.allotments.entry(run.spec.tenant.clone()).or_default();
             allotment.adjust(held, Credits::ZERO);
@@ -377,7 +377,7 @@
 impl RunState {
     /// Adds the answer of the call that has just ended to the context, or removes the call if it
     /// was refused.
-    fn settle_history(&mut self, outcome: &Outcome) {
+    fn update_context_after_end(&mut self, outcome: &Outcome) {
         if let Outcome::Refused(_) = outcome {
             if let Some(call) = self.calls.pop() {
                 self.restore_context(call);
--- a/crates/execution/src/state/run.rs
+++ b/crates/execution/src/state/run.rs
@@ -93,7 +93,7 @@
 
     /// Removes barred submissions whose number was used by a call that has ended: the number alone
     /// is enough to refuse their copies. A refused call does not use up its number.
-    pub fn forget_barred(&mut self, ended: CallNumber, outcome: &Outcome) {
+    pub fn remove_barred_up_to(&mut self, ended: CallNumber, outcome: &Outcome) {
         if !matches!(outcome, Outcome::Refused(_)) {
             self.barred.retain(|(number, _), _| *number > ended);
         }
