--- a/crates/execution/src/counters.rs
+++ b/crates/execution/src/counters.rs
@@ -59,7 +59,7 @@
     /// Returns the counters with the current sizes set to zero, for a partition that this node no
     /// longer follows.
     #[must_use]
-    pub fn without_sizes(self) -> Self {
+    pub fn without_gauges(self) -> Self {
         Self {
             runs: 0,
             open_calls: 0,
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -130,7 +130,7 @@
         phase: RunPhase,
         connection: Option<Connection>,
     ) {
-        if !self.is_live(run) {
+        if !self.is_run_active(run) {
             return;
         }
         let activity = self.soft.activity(run, now);
--- a/crates/gateway/src/peers/zones.rs
+++ b/crates/gateway/src/peers/zones.rs
@@ -1,16 +1,16 @@
-//! Nodes tell each other which zones' workers are to get nothing more: the log may turn some nodes away
-//! while it serves others and the operator.
+//! Exchange of zone evacuations, for nodes that the log refuses while it serves other nodes and the
+//! operator.
 
-use elderworks_gateway_core::evacuations::ZoneWish;
+use elderworks_gateway_core::evacuations::EvacuationOrder;
 use elderworks_protocol::gateway::ZoneReport;
 
 use crate::gateway::Gateway;
 use crate::watch;
 
-/// What this node knows, for another one.
+/// Returns the evacuations known to this node.
 pub(crate) fn reports(gateway: &Gateway) -> Vec<ZoneReport> {
     let evacuations = gateway.evacuations.borrow();
-    let wishes = evacuations.wishes().map(|(zone, wish)| ZoneReport {
+    let wishes = evacuations.orders().map(|(zone, wish)| ZoneReport {
         zone: zone.to_owned(),
         offset: wish.offset,
         is_on: wish.is_on,
@@ -18,13 +18,13 @@
     wishes.collect()
 }
 
-/// Takes what another node knows.
-pub(crate) fn take(gateway: &Gateway, reports: &[ZoneReport]) {
+/// Applies the evacuations known to another node.
+pub(crate) fn receive(gateway: &Gateway, reports: &[ZoneReport]) {
     for report in reports {
-        let wish = ZoneWish {
+        let wish = EvacuationOrder {
             offset: report.offset,
             is_on: report.is_on,
         };
-        watch::take_zone_wish(gateway, &report.zone, wish, "node");
+        watch::apply_zone_wish(gateway, &report.zone, wish, "node");
     }
 }
