--- a/crates/execution/src/partition.rs
+++ b/crates/execution/src/partition.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns whether the run is active.
-    pub fn is_live(&self, run: RunId) -> bool {
+    pub fn is_run_active(&self, run: RunId) -> bool {
         self.journal
             .runs
             .get(&run)
@@ -294,7 +294,7 @@
 }
 
 /// Returns which of `partition_count` partitions holds a tenant's budget.
-pub fn tenant_holder(tenant: &TenantId, partition_count: u32) -> PartitionId {
+pub fn tenant_budget_holder(tenant: &TenantId, partition_count: u32) -> PartitionId {
     let hash = xxhash_rust::xxh3::xxh3_64(tenant.as_str().as_bytes());
     PartitionId((hash % u64::from(partition_count.max(1))) as u32)
 }
--- a/crates/execution/src/partition/ending.rs
+++ b/crates/execution/src/partition/ending.rs
@@ -69,7 +69,7 @@
             .runs
             .get(&id.run)
             .is_none_or(|activity| activity.accepting.is_none());
-        if paused && self.is_live(id.run) {
+        if paused && self.is_run_active(id.run) {
             let run = id.run;
             self.emit(Effect::RunPaused {
                 run,
--- a/crates/execution/src/partition/view.rs
+++ b/crates/execution/src/partition/view.rs
@@ -27,7 +27,7 @@
 impl Partition {
     /// Returns summaries of all runs in this node's copy of the state, ordered by id. Intended for
     /// operators: the copy may be outdated and all tenants are included.
-    pub fn summaries(&self) -> impl Iterator<Item = RunSummary> {
+    pub fn run_summaries(&self) -> impl Iterator<Item = RunSummary> {
         self.journal.runs.values().map(|state| RunSummary {
             spec: state.spec.clone(),
             phase: state.phase,
--- a/crates/execution/src/settings.rs
+++ b/crates/execution/src/settings.rs
@@ -143,7 +143,7 @@
     /// Tool calls are sent on arrival, without waiting for earlier calls.
     dispatch_before_turn,
     /// An answer continued after a lost attempt is reported without the part before it.
-    forget_beginning,
+    omit_continued_text,
     /// A new owner ignores the open calls of the previous owner.
     abandon_open_calls,
     /// Refusals don't say when to retry.
--- a/crates/execution/src/soft_state/callers.rs
+++ b/crates/execution/src/soft_state/callers.rs
@@ -28,7 +28,7 @@
 
     /// Records the submission of a connection if another copy of it may exist.
     pub fn note_submission(&mut self, connection: Connection, submission: SubmissionTag) {
-        if let Some(id) = submission.doubtful() {
+        if let Some(id) = submission.id_if_resubmitted() {
             self.resubmitted.insert(connection, id);
         }
     }
