--- a/crates/execution/src/partition/records.rs
+++ b/crates/execution/src/partition/records.rs
@@ -1,4 +1,4 @@
-//! Reading records back.
+//! Processing of records read from the partition's stream, and taking snapshots.
 
 use std::borrow::Cow;
 
@@ -7,7 +7,7 @@
 use elderworks_types::{Offset, Timestamp};
 
 use super::Partition;
-use crate::state::{Inconsistency, JournalState, Loading, Verdict, snapshot_records};
+use crate::state::{ApplyOutcome, Inconsistency, JournalState, LoadStep, snapshot_records};
 
 impl Partition {
     pub(super) fn on_record_read(
@@ -17,9 +17,9 @@
         record: Record<JournalBody>,
     ) {
         match self.loader.take(offset, &record) {
-            Loading::Wait => {}
-            Loading::Apply => self.apply_record(now, offset, record),
-            Loading::Loaded(state, following) => {
+            LoadStep::Wait => {}
+            LoadStep::Apply => self.apply_record(now, offset, record),
+            LoadStep::Loaded(state, following) => {
                 self.journal = *state;
                 for (offset, record) in following {
                     self.apply_record(now, offset, record);
@@ -30,27 +30,27 @@
     }
 
     fn apply_record(&mut self, now: Timestamp, offset: Offset, record: Record<JournalBody>) {
-        let verdict = self.journal.apply(&record, &self.settings.faults);
-        self.count(verdict);
+        let outcome = self.journal.apply(&record, &self.settings.faults);
+        self.count(outcome);
         let own = record.writer == self.writer;
-        match verdict {
-            Verdict::Accepted => self.on_accepted(now, offset, own, record),
-            Verdict::Inconsistent(inconsistency) => {
+        match outcome {
+            ApplyOutcome::Accepted => self.on_accepted(now, offset, own, record),
+            ApplyOutcome::Inconsistent(inconsistency) => {
                 if own && self.owned == Some(record.epoch) {
                     self.soft.in_flight.pop_front();
                     self.on_own_rejected(now, record.body, inconsistency);
                 }
             }
-            Verdict::Repeated | Verdict::Fenced => {}
+            ApplyOutcome::Repeated | ApplyOutcome::Fenced => {}
         }
     }
 
-    fn count(&mut self, verdict: Verdict) {
-        let counter = match verdict {
-            Verdict::Accepted => &mut self.counters.records_accepted,
-            Verdict::Repeated => &mut self.counters.records_repeated,
-            Verdict::Fenced => &mut self.counters.records_fenced,
-            Verdict::Inconsistent(_) => &mut self.counters.records_inconsistent,
+    fn count(&mut self, outcome: ApplyOutcome) {
+        let counter = match outcome {
+            ApplyOutcome::Accepted => &mut self.counters.records_accepted,
+            ApplyOutcome::Repeated => &mut self.counters.records_repeated,
+            ApplyOutcome::Fenced => &mut self.counters.records_fenced,
+            ApplyOutcome::Inconsistent(_) => &mut self.counters.records_inconsistent,
         };
         *counter += 1;
     }
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns where a snapshot begins once its last part is there.
+    /// Records a part of a snapshot. Returns the offset of the first part when the last one was
+    /// read.
     fn note_snapshot(&mut self, offset: Offset, part: u32, parts: u32) -> Option<Offset> {
         if part == 0 {
             self.pending_snapshot = Some(offset);
@@ -104,7 +105,7 @@
         Some(first)
     }
 
-    /// Takes a snapshot once enough records followed the last.
+    /// Takes a snapshot if enough records were applied since the last one.
     pub(super) fn snapshot_if_due(&mut self) {
         let due = self.records_since_snapshot >= self.settings.snapshot_interval;
         if due && self.log_reachable && self.is_serving() {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A record of this owner now counts.
+    /// Handles the read-back of a record that this owner appended.
     fn on_own_record(&mut self, now: Timestamp, body: JournalBody) {
         match body {
             JournalBody::RunStarted { spec, .. } => self.on_run_started(spec.id),
@@ -134,7 +135,7 @@
                 refusal,
             } => self.on_submission_refused(call, submission, &refusal),
             JournalBody::Barrier => self.on_barrier(),
-            JournalBody::MemoryReleased { run } => self.on_release_journalled(run),
+            JournalBody::MemoryReleased { run } => self.on_memory_release_journalled(run),
             JournalBody::RunsForgotten { runs } => self.on_runs_forgotten(runs.len()),
             JournalBody::AllotmentGranted {
                 tenant,
@@ -152,7 +153,7 @@
         }
     }
 
-    /// A record of this owner contradicted the state it met; it will never count.
+    /// Handles a record of this owner that was ignored because it contradicted the state.
     fn on_own_rejected(&mut self, now: Timestamp, body: JournalBody, why: Inconsistency) {
         match body {
             JournalBody::RunStarted { spec, .. } => self.on_start_rejected(spec.id, why),
@@ -162,7 +163,7 @@
             }
             JournalBody::RunEnded { run, .. } => self.on_end_rejected(now, run),
             JournalBody::RunsForgotten { .. } => self.on_runs_forgotten(0),
-            JournalBody::MemoryReleased { run } => self.on_release_journalled(run),
+            JournalBody::MemoryReleased { run } => self.on_memory_release_journalled(run),
             JournalBody::AllotmentGranted {
                 tenant, partition, ..
             } => {
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Appends the state as it will be once all records now in flight are read back; the parts
-    /// follow those records directly, since one writer's records keep their order.
+    /// Appends a snapshot of the state after all records in flight. A writer's records keep their
+    /// order, so the snapshot's parts directly follow those records.
     pub(super) fn on_take_snapshot(&mut self) {
         if !self.is_serving() {
             return;
--- a/crates/execution/src/partition/release.rs
+++ b/crates/execution/src/partition/release.rs
@@ -1,15 +1,15 @@
-//! Handing the partition over in order.
+//! Orderly hand-over of the partition to another node.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{Attempt, CallId, RunId, Timestamp};
 
 use super::Partition;
 use crate::Effect;
-use crate::soft::{OpenCall, ReleaseProgress, Running, Source, Stage};
+use crate::soft_state::{AttemptOrigin, OpenCall, ReleaseProgress, RunningAttempt, Stage};
 
 impl Partition {
     pub(super) fn on_release(&mut self, now: Timestamp) {
-        self.claim = None;
+        self.pending_claim = None;
         if self.owned.is_none() || self.soft.release.is_some() {
             return;
         }
@@ -17,27 +17,27 @@
             since: now,
             appended: false,
         });
-        self.turn_waiting_away();
-        self.prepare_release(now);
+        self.redirect_queued_calls();
+        self.withdraw_unsent_attempts(now);
     }
 
-    fn turn_waiting_away(&mut self) {
+    fn redirect_queued_calls(&mut self) {
         for (id, submission) in self.soft.queue.take_all() {
             let connections = submission.callers.connections();
-            self.turn_away(connections, id.run, Some(id.number));
+            self.redirect(connections, id.run, Some(id.number));
         }
     }
 
-    /// Takes back from placement what no back end has, once nothing else speaks against the
-    /// release. It is appended at a later tick, when word of an attempt that was sent in the same
-    /// moment has arrived.
-    pub(super) fn prepare_release(&mut self, now: Timestamp) {
+    /// Withdraws unsent attempts from placement if a release is pending and nothing else blocks it.
+    /// The release is appended at a later tick, so that placement can first report attempts that it
+    /// sent at the same time.
+    pub(super) fn withdraw_unsent_attempts(&mut self, now: Timestamp) {
         if !self.is_release_due(now) {
             return;
         }
-        let mut taken_back = Vec::new();
-        for (run, work) in &mut self.soft.runs {
-            let Some(open) = &mut work.open else {
+        let mut withdrawn = Vec::new();
+        for (run, activity) in &mut self.soft.runs {
+            let Some(open) = &mut activity.open else {
                 continue;
             };
             let call = CallId {
@@ -47,32 +47,31 @@
             if let Stage::Running(running) = &open.stage
                 && running.sent.is_none()
             {
-                taken_back.push((call, running.attempt));
+                withdrawn.push((call, running.attempt));
                 open.stage = Stage::Withdrawn(running.attempt);
             }
         }
-        for (call, attempt) in taken_back {
+        for (call, attempt) in withdrawn {
             self.emit(Effect::Cancel { call, attempt });
         }
     }
 
-    /// Appends the release if it is due and everything unsent was taken back before.
+    /// Appends the release if it is due and all unsent attempts were withdrawn before.
     pub(super) fn finish_release(&mut self, now: Timestamp) {
         if !self.is_release_due(now) {
             return;
         }
-        let waiting = self.soft.runs.values().any(|work| {
-            let open = work.open.as_ref();
+        let waiting = self.soft.runs.values().any(|activity| {
+            let open = activity.open.as_ref();
             open.is_some_and(is_unsent)
         });
         if waiting {
-            return self.prepare_release(now);
+            return self.withdraw_unsent_attempts(now);
         }
         self.append_release();
     }
 
-    /// Whether nothing stands in the way of the release, or has had its time: records on their way,
-    /// and calls that another owner could not take up.
+    /// Returns whether nothing blocks the release any more, or the maximum wait is over.
     fn is_release_due(&self, now: Timestamp) -> bool {
         let Some(release) = self.soft.release else {
             return false;
@@ -88,14 +87,14 @@
         if !self.soft.in_flight.is_empty() {
             return true;
         }
-        self.soft.runs.iter().any(|(run, work)| {
-            let open = work.open.as_ref();
+        self.soft.runs.iter().any(|(run, activity)| {
+            let open = activity.open.as_ref();
             open.is_some_and(|open| self.must_finish_here(*run, open))
         })
     }
 
-    /// Whether another owner could not take the call up where it is: everything that is out and is
-    /// not a stream of an engine.
+    /// Returns whether another owner could not resume the call's attempt. Only streams of engines
+    /// can be resumed.
     fn must_finish_here(&self, run: RunId, open: &OpenCall) -> bool {
         let Stage::Running(running) = &open.stage else {
             return false;
@@ -114,8 +113,8 @@
 
     fn append_release(&mut self) {
         let mut unsent = Vec::new();
-        for (run, work) in &mut self.soft.runs {
-            let Some(open) = &mut work.open else {
+        for (run, activity) in &mut self.soft.runs {
+            let Some(open) = &mut activity.open else {
                 continue;
             };
             if let Stage::Withdrawn(_) | Stage::Idle = open.stage {
@@ -132,7 +131,7 @@
         }
     }
 
-    /// The partition is to stay here after all: what was taken back is dispatched again.
+    /// Cancels a release in progress and dispatches the withdrawn attempts again.
     pub(super) fn cancel_release(&mut self, now: Timestamp) {
         if self.soft.release.take().is_none() {
             return;
@@ -141,8 +140,8 @@
             .soft
             .runs
             .iter()
-            .filter_map(|(run, work)| {
-                let open = work.open.as_ref()?;
+            .filter_map(|(run, activity)| {
+                let open = activity.open.as_ref()?;
                 let is_withdrawn = matches!(open.stage, Stage::Withdrawn(_));
                 is_withdrawn.then_some(CallId {
                     run: *run,
@@ -151,25 +150,25 @@
             })
             .collect();
         for call in withdrawn {
-            self.begin_attempt(now, call);
+            self.start_attempt(now, call);
         }
     }
 
-    /// An attempt that was taken back had been sent all the same.
+    /// Restores an attempt that placement sent before it received the withdrawal.
     pub(super) fn restore_withdrawn(&mut self, id: CallId, attempt: Attempt) {
         if let Some(open) = self.soft.open(id.run, id.number)
             && open.stage == Stage::Withdrawn(attempt)
         {
-            open.stage = Stage::Running(Running {
+            open.stage = Stage::Running(RunningAttempt {
                 attempt,
-                source: Source::Dispatched,
+                origin: AttemptOrigin::Dispatched,
                 sent: None,
             });
         }
     }
 }
 
-/// Whether placement holds the call's attempt.
+/// Returns whether the call's attempt is in placement and unsent.
 fn is_unsent(open: &OpenCall) -> bool {
     matches!(&open.stage, Stage::Running(running) if running.sent.is_none())
 }
