--- a/crates/membership/src/assignment.rs
+++ b/crates/membership/src/assignment.rs
@@ -1,20 +1,20 @@
-//! Rendezvous hashing: partitions onto cells and nodes, duties onto members of a cell.
+//! Rendezvous hashing of partitions to cells and nodes, and of duties to members of a cell.
 
 use elderworks_types::{CellId, NodeId, PartitionId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A duty that a few members of a cell carry for the rest.
+/// A task that a few members of a cell perform on behalf of the whole cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty {
     /// Probes other cells and exchanges digests with them.
     Relay,
-    /// Reads the control stream from the log; the others fetch from peers.
+    /// Reads the control stream from the log, so that the other members can fetch it from a peer.
     ControlReader,
 }
 
-/// The node that should own `partition`, out of those offered; `None` if none is.
+/// Returns the node that should own `partition`, or `None` if `nodes` is empty.
 ///
-/// When a node comes or goes, only the partitions that it wins or held change owner.
+/// Adding or removing a node only reassigns partitions to or from that node.
 pub fn owner_of<'a>(
     partition: PartitionId,
     nodes: impl Iterator<Item = &'a NodeId>,
@@ -22,7 +22,7 @@
     nodes.max_by_key(|node| (weight(node.as_str(), u64::from(partition.0)), *node))
 }
 
-/// The cell in which `partition` should be owned, out of those offered; `None` if none is.
+/// Returns the cell whose nodes should own `partition`, or `None` if `cells` is empty.
 pub fn cell_of<'a>(
     partition: PartitionId,
     cells: impl Iterator<Item = &'a CellId>,
@@ -30,8 +30,8 @@
     cells.max_by_key(|cell| (weight(cell.as_str(), u64::from(partition.0)), *cell))
 }
 
-/// The `count` nodes that carry a duty, out of those offered, the foremost first.
-pub fn bearers_of<'a>(
+/// Returns up to `count` of `nodes` that perform `duty`, in descending order of preference.
+pub fn duty_holders<'a>(
     duty: Duty,
     count: usize,
     nodes: impl Iterator<Item = &'a NodeId>,
@@ -43,7 +43,8 @@
     ranked
 }
 
-/// Seeds above the range of partition numbers, so that duties fall independently of ownership.
+/// Returns a hash seed above the range of partition numbers, so that duties are assigned
+/// independently of partition ownership.
 fn duty_seed(duty: Duty) -> u64 {
     match duty {
         Duty::Relay => 1 << 32,
@@ -51,6 +52,7 @@
     }
 }
 
+/// Returns the rendezvous weight of a node or cell.
 fn weight(name: &str, seed: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), seed)
 }
--- a/crates/membership/src/cells.rs
+++ b/crates/membership/src/cells.rs
@@ -1,4 +1,4 @@
-//! Digests of cells as one node believes.
+//! One node's view of the state of every cell.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,35 +7,36 @@
 use elderworks_types::{CellId, Timestamp};
 
 use crate::settings::MAX_CELLS;
-use crate::table::Merged;
+use crate::table::MergeOutcome;
 
-/// Digests by cell, the node's own cell included once a relay has made one.
+/// Latest digest of each cell. Includes the node's own cell once one of its relays has published a
+/// digest.
 #[derive(Debug, Default)]
 pub struct CellTable {
     cells: BTreeMap<CellId, KnownCell>,
-    refused: u64,
+    rejected: u64,
 }
 
-/// One cell as this node believes.
+/// One node's view of a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownCell {
-    /// The latest digest.
+    /// Latest digest received.
     pub digest: CellDigest,
-    /// When the cell's state last changed here.
+    /// Time at which this node last saw the cell's state change.
     pub since: Timestamp,
 }
 
 impl CellTable {
-    /// Takes a digest if it is later than what is known.
-    pub fn merge(&mut self, now: Timestamp, digest: CellDigest) -> Merged {
+    /// Stores `digest` if it supersedes the stored one.
+    pub fn merge(&mut self, now: Timestamp, digest: CellDigest) -> MergeOutcome {
         if digest.representatives.len() > MAX_REPRESENTATIVES {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         }
         let Some(known) = self.cells.get_mut(&digest.cell) else {
             return self.insert(now, digest);
         };
         if (digest.version, digest.state) <= (known.digest.version, known.digest.state) {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         }
         let changed = digest.state != known.digest.state;
         if changed {
@@ -43,43 +44,43 @@
         }
         known.digest = digest;
         if changed {
-            Merged::Changed
+            MergeOutcome::Changed
         } else {
-            Merged::Refreshed
+            MergeOutcome::Refreshed
         }
     }
 
-    fn insert(&mut self, now: Timestamp, digest: CellDigest) -> Merged {
+    fn insert(&mut self, now: Timestamp, digest: CellDigest) -> MergeOutcome {
         if self.cells.len() >= MAX_CELLS {
-            self.refused += 1;
-            return Merged::Stale;
+            self.rejected += 1;
+            return MergeOutcome::Stale;
         }
         let known = KnownCell { digest, since: now };
         self.cells.insert(known.digest.cell.clone(), known);
-        Merged::Changed
+        MergeOutcome::Changed
     }
 
-    /// One cell.
+    /// Returns a cell by name.
     pub fn get(&self, cell: &CellId) -> Option<&KnownCell> {
         self.cells.get(cell)
     }
 
-    /// All cells in order of name.
+    /// Iterates over all cells in order of name.
     pub fn iter(&self) -> impl Iterator<Item = &KnownCell> {
         self.cells.values()
     }
 
-    /// Number of cells, in whatever state.
+    /// Returns the number of cells in any state.
     pub fn count(&self) -> usize {
         self.cells.len()
     }
 
-    /// Cells that were not taken in because the table was full.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Returns the number of digests dropped because the table was full.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// Cells that have been in `state` for at least `duration`.
+    /// Returns the digests of cells that have been in `state` for at least `duration`.
     pub fn in_state_for(
         &self,
         now: Timestamp,
@@ -93,12 +94,12 @@
             .collect()
     }
 
-    /// Drops a cell.
-    pub fn forget(&mut self, cell: &CellId) {
+    /// Removes a cell.
+    pub fn remove(&mut self, cell: &CellId) {
         self.cells.remove(cell);
     }
 
-    /// Gives every suspect cell the whole suspicion timeout again.
+    /// Restarts the suspicion timeout of every suspect cell.
     pub fn restart_suspicions(&mut self, now: Timestamp) {
         for known in self.cells.values_mut() {
             if known.digest.state == CellState::Suspect {
--- a/crates/membership/src/detector/exchange.rs
+++ b/crates/membership/src/detector/exchange.rs
@@ -1,4 +1,4 @@
-//! Joining, and full exchanges in bounded datagrams.
+//! Join requests and full state exchanges, split into datagrams of bounded size.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 use elderworks_types::Timestamp;
 use rand::seq::IndexedRandom;
 
-use super::{Membership, room_left};
+use super::{Membership, remaining_bytes};
 use crate::dissemination::encoded_bytes;
 use crate::settings::MAX_JOIN_DATAGRAMS;
 
 impl Membership {
-    /// Seeds other than this node itself.
+    /// Iterates over the seed addresses except this node's own.
     pub(super) fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         self.settings
             .seeds
@@ -20,14 +20,14 @@
             .filter(|seed| *seed != self.settings.gossip_address)
     }
 
-    /// Tells a node that this one exists and asks for what it knows.
+    /// Announces this node to the node at `to` and requests its view of the cell.
     pub(super) fn send_join(&mut self, to: SocketAddr) {
         let mut join = self.empty_datagram(DatagramKind::Join);
         join.updates = vec![self.own_update().clone()];
         self.send(to, join);
     }
 
-    /// Sends all that is known to a member that joins, in several datagrams.
+    /// Sends all known members and cells to a joining member, unless the rate limit is reached.
     pub(super) fn answer_join(&mut self, now: Timestamp, to: SocketAddr) {
         if !self.schedule.may_answer_join(now) {
             return;
@@ -47,15 +47,16 @@
         }
     }
 
+    /// Splits members and digests into at most [`MAX_JOIN_DATAGRAMS`] datagrams.
     fn pages(&self, updates: Vec<MemberUpdate>, digests: Vec<CellDigest>) -> Vec<Datagram> {
         let mut updates = updates.into_iter().peekable();
         let mut digests = digests.into_iter().peekable();
         let mut pages = Vec::new();
         while pages.len() < MAX_JOIN_DATAGRAMS {
             let mut page = self.empty_datagram(DatagramKind::Members);
-            let mut room = room_left(&page);
-            page.updates = take_fitting(&mut updates, &mut room);
-            page.digests = take_fitting(&mut digests, &mut room);
+            let mut remaining = remaining_bytes(&page);
+            page.updates = take_fitting(&mut updates, &mut remaining);
+            page.digests = take_fitting(&mut digests, &mut remaining);
             let exhausted = page.updates.is_empty() && page.digests.is_empty();
             if exhausted {
                 break;
@@ -65,8 +66,8 @@
         pages
     }
 
-    /// Sends one datagram of members and digests, starting at a random place, to a random member: what
-    /// piggybacking missed is repaired in the long run.
+    /// Sends one datagram of members and digests, starting at a random position, to a random member.
+    /// Over time, this repairs differences left by updates that were lost in transit.
     pub(super) fn exchange(&mut self) {
         let peers: Vec<SocketAddr> = self
             .other_reachable()
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Returns all cell digests, starting at a random position.
     pub(super) fn all_digests_rotated(&mut self) -> Vec<CellDigest> {
         let digests = self
             .cells
@@ -106,21 +108,22 @@
     }
 }
 
-/// Takes items while they fit the room, which shrinks; an item that can never fit is passed over.
+/// Takes items until the next one exceeds the `remaining` bytes, which are reduced accordingly.
+/// Items larger than the initial value of `remaining` are skipped.
 pub(super) fn take_fitting<T: serde::Serialize>(
     items: &mut std::iter::Peekable<impl Iterator<Item = T>>,
-    room: &mut usize,
+    remaining: &mut usize,
 ) -> Vec<T> {
-    let whole_room = *room;
+    let capacity = *remaining;
     let mut taken = Vec::new();
     while let Some(item) = items.peek() {
         let bytes = encoded_bytes(item);
-        if bytes > *room && bytes <= whole_room {
+        if bytes > *remaining && bytes <= capacity {
             break;
         }
         let Some(item) = items.next() else { break };
-        if bytes <= *room {
-            *room -= bytes;
+        if bytes <= *remaining {
+            *remaining -= bytes;
             taken.push(item);
         }
     }
--- a/crates/membership/src/detector/foreign.rs
+++ b/crates/membership/src/detector/foreign.rs
@@ -1,4 +1,4 @@
-//! What is heard from other cells, and of them.
+//! Processing of datagrams from other cells and of cell digests.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 use super::exchange::take_fitting;
 use super::periodic::is_due;
 use super::relay::{add_first, representative};
-use super::{Membership, room_left};
+use super::{Membership, remaining_bytes};
 use crate::event::Effect;
 use crate::settings::JOIN_INTERVAL;
-use crate::table::Merged;
+use crate::table::MergeOutcome;
 
 impl Membership {
     pub(super) fn receive_from_other_cell(
@@ -23,29 +23,34 @@
         for digest in datagram.digests {
             self.merge_digest(now, digest);
         }
-        self.note_foreign_control(now, &datagram.cell, &datagram.from, datagram.control_next);
+        self.record_foreign_control_next(
+            now,
+            &datagram.cell,
+            &datagram.from,
+            datagram.control_next,
+        );
         match datagram.kind {
             DatagramKind::Ping { nonce } => {
-                let accusation = self.accusation_of_cell(&datagram.cell);
+                let to_refute = self.digest_to_refute(&datagram.cell);
                 let mut answer = self.compose_foreign(DatagramKind::Acknowledge { nonce });
-                add_first(&mut answer, accusation);
+                add_first(&mut answer, to_refute);
                 self.send(from, answer);
             }
             DatagramKind::Acknowledge { nonce } => {
                 if self.cell_prober.acknowledge(nonce, &datagram.cell) {
-                    self.health.note_answer();
+                    self.health.record_answer();
                 }
             }
             DatagramKind::Join => {
-                self.introduce(now, from, datagram.cell, datagram.updates.first());
+                self.answer_foreign_join(now, from, datagram.cell, datagram.updates.first());
             }
             DatagramKind::PingRequest { .. } | DatagramKind::Members => {}
         }
     }
 
-    /// A node of another cell asks its way: tell it of its cell, and remember it as the first of a
-    /// cell so far unknown.
-    fn introduce(
+    /// Answers a join request from a node of another cell with the digests of both cells, so that it
+    /// finds members of its own cell. If its cell is unknown, the node is recorded as its only member.
+    fn answer_foreign_join(
         &mut self,
         now: Timestamp,
         to: SocketAddr,
@@ -57,28 +62,28 @@
         }
         let known = self.cells.get(&cell).map(|known| known.digest.clone());
         if let (None, Some(joiner)) = (&known, joiner) {
-            let first = first_digest(cell, joiner);
+            let first = provisional_digest(cell, joiner);
             self.merge_digest(now, first);
         }
         let mut answer = self.empty_datagram(DatagramKind::Members);
-        let mut room = room_left(&answer);
+        let mut remaining = remaining_bytes(&answer);
         let own = self.cells.get(&self.settings.cell);
         let own = own.map(|known| known.digest.clone());
         let mut digests = known.into_iter().chain(own).peekable();
-        answer.digests = take_fitting(&mut digests, &mut room);
+        answer.digests = take_fitting(&mut digests, &mut remaining);
         self.send(to, answer);
     }
 
     pub(super) fn merge_digest(&mut self, now: Timestamp, digest: CellDigest) {
         if digest.cell == self.settings.cell {
-            self.hear_of_own_cell(now, digest);
+            self.merge_own_cell_digest(now, digest);
             return;
         }
         let merged = self.cells.merge(now, digest.clone());
-        if merged == Merged::Stale {
+        if merged == MergeOutcome::Stale {
             return;
         }
-        if merged == Merged::Changed {
+        if merged == MergeOutcome::Changed {
             self.effects.push(Effect::CellChanged {
                 cell: digest.cell.clone(),
                 state: digest.state,
@@ -87,12 +92,12 @@
         self.digests.push(digest.cell.clone(), digest);
     }
 
-    /// Refutes a digest that calls this cell gone, and joins members that it names and this node does
-    /// not know: so the parts of a cell find each other.
-    fn hear_of_own_cell(&mut self, now: Timestamp, digest: CellDigest) {
+    /// Merges a digest of this node's own cell. Refutes it if it reports the cell as suspect or dead,
+    /// and joins unknown members that it names, which reconnects the parts of a partitioned cell.
+    fn merge_own_cell_digest(&mut self, now: Timestamp, digest: CellDigest) {
         self.join_unknown_representatives(now, &digest);
         let accused = digest.state != CellState::Alive;
-        if self.cells.merge(now, digest.clone()) == Merged::Stale {
+        if self.cells.merge(now, digest.clone()) == MergeOutcome::Stale {
             return;
         }
         if accused && self.is_relay() {
@@ -126,9 +131,15 @@
         }
     }
 
-    /// Records that another cell already has are fetched from its representative: this is how a cell
-    /// that lost the log hears of changes.
-    fn note_foreign_control(&mut self, now: Timestamp, cell: &CellId, peer: &NodeId, next: Offset) {
+    /// Requests control records that a representative of another cell has already applied. This keeps
+    /// a cell that cannot reach the log up to date.
+    fn record_foreign_control_next(
+        &mut self,
+        now: Timestamp,
+        cell: &CellId,
+        peer: &NodeId,
+        next: Offset,
+    ) {
         let Some(known) = self.cells.get(cell) else {
             return;
         };
@@ -137,7 +148,7 @@
             return;
         };
         let address = sender.address;
-        if self.control.note_peer(now, next) {
+        if self.control.record_peer(now, next) {
             let peer = peer.clone();
             self.effects.push(Effect::ControlBehind {
                 peer,
@@ -148,8 +159,8 @@
     }
 }
 
-/// What is known of a cell whose first node has just asked its way.
-fn first_digest(cell: CellId, joiner: &MemberUpdate) -> CellDigest {
+/// Returns a digest for an unknown cell of which one member has sent a join request.
+fn provisional_digest(cell: CellId, joiner: &MemberUpdate) -> CellDigest {
     CellDigest {
         cell,
         version: 0,
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -1,4 +1,4 @@
-//! The failure detector of one node.
+//! The failure detector that runs on each node.
 
 mod exchange;
 mod foreign;
@@ -16,96 +16,100 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::assignment::{Duty, bearers_of, cell_of, owner_of};
+use crate::assignment::{Duty, cell_of, duty_holders, owner_of};
 use crate::cells::{CellTable, KnownCell};
-use crate::control_watch::ControlWatch;
+use crate::control_progress::ControlProgress;
 use crate::dissemination::{Dissemination, encoded_bytes};
 use crate::event::{Effect, Event, Member};
 use crate::health::LocalHealth;
 use crate::probe::Prober;
 use crate::settings::{
-    CONTROL_PATIENCE, CONTROL_READERS_PER_CELL, MembershipSettings, RELAYS_PER_CELL,
+    CONTROL_LAG_TIMEOUT, CONTROL_READERS_PER_CELL, MembershipSettings, RELAYS_PER_CELL,
     RETRANSMIT_FACTOR,
 };
 use crate::table::{MemberTable, is_eligible};
 
-/// Growth of the two list-length prefixes of a datagram when lists are filled, in bytes.
+/// Bytes by which the length prefixes of a datagram's two lists can grow as the lists are filled.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Longest wait for an answer from a seed before this node takes itself for the first of its cell.
-const JOIN_PATIENCE: Duration = Duration::from_secs(5);
+/// Time to wait for an answer from a peer before this node assumes that it is the first of its cell.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a node takes control records from.
+/// Source from which a node reads control records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlSource {
-    /// The platform's log: it is the cell's reader, or its peers have failed it.
+    /// The platform's log, because the node is a control reader of its cell, its peers have delivered
+    /// no records in time, or it has no reachable peers.
     Log,
-    /// Peers, asked on each [`Effect::ControlBehind`].
+    /// Peers, queried on each [`Effect::ControlBehind`].
     Peers,
 }
 
-/// Where a partition should be owned.
+/// Expected owner of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartitionHome {
-    /// By this node of this node's own cell.
+    /// A node of the local cell, possibly the local node.
     Node(NodeId),
-    /// In another cell, which the digest tells how to reach.
+    /// Another cell, with the digest that lists its representatives.
     Cell(CellDigest),
 }
 
-/// The failure detector of one node.
+/// The failure detector of one node, which also tracks the other cells and the control stream.
 #[derive(Debug)]
 pub struct Membership {
     settings: MembershipSettings,
     random: ChaCha8Rng,
+    /// Time of the first tick.
     started: Option<Timestamp>,
-    answered: bool,
+    /// Whether any member of the cell has answered this node.
+    peer_answered: bool,
     table: MemberTable,
     updates: Dissemination<NodeId, MemberUpdate>,
     prober: Prober<NodeId>,
     health: LocalHealth,
-    listed_live: BTreeSet<NodeId>,
+    /// Nodes that the platform's machine list reports as live.
+    listed_as_live: BTreeSet<NodeId>,
     cells: CellTable,
     digests: Dissemination<CellId, CellDigest>,
     cell_prober: Prober<CellId>,
     load_percent: u8,
-    control: ControlWatch,
+    control: ControlProgress,
     schedule: periodic::Schedule,
     effects: Vec<Effect>,
 }
 
 impl Membership {
-    /// Knows only itself and its seeds.
+    /// Creates a detector that knows only its own node and the seed addresses.
     pub fn new(settings: MembershipSettings) -> Self {
         let mut membership = Self {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             started: None,
-            answered: false,
+            peer_answered: false,
             table: MemberTable::default(),
             updates: Dissemination::new(),
             prober: Prober::new(),
             health: LocalHealth::default(),
-            listed_live: BTreeSet::new(),
+            listed_as_live: BTreeSet::new(),
             cells: CellTable::default(),
             digests: Dissemination::new(),
             cell_prober: Prober::new(),
             load_percent: 0,
-            control: ControlWatch::default(),
+            control: ControlProgress::default(),
             schedule: periodic::Schedule::default(),
             effects: Vec::new(),
             settings,
         };
-        let own = membership.first_own_update();
+        let own = membership.initial_own_update();
         membership.table.merge(Timestamp::default(), own);
         membership
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Processes one event and returns the resulting effects in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         match event {
             Event::Received { from, datagram } => self.receive(now, from, datagram),
-            Event::MachineList { live, leaving } => self.take_machine_list(now, live, &leaving),
-            Event::ControlApplied { next } => self.control.note_applied(now, next),
+            Event::MachineList { live, leaving } => self.apply_machine_list(now, live, &leaving),
+            Event::ControlApplied { next } => self.control.record_applied(now, next),
             Event::Load { percent } => self.load_percent = percent,
             Event::Drain => self.drain(now),
             Event::Tick => self.tick(now),
@@ -113,18 +117,18 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Members of this node's cell in order of name, this node included.
+    /// Iterates over the members of the local cell, this node included, in order of name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter()
     }
 
-    /// Cells in order of name, as far as known.
+    /// Iterates over the known cells in order of name.
     pub fn cells(&self) -> impl Iterator<Item = &KnownCell> {
         self.cells.iter()
     }
 
-    /// Nodes of this node's cell that may own partitions: alive or under suspicion, not draining,
-    /// not dead.
+    /// Iterates over the nodes of the local cell that may own partitions, which are those alive or
+    /// suspect, but neither draining nor dead.
     pub fn eligible_owners(&self) -> impl Iterator<Item = &NodeId> {
         self.table
             .iter()
@@ -132,16 +136,16 @@
             .map(|member| &member.update.node)
     }
 
-    /// Whether this node has heard from its cell, or waited long enough to be the first of it.
-    /// Until then, what it believes of ownership is worth nothing.
+    /// Returns whether this node has joined its cell, or has waited long enough to assume that it is
+    /// the first member. Until then, its view of partition ownership must not be used.
     pub fn is_settled(&self, now: Timestamp) -> bool {
         let waited = self
             .started
-            .is_some_and(|started| now.since(started) >= JOIN_PATIENCE);
-        self.answered || waited || self.other_seeds().next().is_none()
+            .is_some_and(|started| now.since(started) >= JOIN_TIMEOUT);
+        self.peer_answered || waited || self.other_seeds().next().is_none()
     }
 
-    /// Where a partition should be owned, as far as this node can tell.
+    /// Returns the expected owner of a partition according to this node's view.
     pub fn home_of(&self, partition: PartitionId) -> Option<PartitionHome> {
         let others = self
             .cells
@@ -159,42 +163,44 @@
         Some(PartitionHome::Cell(known.digest.clone()))
     }
 
-    /// Where this node should take control records from now.
+    /// Returns the source from which this node should currently read control records.
     pub fn control_source(&self, now: Timestamp) -> ControlSource {
         let is_reader = self.reads_control_for_cell();
-        let failed_by_peers = self.control.behind_for(now) >= CONTROL_PATIENCE;
+        let peers_timed_out = self.control.behind_for(now) >= CONTROL_LAG_TIMEOUT;
         let alone = self.other_reachable().next().is_none();
-        if is_reader || failed_by_peers || alone {
+        if is_reader || peers_timed_out || alone {
             ControlSource::Log
         } else {
             ControlSource::Peers
         }
     }
 
-    /// Whether this node is a relay of its cell.
+    /// Returns whether this node is a relay of its cell.
     pub fn is_relay(&self) -> bool {
-        self.bears(Duty::Relay, RELAYS_PER_CELL)
+        self.has_duty(Duty::Relay, RELAYS_PER_CELL)
     }
 
-    /// The highest next offset of the control stream that this node or any peer has told of.
+    /// Returns the highest next offset of the control stream applied by this node or reported by a
+    /// peer.
     pub fn highest_control_next(&self) -> Offset {
         self.control.highest()
     }
 
-    /// Members and cells dropped because a table was full.
-    pub fn refused(&self) -> u64 {
-        self.table.refused() + self.cells.refused()
+    /// Returns the number of member and cell updates dropped because a table was full.
+    pub fn rejected(&self) -> u64 {
+        self.table.rejected() + self.cells.rejected()
     }
 
-    /// Relays have enough to do: the readers are chosen among the other members where there are any.
+    /// Returns whether this node reads the control stream from the log for its cell. Relays are only
+    /// chosen if the cell has no other members, to spread the load.
     fn reads_control_for_cell(&self) -> bool {
-        let relays = bearers_of(Duty::Relay, RELAYS_PER_CELL, self.eligible_owners());
+        let relays = duty_holders(Duty::Relay, RELAYS_PER_CELL, self.eligible_owners());
         let others: Vec<&NodeId> = self
             .eligible_owners()
             .filter(|node| !relays.contains(node))
             .collect();
         let candidates = if others.is_empty() { relays } else { others };
-        let readers = bearers_of(
+        let readers = duty_holders(
             Duty::ControlReader,
             CONTROL_READERS_PER_CELL,
             candidates.into_iter(),
@@ -202,8 +208,8 @@
         readers.contains(&&self.settings.node)
     }
 
-    fn bears(&self, duty: Duty, count: usize) -> bool {
-        bearers_of(duty, count, self.eligible_owners()).contains(&&self.settings.node)
+    fn has_duty(&self, duty: Duty, count: usize) -> bool {
+        duty_holders(duty, count, self.eligible_owners()).contains(&&self.settings.node)
     }
 
     fn own_state(&self) -> MemberState {
@@ -216,7 +222,7 @@
             .update
     }
 
-    fn first_own_update(&self) -> MemberUpdate {
+    fn initial_own_update(&self) -> MemberUpdate {
         MemberUpdate {
             node: self.settings.node.clone(),
             incarnation: self.settings.incarnation,
@@ -228,8 +234,9 @@
         }
     }
 
-    /// How often a piece of news is sent: enough that everyone hears of it with high probability.
-    fn retransmits(&self) -> u32 {
+    /// Returns the number of times that each update is sent. It grows with the logarithm of the number
+    /// of receivers, so that every one receives the update with high probability.
+    fn retransmit_limit(&self) -> u32 {
         let receivers = self.table.count().max(self.cells.count()) as u32;
         RETRANSMIT_FACTOR * (u32::BITS - receivers.leading_zeros()).max(1)
     }
@@ -245,26 +252,27 @@
         }
     }
 
-    /// A datagram for a member of this cell: `first` in any case, then as much news as fits.
+    /// Builds a datagram for a member of the local cell that contains `first` and as many queued
+    /// updates and digests as fit.
     fn compose(&mut self, kind: DatagramKind, first: Vec<MemberUpdate>) -> Datagram {
         let mut datagram = self.empty_datagram(kind);
         datagram.updates = first;
-        let limit = self.retransmits();
-        let updates = self.updates.fill(room_left(&datagram), limit);
+        let limit = self.retransmit_limit();
+        let updates = self.updates.fill(remaining_bytes(&datagram), limit);
         for update in updates {
             if !datagram.updates.contains(&update) {
                 datagram.updates.push(update);
             }
         }
-        datagram.digests = self.digests.fill(room_left(&datagram), limit);
+        datagram.digests = self.digests.fill(remaining_bytes(&datagram), limit);
         datagram
     }
 
-    /// A datagram for a node of another cell: only digests are of use there.
+    /// Builds a datagram for a node of another cell, which needs only digests.
     fn compose_foreign(&mut self, kind: DatagramKind) -> Datagram {
         let mut datagram = self.empty_datagram(kind);
-        let limit = self.retransmits();
-        datagram.digests = self.digests.fill(room_left(&datagram), limit);
+        let limit = self.retransmit_limit();
+        datagram.digests = self.digests.fill(remaining_bytes(&datagram), limit);
         datagram
     }
 
@@ -273,7 +281,7 @@
     }
 }
 
-/// Bytes that a datagram may still grow by.
-fn room_left(datagram: &Datagram) -> usize {
+/// Returns the number of bytes by which a datagram may still grow.
+fn remaining_bytes(datagram: &Datagram) -> usize {
     MAX_DATAGRAM_BYTES.saturating_sub(encoded_bytes(datagram) + LENGTH_PREFIX_BYTES)
 }
--- a/crates/membership/src/detector/periodic.rs
+++ b/crates/membership/src/detector/periodic.rs
@@ -1,4 +1,4 @@
-//! What a node does as time passes.
+//! Periodic work of the failure detector.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,14 +13,15 @@
 use crate::event::Member;
 use crate::probe::Overdue;
 use crate::settings::{
-    EXCHANGE_INTERVAL, FORGET_AFTER, FORGET_LISTED_AFTER, INDIRECT_PROBES, JOIN_ANSWERS_PER_SECOND,
-    JOIN_INTERVAL, MACHINE_LIST_LAG, RECONNECT_INTERVAL, SEED_JOIN_INTERVAL,
+    DEAD_MEMBER_RETENTION, EXCHANGE_INTERVAL, INDIRECT_PROBES, JOIN_INTERVAL,
+    LISTED_DEAD_MEMBER_RETENTION, MAX_JOIN_ANSWERS_PER_SECOND, MAX_MACHINE_LIST_LAG,
+    RECONNECT_INTERVAL, SEED_JOIN_INTERVAL,
 };
 use crate::table::is_reachable;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// When each periodic duty is due.
+/// Times at which each periodic task is next due.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     probe: Timestamp,
@@ -37,18 +38,18 @@
 }
 
 impl Schedule {
-    /// Whether one more join may be answered this second.
+    /// Returns whether the rate limit allows to answer one more join request now, and counts it.
     pub(super) fn may_answer_join(&mut self, now: Timestamp) -> bool {
         if now.since(self.join_answers_since) >= SECOND {
             self.join_answers_since = now;
             self.join_answers = 0;
         }
         self.join_answers += 1;
-        self.join_answers <= JOIN_ANSWERS_PER_SECOND
+        self.join_answers <= MAX_JOIN_ANSWERS_PER_SECOND
     }
 }
 
-/// Whether a duty is due; if so it is due again after `interval`.
+/// Returns whether a task is due, and if so schedules it again after `interval`.
 pub(super) fn is_due(due: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
     if now < *due {
         return false;
@@ -60,42 +61,43 @@
 impl Membership {
     pub(super) fn tick(&mut self, now: Timestamp) {
         self.started.get_or_insert(now);
-        if self.health.note_tick(now, self.settings.probe_interval) {
+        if self.health.record_tick(now, self.settings.probe_interval) {
             self.recover_from_pause(now);
         }
-        self.follow_up_probes(now);
+        self.handle_overdue_probes(now);
         if is_due(&mut self.schedule.probe, now, self.settings.probe_interval) {
             self.declare_dead(now);
-            self.forget_dead(now);
+            self.remove_dead(now);
             self.probe_next(now);
             self.probe_suspect(now);
             self.relay_tick(now);
         }
-        self.seek_peers(now);
+        self.join_or_reconnect(now);
         if is_due(&mut self.schedule.exchange, now, EXCHANGE_INTERVAL) {
             self.exchange();
         }
     }
 
-    /// After a pause, answers may have come and gone unheard: nobody may be judged by their absence.
+    /// Discards open probes and restarts suspicion timeouts after the process was paused, because
+    /// answers may have been lost in the meantime.
     fn recover_from_pause(&mut self, now: Timestamp) {
-        self.prober.abandon();
-        self.cell_prober.abandon();
+        self.prober.clear();
+        self.cell_prober.clear();
         self.table.restart_suspicions(now);
         self.cells.restart_suspicions(now);
     }
 
-    fn follow_up_probes(&mut self, now: Timestamp) {
-        let timeout = self.health.stretch(self.settings.probe_timeout);
+    fn handle_overdue_probes(&mut self, now: Timestamp) {
+        let timeout = self.health.scale_timeout(self.settings.probe_timeout);
         for overdue in self.prober.take_overdue(now, timeout) {
             match overdue {
-                Overdue::Direct { target, nonce } => self.ask_others_to_probe(target, nonce),
+                Overdue::Direct { target, nonce } => self.request_indirect_probes(target, nonce),
                 Overdue::Indirect { target } => self.suspect(now, &target),
             }
         }
     }
 
-    fn ask_others_to_probe(&mut self, target: NodeId, nonce: u64) {
+    fn request_indirect_probes(&mut self, target: NodeId, nonce: u64) {
         let mut helpers: Vec<SocketAddr> = self
             .other_reachable()
             .filter(|member| member.update.node != target)
@@ -116,8 +118,8 @@
         if member.update.state >= MemberState::Suspect {
             return;
         }
-        self.health.note_silence();
-        if !self.health.may_accuse() {
+        self.health.record_timeout();
+        if !self.health.may_report_failures() {
             return;
         }
         let update = member.update.clone();
@@ -125,7 +127,7 @@
     }
 
     fn declare_dead(&mut self, now: Timestamp) {
-        if !self.health.may_accuse() {
+        if !self.health.may_report_failures() {
             return;
         }
         let timeout = self.settings.suspicion_timeout;
@@ -146,15 +148,15 @@
         self.merge_update(now, update);
     }
 
-    fn forget_dead(&mut self, now: Timestamp) {
-        let listed = &self.listed_live;
-        self.table.forget(|member| {
-            let keep = if listed.contains(&member.update.node) {
-                FORGET_LISTED_AFTER
+    fn remove_dead(&mut self, now: Timestamp) {
+        let listed = &self.listed_as_live;
+        self.table.remove_if(|member| {
+            let retention = if listed.contains(&member.update.node) {
+                LISTED_DEAD_MEMBER_RETENTION
             } else {
-                FORGET_AFTER
+                DEAD_MEMBER_RETENTION
             };
-            member.update.state == MemberState::Dead && now.since(member.since) >= keep
+            member.update.state == MemberState::Dead && now.since(member.since) >= retention
         });
     }
 
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Every node asks its suspects itself before it believes them dead: a refutation that gossip has
-    /// not brought yet comes with the answer.
+    /// Probes a random suspect, whose answer carries a refutation that gossip may not have delivered
+    /// yet.
     fn probe_suspect(&mut self, now: Timestamp) {
         let suspects: Vec<NodeId> = self
             .table
@@ -196,15 +198,15 @@
             return;
         };
         let to = member.update.gossip_address;
-        let first = self.accusation_of(&target);
-        let nonce = self.prober.begin(now, target);
+        let first = self.update_to_refute(&target);
+        let nonce = self.prober.start(now, target);
         let ping = self.compose(DatagramKind::Ping { nonce }, first);
         self.send(to, ping);
     }
 
-    /// Joins through seeds while alone; otherwise now and then tries a dead member, so that two halves
-    /// that lost each other find together again.
-    fn seek_peers(&mut self, now: Timestamp) {
+    /// Joins through seeds while no other member is reachable. Otherwise tries to rejoin a dead member
+    /// at intervals, so that a partitioned cell merges again.
+    fn join_or_reconnect(&mut self, now: Timestamp) {
         if self.other_reachable().next().is_none() {
             if is_due(&mut self.schedule.join, now, JOIN_INTERVAL) {
                 self.join_some_seeds();
@@ -214,15 +216,16 @@
         }
     }
 
-    /// One member of each cell tries the seeds, for a cell that forgot those it lost; seldom while
-    /// other cells are known, because the seeds hear this from every cell of the fleet.
+    /// Joins a random unreachable seed if this node is the first relay of its cell. This reconnects a
+    /// cell that has removed its lost members. Uses a longer interval while other cells are known,
+    /// because the seeds receive these requests from every cell.
     pub(super) fn rejoin_seed(&mut self, now: Timestamp) {
         let interval = if self.knows_other_cell() {
             SEED_JOIN_INTERVAL
         } else {
             RECONNECT_INTERVAL
         };
-        if !self.bears(Duty::Relay, 1) || !is_due(&mut self.schedule.seed_join, now, interval) {
+        if !self.has_duty(Duty::Relay, 1) || !is_due(&mut self.schedule.seed_join, now, interval) {
             return;
         }
         let reachable: BTreeSet<SocketAddr> = self
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Members other than this node that may answer.
+    /// Iterates over the members other than this node that can be expected to answer.
     pub(super) fn other_reachable(&self) -> impl Iterator<Item = &Member> {
         let own = &self.settings.node;
         self.table
@@ -267,23 +270,24 @@
             .filter(|member| is_reachable(member.update.state))
     }
 
-    /// The list lags, so it kills nobody: a machine listed as leaving drains, and one that is not
-    /// listed as live is forgotten sooner once it is dead.
-    pub(super) fn take_machine_list(
+    /// Applies the platform's machine list. Since the list lags, it never marks a member dead: a node
+    /// listed as leaving is marked draining, and a dead member is removed sooner if it is not listed
+    /// as live.
+    pub(super) fn apply_machine_list(
         &mut self,
         now: Timestamp,
         live: Vec<NodeId>,
         leaving: &[NodeId],
     ) {
-        self.listed_live = live.into_iter().collect();
+        self.listed_as_live = live.into_iter().collect();
         for node in leaving {
             let Some(member) = self.table.get(node) else {
                 continue;
             };
-            let listed_both = self.listed_live.contains(node);
-            let settled = now.since(member.since) >= MACHINE_LIST_LAG;
-            let serving = member.update.state == MemberState::Alive;
-            if serving && settled && !listed_both {
+            let also_listed_as_live = self.listed_as_live.contains(node);
+            let old_enough = now.since(member.since) >= MAX_MACHINE_LIST_LAG;
+            let is_alive = member.update.state == MemberState::Alive;
+            if is_alive && old_enough && !also_listed_as_live {
                 let update = member.update.clone();
                 self.mark_draining(now, update);
             }
--- a/crates/membership/src/detector/receive.rs
+++ b/crates/membership/src/detector/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams received.
+//! Processing of received datagrams and member updates.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use super::Membership;
 use crate::event::Effect;
-use crate::table::{Merged, precedence};
+use crate::table::{MergeOutcome, precedence};
 
 impl Membership {
     pub(super) fn receive(&mut self, now: Timestamp, from: SocketAddr, datagram: Datagram) {
@@ -28,26 +28,28 @@
         for digest in datagram.digests {
             self.merge_digest(now, digest);
         }
-        self.note_control_next(now, &datagram.from, datagram.control_next);
+        self.record_control_next(now, &datagram.from, datagram.control_next);
         match datagram.kind {
             DatagramKind::Ping { nonce } => self.answer_ping(from, &datagram.from, nonce),
             DatagramKind::PingRequest { nonce, target } => {
                 self.probe_for_other(now, from, nonce, target);
             }
-            DatagramKind::Acknowledge { nonce } => self.note_answer(&datagram.from, nonce),
+            DatagramKind::Acknowledge { nonce } => {
+                self.handle_acknowledgement(&datagram.from, nonce)
+            }
             DatagramKind::Join => self.answer_join(now, from),
-            DatagramKind::Members => self.answered = true,
+            DatagramKind::Members => self.peer_answered = true,
         }
     }
 
-    fn answer_ping(&mut self, to: SocketAddr, asker: &NodeId, nonce: u64) {
-        let first = self.accusation_of(asker);
+    fn answer_ping(&mut self, to: SocketAddr, sender: &NodeId, nonce: u64) {
+        let first = self.update_to_refute(sender);
         let answer = self.compose(DatagramKind::Acknowledge { nonce }, first);
         self.send(to, answer);
     }
 
-    /// What a member must hear about itself to be able to refute it, unless it is held alive.
-    pub(super) fn accusation_of(&self, node: &NodeId) -> Vec<MemberUpdate> {
+    /// Returns the stored update on `node` if its state is not alive, so that the node can refute it.
+    pub(super) fn update_to_refute(&self, node: &NodeId) -> Vec<MemberUpdate> {
         self.table
             .get(node)
             .filter(|member| member.update.state != MemberState::Alive)
@@ -67,19 +69,19 @@
             return;
         };
         let to = member.update.gossip_address;
-        let begun = self
+        let started = self
             .prober
-            .begin_forwarded(now, target, origin, origin_nonce);
-        if let Some(nonce) = begun {
+            .start_forwarded(now, target, origin, origin_nonce);
+        if let Some(nonce) = started {
             let ping = self.compose(DatagramKind::Ping { nonce }, Vec::new());
             self.send(to, ping);
         }
     }
 
-    fn note_answer(&mut self, from: &NodeId, nonce: u64) {
+    fn handle_acknowledgement(&mut self, from: &NodeId, nonce: u64) {
         if self.prober.acknowledge(nonce, from) {
-            self.answered = true;
-            self.health.note_answer();
+            self.peer_answered = true;
+            self.health.record_answer();
             return;
         }
         if let Some((origin, nonce)) = self.prober.acknowledge_forwarded(nonce, from) {
@@ -88,12 +90,13 @@
         }
     }
 
-    pub(super) fn note_control_next(&mut self, now: Timestamp, peer: &NodeId, next: Offset) {
+    /// Records a member's control offset and requests the records that this node lacks.
+    pub(super) fn record_control_next(&mut self, now: Timestamp, peer: &NodeId, next: Offset) {
         let Some(member) = self.table.get(peer) else {
             return;
         };
         let address = member.update.address;
-        if self.control.note_peer(now, next) {
+        if self.control.record_peer(now, next) {
             let peer = peer.clone();
             self.effects.push(Effect::ControlBehind {
                 peer,
@@ -103,23 +106,23 @@
         }
     }
 
-    /// Takes news of a member, passes it on if it is new, and refutes it if it is wrong and about
-    /// this node.
+    /// Merges an update on a member and queues it for dissemination if it is new. Refutes an update
+    /// that reports this node as suspect or dead.
     pub(super) fn merge_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.node == self.settings.node {
-            self.hear_of_self(now, &update);
+            self.merge_update_about_self(now, &update);
             return;
         }
-        let unknown_and_gone =
+        let unknown_and_dead =
             self.table.get(&update.node).is_none() && update.state == MemberState::Dead;
-        if unknown_and_gone {
+        if unknown_and_dead {
             return;
         }
         let merged = self.table.merge(now, update.clone());
-        if merged == Merged::Stale {
+        if merged == MergeOutcome::Stale {
             return;
         }
-        if merged == Merged::Changed {
+        if merged == MergeOutcome::Changed {
             self.effects.push(Effect::MemberChanged {
                 node: update.node.clone(),
                 state: update.state,
@@ -128,23 +131,23 @@
         self.updates.push(update.node.clone(), update);
     }
 
-    fn hear_of_self(&mut self, now: Timestamp, heard: &MemberUpdate) {
+    fn merge_update_about_self(&mut self, now: Timestamp, received: &MemberUpdate) {
         let own = self.own_update();
-        let about_this_process = heard.incarnation == own.incarnation;
-        if !about_this_process || precedence(heard) <= precedence(own) {
+        let about_this_process = received.incarnation == own.incarnation;
+        if !about_this_process || precedence(received) <= precedence(own) {
             return;
         }
-        if heard.state == MemberState::Draining {
+        if received.state == MemberState::Draining {
             self.drain(now);
             return;
         }
         let mut refutation = own.clone();
-        refutation.refutation = heard.refutation.saturating_add(1);
+        refutation.refutation = received.refutation.saturating_add(1);
         self.table.merge(now, refutation.clone());
         self.updates.push(refutation.node.clone(), refutation);
     }
 
-    /// Marks this node as draining and tells so.
+    /// Marks this node as draining and announces it.
     pub(super) fn drain(&mut self, now: Timestamp) {
         if self.own_state() == MemberState::Draining {
             return;
--- a/crates/membership/src/detector/relay.rs
+++ b/crates/membership/src/detector/relay.rs
@@ -1,4 +1,4 @@
-//! Duties of a cell's relays.
+//! Periodic work of a cell's relays, which represent it towards other cells.
 
 use std::net::SocketAddr;
 
@@ -11,15 +11,15 @@
 
 use super::exchange::take_fitting;
 use super::periodic::is_due;
-use super::{Membership, room_left};
-use crate::assignment::{Duty, bearers_of};
+use super::{Membership, remaining_bytes};
+use crate::assignment::{Duty, duty_holders};
 use crate::probe::Overdue;
 use crate::settings::{
-    CELL_PROBE_INTERVAL, CELL_SUSPICION_TIMEOUT, DIGEST_EXCHANGE_INTERVAL, DIGEST_RENEWAL_INTERVAL,
-    FORGET_CELL_AFTER,
+    CELL_PROBE_INTERVAL, CELL_SUSPICION_TIMEOUT, DEAD_CELL_RETENTION, DIGEST_EXCHANGE_INTERVAL,
+    DIGEST_RENEWAL_INTERVAL,
 };
 
-/// Step in which the load told in a digest moves, in percent: smaller changes are not worth telling.
+/// Granularity of the load reported in a digest, in percent. Smaller changes publish no new digest.
 const LOAD_STEP_PERCENT: u8 = 25;
 
 impl Membership {
@@ -35,7 +35,7 @@
         ) {
             self.renew_own_digest(now);
         }
-        self.follow_up_cell_probes(now);
+        self.handle_overdue_cell_probes(now);
         if is_due(&mut self.schedule.cell_probe, now, CELL_PROBE_INTERVAL) {
             self.declare_cells_dead(now);
             self.probe_next_cell(now);
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Makes a new digest of this cell if the latest one no longer describes it.
+    /// Publishes a new digest of the local cell if the latest one is outdated. A difference in the
+    /// control offset alone does not count.
     fn renew_own_digest(&mut self, now: Timestamp) {
         let mut digest = self.describe_own_cell();
         let known = self.cells.get(&digest.cell).map(|known| &known.digest);
@@ -69,8 +70,9 @@
         self.digests.push(digest.cell.clone(), digest);
     }
 
+    /// Returns a digest of the local cell's current state, with version 1.
     pub(super) fn describe_own_cell(&self) -> CellDigest {
-        let relays = bearers_of(Duty::Relay, MAX_REPRESENTATIVES, self.eligible_owners());
+        let relays = duty_holders(Duty::Relay, MAX_REPRESENTATIVES, self.eligible_owners());
         let representatives = relays
             .into_iter()
             .filter_map(|node| self.table.get(node))
@@ -95,18 +97,18 @@
             .any(|known| known.digest.cell != self.settings.cell)
     }
 
-    fn follow_up_cell_probes(&mut self, now: Timestamp) {
-        let timeout = self.health.stretch(self.settings.probe_timeout * 2);
+    fn handle_overdue_cell_probes(&mut self, now: Timestamp) {
+        let timeout = self.health.scale_timeout(self.settings.probe_timeout * 2);
         for overdue in self.cell_prober.take_overdue(now, timeout) {
             match overdue {
-                Overdue::Direct { target, nonce } => self.ping_cell_again(&target, nonce),
+                Overdue::Direct { target, nonce } => self.repeat_cell_ping(&target, nonce),
                 Overdue::Indirect { target } => self.suspect_cell(now, &target),
             }
         }
     }
 
-    /// The second try goes to every representative.
-    fn ping_cell_again(&mut self, cell: &CellId, nonce: u64) {
+    /// Repeats an unanswered ping to every representative of a cell.
+    fn repeat_cell_ping(&mut self, cell: &CellId, nonce: u64) {
         for address in self.representatives_of(cell) {
             let ping = self.compose_foreign(DatagramKind::Ping { nonce });
             self.send(address, ping);
@@ -127,7 +129,7 @@
         let Some(known) = self.cells.get(cell) else {
             return;
         };
-        if known.digest.state == CellState::Alive && self.health.may_accuse() {
+        if known.digest.state == CellState::Alive && self.health.may_report_failures() {
             let mut digest = known.digest.clone();
             digest.state = CellState::Suspect;
             self.merge_digest(now, digest);
@@ -135,7 +137,7 @@
     }
 
     fn declare_cells_dead(&mut self, now: Timestamp) {
-        if !self.health.may_accuse() {
+        if !self.health.may_report_failures() {
             return;
         }
         let suspects = self
@@ -145,15 +147,16 @@
             digest.state = CellState::Dead;
             self.merge_digest(now, digest);
         }
-        let gone = self
+        let expired = self
             .cells
-            .in_state_for(now, CellState::Dead, FORGET_CELL_AFTER);
-        for digest in gone {
-            self.cells.forget(&digest.cell);
+            .in_state_for(now, CellState::Dead, DEAD_CELL_RETENTION);
+        for digest in expired {
+            self.cells.remove(&digest.cell);
         }
     }
 
-    /// Probes cells in random order, dead ones too: that is how a cut heals.
+    /// Probes the next cell in random order. Includes dead cells, so that connections are restored
+    /// after a network partition.
     fn probe_next_cell(&mut self, now: Timestamp) {
         let own = &self.settings.cell;
         let cells = &self.cells;
@@ -170,8 +173,7 @@
         }
     }
 
-    /// A relay asks a suspect cell itself before it believes it dead, so that the cell hears of the
-    /// suspicion and its refutation comes with the answer.
+    /// Probes a random suspect cell. The ping carries the suspicion and the answer its refutation.
     fn probe_suspect_cell(&mut self, now: Timestamp) {
         let suspects: Vec<CellId> = self
             .cells
@@ -189,19 +191,20 @@
         let Some(&address) = addresses.choose(&mut self.random) else {
             return;
         };
-        let accusation = self.accusation_of_cell(&target);
-        let nonce = self.cell_prober.begin(now, target);
+        let to_refute = self.digest_to_refute(&target);
+        let nonce = self.cell_prober.start(now, target);
         let mut ping = self.compose_foreign(DatagramKind::Ping { nonce });
-        add_first(&mut ping, accusation);
+        add_first(&mut ping, to_refute);
         self.send(address, ping);
     }
 
-    /// What a cell must hear about itself to be able to refute it.
-    pub(super) fn accusation_of_cell(&self, cell: &CellId) -> Option<CellDigest> {
+    /// Returns the stored digest of `cell` if its state is not alive, so that the cell can refute it.
+    pub(super) fn digest_to_refute(&self, cell: &CellId) -> Option<CellDigest> {
         let known = self.cells.get(cell)?;
         (known.digest.state != CellState::Alive).then(|| known.digest.clone())
     }
 
+    /// Sends one datagram of cell digests to a random representative of another cell.
     fn exchange_digests(&mut self) {
         let alive: Vec<CellId> = self
             .cells
@@ -218,9 +221,9 @@
             return;
         };
         let mut page = self.empty_datagram(DatagramKind::Members);
-        let mut room = room_left(&page);
+        let mut remaining = remaining_bytes(&page);
         let mut digests = self.all_digests_rotated().into_iter().peekable();
-        page.digests = take_fitting(&mut digests, &mut room);
+        page.digests = take_fitting(&mut digests, &mut remaining);
         self.send(address, page);
     }
 }
@@ -233,12 +236,12 @@
     }
 }
 
-/// Puts a digest first and drops others from the end while the datagram is too large.
+/// Inserts a digest at the front, dropping others from the end while the datagram is too large.
 pub(super) fn add_first(datagram: &mut Datagram, digest: Option<CellDigest>) {
     let Some(digest) = digest else { return };
     datagram.digests.retain(|other| other.cell != digest.cell);
     datagram.digests.insert(0, digest);
-    while datagram.digests.len() > 1 && room_left(datagram) == 0 {
+    while datagram.digests.len() > 1 && remaining_bytes(datagram) == 0 {
         datagram.digests.pop();
     }
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,11 +1,11 @@
-//! News waiting to be piggybacked, each sent a bounded number of times.
+//! Queue of updates to piggyback on outgoing datagrams, each sent a bounded number of times.
 
 use std::collections::BTreeMap;
 
 use elderworks_protocol::encode;
 use serde::Serialize;
 
-/// News of type `V`, at most one item per key; a newer item replaces an older one.
+/// Items of type `V` waiting to be sent, at most one per key.
 #[derive(Debug)]
 pub struct Dissemination<K, V> {
     entries: BTreeMap<K, Entry<V>>,
@@ -13,32 +13,34 @@
 
 #[derive(Debug)]
 struct Entry<V> {
-    news: V,
+    item: V,
+    /// Encoded size.
     bytes: usize,
+    /// Number of times sent so far.
     sent: u32,
 }
 
 impl<K: Ord + Clone, V: Clone + Serialize> Dissemination<K, V> {
-    /// Nothing to tell.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             entries: BTreeMap::new(),
         }
     }
 
-    /// Queues an item, in place of an earlier one under the same key.
-    pub fn push(&mut self, key: K, news: V) {
-        let bytes = encoded_bytes(&news);
+    /// Queues an item, replacing any earlier one with the same key.
+    pub fn push(&mut self, key: K, item: V) {
+        let bytes = encoded_bytes(&item);
         let entry = Entry {
-            news,
+            item,
             bytes,
             sent: 0,
         };
         self.entries.insert(key, entry);
     }
 
-    /// Takes the items sent least so far, as many as fit `budget` bytes; an item that has now been
-    /// sent `limit` times is dropped.
+    /// Returns as many items as fit into `budget` bytes, those sent the fewest times first. Removes
+    /// each item once it has been sent `limit` times.
     pub fn fill(&mut self, budget: usize, limit: u32) -> Vec<V> {
         let mut order: Vec<(u32, K)> = self
             .entries
@@ -57,7 +59,7 @@
             }
             left -= entry.bytes;
             entry.sent += 1;
-            taken.push(entry.news.clone());
+            taken.push(entry.item.clone());
             if entry.sent >= limit {
                 self.entries.remove(&key);
             }
@@ -66,8 +68,8 @@
     }
 }
 
-/// Size of a value within a datagram, in bytes; the version byte counted with it makes up for the
-/// growth of the length prefix of the list that holds it.
+/// Returns the size of a value within a datagram, in bytes. The count includes the version byte of a
+/// separate message, which compensates for growth of the enclosing list's length prefix.
 pub fn encoded_bytes<V: Serialize>(value: &V) -> usize {
     encode(value).len()
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -5,45 +5,45 @@
 use elderworks_protocol::gossip::{CellState, Datagram, MemberState, MemberUpdate};
 use elderworks_types::{CellId, NodeId, Offset, Timestamp};
 
-/// One member as this node believes.
+/// One node's view of a member of its cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its latest news.
+    /// Latest update received about the member.
     pub update: MemberUpdate,
-    /// When its state last changed here.
+    /// Time at which this node last saw the member's state change.
     pub since: Timestamp,
 }
 
 /// An input of [`crate::Membership::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A datagram came in.
+    /// A datagram was received.
     Received {
-        /// From this address.
+        /// Address of the sender.
         from: SocketAddr,
-        /// The datagram.
+        /// The received datagram.
         datagram: Datagram,
     },
-    /// The platform's machine list, which lags.
+    /// The platform published a machine list. It may lag behind the actual state.
     MachineList {
-        /// Machines listed as live.
+        /// Nodes of machines listed as live.
         live: Vec<NodeId>,
-        /// Machines listed as leaving.
+        /// Nodes of machines listed as leaving.
         leaving: Vec<NodeId>,
     },
-    /// This node's applied control revision moved.
+    /// This node applied control records.
     ControlApplied {
-        /// The next offset to be applied.
+        /// Next offset to apply.
         next: Offset,
     },
-    /// This node's own load changed; told to other cells in the cell's digest.
+    /// The load of this node changed. It is reported to other cells in the cell's digest.
     Load {
-        /// In percent.
+        /// Load in percent.
         percent: u8,
     },
-    /// This node is leaving in order.
+    /// This node is shutting down gracefully.
     Drain,
-    /// Time passed; sent every [`crate::MembershipSettings::probe_interval`] or more often.
+    /// Time passed. Must occur at least once per [`crate::MembershipSettings::probe_interval`].
     Tick,
 }
 
@@ -52,30 +52,30 @@
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// To this address.
+        /// Destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// The datagram to send.
         datagram: Datagram,
     },
-    /// A member came, went or changed state.
+    /// A member was added or its state changed.
     MemberChanged {
-        /// Which.
+        /// The member.
         node: NodeId,
-        /// Its state now.
+        /// New state.
         state: MemberState,
     },
-    /// Another cell came, went or changed state.
+    /// Another cell was added or its state changed.
     CellChanged {
-        /// Which.
+        /// The cell.
         cell: CellId,
-        /// Its state now.
+        /// New state.
         state: CellState,
     },
-    /// A peer has applied control records that this node has not.
+    /// A peer has applied control records that this node lacks and should fetch from it.
     ControlBehind {
-        /// Which peer.
+        /// The peer.
         peer: NodeId,
-        /// Where it takes connections.
+        /// Address at which the peer accepts connections.
         address: SocketAddr,
         /// The peer's next offset.
         next: Offset,
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes under way.
+//! Bookkeeping of outstanding probes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,29 +8,30 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// Most probes on behalf of others under way.
+/// Maximum number of outstanding probes on behalf of other nodes.
 const MAX_FORWARDED: usize = 256;
 
-/// A probe of this node's own whose time is up.
+/// A probe of this node that was not answered in time.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Overdue<T> {
-    /// The direct probe was not answered: others should try.
+    /// The direct probe was not answered. Other members should probe the target.
     Direct {
-        /// Whom it asked.
+        /// Target of the probe.
         target: T,
-        /// Under which number; the indirect probe keeps it.
+        /// Nonce of the probe, which the indirect probe reuses.
         nonce: u64,
     },
-    /// Neither was the indirect one.
+    /// The indirect probe was not answered either.
     Indirect {
-        /// Whom it asked.
+        /// Target of the probe.
         target: T,
     },
 }
 
-/// Probes of this node, and those it makes on behalf of others, of targets named by `T`.
+/// Outstanding probes of this node and those on behalf of other nodes. Targets are of type `T`.
 #[derive(Debug)]
 pub struct Prober<T> {
+    /// Targets left in the current round, in reverse order.
     order: Vec<T>,
     last_nonce: u64,
     own: BTreeMap<u64, OwnProbe<T>>,
@@ -41,6 +42,7 @@
 struct OwnProbe<T> {
     target: T,
     sent: Timestamp,
+    /// Whether other members were asked to probe the target.
     indirect: bool,
 }
 
@@ -48,12 +50,14 @@
 struct ForwardedProbe<T> {
     target: T,
     sent: Timestamp,
+    /// Node that requested the probe.
     origin: SocketAddr,
+    /// Nonce of the requesting node's own probe.
     origin_nonce: u64,
 }
 
 impl<T: Clone + PartialEq> Prober<T> {
-    /// Nothing under way.
+    /// Creates a prober without outstanding probes.
     pub fn new() -> Self {
         Self {
             order: Vec::new(),
@@ -63,8 +67,8 @@
         }
     }
 
-    /// The next target: every candidate once in random order, then anew. One that `is_candidate` no
-    /// longer accepts is passed over.
+    /// Returns the next target. Each round visits all `candidates` in a new random order and skips
+    /// those for which `is_candidate` no longer holds.
     pub fn next_target(
         &mut self,
         random: &mut ChaCha8Rng,
@@ -88,8 +92,8 @@
         None
     }
 
-    /// Notes a probe of this node's own and gives its number.
-    pub fn begin(&mut self, now: Timestamp, target: T) -> u64 {
+    /// Records a probe of this node and returns its nonce.
+    pub fn start(&mut self, now: Timestamp, target: T) -> u64 {
         let nonce = self.next_nonce();
         let probe = OwnProbe {
             target,
@@ -100,8 +104,9 @@
         nonce
     }
 
-    /// Notes a probe on behalf of another node and gives its number; `None` if too many are open.
-    pub fn begin_forwarded(
+    /// Records a probe on behalf of another node and returns its nonce, or `None` if
+    /// [`MAX_FORWARDED`] probes are outstanding.
+    pub fn start_forwarded(
         &mut self,
         now: Timestamp,
         target: T,
@@ -127,8 +132,8 @@
         self.last_nonce
     }
 
-    /// Closes this node's own probe with that number, if `from` may answer it: the target itself, or
-    /// anyone once others were asked to probe. Returns whether one was open.
+    /// Completes this node's probe with the given nonce if `from` may answer it: the target itself, or
+    /// any node once an indirect probe was requested. Returns whether a probe was completed.
     pub fn acknowledge(&mut self, nonce: u64, from: &T) -> bool {
         let answered = self
             .own
@@ -140,7 +145,8 @@
         answered
     }
 
-    /// Closes a forwarded probe that its target answered; returns whom to tell, and their number.
+    /// Completes a forwarded probe that its target answered. Returns the address and the nonce of the
+    /// node that requested it.
     pub fn acknowledge_forwarded(&mut self, nonce: u64, from: &T) -> Option<(SocketAddr, u64)> {
         let probe = self.forwarded.get(&nonce)?;
         if probe.target != *from {
@@ -150,7 +156,7 @@
         Some((probe.origin, probe.origin_nonce))
     }
 
-    /// Takes the probes unanswered for `timeout`. A direct one stays open as an indirect one.
+    /// Returns the probes not answered within `timeout`. A direct probe continues as an indirect one.
     pub fn take_overdue(&mut self, now: Timestamp, timeout: Duration) -> Vec<Overdue<T>> {
         self.forwarded
             .retain(|_, probe| now.since(probe.sent) < timeout * 4);
@@ -176,8 +182,8 @@
         overdue
     }
 
-    /// Forgets every open probe; answers to them count for nothing.
-    pub fn abandon(&mut self) {
+    /// Discards all outstanding probes. Later answers to them are ignored.
+    pub fn clear(&mut self) {
         self.own.clear();
         self.forwarded.clear();
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -14,96 +14,102 @@
 /// Default of [`MembershipSettings::suspicion_timeout`].
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Members asked to probe on this node's behalf when a direct probe goes unanswered.
+/// Number of members asked to probe a target whose direct probe was not answered, and of seeds asked
+/// per attempt to join.
 pub const INDIRECT_PROBES: usize = 3;
 
-/// An update is sent this often times the binary logarithm of the number of its receivers.
+/// Number of times that an update is sent, as a multiple of the binary logarithm of the number of
+/// receivers.
 pub const RETRANSMIT_FACTOR: u32 = 3;
 
-/// Most members held; further ones are counted and dropped.
+/// Maximum number of members tracked. Further ones are counted and dropped.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// Most cells held; further ones are counted and dropped.
+/// Maximum number of cells tracked. Further ones are counted and dropped.
 pub const MAX_CELLS: usize = 1_024;
 
-/// Interval of the full exchange with a random member of the cell.
+/// Interval between full state exchanges with a random member of the cell.
 pub const EXCHANGE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Interval of the attempts to reach dead members again, and seeds while no other cell is known.
+/// Interval between attempts to rejoin dead members, and seeds while no other cell is known.
 pub const RECONNECT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Interval at which one member of a cell tries a seed while other cells are known.
+/// Interval between attempts of a cell's first relay to join a seed while other cells are known.
 pub const SEED_JOIN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Interval of the attempts to join while this node knows no living peer.
+/// Interval between attempts to join while no other member is reachable, and between joins to unknown
+/// representatives of the local cell.
 pub const JOIN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A dead member that the platform's list does not name as live is forgotten after this long.
-pub const FORGET_AFTER: Duration = Duration::from_secs(10 * 60);
+/// Time after which a dead member is removed if the platform's machine list does not report it as
+/// live.
+pub const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(10 * 60);
 
-/// A dead member that the platform's list still names as live is forgotten after this long.
-pub const FORGET_LISTED_AFTER: Duration = Duration::from_secs(60 * 60);
+/// Time after which a dead member is removed if the platform's machine list still reports it as live.
+pub const LISTED_DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(60 * 60);
 
-/// How far the platform's machine list may lag: a younger incarnation than this is not drained on
-/// the word of the list, which may still mean the one before.
-pub const MACHINE_LIST_LAG: Duration = Duration::from_secs(30);
+/// Maximum lag of the platform's machine list. An entry listed as leaving is ignored for a member
+/// whose state changed more recently, because it may refer to the previous incarnation.
+pub const MAX_MACHINE_LIST_LAG: Duration = Duration::from_secs(30);
 
-/// Datagrams sent at most in answer to one join.
+/// Maximum number of datagrams sent in answer to one join request.
 pub const MAX_JOIN_DATAGRAMS: usize = 24;
 
-/// Answers to joins per second, at most.
-pub const JOIN_ANSWERS_PER_SECOND: u32 = 20;
+/// Maximum number of join requests answered per second.
+pub const MAX_JOIN_ANSWERS_PER_SECOND: u32 = 20;
 
-/// Relays of a cell: they probe other cells and exchange digests.
+/// Number of relays per cell, which probe other cells and exchange digests.
 pub const RELAYS_PER_CELL: usize = 2;
 
-/// Interval at which a relay probes another cell.
+/// Interval between a relay's probes of other cells.
 pub const CELL_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A cell that has not refuted a suspicion for this long is dead.
+/// Time after which a suspect cell that has not refuted the suspicion is declared dead.
 pub const CELL_SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A relay sends a page of its digests to another cell this often.
+/// Interval at which a relay sends a datagram of its digests to another cell.
 pub const DIGEST_EXCHANGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A cell's digest is renewed at most this often.
+/// Minimum interval between new digests of a cell.
 pub const DIGEST_RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A dead cell is forgotten after this long.
-pub const FORGET_CELL_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
+/// Time after which a dead cell is removed.
+pub const DEAD_CELL_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Members of a cell that read the control stream from the log; others fetch from peers.
+/// Number of members per cell that read the control stream from the log. The others fetch it from
+/// peers.
 pub const CONTROL_READERS_PER_CELL: usize = 1;
 
-/// A node that has known of a later control revision for this long reads the log itself.
-pub const CONTROL_PATIENCE: Duration = Duration::from_secs(4);
+/// Time without progress after which a node that is behind its peers reads the control stream from
+/// the log.
+pub const CONTROL_LAG_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Shortest time between two [`crate::Effect::ControlBehind`] for the same revision.
+/// Minimum time between two [`crate::Effect::ControlBehind`] for the same offset.
 pub const CONTROL_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Intervals and sizes of the failure detector.
+/// Settings of one node's failure detector.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// This node.
+    /// Name of this node.
     pub node: NodeId,
-    /// Which start of it.
+    /// Incarnation of this node, which increases with every start.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneId,
-    /// Its cell; the empty name puts every node in one cell.
+    /// Cell of this node. The empty name denotes one cell for all nodes.
     pub cell: CellId,
-    /// Where it takes gossip.
+    /// Address at which this node receives gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// Where it takes connections.
+    /// Address at which this node accepts connections.
     pub address: SocketAddr,
-    /// Nodes to ask at the start.
+    /// Gossip addresses through which this node joins.
     pub seeds: Vec<SocketAddr>,
-    /// One probe goes out every so often.
+    /// Interval between probes of members.
     pub probe_interval: Duration,
-    /// A probe unanswered for this long is sent round by others.
+    /// Time after which an unanswered probe is repeated through other members.
     pub probe_timeout: Duration,
-    /// A suspect that has not refuted for this long is dead.
+    /// Time after which a suspect member that has not refuted the suspicion is declared dead.
     pub suspicion_timeout: Duration,
-    /// Seed of the probe order.
+    /// Seed of the random number generator, which determines the order of probes.
     pub seed: u64,
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members of a cell as one node believes.
+//! One node's view of the members of its cell.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,32 @@
 use crate::event::Member;
 use crate::settings::MAX_MEMBERS;
 
-/// What became of an update.
+/// Result of merging an update or digest into a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
-    /// It was old news.
+pub enum MergeOutcome {
+    /// It was rejected, because it does not supersede the stored one or the table is full.
     Stale,
-    /// It was news that leaves the member's state as it was.
+    /// It was stored, and the state is unchanged.
     Refreshed,
-    /// The member is new or its state changed.
+    /// It was stored, and the entry is new or its state changed.
     Changed,
 }
 
-/// Members by name, this node included.
+/// Members of the cell by name, this node included.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     members: BTreeMap<NodeId, Member>,
-    refused: u64,
+    rejected: u64,
 }
 
 impl MemberTable {
-    /// Takes an update if it is later than what is known.
-    pub fn merge(&mut self, now: Timestamp, update: MemberUpdate) -> Merged {
+    /// Stores `update` if it supersedes the stored one.
+    pub fn merge(&mut self, now: Timestamp, update: MemberUpdate) -> MergeOutcome {
         let Some(member) = self.members.get_mut(&update.node) else {
             return self.insert(now, update);
         };
         if precedence(&update) <= precedence(&member.update) {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         }
         let same_process = update.incarnation == member.update.incarnation;
         let changed = !same_process || update.state != member.update.state;
@@ -42,43 +42,43 @@
         }
         member.update = update;
         if changed {
-            Merged::Changed
+            MergeOutcome::Changed
         } else {
-            Merged::Refreshed
+            MergeOutcome::Refreshed
         }
     }
 
-    fn insert(&mut self, now: Timestamp, update: MemberUpdate) -> Merged {
+    fn insert(&mut self, now: Timestamp, update: MemberUpdate) -> MergeOutcome {
         if self.members.len() >= MAX_MEMBERS {
-            self.refused += 1;
-            return Merged::Stale;
+            self.rejected += 1;
+            return MergeOutcome::Stale;
         }
         let member = Member { update, since: now };
         self.members.insert(member.update.node.clone(), member);
-        Merged::Changed
+        MergeOutcome::Changed
     }
 
-    /// One member.
+    /// Returns a member by name.
     pub fn get(&self, node: &NodeId) -> Option<&Member> {
         self.members.get(node)
     }
 
-    /// All members in order of name.
+    /// Iterates over all members in order of name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Number of members, in whatever state.
+    /// Returns the number of members in any state.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Members that were not taken in because the table was full.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Returns the number of updates dropped because the table was full.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// Gives every suspect the whole suspicion timeout again.
+    /// Restarts the suspicion timeout of every suspect member.
     pub fn restart_suspicions(&mut self, now: Timestamp) {
         for member in self.members.values_mut() {
             if member.update.state == MemberState::Suspect {
@@ -87,24 +87,25 @@
         }
     }
 
-    /// Drops the members for which `expired` holds.
-    pub fn forget(&mut self, expired: impl Fn(&Member) -> bool) {
+    /// Removes the members for which `expired` holds.
+    pub fn remove_if(&mut self, expired: impl Fn(&Member) -> bool) {
         self.members.retain(|_, member| !expired(member));
     }
 }
 
-/// Order of updates about one node: a later start beats an earlier one, then a refutation beats what
-/// it refutes, then the worse state beats the better.
+/// Returns the sort key of updates on one node, the greater of which supersedes the other. A later
+/// incarnation supersedes an earlier one, then a refutation what it refutes, then a worse state a
+/// better one.
 pub fn precedence(update: &MemberUpdate) -> (Incarnation, u32, MemberState) {
     (update.incarnation, update.refutation, update.state)
 }
 
-/// Whether a member in this state can be expected to answer.
+/// Returns whether a member in this state can be expected to answer.
 pub fn is_reachable(state: MemberState) -> bool {
     state != MemberState::Dead
 }
 
-/// Whether a member in this state may own partitions.
+/// Returns whether a member in this state may own partitions.
 pub fn is_eligible(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
--- a/crates/membership/tests/membership/arbitrary.rs
+++ b/crates/membership/tests/membership/arbitrary.rs
@@ -1,4 +1,5 @@
-//! Whatever comes in from the network, a detector goes on and stays within its bounds.
+//! Property tests: arbitrary datagrams neither crash a detector nor exceed its limits, and a cell
+//! converges after arbitrary faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -129,7 +130,7 @@
     #![proptest_config(config(256))]
 
     #[test]
-    fn arbitrary_datagrams_are_survived(
+    fn arbitrary_datagrams_do_not_break_a_node(
         datagrams in prop::collection::vec((any_datagram(), 0u64..2_000), 1..60)
     ) {
         let mut node = Membership::new(settings(0, "", 1));
@@ -151,7 +152,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_no_datagram_or_a_whole_one(
+    fn arbitrary_bytes_are_rejected_or_handled(
         bytes in prop::collection::vec(any::<u8>(), 0..200)
     ) {
         let mut bytes = bytes;
@@ -169,26 +170,26 @@
     #![proptest_config(config(24))]
 
     #[test]
-    fn any_fleet_agrees_after_any_faults(
+    fn members_agree_after_arbitrary_faults(
         count in 2usize..12,
         seed in any::<u64>(),
         killed in prop::collection::btree_set(2usize..12, 0..4),
         paused in prop::collection::btree_set(0usize..12, 0..4),
         loss_percent in 0u32..11,
-        trouble_seconds in 1u64..60,
+        fault_seconds in 1u64..60,
     ) {
         let mut fleet = Fleet::new(count, seed);
         let group: Vec<usize> = (0..count).collect();
-        fleet.run_until(Duration::from_secs(60), |fleet| fleet.agrees_alive(&group));
+        fleet.run_until(Duration::from_secs(60), |fleet| fleet.agree_on_alive(&group));
         fleet.loss_percent = loss_percent;
         fleet.paused = paused;
         for index in killed.into_iter().filter(|index| *index < count) {
             fleet.kill(index);
         }
-        fleet.run(Duration::from_secs(trouble_seconds));
+        fleet.run(Duration::from_secs(fault_seconds));
         fleet.paused.clear();
         fleet.loss_percent = 0;
-        fleet.run_until(Duration::from_secs(120), |fleet| fleet.agrees_alive(&group));
+        fleet.run_until(Duration::from_secs(120), |fleet| fleet.agree_on_alive(&group));
     }
 }
 
@@ -217,5 +218,5 @@
         node.handle(Timestamp(1), Event::Received { from, datagram });
     }
     assert_eq!(node.members().count(), MAX_MEMBERS);
-    assert!(node.refused() >= 10);
+    assert!(node.rejected() >= 10);
 }
--- a/crates/membership/tests/membership/assignment.rs
+++ b/crates/membership/tests/membership/assignment.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing.
+//! Stability and evenness of rendezvous hashing.
 
 use std::collections::BTreeMap;
 
-use elderworks_membership::{Duty, bearers_of, cell_of, owner_of};
+use elderworks_membership::{Duty, cell_of, duty_holders, owner_of};
 use elderworks_types::{CellId, NodeId, PartitionId};
 
 const PARTITIONS: u32 = 1_024;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nobody_owns_where_nobody_is_offered() {
+fn no_candidates_means_no_owner() {
     assert_eq!(owner_of(PartitionId(1), [].iter()), None);
     assert_eq!(cell_of(PartitionId(1), [].iter()), None);
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn only_the_partitions_won_by_a_new_node_move() {
+fn only_the_partitions_assigned_to_a_new_node_move() {
     let all = nodes(21);
     let before = owners(&all[..20]);
     let after = owners(&all);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_order_in_which_nodes_are_offered_does_not_matter() {
+fn owners_do_not_depend_on_the_order_of_nodes() {
     let all = nodes(20);
     let mut reversed = all.clone();
     reversed.reverse();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn cells_share_partitions_about_evenly() {
+fn partitions_are_spread_evenly_over_cells() {
     let cells: Vec<CellId> = (0..10)
         .map(|index| CellId::new(format!("zone-a/{index}")))
         .collect();
@@ -81,19 +81,19 @@
         let cell = cell_of(partition, cells.iter()).expect("cells are offered");
         *counts.entry(cell).or_default() += 1;
     }
-    let fair = PARTITIONS / 10;
+    let even_share = PARTITIONS / 10;
     assert!(
         counts
             .values()
-            .all(|count| *count > fair / 2 && *count < fair * 2),
+            .all(|count| *count > even_share / 2 && *count < even_share * 2),
         "{counts:?}"
     );
 }
 
 #[test]
-fn a_lost_bearer_of_a_duty_is_replaced_by_the_next() {
+fn a_lost_duty_holder_is_replaced_by_the_next_in_rank() {
     let all = nodes(20);
-    let bearers = bearers_of(Duty::Relay, 3, all.iter());
-    let rest = all.iter().filter(|node| *node != bearers[0]);
-    assert_eq!(bearers_of(Duty::Relay, 2, rest), bearers[1..]);
+    let holders = duty_holders(Duty::Relay, 3, all.iter());
+    let rest = all.iter().filter(|node| *node != holders[0]);
+    assert_eq!(duty_holders(Duty::Relay, 2, rest), holders[1..]);
 }
--- a/crates/membership/tests/membership/cells.rs
+++ b/crates/membership/tests/membership/cells.rs
@@ -1,4 +1,4 @@
-//! Cells and digests.
+//! Failure detection between cells, partition homes and control sources.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,6 +11,7 @@
 const CELLS: usize = 4;
 const PER_CELL: usize = 5;
 const NODES: usize = CELLS * PER_CELL;
+/// Time limit for the fleet to reach an expected state.
 const BOUND: Duration = Duration::from_secs(120);
 
 fn cell_name(index: usize) -> String {
@@ -28,8 +29,8 @@
     Some(known.digest.state)
 }
 
-fn all_cells_complete(fleet: &Fleet) -> bool {
-    let members_agree = (0..CELLS).all(|cell| fleet.agrees_alive(&indices(cell)));
+fn all_cells_joined(fleet: &Fleet) -> bool {
+    let members_agree = (0..CELLS).all(|cell| fleet.agree_on_alive(&indices(cell)));
     let digests_agree = fleet.running().all(|node| {
         (0..CELLS).all(|cell| cell_state(node, cell) == Some(CellState::Alive))
             && node
@@ -41,7 +42,7 @@
 
 fn joined(seed: u64) -> Fleet {
     let mut fleet = Fleet::with_cells(NODES, seed, cell_name);
-    fleet.run_until(BOUND, all_cells_complete);
+    fleet.run_until(BOUND, all_cells_joined);
     fleet
 }
 
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_lost_cell_is_told_to_all_and_its_return_as_well() {
+fn every_node_learns_that_a_cell_is_lost_and_returns() {
     let mut fleet = joined(6);
     for index in indices(2) {
         fleet.kill(index);
@@ -75,13 +76,13 @@
     for index in indices(2) {
         fleet.restart(index, &cell_name(index), 2);
     }
-    fleet.run_until(BOUND, all_cells_complete);
+    fleet.run_until(BOUND, all_cells_joined);
 }
 
 #[test]
-fn cells_find_together_after_a_cut() {
+fn cells_reconnect_after_a_network_partition() {
     let mut fleet = joined(7);
-    fleet.cut(indices(3).into_iter());
+    fleet.disconnect(indices(3).into_iter());
     fleet.run_until(BOUND, |fleet| {
         let lost_here = cell_state(fleet.node(0), 3) == Some(CellState::Dead);
         let lost_there = cell_state(fleet.node(3 * PER_CELL), 0) == Some(CellState::Dead);
@@ -89,11 +90,11 @@
     });
     fleet.run(Duration::from_secs(3_600));
     fleet.heal();
-    fleet.run_until(BOUND, all_cells_complete);
+    fleet.run_until(BOUND, all_cells_joined);
 }
 
 #[test]
-fn loss_kills_no_cell() {
+fn packet_loss_marks_no_cell_dead() {
     let mut fleet = joined(8);
     let start = fleet.now;
     fleet.loss_percent = 10;
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn one_member_of_a_cell_reads_the_log_and_the_others_hear_of_it() {
+fn one_member_per_cell_reads_the_log_and_notifies_the_others() {
     let mut fleet = joined(10);
     for cell in 0..CELLS {
         let readers: Vec<usize> = indices(cell)
@@ -152,17 +153,17 @@
             .running()
             .all(|node| node.highest_control_next() == Offset(7))
     });
-    let told: BTreeSet<usize> = fleet
+    let notified: BTreeSet<usize> = fleet
         .reported
         .iter()
         .filter(|reported| matches!(reported.effect, Effect::ControlBehind { .. }))
         .map(|reported| reported.by)
         .collect();
-    assert_eq!(told.len(), NODES - CELLS);
+    assert_eq!(notified.len(), NODES - CELLS);
 }
 
 #[test]
-fn a_node_failed_by_its_peers_reads_the_log() {
+fn a_node_whose_peers_deliver_nothing_reads_the_log() {
     let mut fleet = joined(11);
     let reader = (0..PER_CELL)
         .find(|index| fleet.node(*index).control_source(fleet.now) == ControlSource::Log)
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_cell_without_the_log_hears_of_changes_from_another() {
+fn a_cell_without_the_log_receives_changes_from_another() {
     let mut fleet = joined(12);
     fleet.deliver(0, Event::ControlApplied { next: Offset(5) });
     fleet.run_until(BOUND, |fleet| {
--- a/crates/membership/tests/membership/main.rs
+++ b/crates/membership/tests/membership/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the failure detector, of cells and of assignment, in one binary with one harness.
+//! Tests of failure detection, cells and assignment on a simulated network.
 
 mod arbitrary;
 mod assignment;
--- a/crates/membership/tests/membership/support.rs
+++ b/crates/membership/tests/membership/support.rs
@@ -1,4 +1,4 @@
-//! A fleet of detectors on a virtual clock, with a network that loses, delays and cuts.
+//! A set of detectors on a virtual clock and a simulated network with loss, delays and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,27 +12,32 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Interval of ticks.
+/// Interval between ticks.
 pub const TICK: Duration = Duration::from_millis(50);
 
+/// Delivery delay of a datagram.
 const DELAY_MILLIS: std::ops::Range<u64> = 1..6;
 
-/// One effect that a node reported.
+/// An effect other than a datagram, with the time and the index of the node that emitted it.
 #[derive(Clone, Debug)]
-pub struct Reported {
+pub struct ReportedEffect {
     pub at: Timestamp,
     pub by: usize,
     pub effect: Effect,
 }
 
-/// Detectors, each with a fixed address.
+/// A set of detectors, each with a fixed address.
 pub struct Fleet {
     pub now: Timestamp,
+    /// Detectors by index; `None` if stopped.
     pub nodes: Vec<Option<Membership>>,
+    /// Nodes that process no events.
     pub paused: BTreeSet<usize>,
-    pub reported: Vec<Reported>,
+    pub reported: Vec<ReportedEffect>,
+    /// Size of the largest datagram sent, in bytes.
     pub largest_datagram: usize,
     pub loss_percent: u32,
+    /// Side of the network partition by node; absent for the main side.
     sides: BTreeMap<usize, u32>,
     in_flight: BTreeMap<(Timestamp, u64), (usize, usize, Datagram)>,
     sent: u64,
@@ -64,7 +69,7 @@
 }
 
 impl Fleet {
-    /// `count` nodes, the cell of each given by its index.
+    /// Creates `count` nodes whose cells are determined by their indices.
     pub fn with_cells(count: usize, seed: u64, cell: impl Fn(usize) -> String) -> Self {
         let nodes = (0..count)
             .map(|index| Some(Membership::new(settings(index, &cell(index), 1))))
@@ -83,17 +88,17 @@
         }
     }
 
-    /// `count` nodes of one cell.
+    /// Creates `count` nodes of one cell.
     pub fn new(count: usize, seed: u64) -> Self {
         Self::with_cells(count, seed, |_| String::new())
     }
 
-    /// Separates these nodes from all others.
-    pub fn cut(&mut self, nodes: impl Iterator<Item = usize>) {
+    /// Disconnects the given nodes from all others.
+    pub fn disconnect(&mut self, nodes: impl Iterator<Item = usize>) {
         self.sides = nodes.map(|node| (node, 1)).collect();
     }
 
-    /// Joins what [`Fleet::cut`] separated.
+    /// Reverts [`Fleet::disconnect`].
     pub fn heal(&mut self) {
         self.sides.clear();
     }
@@ -110,7 +115,7 @@
         self.nodes[index].as_ref().expect("the node runs")
     }
 
-    /// Hands one event to one node.
+    /// Delivers an event to a node and applies the effects.
     pub fn deliver(&mut self, index: usize, event: Event) {
         if self.paused.contains(&index) {
             return;
@@ -119,14 +124,14 @@
             return;
         };
         for effect in node.handle(self.now, event) {
-            self.carry_out(index, effect);
+            self.apply_effect(index, effect);
         }
     }
 
-    fn carry_out(&mut self, by: usize, effect: Effect) {
+    fn apply_effect(&mut self, by: usize, effect: Effect) {
         let Effect::Send { to, datagram } = effect else {
             let at = self.now;
-            self.reported.push(Reported { at, by, effect });
+            self.reported.push(ReportedEffect { at, by, effect });
             return;
         };
         self.largest_datagram = self.largest_datagram.max(encode(&datagram).len());
@@ -136,9 +141,9 @@
         );
         let target = (0..self.nodes.len()).find(|index| address_of(*index) == to);
         let Some(target) = target else { return };
-        let cut = self.sides.get(&by) != self.sides.get(&target);
+        let disconnected = self.sides.get(&by) != self.sides.get(&target);
         let lost = self.random.random_range(0..100) < self.loss_percent;
-        if cut || lost {
+        if disconnected || lost {
             return;
         }
         let delay = Duration::from_millis(self.random.random_range(DELAY_MILLIS));
@@ -147,7 +152,7 @@
         self.in_flight.insert(key, (by, target, datagram));
     }
 
-    /// Runs for a while.
+    /// Advances the clock by `duration`.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Runs until `done` holds, at most for `bound`; returns the time it took.
+    /// Runs until `done` holds and returns the time taken. Panics if `bound` is exceeded.
     pub fn run_until(&mut self, bound: Duration, done: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !done(self) {
@@ -189,16 +194,17 @@
         self.nodes.iter().flatten()
     }
 
-    /// State of one node as another believes; `None` if unknown.
-    pub fn belief(&self, by: usize, about: usize) -> Option<MemberState> {
+    /// Returns the state of a node in another node's view, or `None` if unknown.
+    pub fn observed_state(&self, by: usize, about: usize) -> Option<MemberState> {
         let about = name_of(about);
         let mut members = self.node(by).members();
         let member = members.find(|member| member.update.node == about)?;
         Some(member.update.state)
     }
 
-    /// Whether every running node holds exactly the running ones of `group` alive.
-    pub fn agrees_alive(&self, group: &[usize]) -> bool {
+    /// Returns whether the alive members in the view of every running node of `group` are exactly the
+    /// running nodes of `group`.
+    pub fn agree_on_alive(&self, group: &[usize]) -> bool {
         let alive: Vec<usize> = group
             .iter()
             .copied()
@@ -218,8 +224,8 @@
         })
     }
 
-    /// Changes of members to a state, as reported since `since`.
-    pub fn changes_to(&self, state: MemberState, since: Timestamp) -> Vec<&Reported> {
+    /// Returns the reported member changes to `state` at or after `since`.
+    pub fn changes_to(&self, state: MemberState, since: Timestamp) -> Vec<&ReportedEffect> {
         self.reported
             .iter()
             .filter(|reported| reported.at >= since)
