--- a/crates/control/src/api/collection.rs
+++ b/crates/control/src/api/collection.rs
@@ -1,26 +1,26 @@
-//! The collections of the interface.
+//! Collections of the operators' API.
 
 use std::fmt;
 use std::str::FromStr;
 
 use elderworks_types::resource::Kind;
 
-use crate::validation::hint;
+use crate::validation::did_you_mean;
 
-/// A collection: the resources of one kind.
+/// All resources of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Collection {
-    /// Written by operators.
+    /// Resources that operators create and change.
     Written(Kind),
-    /// Runs, read-only.
+    /// Runs (read-only).
     Runs,
-    /// Nodes, read-only.
+    /// Nodes (read-only).
     Nodes,
-    /// Engines, read-only.
+    /// Engines (read-only).
     Engines,
 }
 
-/// Every collection with its name in paths and the name of its kind.
+/// Every collection with its plural name, as used in paths, and the name of its kind.
 const NAMES: [(Collection, &str, &str); 7] = [
     (Collection::Written(Kind::Program), "programs", "Program"),
     (Collection::Written(Kind::Service), "services", "Service"),
@@ -36,12 +36,12 @@
 ];
 
 impl Collection {
-    /// Its name in paths, for example `programs`.
+    /// Returns the name used in paths, for example `programs`.
     pub fn plural(self) -> &'static str {
         self.names().0
     }
 
-    /// The name of its kind, for example `Program`.
+    /// Returns the name of the kind, for example `Program`.
     pub fn kind_name(self) -> &'static str {
         self.names().1
     }
@@ -59,19 +59,20 @@
     }
 }
 
-/// A word that names no collection.
+/// The error returned when a word does not name a collection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no kind {word:?}{hint}")]
 pub struct UnknownCollection {
-    /// The word.
+    /// The unrecognized word.
     pub word: String,
+    /// Suggestion of a similar name, or empty.
     hint: String,
 }
 
 impl FromStr for Collection {
     type Err = UnknownCollection;
 
-    /// Takes singular and plural, in either case.
+    /// Parses a plural or kind name, ignoring case.
     fn from_str(word: &str) -> Result<Self, UnknownCollection> {
         let lower = word.to_lowercase();
         let entry = NAMES
@@ -81,7 +82,7 @@
             .map(|(collection, _, _)| *collection)
             .ok_or_else(|| UnknownCollection {
                 word: word.to_owned(),
-                hint: hint(word, NAMES.iter().map(|(_, plural, _)| *plural)),
+                hint: did_you_mean(word, NAMES.iter().map(|(_, plural, _)| *plural)),
             })
     }
 }
--- a/crates/control/src/api/error.rs
+++ b/crates/control/src/api/error.rs
@@ -1,4 +1,4 @@
-//! The one shape of errors.
+//! Error responses of the operators' API.
 
 use std::time::Duration;
 
@@ -7,61 +7,61 @@
 use crate::ControlError;
 use crate::manifest::ManifestError;
 
-/// When a refused operator may ask again while the log is down.
+/// Retry delay reported while the log is unavailable.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Stable names of errors.
+/// Stable error codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The body is not JSON, or a header or query value cannot be read.
+    /// The body is not JSON, or a header or query value cannot be parsed.
     Malformed,
-    /// A field of the resource is wrong; `path` says which.
+    /// A field of the resource, named by `path`, is invalid.
     Invalid,
     /// The operator's token is missing or wrong.
     Unauthorized,
-    /// There is no such resource, collection or path.
+    /// The resource, collection or path does not exist.
     NotFound,
-    /// The path takes other methods.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The resource changed since it was read.
+    /// The resource has changed since the expected revision.
     Conflict,
-    /// The revision is too old to watch from: list anew.
+    /// The revision is too old to watch from, so the client must list the collection again.
     WatchTooOld,
-    /// Another node owns the run; ask there.
+    /// The run is owned by another node, which the client must query instead.
     RunElsewhere,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The change was not made: the log does not answer, or too much waits.
+    /// The change was not made, because the log is unavailable or too many changes are pending.
     Unavailable,
-    /// Whether the change was made is not known yet: read the resource to see.
+    /// It is unknown whether the change was made. Reading the resource shows the outcome.
     OutcomeUnknown,
 }
 
-/// An error as it is sent.
+/// Error body of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message}")]
 pub struct ApiError {
-    /// Stable name.
+    /// Stable code for programs.
     pub code: ErrorCode,
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// Path of the field that is wrong.
+    /// Path of the invalid field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
-    /// Whether the change was made: `false` where it surely was not, absent where it is not known.
+    /// Whether the change was made: `false` if it definitely was not, absent if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run: Option<bool>,
-    /// When asking again may succeed, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// For a conflict, the revision found (0: nothing).
+    /// Current revision in case of a conflict, or 0 if the resource does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub found_revision: Option<u64>,
 }
 
 impl ApiError {
-    /// An error after which nothing has changed.
+    /// Creates an error for a request that has changed nothing.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The same error, naming a field.
+    /// Sets the path of the invalid field.
     #[must_use]
     pub fn at(self, path: impl Into<String>) -> Self {
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The same error, saying when to come back.
+    /// Sets the retry delay.
     #[must_use]
     pub fn retry_after(self, delay: Duration) -> Self {
         let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A change that was sent to the log and of which nothing was heard in time.
+    /// Creates an error for a change that was sent to the log and not confirmed in time.
     pub fn outcome_unknown() -> Self {
         let message = "the log has not confirmed the change yet; it may still take effect";
         Self {
@@ -102,7 +102,7 @@
         .retry_after(UNAVAILABLE_RETRY_AFTER)
     }
 
-    /// Nothing was changed, and asking again soon may succeed.
+    /// Creates an error for a request that has changed nothing and may succeed if retried soon.
     pub fn unavailable(message: impl Into<String>) -> Self {
         Self::new(ErrorCode::Unavailable, message).retry_after(UNAVAILABLE_RETRY_AFTER)
     }
--- a/crates/control/src/api/list.rs
+++ b/crates/control/src/api/list.rs
@@ -1,4 +1,4 @@
-//! Lists.
+//! List responses of the operators' API.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,18 +11,18 @@
 pub struct ListDocument {
     /// Always [`API_VERSION`].
     pub api_version: String,
-    /// The kind of the items followed by `List`.
+    /// Kind of the items followed by `List`, for example `ProgramList`.
     pub kind: String,
-    /// The revision up to which the list is complete: a watch from here misses nothing. Absent for
-    /// collections that cannot be watched.
+    /// Revision that the list reflects. A watch from this revision receives every later change.
+    /// Absent for collections that cannot be watched.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// In order of name.
+    /// Resources in order of name.
     pub items: Vec<Document>,
 }
 
 impl ListDocument {
-    /// A list of a collection.
+    /// Creates a list of the resources of a collection.
     pub fn new(collection: Collection, revision: Option<u64>, items: Vec<Document>) -> Self {
         Self {
             api_version: API_VERSION.to_owned(),
--- a/crates/control/src/api/mod.rs
+++ b/crates/control/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface carries, shared by the server in each node and its clients.
+//! Messages of the operators' API, shared by the server in each node and its clients.
 
 mod collection;
 mod error;
@@ -12,5 +12,5 @@
 pub use run::{AttemptReport, CallReport, RunReport};
 pub use watch::{WatchAction, WatchLine};
 
-/// Path below which every collection is found.
+/// Path prefix of all collections.
 pub const API_PREFIX: &str = "/apis/v1";
--- a/crates/control/src/api/run.rs
+++ b/crates/control/src/api/run.rs
@@ -1,37 +1,37 @@
-//! What became of a run, call by call.
+//! Status report of a run and its calls.
 
 use elderworks_protocol::sidecar::{AttemptView, CallView, RunView};
 use elderworks_types::{CallKind, CallRequest, Outcome, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// A run as `explain` shows it.
+/// Status of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RunReport {
-    /// Where it stands, for example `active`.
+    /// Phase in snake case, for example `active`.
     pub phase: String,
-    /// On whose behalf.
+    /// Tenant that owns the run.
     pub tenant: String,
-    /// Its program.
+    /// Program that the run executes.
     pub program: String,
-    /// The run that spawned it.
+    /// Run that spawned this one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
-    /// Most that it may spend, in credits.
+    /// Maximum cost, in credits.
     pub budget: u64,
-    /// Spent so far, in credits.
+    /// Cost so far, in credits.
     pub spent: u64,
-    /// Reserved by open calls and sub-agents, in credits.
+    /// Amount reserved by open calls and child runs, in credits.
     pub reserved: u64,
-    /// Messages in its history.
+    /// Number of messages in the history.
     pub history_messages: usize,
-    /// Calls made so far.
+    /// Number of calls so far.
     pub call_count: usize,
-    /// Every call in order.
+    /// All calls in order.
     pub calls: Vec<CallReport>,
 }
 
-/// One call.
+/// Status of one call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CallReport {
@@ -39,47 +39,47 @@
     pub number: u32,
     /// `model` or `tool`.
     pub kind: CallKind,
-    /// The model or tool.
+    /// Name of the model or tool.
     pub target: String,
-    /// Whether it may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
     /// `open`, `completed`, `refused`, `failed` or `unknown`.
     pub outcome: String,
-    /// Why it was refused or failed, or cannot be known.
+    /// Reason for which the call was refused or failed, or its outcome is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// For a refusal, when asking again may succeed, in milliseconds.
+    /// Delay after which a refused call may succeed if retried, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// What it cost, in credits.
+    /// Cost, in credits.
     pub cost: u64,
-    /// Prompt tokens found in the engine's cache.
+    /// Number of prompt tokens read from the engine's cache.
     pub cached_tokens: u64,
-    /// Prompt tokens in all.
+    /// Total number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output_tokens: u64,
-    /// From its arrival to its end, in milliseconds.
+    /// Time from arrival to completion, in milliseconds. Absent while the call is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub duration_ms: Option<u64>,
-    /// Every attempt in order.
+    /// All attempts in order.
     pub attempts: Vec<AttemptReport>,
-    /// What it waited for and what was decided, one line each.
+    /// Log of waits and decisions, one line each.
     pub notes: Vec<String>,
 }
 
-/// One attempt.
+/// Status of one attempt of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct AttemptReport {
-    /// Number, from 1.
+    /// Position within the call, from 1.
     pub attempt: u32,
-    /// Where, for a model call.
+    /// Engine that served the attempt, for a model call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<String>,
-    /// From the call's arrival to the dispatch, in milliseconds.
+    /// Time from the call's arrival to the dispatch of the attempt, in milliseconds.
     pub waited_ms: u64,
-    /// From the dispatch to the first chunk, in milliseconds.
+    /// Time from the dispatch to the first chunk of the response, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_chunk_ms: Option<u64>,
 }
@@ -188,7 +188,7 @@
     format!("{reason}: {detail}")
 }
 
-/// The name of a unit variant as it stands in JSON.
+/// Returns the serialized name of a unit variant.
 fn snake_case(variant: &impl Serialize) -> String {
     match serde_json::to_value(variant) {
         Ok(serde_json::Value::String(name)) => name,
@@ -196,6 +196,7 @@
     }
 }
 
+/// Returns the time between two timestamps, in milliseconds.
 fn millis(from: Timestamp, to: Timestamp) -> u64 {
     u64::try_from(to.since(from).as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/control/src/api/watch.rs
+++ b/crates/control/src/api/watch.rs
@@ -1,11 +1,11 @@
-//! Lines of a watch.
+//! Watch responses of the operators' API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Change;
 use crate::manifest::Document;
 
-/// What happened to a resource.
+/// Type of a change to a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WatchAction {
@@ -15,19 +15,19 @@
     Deleted,
 }
 
-/// One change, as one line of JSON.
+/// A change to a resource, sent as one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WatchLine {
-    /// What happened.
+    /// Type of the change.
     pub action: WatchAction,
-    /// Revision of the change; a watch after this revision goes on with the next one.
+    /// Revision of the change. A watch from this revision resumes with the next change.
     pub revision: u64,
     /// Kind of the resource.
     pub kind: String,
-    /// Its name.
+    /// Name of the resource.
     pub name: String,
-    /// The resource as it is now; absent once deleted.
+    /// New state of the resource. Absent if deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<Document>,
 }
--- a/crates/control/src/body.rs
+++ b/crates/control/src/body.rs
@@ -1,48 +1,50 @@
-//! Bodies of records on the control stream.
+//! Record bodies of the control stream.
 
 use elderworks_types::resource::{Kind, Resource};
 use elderworks_types::{NodeId, Offset, ResourceName};
 use serde::{Deserialize, Serialize};
 
-/// One change of the control state.
+/// Body of a control record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlBody {
-    /// Creates or replaces a resource if its revision is still the expected one (0: it must not
-    /// exist; `None`: whatever it is).
+    /// Creates or replaces a resource, provided that its current revision matches `expected`.
     Put {
-        /// The resource; its metadata's revision is ignored.
+        /// The resource. The revision in its metadata is ignored.
         resource: Resource,
-        /// Revision that the operator saw.
+        /// Required current revision. 0 requires that the resource does not exist, and `None`
+        /// accepts any revision.
         expected: Option<Offset>,
     },
-    /// Deletes a resource under the same condition.
+    /// Deletes a resource, provided that its current revision matches `expected`.
     Delete {
-        /// Kind.
+        /// Kind of the resource.
         kind: Kind,
-        /// Name.
+        /// Name of the resource.
         name: ResourceName,
-        /// Revision that the operator saw.
+        /// Required current revision, or `None` to accept any.
         expected: Option<Offset>,
     },
-    /// A node started; its incarnation is the offset of the first such record. On the control
-    /// stream itself, where no record can know its offset beforehand, writers are told apart by
-    /// the nonce: it stands as the incarnation of every record that this start writes there. Other
-    /// records of a writer count only after this one.
+    /// Announces the start of a node. The offset of the first such record becomes the node's
+    /// incarnation.
+    ///
+    /// On the control stream itself, where the offset is not known in advance, the nonce identifies
+    /// the writer and serves as the incarnation in all of its records. Other records of a writer are
+    /// ignored unless they follow its announcement.
     NodeStarted {
-        /// Which.
+        /// The node.
         node: NodeId,
-        /// Random, to recognise its own record when read back.
+        /// Random number by which the node recognizes its own record.
         nonce: u64,
     },
-    /// The state after a given record, in parts.
+    /// One part of a snapshot of the control state.
     Snapshot {
-        /// Offset of the last record that the state includes; a reader goes on from here.
+        /// Offset of the last record included in the snapshot, from which replay resumes.
         covers: Offset,
-        /// Which part, from 0.
+        /// Index of this part, from 0.
         part: u32,
-        /// How many there are.
+        /// Number of parts.
         parts: u32,
-        /// A piece of the encoded state; the pieces joined in order form the whole.
+        /// A chunk of the encoded state. The chunks concatenated in order form the whole.
         bytes: Vec<u8>,
     },
 }
--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -1,7 +1,7 @@
-//! How a new node finds the latest snapshot.
+//! Search for the latest snapshot when a node starts.
 //!
-//! The stream is read backwards from its end in windows of bounded length until a whole snapshot has
-//! been seen; the rest of the stream is then replayed as usual. Only parts of snapshots are kept.
+//! The control stream is read backwards from its end in windows of bounded length until a complete
+//! snapshot is found. The records after it are then replayed. The search retains only snapshot parts.
 
 use std::collections::BTreeMap;
 
@@ -11,45 +11,47 @@
 
 use crate::{Control, ControlBody};
 
-/// Records in one window of the backward search.
+/// Number of records in one window of the backward search.
 pub const WINDOW_RECORDS: u64 = 512;
 
-/// Incomplete snapshots of which parts are kept; the oldest is dropped first.
-const MAX_CANDIDATES: usize = 4;
+/// Maximum number of snapshots whose parts are retained. The oldest is dropped first.
+const MAX_PARTIAL_SNAPSHOTS: usize = 4;
 
-/// What a bootstrap wants next.
+/// Next step of a bootstrap.
 pub enum BootstrapStep {
-    /// Read the stream from this offset on, without waiting at its end.
+    /// The caller must read the stream from an offset, without waiting for records beyond its end.
     Read {
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
     },
-    /// The search is over.
+    /// The search is complete.
     Done {
-        /// Loaded from the latest snapshot, or empty if there is none.
+        /// State loaded from the latest snapshot, or empty state if there is none.
         control: Box<Control>,
-        /// Where the ordinary replay begins.
+        /// Offset from which the stream must be replayed.
         start: Offset,
     },
 }
 
-/// The search.
+/// Search for the latest snapshot on the control stream.
 pub struct Bootstrap {
     writer: Writer,
+    /// Window being read; `None` before the first read.
     window: Option<Window>,
-    candidates: Candidates,
+    partial: PartialSnapshots,
 }
 
-/// The part of the stream being read: records from `low` to before `high`.
+/// Section of the stream being read, from `low` (inclusive) to `high` (exclusive).
 #[derive(Clone, Copy, Debug)]
 struct Window {
     low: Offset,
     high: Offset,
-    /// The next offset to be read.
+    /// Next offset to read.
     next: Offset,
 }
 
 impl Window {
+    /// Returns the window that ends before `high`.
     fn before(high: Offset) -> Self {
         let low = Offset(high.0.saturating_sub(WINDOW_RECORDS));
         Self {
@@ -61,32 +63,32 @@
 }
 
 impl Bootstrap {
-    /// A search on behalf of a node that will append under `writer`.
+    /// Creates a search for a node that will append records as `writer`.
     pub fn new(writer: Writer) -> Self {
         Self {
             writer,
             window: None,
-            candidates: Candidates::default(),
+            partial: PartialSnapshots::default(),
         }
     }
 
-    /// The read to begin with. It shows where the stream ends.
+    /// Returns the offset of the first read, which only serves to determine the end of the stream.
     pub fn first_read(&self) -> Offset {
         Offset(0)
     }
 
-    /// Takes the answer to a read; `end` is the offset that the next append will get. A read
-    /// without an answer is simply repeated by the caller.
+    /// Processes the result of a read, where `end` is the offset of the next append to the stream. If
+    /// a read fails, the caller must repeat it.
     pub fn handle_read(&mut self, records: &[(Offset, Vec<u8>)], end: Offset) -> BootstrapStep {
         let Some(mut window) = self.window else {
-            return self.search(Window::before(end));
+            return self.read_window(Window::before(end));
         };
         for (offset, bytes) in records {
             if *offset >= window.high {
                 break;
             }
             window.next = offset.next();
-            self.candidates.collect(bytes);
+            self.partial.collect(bytes);
         }
         if window.next < window.high && window.next < end {
             self.window = Some(window);
@@ -95,18 +97,20 @@
         self.finish_window(window)
     }
 
+    /// Loads the latest complete snapshot seen so far, or continues with the preceding window.
     fn finish_window(&mut self, window: Window) -> BootstrapStep {
-        if let Some(control) = self.candidates.load_latest(&self.writer) {
+        if let Some(control) = self.partial.load_latest(&self.writer) {
             let start = control.revision();
             return BootstrapStep::Done {
                 control: Box::new(control),
                 start,
             };
         }
-        self.search(Window::before(window.low))
+        self.read_window(Window::before(window.low))
     }
 
-    fn search(&mut self, window: Window) -> BootstrapStep {
+    /// Starts to read a window, or ends the search if the window is empty.
+    fn read_window(&mut self, window: Window) -> BootstrapStep {
         if window.high == Offset(0) {
             return BootstrapStep::Done {
                 control: Box::new(Control::new(self.writer.clone())),
@@ -118,29 +122,32 @@
     }
 }
 
-/// Snapshots of which some parts were seen, by what they cover and who wrote them.
+/// Snapshots of which at least one part was read, by covered offset and writer.
 #[derive(Default)]
-struct Candidates {
-    snapshots: BTreeMap<(Offset, Writer), Candidate>,
+struct PartialSnapshots {
+    snapshots: BTreeMap<(Offset, Writer), PartialSnapshot>,
 }
 
-struct Candidate {
+struct PartialSnapshot {
+    /// Number of parts of the complete snapshot.
     parts: u32,
+    /// Content of the parts read so far, by index.
     pieces: BTreeMap<u32, Vec<u8>>,
 }
 
-impl Candidate {
-    fn is_whole(&self) -> bool {
+impl PartialSnapshot {
+    fn is_complete(&self) -> bool {
         u32::try_from(self.pieces.len()) == Ok(self.parts)
     }
 
+    /// Returns the concatenated parts.
     fn joined(&self) -> Vec<u8> {
         self.pieces.values().flatten().copied().collect()
     }
 }
 
-impl Candidates {
-    /// Keeps the parts of snapshots in one batch.
+impl PartialSnapshots {
+    /// Retains the snapshot parts of a batch. Ignores batches that cannot be decoded.
     fn collect(&mut self, bytes: &[u8]) {
         let Ok(batch) = decode::<RecordBatch<ControlBody>>(bytes) else {
             return;
@@ -163,25 +170,26 @@
         if part >= parts {
             return;
         }
-        let candidate = self
+        let snapshot = self
             .snapshots
             .entry((covers, record.writer))
-            .or_insert_with(|| Candidate {
+            .or_insert_with(|| PartialSnapshot {
                 parts,
                 pieces: BTreeMap::new(),
             });
-        candidate.pieces.insert(part, bytes);
-        if self.snapshots.len() > MAX_CANDIDATES {
+        snapshot.pieces.insert(part, bytes);
+        if self.snapshots.len() > MAX_PARTIAL_SNAPSHOTS {
             self.snapshots.pop_first();
         }
     }
 
-    /// Loads the whole snapshot that covers most; one that does not decode is passed over.
+    /// Loads the complete snapshot with the highest covered offset. Skips snapshots that cannot be
+    /// decoded.
     fn load_latest(&self, writer: &Writer) -> Option<Control> {
         self.snapshots
             .values()
             .rev()
-            .filter(|candidate| candidate.is_whole())
-            .find_map(|candidate| Control::from_state(writer.clone(), &candidate.joined()).ok())
+            .filter(|snapshot| snapshot.is_complete())
+            .find_map(|snapshot| Control::from_state(writer.clone(), &snapshot.joined()).ok())
     }
 }
--- a/crates/control/src/changes.rs
+++ b/crates/control/src/changes.rs
@@ -1,4 +1,4 @@
-//! Bounded memory of recent changes, from which a broken watch resumes.
+//! Bounded history of recent changes, from which an interrupted watch resumes.
 
 use std::collections::VecDeque;
 
@@ -6,40 +6,40 @@
 
 use crate::Change;
 
-/// How many changes are remembered.
+/// Maximum number of changes retained.
 pub const REMEMBERED_CHANGES: usize = 2_048;
 
-/// The latest changes, in order of revision.
+/// Recent changes in order of revision.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: VecDeque<Change>,
-    /// Highest revision whose change may be missing here.
-    forgotten: Offset,
+    /// Highest revision whose change may have been dropped.
+    truncated_at: Offset,
 }
 
 impl ChangeLog {
-    /// Remembers nothing at or before `forgotten`.
-    pub(crate) fn starting_after(forgotten: Offset) -> Self {
+    /// Creates a history that lacks all changes up to and including `truncated_at`.
+    pub(crate) fn starting_after(truncated_at: Offset) -> Self {
         Self {
             changes: VecDeque::new(),
-            forgotten,
+            truncated_at,
         }
     }
 
-    /// Adds the latest change, dropping the oldest one if there are too many.
+    /// Appends a change, dropping the oldest if there are more than [`REMEMBERED_CHANGES`].
     pub(crate) fn push(&mut self, change: Change) {
         self.changes.push_back(change);
         if self.changes.len() <= REMEMBERED_CHANGES {
             return;
         }
         if let Some(oldest) = self.changes.pop_front() {
-            self.forgotten = oldest.revision;
+            self.truncated_at = oldest.revision;
         }
     }
 
-    /// Changes after `revision`, or `None` if some of them may be forgotten.
+    /// Returns the changes after `revision`, or `None` if some of them may have been dropped.
     pub(crate) fn since(&self, revision: Offset) -> Option<Vec<Change>> {
-        if revision < self.forgotten {
+        if revision < self.truncated_at {
             return None;
         }
         let first = self
--- a/crates/control/src/configuration/keys.rs
+++ b/crates/control/src/configuration/keys.rs
@@ -1,44 +1,44 @@
-//! The table of known keys.
+//! Keys that `Configuration` resources may set.
 
 use std::time::Duration;
 
 use super::Settings;
 
-/// One key of a `Configuration` resource.
+/// A key of a `Configuration` resource.
 pub struct KnownKey {
-    /// Its name, `group.key`.
+    /// Name in the form `group.key`.
     pub key: &'static str,
-    /// What it decides.
+    /// Description shown to operators.
     pub meaning: &'static str,
-    /// Unit, range and where the value is kept.
+    /// Unit and range of the value, and the field that holds it.
     pub unit: Unit,
 }
 
 /// Unit and range of a key.
 pub enum Unit {
-    /// Written as a number with its unit, for example `30s` or `1m 30s`.
+    /// A duration with units, for example `30s` or `1m 30s`.
     Duration {
-        /// Smallest.
+        /// Smallest accepted value.
         min: Duration,
-        /// Largest.
+        /// Largest accepted value.
         max: Duration,
-        /// The field.
+        /// Accessor of the field that holds the value.
         field: fn(&mut Settings) -> &mut Duration,
     },
     /// A whole number.
     Count {
-        /// Smallest.
+        /// Smallest accepted value.
         min: u32,
-        /// Largest.
+        /// Largest accepted value.
         max: u32,
-        /// The field.
+        /// Accessor of the field that holds the value.
         field: fn(&mut Settings) -> &mut u32,
     },
-    /// A whole number of percent, written without a sign.
+    /// A whole number of percent, written without the percent sign.
     Percent {
-        /// Largest; the smallest is 0.
+        /// Largest accepted value. The smallest is 0.
         max: u32,
-        /// The field.
+        /// Accessor of the field that holds the value.
         field: fn(&mut Settings) -> &mut u32,
     },
 }
@@ -47,7 +47,7 @@
 pub const KNOWN_KEYS: &[KnownKey] = &[
     KnownKey {
         key: "admission.maxOpenCalls",
-        meaning: "calls that may be waiting or open in one partition; more are refused",
+        meaning: "maximum number of waiting or open calls per partition; further calls are refused",
         unit: Unit::Count {
             min: 1,
             max: 1_000_000,
@@ -56,7 +56,7 @@
     },
     KnownKey {
         key: "call.earlierCallWait",
-        meaning: "longest time that a call waits for an earlier one of its run to arrive",
+        meaning: "maximum time that a call waits for an earlier call of its run to arrive",
         unit: Unit::Duration {
             min: Duration::from_millis(100),
             max: Duration::from_secs(60),
@@ -65,7 +65,7 @@
     },
     KnownKey {
         key: "call.maxAttempts",
-        meaning: "attempts of one call, the first included; only repeatable calls get more than one",
+        meaning: "maximum number of attempts per call, including the first; only repeatable calls are retried",
         unit: Unit::Count {
             min: 1,
             max: 10,
@@ -74,7 +74,7 @@
     },
     KnownKey {
         key: "call.modelTimeout",
-        meaning: "longest time for one attempt of a model call",
+        meaning: "timeout of one attempt of a model call",
         unit: Unit::Duration {
             min: Duration::from_secs(1),
             max: Duration::from_secs(3_600),
@@ -83,7 +83,7 @@
     },
     KnownKey {
         key: "control.snapshotInterval",
-        meaning: "records of the control stream between two snapshots",
+        meaning: "number of control records between two snapshots",
         unit: Unit::Count {
             min: 64,
             max: 1_000_000,
@@ -92,7 +92,7 @@
     },
     KnownKey {
         key: "engine.silentAfter",
-        meaning: "an engine that has not answered for this long gets no new work",
+        meaning: "time without an answer after which an engine receives no new work",
         unit: Unit::Duration {
             min: Duration::from_millis(500),
             max: Duration::from_secs(10),
@@ -101,7 +101,7 @@
     },
     KnownKey {
         key: "retry.budgetPercent",
-        meaning: "retries allowed in percent of first attempts",
+        meaning: "maximum number of retries, in percent of first attempts",
         unit: Unit::Percent {
             max: 100,
             field: |settings| &mut settings.retry_budget_percent,
@@ -109,7 +109,7 @@
     },
 ];
 
-/// Finds a key by its exact name.
+/// Returns the key with the given name.
 pub fn known_key(key: &str) -> Option<&'static KnownKey> {
     KNOWN_KEYS.iter().find(|known| known.key == key)
 }
--- a/crates/control/src/configuration/mod.rs
+++ b/crates/control/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: built-in defaults under what `Configuration` resources set.
+//! Effective configuration: built-in defaults overridden by `Configuration` resources.
 
 mod keys;
 mod parse;
@@ -9,22 +9,22 @@
 
 pub use keys::{KNOWN_KEYS, KnownKey, Unit, known_key};
 
-/// Settings that apply to every node. [`KNOWN_KEYS`] lists keys, units and ranges.
+/// Settings that apply to every node. [`KNOWN_KEYS`] lists the keys, units and ranges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest time for one attempt of a model call.
+    /// Timeout of one attempt of a model call.
     pub model_call_timeout: Duration,
-    /// Attempts of one call, the first included.
+    /// Maximum number of attempts per call, including the first.
     pub max_attempts: u32,
-    /// Longest time that a call waits for an earlier one of its run to arrive.
+    /// Maximum time that a call waits for an earlier call of its run to arrive.
     pub earlier_call_wait: Duration,
-    /// Calls that may be waiting or open in one partition.
+    /// Maximum number of waiting or open calls per partition.
     pub max_open_calls: u32,
-    /// Retries allowed in percent of first attempts.
+    /// Maximum number of retries, in percent of first attempts.
     pub retry_budget_percent: u32,
-    /// An engine that has not answered for this long gets no new work.
+    /// Time without an answer after which an engine receives no new work.
     pub engine_silent_after: Duration,
-    /// Records of the control stream between two snapshots.
+    /// Number of control records between two snapshots.
     pub snapshot_interval: u32,
 }
 
@@ -43,8 +43,8 @@
 }
 
 impl Settings {
-    /// The defaults, overridden by each resource's values. Values that are not valid leave the
-    /// default; validation admits none.
+    /// Returns the defaults overridden by the values of each resource. Invalid values, which
+    /// validation excludes, are ignored.
     pub(crate) fn merged<'a>(configurations: impl Iterator<Item = &'a Resource>) -> Self {
         let mut settings = Self::default();
         for resource in configurations {
@@ -58,13 +58,17 @@
         settings
     }
 
-    /// Sets one key; the error says what is wrong with the key or its value.
+    /// Sets the value of a key.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the problem if the key is unknown or the value is invalid.
     pub fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
         let known = known_key(key).ok_or_else(|| "unknown key".to_owned())?;
         parse::set(self, known, value)
     }
 
-    /// The value of one key in the form in which it is written.
+    /// Returns the value of a key in the format that [`Settings::set`] accepts.
     pub fn value(&self, known: &KnownKey) -> String {
         parse::format(self, known)
     }
--- a/crates/control/src/configuration/parse.rs
+++ b/crates/control/src/configuration/parse.rs
@@ -1,10 +1,14 @@
-//! Reading and writing values of known keys.
+//! Parsing and formatting of configuration values.
 
 use std::time::Duration;
 
 use super::{KnownKey, Settings, Unit};
 
-/// Parses `value` and stores it; the error says what was expected.
+/// Parses `value` and stores it in the key's field.
+///
+/// # Errors
+///
+/// Returns a description of the expected format or range.
 pub(super) fn set(settings: &mut Settings, known: &KnownKey, value: &str) -> Result<(), String> {
     match known.unit {
         Unit::Duration { min, max, field } => {
@@ -20,7 +24,7 @@
     Ok(())
 }
 
-/// Writes the present value.
+/// Formats the current value of a key.
 pub(super) fn format(settings: &Settings, known: &KnownKey) -> String {
     let mut settings = settings.clone();
     match known.unit {
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,4 +1,4 @@
-//! The control state machine.
+//! State machine of the control plane.
 
 use elderworks_protocol::record::{Record, Writer};
 use elderworks_types::resource::{Kind, Resource};
@@ -13,20 +13,20 @@
 use crate::writers::Writers;
 use crate::{Change, ControlBody, ControlError, Effect, Event, RequestId, validate_syntax};
 
-/// A position on the control stream: a record within a batch.
+/// Position of a record on the control stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Position {
     /// Offset of the batch.
     pub(crate) offset: Offset,
-    /// Position within it.
+    /// Index within the batch.
     pub(crate) index: u32,
 }
 
-/// The control state of one node.
+/// Control state of one node.
 pub struct Control {
     writer: Writer,
     log_reachable: bool,
-    /// The last record applied.
+    /// Position of the last applied record.
     applied: Option<Position>,
     resources: Resources,
     writers: Writers,
@@ -36,8 +36,8 @@
 }
 
 impl Control {
-    /// Empty. `writer` is the one under which this node appends to the control stream: its
-    /// incarnation is the nonce of its [`ControlBody::NodeStarted`].
+    /// Creates an empty state. `writer` identifies this node on the control stream: its incarnation is
+    /// the nonce of the node's [`ControlBody::NodeStarted`].
     pub fn new(writer: Writer) -> Self {
         Self {
             writer,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// With the state that a snapshot holds.
+    /// Creates the state contained in a snapshot.
     pub(crate) fn restored(
         writer: Writer,
         applied: Option<Position>,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Processes one event and returns the resulting effects in order.
     pub fn handle(&mut self, _now: Timestamp, event: Event) -> Vec<Effect> {
         match event {
             Event::RecordRead {
                 offset,
                 index,
                 record,
-            } => self.read(Position { offset, index }, record),
+            } => self.apply_record(Position { offset, index }, record),
             Event::Propose { request, body } => self.propose(request, body),
             Event::LogReachable(reachable) => self.set_log_reachable(reachable),
             Event::TakeSnapshot => self.take_snapshot(),
@@ -84,34 +84,34 @@
         }
     }
 
-    /// The next offset to be applied.
+    /// Returns the next offset to apply.
     pub fn next(&self) -> Offset {
         self.applied
             .map_or(Offset(0), |position| position.offset.next())
     }
 
-    /// The revision up to which the state is complete: offset of the last applied record.
+    /// Returns the revision of the state, which is the offset of the last applied record.
     pub fn revision(&self) -> Offset {
         self.applied.map_or(Offset(0), |position| position.offset)
     }
 
-    /// Whether this node's announcement was read back, so that its changes can count.
+    /// Returns whether this node's announcement has been applied, so that its changes can take effect.
     pub fn has_started(&self) -> bool {
-        self.writers.knows(&self.writer)
+        self.writers.is_registered(&self.writer)
     }
 
-    /// One resource.
+    /// Returns a resource by kind and name.
     pub fn get(&self, kind: Kind, name: &ResourceName) -> Option<&Resource> {
         self.resources.get(kind, name)
     }
 
-    /// All resources of a kind, in order of name.
+    /// Iterates over all resources of a kind in order of name.
     pub fn list(&self, kind: Kind) -> impl Iterator<Item = &Resource> {
         self.resources.list(kind)
     }
 
-    /// Changes after `revision`, or `None` if they are no longer remembered and the watcher has to
-    /// list anew.
+    /// Returns the changes after `revision`, or `None` if some are no longer retained, in which case
+    /// the watcher must list the resources again.
     pub fn changes_since(&self, revision: Offset) -> Option<Vec<Change>> {
         self.changes.since(revision)
     }
@@ -134,22 +134,26 @@
 
     fn propose(&mut self, request: RequestId, body: ControlBody) -> Vec<Effect> {
         if let Err(error) = self.check_proposal(&body) {
-            return vec![refusal(request, error)];
+            return vec![rejection(request, error)];
         }
         let proposal = Proposal { request, body };
         if !self.proposals.push(proposal) {
-            return vec![refusal(request, ControlError::Unavailable)];
+            return vec![rejection(request, ControlError::Unavailable)];
         }
         self.send_next()
     }
 
-    /// Refuses at once what can be judged before the record has its place in the log.
+    /// Rejects proposals that are invalid on their own or cannot currently be appended, before they
+    /// are sent to the log.
     fn check_proposal(&self, body: &ControlBody) -> Result<(), ControlError> {
         match body {
             ControlBody::Put { resource, .. } => validate_syntax(resource)?,
             ControlBody::Delete { .. } => {}
             ControlBody::NodeStarted { .. } | ControlBody::Snapshot { .. } => {
-                return Err(ControlError::invalid("", "not a change of a resource"));
+                return Err(ControlError::invalid(
+                    "",
+                    "only resources can be put or deleted",
+                ));
             }
         }
         if !self.has_started() || !self.log_reachable {
@@ -170,27 +174,30 @@
         }
         self.proposals
             .take_waiting()
-            .map(|proposal| refusal(proposal.request, ControlError::Unavailable))
+            .map(|proposal| rejection(proposal.request, ControlError::Unavailable))
             .collect()
     }
 
+    /// Starts a snapshot if one is due.
     fn take_snapshot(&mut self) -> Vec<Effect> {
         let interval = self.settings().snapshot_interval;
         if !self.has_started() || !self.snapshots.is_due(self.next(), interval) {
             return Vec::new();
         }
-        self.snapshots.begin(self.revision());
+        self.snapshots.start(self.revision());
         self.snapshot_records()
     }
 
-    fn read(&mut self, position: Position, record: Record<ControlBody>) -> Vec<Effect> {
+    /// Applies the record at `position` unless it has already been applied.
+    fn apply_record(&mut self, position: Position, record: Record<ControlBody>) -> Vec<Effect> {
         if self.applied.is_some_and(|applied| position <= applied) {
             return Vec::new();
         }
-        let revision_is_free = self.revision() < position.offset;
+        // Only the first record of a batch can change a resource, since revisions are unique.
+        let revision_is_unused = self.revision() < position.offset;
         self.applied = Some(position);
         match &record.body {
-            ControlBody::NodeStarted { .. } => self.read_node_started(&record, position.offset),
+            ControlBody::NodeStarted { .. } => self.apply_node_started(&record, position.offset),
             ControlBody::Snapshot {
                 covers,
                 part,
@@ -203,28 +210,28 @@
                 Vec::new()
             }
             ControlBody::Put { .. } | ControlBody::Delete { .. } => {
-                self.read_change(position.offset, revision_is_free, record)
+                self.apply_change(position.offset, revision_is_unused, record)
             }
         }
     }
 
-    fn read_node_started(&mut self, record: &Record<ControlBody>, offset: Offset) -> Vec<Effect> {
+    fn apply_node_started(&mut self, record: &Record<ControlBody>, offset: Offset) -> Vec<Effect> {
         let had_started = self.has_started();
         self.writers
-            .announce(&record.writer, record.sequence, offset);
+            .register(&record.writer, record.sequence, offset);
         if had_started && !self.has_started() {
-            return self.announce_again();
+            return self.announce_node();
         }
         Vec::new()
     }
 
-    /// A node that has written nothing for very long may be forgotten as a writer, by all readers
-    /// at the same record. What it has in flight is void then.
-    fn announce_again(&mut self) -> Vec<Effect> {
+    /// Announces this node again after all readers have evicted it as an idle writer. Rejects its
+    /// pending proposals, which can no longer take effect.
+    fn announce_node(&mut self) -> Vec<Effect> {
         let mut effects: Vec<Effect> = self
             .proposals
             .take_all()
-            .map(|proposal| refusal(proposal.request, ControlError::Unavailable))
+            .map(|proposal| rejection(proposal.request, ControlError::Unavailable))
             .collect();
         effects.push(Effect::Append(ControlBody::NodeStarted {
             node: self.writer.node.clone(),
@@ -233,18 +240,18 @@
         effects
     }
 
-    fn read_change(
+    fn apply_change(
         &mut self,
         offset: Offset,
-        revision_is_free: bool,
+        revision_is_unused: bool,
         record: Record<ControlBody>,
     ) -> Vec<Effect> {
-        if !self.writers.admit(&record.writer, record.sequence, offset) {
+        if !self.writers.accept(&record.writer, record.sequence, offset) {
             return Vec::new();
         }
         let request = self.own_request(&record);
-        if !revision_is_free {
-            return self.finish(request, Err(ControlError::Unavailable));
+        if !revision_is_unused {
+            return self.reply_and_send_next(request, Err(ControlError::Unavailable));
         }
         let result = match record.body {
             ControlBody::Put { resource, expected } => {
@@ -265,20 +272,20 @@
         let answer = result.map(|applied| match applied {
             Applied::Changed(change) | Applied::Unchanged(change) => change,
         });
-        effects.extend(self.finish(request, answer));
+        effects.extend(self.reply_and_send_next(request, answer));
         effects
     }
 
-    /// The request that this record answers, if this node wrote it.
+    /// Returns the request that proposed the change in `record`, if this node wrote the record.
     fn own_request(&mut self, record: &Record<ControlBody>) -> Option<RequestId> {
         if record.writer != self.writer {
             return None;
         }
-        self.proposals.take_read_back(&record.body)
+        self.proposals.take_matching(&record.body)
     }
 
-    /// Answers a request, if there is one, and sends the next.
-    fn finish(
+    /// Replies to `request`, if any, and sends the next proposal.
+    fn reply_and_send_next(
         &mut self,
         request: Option<RequestId>,
         result: Result<Change, ControlError>,
@@ -292,7 +299,7 @@
     }
 }
 
-fn refusal(request: RequestId, error: ControlError) -> Effect {
+fn rejection(request: RequestId, error: ControlError) -> Effect {
     Effect::Reply {
         request,
         result: Err(error),
--- a/crates/control/src/effect.rs
+++ b/crates/control/src/effect.rs
@@ -1,36 +1,36 @@
-//! What the control state machine asks for.
+//! Outputs of the control state machine.
 
 use elderworks_types::resource::{Kind, Resource};
 use elderworks_types::{Offset, ResourceName};
 
 use crate::{ControlBody, ControlError, RequestId};
 
-/// A change that took effect.
+/// A change that has taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its revision.
+    /// Revision of the change.
     pub revision: Offset,
     /// Kind of the resource.
     pub kind: Kind,
-    /// Its name.
+    /// Name of the resource.
     pub name: ResourceName,
-    /// The resource as it is now; `None` if deleted.
+    /// New state of the resource, or `None` if deleted.
     pub resource: Option<Resource>,
 }
 
 /// An output of [`crate::Control::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Append a record; its read-back returns as [`crate::Event::RecordRead`]. A retry after a lost
-    /// answer must repeat the record's sequence.
+    /// Append a record, which is later received as [`crate::Event::RecordRead`]. A retry after a lost
+    /// answer must use the same sequence number.
     Append(ControlBody),
-    /// Answer a proposal.
+    /// Reply to a proposal.
     Reply {
-        /// Which.
+        /// The request that made the proposal.
         request: RequestId,
-        /// The change as accepted, or why not.
+        /// The accepted change, or the reason for its rejection.
         result: Result<Change, ControlError>,
     },
-    /// A change took effect; watchers and the rest of the node are told.
+    /// Notify watchers and the other components of the node of a change.
     Changed(Change),
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,37 +1,39 @@
-//! Why a change is not accepted.
+//! Reasons for rejecting a change.
 
 use elderworks_types::Offset;
 
-/// Why a change was not accepted.
+/// The error returned when a change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
-    /// The resource changed since the operator read it.
+    /// The resource has changed since the operator read it.
     #[error("conflict: expected revision {expected}, found {found}")]
     Conflict {
-        /// What the operator saw.
+        /// Revision that the operator expected.
         expected: Offset,
-        /// What is there (0: nothing).
+        /// Current revision, or 0 if the resource does not exist.
         found: Offset,
     },
-    /// There is no such resource.
+    /// The resource does not exist.
     #[error("not found")]
     NotFound,
-    /// A field is wrong.
+    /// A field is invalid.
     #[error("{path}: {problem}")]
     Invalid {
         /// Path of the field, for example `spec.services[1]`.
         path: String,
-        /// What is wrong with it.
+        /// Description of the problem.
         problem: String,
     },
-    /// The change was not made, and will not be: the log does not answer, this node has not
-    /// started yet, or too many changes wait.
-    #[error("the change was not made: the platform's log does not answer or too many changes wait")]
+    /// The change was not made and never will be, because the log is unavailable, this node's
+    /// announcement has not been applied yet, or too many changes are pending.
+    #[error(
+        "the change was not made: the platform's log is unavailable or too many changes are pending"
+    )]
     Unavailable,
 }
 
 impl ControlError {
-    /// An [`ControlError::Invalid`] for the field at `path`.
+    /// Creates a [`ControlError::Invalid`] for the field at `path`.
     pub fn invalid(path: impl Into<String>, problem: impl Into<String>) -> Self {
         Self::Invalid {
             path: path.into(),
--- a/crates/control/src/event.rs
+++ b/crates/control/src/event.rs
@@ -1,36 +1,36 @@
-//! What the control state machine is told.
+//! Inputs of the control state machine.
 
 use elderworks_protocol::record::Record;
 use elderworks_types::Offset;
 
 use crate::ControlBody;
 
-/// Matches a request to its reply.
+/// Identifier that matches a request to its reply.
 pub type RequestId = u64;
 
 /// An input of [`crate::Control::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The next record of the control stream, in offset order. Records at or before the position
-    /// already applied are ignored, so a relayed record may be offered again.
+    /// A record of the control stream was read, in offset order. Records that have already been
+    /// applied are ignored, so that the same record may be received from several sources.
     RecordRead {
-        /// Its offset (several records of one batch share it).
+        /// Offset of the batch that contains the record.
         offset: Offset,
-        /// Its position within that batch, from 0.
+        /// Index within the batch, from 0.
         index: u32,
         /// The record.
         record: Record<ControlBody>,
     },
-    /// An operator asks for a change (`Put` or `Delete`).
+    /// An operator requests a change (`Put` or `Delete`).
     Propose {
-        /// Matches the reply.
+        /// Identifier for the reply.
         request: RequestId,
-        /// The change.
+        /// The requested change.
         body: ControlBody,
     },
-    /// This node is the one to write a snapshot, if one is due.
+    /// This node should write a snapshot if one is due.
     TakeSnapshot,
-    /// The log has not answered for some time (`false`), or answers again (`true`).
+    /// The log became unreachable (`false`) or reachable again (`true`).
     LogReachable(bool),
     /// Time passed.
     Tick,
--- a/crates/control/src/index.rs
+++ b/crates/control/src/index.rs
@@ -1,31 +1,31 @@
-//! Secondary indexes over the resources, kept in step with every change.
+//! Secondary indexes over the resources, updated with every change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderworks_types::resource::{Resource, ServiceSpec, Spec};
 use elderworks_types::{EngineId, ModelName, ResourceName, TenantId, ToolName};
 
-/// Who offers or uses what. Validation lets each key have one holder only.
+/// Secondary indexes over the resources. Validation ensures that the keys of the maps are unique.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
-    /// Service that offers a model.
+    /// Service that offers each model.
     pub(crate) models: BTreeMap<ModelName, ResourceName>,
-    /// Service that offers a tool.
+    /// Service that offers each tool.
     pub(crate) tools: BTreeMap<ToolName, ResourceName>,
-    /// Service that lists an engine.
+    /// Service that lists each engine.
     pub(crate) engines: BTreeMap<EngineId, ResourceName>,
-    /// Budget of a tenant.
+    /// Budget of each tenant.
     pub(crate) tenants: BTreeMap<TenantId, ResourceName>,
-    /// Configuration that sets a key.
+    /// Configuration that sets each key.
     pub(crate) keys: BTreeMap<String, ResourceName>,
-    /// `(service, program)` for each service that a program names.
+    /// Pairs `(service, program)` for each service that a program uses.
     pub(crate) service_users: BTreeSet<(ResourceName, ResourceName)>,
-    /// `(budget, program)` for each budget that a program draws on.
+    /// Pairs `(budget, program)` for each budget that a program uses.
     pub(crate) budget_users: BTreeSet<(ResourceName, ResourceName)>,
 }
 
 impl Index {
-    /// Enters a resource.
+    /// Adds the entries of a resource.
     pub(crate) fn add(&mut self, resource: &Resource) {
         let name = &resource.metadata.name;
         match &resource.spec {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes a resource out again.
+    /// Removes the entries of a resource.
     pub(crate) fn remove(&mut self, resource: &Resource) {
         let name = &resource.metadata.name;
         match &resource.spec {
@@ -85,12 +85,12 @@
         }
     }
 
-    /// A program that names this service.
+    /// Returns the first program in order of name that uses a service.
     pub(crate) fn user_of_service(&self, service: &ResourceName) -> Option<&ResourceName> {
         first_user(&self.service_users, service)
     }
 
-    /// A program that draws on this budget.
+    /// Returns the first program in order of name that uses a budget.
     pub(crate) fn user_of_budget(&self, budget: &ResourceName) -> Option<&ResourceName> {
         first_user(&self.budget_users, budget)
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! Resource store replayed from the control stream: validation, revisions, watch, snapshots.
+//! Replicated store of the platform's resources, with validation, revisions, watches and snapshots.
 //!
-//! [`Control`] is a deterministic state machine without I/O or clock. Racing operators are settled
-//! by the order of the log, alike on every node; a revision is the log offset of the change.
+//! Every node replays the control stream of the log into [`Control`], a deterministic state machine
+//! that performs no I/O and reads no clock. Concurrent changes are ordered by the log, so that all
+//! nodes reach the same state. The revision of a change is its log offset.
 
 pub mod api;
 pub mod body;
--- a/crates/control/src/lookup.rs
+++ b/crates/control/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Answers to the questions that a node asks for every run and call.
+//! Queries on the control state needed to execute runs and calls.
 
 use std::time::Duration;
 
@@ -11,36 +11,36 @@
 
 use crate::{Control, Settings};
 
-/// What a call to a model costs and where it can run.
+/// Prices, engines and timeout of calls to a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelTerms<'a> {
-    /// The service that offers it.
+    /// Service that offers the model.
     pub service: &'a ResourceName,
-    /// Engines that can serve it.
+    /// Engines that serve the model.
     pub engines: &'a [EngineEndpoint],
     /// Price of one prompt token.
     pub credits_per_prompt_token: Credits,
     /// Price of one generated token.
     pub credits_per_output_token: Credits,
-    /// Longest time for one attempt.
+    /// Timeout of one attempt.
     pub timeout: Duration,
 }
 
-/// What a call to a tool costs and where it goes.
+/// Price, address and timeout of calls to a tool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToolTerms<'a> {
-    /// The service that offers it.
+    /// Service that offers the tool.
     pub service: &'a ResourceName,
-    /// Base URL.
+    /// Base URL of the tool.
     pub url: &'a str,
     /// Price of one invocation.
     pub credits_per_invocation: Credits,
-    /// Longest time for one invocation.
+    /// Timeout of one invocation.
     pub timeout: Duration,
 }
 
 impl Control {
-    /// A program.
+    /// Returns a program by name.
     pub fn program(&self, name: &ResourceName) -> Option<&ProgramSpec> {
         match &self.get(Kind::Program, name)?.spec {
             Spec::Program(program) => Some(program),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The limits of a run of this program.
+    /// Returns the limits of runs of a program.
     pub fn run_limits(&self, program: &ResourceName) -> Option<RunLimits> {
         let program = self.program(program)?;
         Some(RunLimits {
@@ -60,13 +60,13 @@
         })
     }
 
-    /// Whether runs of this program may call this service.
+    /// Returns whether runs of `program` may call `service`.
     pub fn program_may_call(&self, program: &ResourceName, service: &ResourceName) -> bool {
         self.program(program)
             .is_some_and(|program| program.services.contains(service))
     }
 
-    /// Where a model can be had, and for how much.
+    /// Returns the terms of the service that offers a model.
     pub fn model_terms(&self, model: &ModelName) -> Option<ModelTerms<'_>> {
         let service = self.index().models.get(model)?;
         let spec = self.model_service(service)?;
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Where a tool can be had, and for how much.
+    /// Returns the terms of the service that offers a tool.
     pub fn tool_terms(&self, tool: &ToolName) -> Option<ToolTerms<'_>> {
         let service = self.index().tools.get(tool)?;
         let spec = self.tool_service(service)?;
@@ -91,13 +91,13 @@
         })
     }
 
-    /// Most that a tenant may spend in all; `None` if it has no budget.
+    /// Returns a tenant's total spending limit, or `None` if it has no budget.
     pub fn tenant_limit(&self, tenant: &TenantId) -> Option<Credits> {
         let budget = self.index().tenants.get(tenant)?;
         self.budget(budget).map(|budget| budget.limit)
     }
 
-    /// Every tenant's limit, in order of tenant.
+    /// Iterates over the spending limits of all tenants that have a budget, in order of tenant.
     pub fn tenant_limits(&self) -> impl Iterator<Item = (&TenantId, Credits)> {
         self.index()
             .tenants
@@ -105,7 +105,7 @@
             .filter_map(|(tenant, name)| Some((tenant, self.budget(name)?.limit)))
     }
 
-    /// Every listed engine with the model it serves, in order of service.
+    /// Iterates over all listed engines and the models that they serve, in order of service.
     pub fn engines(&self) -> impl Iterator<Item = (&EngineEndpoint, &ModelName)> {
         self.list(Kind::Service)
             .filter_map(|resource| match &resource.spec {
@@ -118,12 +118,12 @@
             })
     }
 
-    /// The configuration in force.
+    /// Returns the effective configuration.
     pub fn settings(&self) -> &Settings {
         self.resources().settings()
     }
 
-    /// Whether some `Configuration` sets this key, so that its value is not the default.
+    /// Returns whether a `Configuration` resource sets the given key.
     pub fn is_configured(&self, key: &str) -> bool {
         self.index().keys.contains_key(key)
     }
--- a/crates/control/src/manifest/document.rs
+++ b/crates/control/src/manifest/document.rs
@@ -1,13 +1,13 @@
-//! The envelope that every document shares.
+//! Common envelope of all documents.
 
 use elderworks_types::resource::{Resource, Spec};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The version of the format.
+/// Version of the document format.
 pub const API_VERSION: &str = "elderworks/v1";
 
-/// One document.
+/// A resource or read-only report as an API document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Document {
@@ -15,30 +15,30 @@
     pub api_version: String,
     /// Kind of the resource, for example `Program`.
     pub kind: String,
-    /// Identity and revision.
+    /// Name and revision.
     pub metadata: DocumentMetadata,
-    /// The wanted state; absent in read-only kinds.
+    /// Desired state. Absent in read-only kinds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Value>,
-    /// The state as the system found it; ignored when written by an operator.
+    /// Observed state. Ignored in documents written by operators.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<Value>,
 }
 
-/// Identity and revision.
+/// Name and revision of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct DocumentMetadata {
-    /// Unique within the kind.
+    /// Name of the resource, unique within its kind.
     pub name: String,
-    /// The version that the document was read at. When written, the change is made only if this is
-    /// still the present version; 0 means that the resource must not exist yet.
+    /// Revision at which the document was read. When written, the change is rejected unless this is
+    /// the current revision, where 0 requires that the resource does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
 }
 
 impl Document {
-    /// A document of a read-only kind.
+    /// Creates a document of a read-only kind.
     pub fn report(kind: &str, name: String, status: Value) -> Self {
         Self {
             api_version: API_VERSION.to_owned(),
@@ -75,5 +75,5 @@
         Spec::Budget(budget) => serde_json::to_value(budget),
         Spec::Configuration(configuration) => serde_json::to_value(configuration),
     };
-    value.expect("a spec is plain data with text keys")
+    value.expect("a spec serializes to JSON")
 }
--- a/crates/control/src/manifest/error.rs
+++ b/crates/control/src/manifest/error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a document.
+//! Errors in documents.
 
-/// A document that is not a resource.
+/// The error returned when a document is not a valid resource.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("document {document}: {path}: {problem}")]
 pub struct ManifestError {
-    /// Which document of the file, from 1.
+    /// Position of the document in the file, from 1.
     pub document: usize,
     /// Path of the field, for example `spec.model.engines[0].url`; `.` for the document itself.
     pub path: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: String,
 }
 
 impl ManifestError {
-    /// A problem in a document that stands alone.
+    /// Creates an error in the only document of a file.
     pub(super) fn new(path: impl Into<String>, problem: impl Into<String>) -> Self {
         let path = path.into();
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The same problem in the document at this position of a file, from 1.
+    /// Sets the position of the document in the file, from 1.
     pub(super) fn in_document(self, document: usize) -> Self {
         Self { document, ..self }
     }
--- a/crates/control/src/manifest/mod.rs
+++ b/crates/control/src/manifest/mod.rs
@@ -1,5 +1,5 @@
-//! Resources as people and programs write them: YAML or JSON documents with `apiVersion`, `kind`,
-//! `metadata`, `spec` and `status`.
+//! YAML and JSON representation of resources, with the fields `apiVersion`, `kind`, `metadata`, `spec`
+//! and `status`.
 
 mod document;
 mod error;
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -1,25 +1,26 @@
-//! Changes asked for on this node and not yet answered.
+//! Queue of changes proposed on this node that are not yet applied.
 //!
-//! At most one is with the log at a time, so every batch that a node writes holds at most one
-//! change and every change has a revision of its own. What waits behind it was surely not appended.
+//! At most one change is in flight to the log at a time, so that every batch contains at most one
+//! change and every change has a unique revision. Changes that are still queued have definitely not
+//! been appended.
 
 use std::collections::VecDeque;
 
 use crate::{ControlBody, RequestId};
 
-/// Changes that may wait behind the one in flight.
+/// Maximum number of changes queued behind the one in flight.
 const MAX_WAITING: usize = 256;
 
-/// One change asked for.
+/// A proposed change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Proposal {
-    /// Matches the reply.
+    /// Identifier for the reply.
     pub(crate) request: RequestId,
-    /// The change.
+    /// The requested change.
     pub(crate) body: ControlBody,
 }
 
-/// The queue.
+/// The proposal in flight and those queued behind it.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     in_flight: Option<Proposal>,
@@ -27,7 +28,7 @@
 }
 
 impl Proposals {
-    /// Queues a proposal, unless too many wait; says whether it did.
+    /// Queues a proposal and returns `true`, or returns `false` if the queue is full.
     pub(crate) fn push(&mut self, proposal: Proposal) -> bool {
         let has_room = self.waiting.len() < MAX_WAITING;
         if has_room {
@@ -36,7 +37,7 @@
         has_room
     }
 
-    /// Puts the next proposal in flight, if none is; returns what to append.
+    /// Sends the next proposal if none is in flight, and returns the record body to append.
     pub(crate) fn send_next(&mut self) -> Option<ControlBody> {
         if self.in_flight.is_some() {
             return None;
@@ -47,18 +48,19 @@
             .map(|proposal| proposal.body.clone())
     }
 
-    /// The proposal in flight, if this record of this node is it.
-    pub(crate) fn take_read_back(&mut self, body: &ControlBody) -> Option<RequestId> {
+    /// Removes the proposal in flight if its body equals `body`, which was read from a record of this
+    /// node, and returns its request.
+    pub(crate) fn take_matching(&mut self, body: &ControlBody) -> Option<RequestId> {
         let proposal = self.in_flight.take_if(|proposal| proposal.body == *body)?;
         Some(proposal.request)
     }
 
-    /// Takes out everything that was surely not appended.
+    /// Removes all queued proposals, which have definitely not been appended.
     pub(crate) fn take_waiting(&mut self) -> impl Iterator<Item = Proposal> {
         std::mem::take(&mut self.waiting).into_iter()
     }
 
-    /// Takes out everything, once what is in flight can no longer take effect.
+    /// Removes all proposals. Must only be called if the one in flight can no longer take effect.
     pub(crate) fn take_all(&mut self) -> impl Iterator<Item = Proposal> {
         let in_flight = self.in_flight.take();
         in_flight.into_iter().chain(self.take_waiting())
--- a/crates/control/src/resources.rs
+++ b/crates/control/src/resources.rs
@@ -1,4 +1,4 @@
-//! The resources in force, and how one change is judged.
+//! Current resources and application of changes to them.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 /// Revision of a resource that does not exist.
 pub(crate) const NO_REVISION: Offset = Offset(0);
 
-/// How an accepted change left the resources.
+/// Result of an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// They changed.
+    /// The resources changed.
     Changed(Change),
-    /// They already were as wanted; the revision stays.
+    /// The resource already had the desired state and keeps its revision.
     Unchanged(Change),
 }
 
-/// All resources, with their indexes.
+/// All resources, their indexes and the effective configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Resources {
     by_key: BTreeMap<(Kind, ResourceName), Resource>,
@@ -29,12 +29,12 @@
 }
 
 impl Resources {
-    /// One resource.
+    /// Returns a resource by kind and name.
     pub(crate) fn get(&self, kind: Kind, name: &ResourceName) -> Option<&Resource> {
         self.by_key.get(&(kind, name.clone()))
     }
 
-    /// All of a kind, in order of name.
+    /// Iterates over the resources of a kind in order of name.
     pub(crate) fn list(&self, kind: Kind) -> impl Iterator<Item = &Resource> {
         self.by_key
             .range((kind, ResourceName::new(""))..)
@@ -42,22 +42,22 @@
             .map(|(_, resource)| resource)
     }
 
-    /// All of every kind.
+    /// Iterates over the resources of all kinds.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Resource> {
         self.by_key.values()
     }
 
-    /// The secondary indexes.
+    /// Returns the secondary indexes.
     pub(crate) fn index(&self) -> &Index {
         &self.index
     }
 
-    /// The configuration in force.
+    /// Returns the effective configuration.
     pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Creates or replaces a resource as the change at `revision`.
+    /// Validates and stores a resource. `revision` becomes its revision unless it is unchanged.
     pub(crate) fn put(
         &mut self,
         resource: Resource,
@@ -81,7 +81,7 @@
         Ok(Applied::Changed(change))
     }
 
-    /// Deletes a resource as the change at `revision`.
+    /// Validates and applies the deletion of a resource, whose change gets `revision`.
     pub(crate) fn delete(
         &mut self,
         kind: Kind,
@@ -101,7 +101,7 @@
         }))
     }
 
-    /// Enters a resource without judging it, as from a snapshot.
+    /// Stores a resource without validation.
     pub(crate) fn insert(&mut self, resource: Resource) {
         let kind = resource.spec.kind();
         self.remove(kind, &resource.metadata.name);
@@ -126,6 +126,7 @@
     }
 }
 
+/// Checks that the current revision matches the expected one, if any.
 fn check_expected(
     current: Option<&Resource>,
     expected: Option<Offset>,
@@ -137,6 +138,7 @@
     }
 }
 
+/// Returns the change that results in `resource`.
 fn change_to(resource: &Resource) -> Change {
     Change {
         revision: resource.metadata.revision,
--- a/crates/control/src/snapshot.rs
+++ b/crates/control/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state as bytes, and the records that carry it in parts.
+//! Encoding of the control state and its snapshots on the control stream.
 
 use elderworks_protocol::record::Writer;
 use elderworks_protocol::{DecodeError, decode, encode};
@@ -11,29 +11,29 @@
 use crate::writers::Writers;
 use crate::{ControlBody, Effect};
 
-/// Bytes of state in one record.
+/// Maximum number of bytes of the encoded state per snapshot record.
 pub const SNAPSHOT_PART_BYTES: usize = 128 * 1024;
 
-/// Everything that replay of the stream has built.
+/// Encoded form of the control state.
 #[derive(Serialize, Deserialize)]
 struct State {
-    /// The last record applied; `None` before the first.
+    /// Position of the last applied record, or `None` before the first.
     applied: Option<Position>,
     writers: Writers,
     resources: Vec<Resource>,
 }
 
-/// When this node last saw, or began, a snapshot.
+/// Progress of the snapshots on the control stream.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotProgress {
-    /// What the latest whole snapshot covers.
+    /// Offset covered by the latest complete snapshot.
     latest: Offset,
-    /// What the snapshot being written by this node covers.
+    /// Offset covered by the snapshot that this node is writing.
     in_flight: Option<Offset>,
 }
 
 impl SnapshotProgress {
-    /// Just after loading a snapshot that covers everything up to `covers`.
+    /// Returns the progress after a snapshot covering offset `covers` was loaded.
     pub(crate) fn loaded(covers: Offset) -> Self {
         Self {
             latest: covers,
@@ -41,18 +41,19 @@
         }
     }
 
-    /// Whether `interval` records have passed since the latest snapshot and none is being written.
+    /// Returns whether the latest snapshot is at least `interval` offsets behind `next` and this node
+    /// is not writing one.
     pub(crate) fn is_due(&self, next: Offset, interval: u32) -> bool {
         let passed = next.0.saturating_sub(self.latest.0);
         self.in_flight.is_none() && passed >= u64::from(interval)
     }
 
-    /// This node begins to write a snapshot.
-    pub(crate) fn begin(&mut self, covers: Offset) {
+    /// Records that this node starts to write a snapshot.
+    pub(crate) fn start(&mut self, covers: Offset) {
         self.in_flight = Some(covers);
     }
 
-    /// The last part of some node's snapshot was read.
+    /// Records that the last part of a snapshot by any node was read.
     pub(crate) fn completed(&mut self, covers: Offset) {
         self.latest = self.latest.max(covers);
         if self.in_flight.is_some_and(|own| own <= covers) {
@@ -62,7 +63,7 @@
 }
 
 impl Control {
-    /// The state in the form that [`Control::from_state`] reads.
+    /// Encodes the state for [`Control::from_state`].
     pub fn encode_state(&self) -> Vec<u8> {
         let resources = self.resources().all().cloned().collect();
         encode(&State {
@@ -72,8 +73,12 @@
         })
     }
 
-    /// A reader that goes on from an encoded state. It has to be fed from [`Control::revision`] on:
-    /// that record may have been applied in part, and what was is ignored.
+    /// Decodes a state. Replay must resume at [`Control::revision`], since the batch at that offset may
+    /// have been applied only in part. Records that have already been applied are ignored.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if `bytes` is not an encoded state.
     pub fn from_state(writer: Writer, bytes: &[u8]) -> Result<Self, DecodeError> {
         let state: State = decode(bytes)?;
         let mut resources = Resources::default();
@@ -88,12 +93,12 @@
         ))
     }
 
-    /// The records of a snapshot of the present state.
+    /// Returns the records of a snapshot of the current state.
     pub(crate) fn snapshot_records(&self) -> Vec<Effect> {
         let covers = self.revision();
         let state = self.encode_state();
         let pieces = state.chunks(SNAPSHOT_PART_BYTES);
-        let parts = u32::try_from(pieces.len()).expect("a state has far fewer parts than 2^32");
+        let parts = u32::try_from(pieces.len()).expect("the number of parts fits into 32 bits");
         let records = pieces.zip(0..).map(|(piece, part)| {
             Effect::Append(ControlBody::Snapshot {
                 covers,
--- a/crates/control/src/validation/mod.rs
+++ b/crates/control/src/validation/mod.rs
@@ -1,8 +1,8 @@
-//! What a resource must satisfy before it is accepted.
+//! Validation of resources.
 //!
-//! The rules decide whether a record on the control stream counts, so every reader must judge alike:
-//! they depend on the resource and on the resources before it, on nothing else. Changing a rule
-//! needs a new version of the record encoding.
+//! The rules determine whether a record on the control stream takes effect, so all readers must come
+//! to the same result. They depend only on the resource and the resources stored before it. Any change
+//! of a rule requires a new version of the record encoding.
 
 mod names;
 mod references;
@@ -15,17 +15,17 @@
 use crate::ControlError;
 use crate::resources::Resources;
 
-pub(crate) use suggestion::hint;
+pub(crate) use suggestion::did_you_mean;
 pub use suggestion::nearest;
 pub use syntax::validate_syntax;
 
-/// Checks a resource by itself and against the others.
+/// Validates a resource on its own and against the other resources.
 pub(crate) fn validate(resource: &Resource, resources: &Resources) -> Result<(), ControlError> {
     validate_syntax(resource)?;
     references::validate(resource, resources)
 }
 
-/// Checks that nothing refers to a resource that is to be deleted.
+/// Checks that no other resource refers to a resource that is to be deleted.
 pub(crate) fn validate_deletion(
     kind: Kind,
     name: &ResourceName,
--- a/crates/control/src/validation/names.rs
+++ b/crates/control/src/validation/names.rs
@@ -4,29 +4,34 @@
 
 use crate::ControlError;
 
-/// Longest name, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Checks a resource's, engine's, zone's or tenant's name: lower-case letters, digits, `-` and `.`,
-/// beginning and ending with a letter or digit.
+/// Checks the name of a resource, engine, zone or tenant: lower-case letters, digits, `-` and `.`,
+/// starting and ending with a letter or digit.
 pub(super) fn check_name(path: &str, name: &str) -> Result<(), ControlError> {
-    let inner = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
-    check_text(path, name, inner, "lower-case letters, digits, '-' and '.'")
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
+    check_text(
+        path,
+        name,
+        is_allowed,
+        "lower-case letters, digits, '-' and '.'",
+    )
 }
 
-/// Checks a model's or tool's name, which others chose: letters of either case, digits, and `-`,
-/// `.`, `_`, `/` or `:` between them.
-pub(super) fn check_foreign_name(path: &str, name: &str) -> Result<(), ControlError> {
-    let inner = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'/' | b':');
+/// Checks the name of a model or tool, which is defined by an external system: letters, digits, `-`,
+/// `.`, `_`, `/` and `:`, starting and ending with a letter or digit.
+pub(super) fn check_external_name(path: &str, name: &str) -> Result<(), ControlError> {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'/' | b':');
     check_text(
         path,
         name,
-        inner,
+        is_allowed,
         "letters, digits, '-', '.', '_', '/' and ':'",
     )
 }
 
-/// Checks a back end's base URL: `http://IP:port`.
+/// Checks the base URL of a backend, which must have the form `http://IP:port`.
 pub(super) fn check_url(path: &str, url: &str) -> Result<(), ControlError> {
     let problem = || ControlError::invalid(path, format!("expected http://IP:port, found {url:?}"));
     let authority = url.strip_prefix("http://").ok_or_else(problem)?;
@@ -57,14 +62,14 @@
         let problem = format!("longer than {MAX_NAME_BYTES} bytes");
         return Err(ControlError::invalid(path, problem));
     }
-    let between = |byte: u8| is_allowed(byte) || matches!(byte, b'-' | b'.');
-    let ends_well = [name.bytes().next(), name.bytes().last()]
+    let is_name_byte = |byte: u8| is_allowed(byte) || matches!(byte, b'-' | b'.');
+    let has_valid_ends = [name.bytes().next(), name.bytes().last()]
         .into_iter()
         .flatten()
         .all(|byte| byte.is_ascii_alphanumeric());
-    if !name.bytes().all(between) || !ends_well {
+    if !name.bytes().all(is_name_byte) || !has_valid_ends {
         let problem = format!(
-            "{name:?} is not a name: allowed are {allowed}, with a letter or digit at both ends"
+            "{name:?} is not a name: expected {allowed}, starting and ending with a letter or digit"
         );
         return Err(ControlError::invalid(path, problem));
     }
--- a/crates/control/src/validation/references.rs
+++ b/crates/control/src/validation/references.rs
@@ -1,4 +1,4 @@
-//! Checks of a resource against the others.
+//! Validation of references between resources and of unique keys.
 
 use elderworks_types::ResourceName;
 use elderworks_types::resource::{
@@ -6,11 +6,11 @@
     Spec, ToolServiceSpec,
 };
 
-use super::suggestion::hint;
+use super::suggestion::did_you_mean;
 use crate::ControlError;
 use crate::resources::Resources;
 
-/// Checks that what the resource names exists, and that what must be unique is.
+/// Checks that the resources referred to exist and that unique keys are not used by other resources.
 pub(super) fn validate(resource: &Resource, resources: &Resources) -> Result<(), ControlError> {
     let name = &resource.metadata.name;
     match &resource.spec {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Checks that no program uses what is to be deleted.
+/// Checks that no program uses a resource that is to be deleted.
 pub(super) fn validate_deletion(
     kind: Kind,
     name: &ResourceName,
@@ -66,11 +66,11 @@
 ) -> Result<(), ControlError> {
     let index = resources.index();
     let holder = index.models.get(&service.model);
-    check_free("spec.model.model", "offered", Kind::Service, holder, name)?;
+    check_unclaimed("spec.model.model", "offered", Kind::Service, holder, name)?;
     for (position, engine) in service.engines.iter().enumerate() {
         let path = format!("spec.model.engines[{position}].id");
         let holder = index.engines.get(&engine.id);
-        check_free(&path, "listed", Kind::Service, holder, name)?;
+        check_unclaimed(&path, "listed", Kind::Service, holder, name)?;
     }
     Ok(())
 }
@@ -81,7 +81,7 @@
     resources: &Resources,
 ) -> Result<(), ControlError> {
     let holder = resources.index().tools.get(&service.tool);
-    check_free("spec.tool.tool", "offered", Kind::Service, holder, name)
+    check_unclaimed("spec.tool.tool", "offered", Kind::Service, holder, name)
 }
 
 fn validate_budget(
@@ -90,7 +90,7 @@
     resources: &Resources,
 ) -> Result<(), ControlError> {
     let holder = resources.index().tenants.get(&budget.tenant);
-    check_free("spec.tenant", "given a budget", Kind::Budget, holder, name)
+    check_unclaimed("spec.tenant", "given a budget", Kind::Budget, holder, name)
 }
 
 fn validate_configuration(
@@ -101,7 +101,7 @@
     for key in configuration.values.keys() {
         let path = format!("spec.values.{key}");
         let holder = resources.index().keys.get(key);
-        check_free(&path, "set", Kind::Configuration, holder, name)?;
+        check_unclaimed(&path, "set", Kind::Configuration, holder, name)?;
     }
     Ok(())
 }
@@ -116,7 +116,7 @@
         return Ok(());
     }
     let known = resources.list(kind);
-    let hint = hint(
+    let hint = did_you_mean(
         name.as_str(),
         known.map(|resource| resource.metadata.name.as_str()),
     );
@@ -124,10 +124,11 @@
     Err(ControlError::invalid(path, problem))
 }
 
-/// Checks that a unique key is not held by a resource of another name.
-fn check_free(
+/// Checks that a unique key is not held by another resource. `claim` is the participle that describes
+/// the relation in the error message, for example `offered`.
+fn check_unclaimed(
     path: &str,
-    held: &str,
+    claim: &str,
     kind: Kind,
     holder: Option<&ResourceName>,
     name: &ResourceName,
@@ -135,7 +136,7 @@
     match holder {
         Some(holder) if holder != name => Err(ControlError::invalid(
             path,
-            format!("already {held} by {kind:?} {:?}", holder.as_str()),
+            format!("already {claim} by {kind:?} {:?}", holder.as_str()),
         )),
         _ => Ok(()),
     }
--- a/crates/control/src/validation/suggestion.rs
+++ b/crates/control/src/validation/suggestion.rs
@@ -1,9 +1,9 @@
-//! The nearest known word, for people who mistyped.
+//! Suggestions for misspelled words.
 
-/// Similarity below which a word is not worth suggesting.
+/// Minimum Jaro-Winkler similarity of a suggestion, from 0 to 1.
 const MIN_SIMILARITY: f64 = 0.6;
 
-/// The known word nearest to `word`, if one is near enough.
+/// Returns the known word most similar to `word`, if any is similar enough.
 pub fn nearest<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let word = word.to_lowercase();
     known
@@ -17,8 +17,8 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// `; did you mean "..."?` where a known word is near, otherwise nothing.
-pub(crate) fn hint<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> String {
+/// Returns `; did you mean "..."?` with the most similar known word, or an empty string.
+pub(crate) fn did_you_mean<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> String {
     match nearest(word, known) {
         Some(candidate) => format!("; did you mean {candidate:?}?"),
         None => String::new(),
--- a/crates/control/src/validation/syntax.rs
+++ b/crates/control/src/validation/syntax.rs
@@ -1,4 +1,4 @@
-//! Checks of a resource by itself.
+//! Validation of a resource on its own.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,31 +9,35 @@
 };
 use elderworks_types::{Credits, Tokens};
 
-use super::names::{check_foreign_name, check_name, check_url};
-use super::suggestion::hint;
+use super::names::{check_external_name, check_name, check_url};
+use super::suggestion::did_you_mean;
 use crate::configuration::{KNOWN_KEYS, known_key};
 use crate::{ControlError, Settings};
 
-/// Most services that one program may name.
+/// Maximum number of services per program.
 const MAX_SERVICES: usize = 256;
 
-/// Most engines of one service.
+/// Maximum number of engines per service.
 const MAX_ENGINES: usize = 1_024;
 
-/// Most calls that one run may make.
+/// Maximum number of turns per run.
 const MAX_TURNS: u32 = 100_000;
 
-/// Longest life of a run.
+/// Maximum duration of a run.
 const MAX_RUN_DURATION: Duration = Duration::from_secs(30 * 24 * 3_600);
 
-/// Longest wait for a tool.
+/// Maximum timeout of a tool invocation.
 const MAX_TOOL_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
-/// Priorities reach from `-MAX_PRIORITY` to `MAX_PRIORITY`.
+/// Maximum priority. The minimum is its negation.
 const MAX_PRIORITY: i32 = 100;
 
-/// Checks what can be judged without knowing other resources: names, ranges, units and repeats
+/// Checks everything that does not depend on other resources: names, ranges, units and duplicates
 /// within the resource.
+///
+/// # Errors
+///
+/// Returns [`ControlError::Invalid`] for the first invalid field.
 pub fn validate_syntax(resource: &Resource) -> Result<(), ControlError> {
     check_name("metadata.name", resource.metadata.name.as_str())?;
     match &resource.spec {
@@ -71,7 +75,7 @@
 }
 
 fn validate_model_service(service: &ModelServiceSpec) -> Result<(), ControlError> {
-    check_foreign_name("spec.model.model", service.model.as_str())?;
+    check_external_name("spec.model.model", service.model.as_str())?;
     let ids = service.engines.iter().map(|engine| engine.id.as_str());
     check_list("spec.model.engines", ids, MAX_ENGINES, "engine")?;
     for (position, engine) in service.engines.iter().enumerate() {
@@ -83,7 +87,7 @@
 }
 
 fn validate_tool_service(service: &ToolServiceSpec) -> Result<(), ControlError> {
-    check_foreign_name("spec.tool.tool", service.tool.as_str())?;
+    check_external_name("spec.tool.tool", service.tool.as_str())?;
     check_url("spec.tool.url", &service.url)?;
     check_duration("spec.tool.timeout", service.timeout, MAX_TOOL_TIMEOUT)
 }
@@ -104,7 +108,7 @@
     for (key, value) in &configuration.values {
         let path = format!("spec.values.{key}");
         if known_key(key).is_none() {
-            let hint = hint(key, KNOWN_KEYS.iter().map(|known| known.key));
+            let hint = did_you_mean(key, KNOWN_KEYS.iter().map(|known| known.key));
             return Err(ControlError::invalid(path, format!("unknown key{hint}")));
         }
         scratch
@@ -114,7 +118,7 @@
     Ok(())
 }
 
-/// Checks a list of names: not too long, each well formed and given once.
+/// Checks that a list contains at most `max` names, all valid and distinct.
 fn check_list<'a>(
     path: &str,
     names: impl Iterator<Item = &'a str>,
@@ -152,7 +156,7 @@
     Ok(())
 }
 
-/// Checks that a duration is more than nothing and at most `max`.
+/// Checks that a duration is positive and at most `max`.
 fn check_duration(path: &str, value: Duration, max: Duration) -> Result<(), ControlError> {
     if value.is_zero() || value > max {
         let max = humantime::format_duration(max);
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of operators: who is told of which change.
+//! Subscriptions of operators to changes.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,15 @@
 
 use crate::{Change, Control, RequestId};
 
-/// Watches open on one node at a time; more are refused.
+/// Maximum number of open watches per node.
 pub const MAX_WATCHES: usize = 1_024;
 
-/// Why a watch did not begin.
+/// The error returned when a watch cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
-    /// The changes after that revision are no longer remembered; the watcher must list anew.
-    #[error("the changes after that revision are no longer remembered: list anew")]
+    /// The changes after the revision are no longer retained, so the watcher must list the resources
+    /// again.
+    #[error("the changes after that revision are no longer available; list the resources again")]
     TooOld,
     /// Too many watches are open.
     #[error("too many watches are open")]
@@ -23,26 +24,32 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Watch {
+    /// Kind to watch, or `None` for all.
     kind: Option<Kind>,
+    /// Revision after which changes are sent.
     after: Offset,
 }
 
 impl Watch {
-    fn wants(&self, change: &Change) -> bool {
+    fn matches(&self, change: &Change) -> bool {
         let kind_matches = self.kind.is_none_or(|kind| kind == change.kind);
         kind_matches && change.revision > self.after
     }
 }
 
-/// The open watches of one node.
+/// Open watches of one node.
 #[derive(Debug, Default)]
 pub struct Watches {
     open: BTreeMap<RequestId, Watch>,
 }
 
 impl Watches {
-    /// Opens a watch and returns the changes that it has missed so far. Changes at or before
-    /// `after` are never sent, also if this node has yet to apply them.
+    /// Opens a watch and returns the changes made since revision `after`. Changes up to and including
+    /// `after` are never sent, even if this node applies them later.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if too many watches are open or changes after `after` are no longer retained.
     pub fn begin(
         &mut self,
         control: &Control,
@@ -55,7 +62,7 @@
         }
         let watch = Watch { kind, after };
         let mut missed = control.changes_since(after).ok_or(WatchError::TooOld)?;
-        missed.retain(|change| watch.wants(change));
+        missed.retain(|change| watch.matches(change));
         self.open.insert(request, watch);
         Ok(missed)
     }
@@ -65,14 +72,14 @@
         self.open.remove(&request);
     }
 
-    /// The watches to be told of a change, in order of request.
+    /// Iterates over the watches that must be notified of a change, in order of request.
     pub fn interested<'a>(
         &'a self,
         change: &'a Change,
     ) -> impl Iterator<Item = RequestId> + use<'a> {
         self.open
             .iter()
-            .filter(|(_, watch)| watch.wants(change))
+            .filter(|(_, watch)| watch.matches(change))
             .map(|(request, _)| *request)
     }
 }
--- a/crates/control/src/writers.rs
+++ b/crates/control/src/writers.rs
@@ -1,8 +1,8 @@
-//! Which records are repeats.
+//! Detection of duplicate records.
 //!
-//! A writer repeats a record when the answer to its append was lost, so that the log may hold it
-//! twice. Every reader keeps the last sequence of each writer incarnation and drops what is not
-//! above it. The table is bounded by rules that depend on the log alone, so that all readers forget
+//! A writer appends a record again if the answer to the first append was lost, so the log may contain
+//! duplicates. Every reader tracks the last sequence number of each writer and ignores records that do
+//! not exceed it. The table is bounded by rules that depend only on the log, so that all readers evict
 //! the same writers at the same record.
 
 use std::collections::BTreeMap;
@@ -11,34 +11,34 @@
 use elderworks_types::{Incarnation, NodeId, Offset, Sequence};
 use serde::{Deserialize, Serialize};
 
-/// Starts remembered of one node; records of earlier ones are void.
-const STARTS_PER_NODE: usize = 4;
+/// Maximum number of incarnations tracked per node. Records of earlier ones are ignored.
+const MAX_INCARNATIONS_PER_NODE: usize = 4;
 
-/// Writers remembered in all; the one that has been silent the longest is forgotten first.
+/// Maximum number of writers tracked. The one that has been idle the longest is evicted first.
 const MAX_WRITERS: usize = 16_384;
 
-/// What is known of one writer.
+/// State of one writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct WriterEntry {
-    /// The last sequence that counted.
+    /// Last accepted sequence number.
     sequence: Sequence,
-    /// Offset of its announcement.
+    /// Offset of the writer's announcement.
     announced: Offset,
-    /// Offset of its last record that counted.
+    /// Offset of the writer's last accepted record.
     last_seen: Offset,
 }
 
-/// The writers of the control stream.
+/// Writers of the control stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Writers {
     entries: BTreeMap<Writer, WriterEntry>,
 }
 
 impl Writers {
-    /// Enters a writer that announces itself; a repeat changes nothing.
-    pub(crate) fn announce(&mut self, writer: &Writer, sequence: Sequence, offset: Offset) {
-        if self.knows(writer) {
-            self.admit(writer, sequence, offset);
+    /// Adds a writer that announces itself. A repeated announcement only updates the sequence number.
+    pub(crate) fn register(&mut self, writer: &Writer, sequence: Sequence, offset: Offset) {
+        if self.is_registered(writer) {
+            self.accept(writer, sequence, offset);
             return;
         }
         let entry = WriterEntry {
@@ -47,12 +47,13 @@
             last_seen: offset,
         };
         self.entries.insert(writer.clone(), entry);
-        self.forget_earliest_start(&writer.node);
-        self.forget_silent_writer();
+        self.evict_earliest_incarnation(&writer.node);
+        self.evict_idle_writer();
     }
 
-    /// Whether a record counts: its writer is known and its sequence is new.
-    pub(crate) fn admit(&mut self, writer: &Writer, sequence: Sequence, offset: Offset) -> bool {
+    /// Returns whether a record is accepted, which requires that its writer is registered and its
+    /// sequence number is new, and records that number.
+    pub(crate) fn accept(&mut self, writer: &Writer, sequence: Sequence, offset: Offset) -> bool {
         let Some(entry) = self.entries.get_mut(writer) else {
             return false;
         };
@@ -64,11 +65,12 @@
         true
     }
 
-    /// Whether records of this writer can count.
-    pub(crate) fn knows(&self, writer: &Writer) -> bool {
+    /// Returns whether records of this writer can be accepted.
+    pub(crate) fn is_registered(&self, writer: &Writer) -> bool {
         self.entries.contains_key(writer)
     }
 
+    /// Iterates over the registered incarnations of a node.
     fn of_node(&self, node: &NodeId) -> impl Iterator<Item = (&Writer, &WriterEntry)> {
         let bound = |incarnation| Writer {
             node: node.clone(),
@@ -77,30 +79,30 @@
         self.entries.range(bound(0)..=bound(u64::MAX))
     }
 
-    fn forget_earliest_start(&mut self, node: &NodeId) {
-        if self.of_node(node).count() <= STARTS_PER_NODE {
+    fn evict_earliest_incarnation(&mut self, node: &NodeId) {
+        if self.of_node(node).count() <= MAX_INCARNATIONS_PER_NODE {
             return;
         }
         let earliest = self
             .of_node(node)
             .min_by_key(|(_, entry)| entry.announced)
             .map(|(writer, _)| writer.clone());
-        self.forget(earliest);
+        self.evict(earliest);
     }
 
-    fn forget_silent_writer(&mut self) {
+    fn evict_idle_writer(&mut self) {
         if self.entries.len() <= MAX_WRITERS {
             return;
         }
-        let silent = self
+        let idle = self
             .entries
             .iter()
             .min_by_key(|(_, entry)| entry.last_seen)
             .map(|(writer, _)| writer.clone());
-        self.forget(silent);
+        self.evict(idle);
     }
 
-    fn forget(&mut self, writer: Option<Writer>) {
+    fn evict(&mut self, writer: Option<Writer>) {
         if let Some(writer) = writer {
             self.entries.remove(&writer);
         }
