--- a/crates/control/examples/bootstrap_cost.rs
+++ b/crates/control/examples/bootstrap_cost.rs
@@ -1,8 +1,8 @@
-//! Measures what it costs a new node to load the control state, by length of the log.
+//! Measures the cost of loading the control state on a new node, depending on the length of the log.
 //!
-//! `bootstrap_cost generate FILE RECORDS` writes a control stream to a file; in another process,
-//! `bootstrap_cost measure FILE replay|bootstrap` loads the state from it, by replaying all of it or
-//! from the latest snapshot, and prints time, records read and peak memory.
+//! `bootstrap_cost generate FILE RECORDS` writes a control stream to a file. In a separate process,
+//! `bootstrap_cost measure FILE replay|bootstrap` loads the state from that file, either by a full
+//! replay or from the latest snapshot, and prints the time, the records read and the peak memory.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Read, Seek, SeekFrom, Write};
@@ -14,10 +14,10 @@
 use elderworks_types::resource::{BudgetSpec, Kind, Metadata, Resource, Spec};
 use elderworks_types::{Credits, Epoch, Incarnation, NodeId, Offset, Sequence, Timestamp};
 
-/// Distinct resources; changes go round them.
+/// Number of distinct resources, which are changed in turn.
 const RESOURCES: u64 = 1_000;
 
-/// Records in one read, as a log service might bound it.
+/// Maximum number of records per read, similar to the limit of a log service.
 const PAGE_RECORDS: u64 = 256;
 
 const NOW: Timestamp = Timestamp(0);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Writes a stream with snapshots wherever they are due.
+/// Writes a control stream to a file, with snapshots whenever they are due.
 fn generate(path: &str, records: u64) -> Result<(), Failure> {
     let mut output = BufWriter::new(File::create(path)?);
     let mut control = Control::new(writer("a"));
@@ -111,9 +111,10 @@
     control.handle(NOW, event);
 }
 
-/// A stream in a file, read in pages.
+/// A control stream in a file.
 struct Stream {
     file: BufReader<File>,
+    /// Position in the file of each record, in bytes.
     positions: Vec<u64>,
     records_read: u64,
 }
@@ -158,9 +159,9 @@
 fn measure(path: &str, use_snapshot: bool) -> Result<(), Failure> {
     let mut stream = Stream::open(path)?;
     let memory_before = peak_memory_kib()?;
-    let began = Instant::now();
+    let started = Instant::now();
     let (mut control, start) = match use_snapshot {
-        true => search(&mut stream)?,
+        true => load_snapshot(&mut stream)?,
         false => (Control::new(writer("b")), Offset(0)),
     };
     replay(&mut stream, &mut control, start)?;
@@ -169,13 +170,13 @@
         stream.end(),
         stream.records_read,
         control.list(Kind::Budget).count(),
-        began.elapsed().as_secs_f64() * 1_000.0,
+        started.elapsed().as_secs_f64() * 1_000.0,
         peak_memory_kib()? - memory_before,
     );
     Ok(())
 }
 
-fn search(stream: &mut Stream) -> Result<(Control, Offset), Failure> {
+fn load_snapshot(stream: &mut Stream) -> Result<(Control, Offset), Failure> {
     let mut bootstrap = Bootstrap::new(writer("b"));
     let mut from = bootstrap.first_read();
     loop {
@@ -201,7 +202,7 @@
     Ok(())
 }
 
-/// The highest resident memory of this process so far.
+/// Returns the peak resident memory of this process, in KiB.
 fn peak_memory_kib() -> Result<u64, Failure> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"));
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -152,7 +152,7 @@
             ControlBody::NodeStarted { .. } | ControlBody::Snapshot { .. } => {
                 return Err(ControlError::invalid(
                     "",
-                    "only resources can be put or deleted",
+                    "only a Put or Delete of a resource can be proposed",
                 ));
             }
         }
--- a/crates/control/tests/agreement/main.rs
+++ b/crates/control/tests/agreement/main.rs
@@ -1,5 +1,5 @@
-//! Racing operators, repeated appends, replays and replaced nodes: every reader agrees, each change
-//! counts once, every answer is right, and nothing reverts.
+//! Model-based test of concurrent operators, repeated appends, replays and restarts. Checks that all
+//! readers agree, every change takes effect once, replies are correct and state is never reverted.
 
 mod model;
 #[path = "../support/mod.rs"]
@@ -16,12 +16,13 @@
 use proptest_state_machine::{StateMachineTest, prop_state_machine};
 use support::{NOW, budget, delete, put, writer};
 
-/// The stores of all nodes.
+/// Control state of all nodes.
 struct Readers {
     controls: Vec<Control>,
-    /// The highest position that each store has reached since its node started.
+    /// Highest next offset of each node since its start.
     highest: Vec<Offset>,
-    answered: BTreeSet<u64>,
+    /// Requests that have been replied to.
+    replied: BTreeSet<u64>,
 }
 
 impl StateMachineTest for Readers {
@@ -33,11 +34,11 @@
         Readers {
             controls: controls.collect(),
             highest: vec![Offset(0); NODES],
-            answered: BTreeSet::new(),
+            replied: BTreeSet::new(),
         }
     }
 
-    /// `after` is the model after the step.
+    /// Applies `step`, where `after` is the model after it.
     fn apply(mut readers: Readers, after: &Model, step: Step) -> Readers {
         match step {
             Step::Propose(node, _, _) => readers.propose(after, node, &step),
@@ -46,8 +47,8 @@
             Step::Rewind(node, back) => {
                 let position = after.nodes[node].position;
                 for offset in position - back..position {
-                    let effects = readers.feed(after, node, offset);
-                    assert_eq!(effects, [], "a record read again has no effect");
+                    let effects = readers.apply_record(after, node, offset);
+                    assert_eq!(effects, [], "a record read twice has an effect");
                     let next = readers.controls[node].next();
                     assert_eq!(next, Offset(position as u64), "applied state reverted");
                 }
@@ -88,12 +89,12 @@
 
 impl Readers {
     fn propose(&mut self, after: &Model, node: usize, step: &Step) {
-        let Step::Propose(_, wanted, expectation) = *step else {
+        let Step::Propose(_, change, precondition) = *step else {
             return;
         };
         let mut before = after.clone();
         before.last_request -= 1;
-        let proposed = before.proposal(node, wanted, expectation);
+        let proposed = before.proposal(node, change, precondition);
         let event = Event::Propose {
             request: proposed.request,
             body: body(proposed),
@@ -106,34 +107,34 @@
             [Effect::Reply { request, result }] => {
                 assert!(!after.has_started(node));
                 assert_eq!(*result, Err(ControlError::Unavailable));
-                assert!(self.answered.insert(*request));
+                assert!(self.replied.insert(*request));
             }
-            [] => assert!(!is_sent, "it waits behind another"),
+            [] => assert!(!is_sent, "without an append, the proposal must be queued"),
             other => panic!("unexpected effects {other:?}"),
         }
     }
 
     fn read(&mut self, after: &Model, node: usize) {
         let position = after.nodes[node].position;
-        let effects = self.feed(after, node, position - 1);
+        let effects = self.apply_record(after, node, position - 1);
         let entry = after.log[position - 1];
-        let (_, verdict) = after.replay(position);
+        let (_, outcome) = after.replay(position);
         for effect in effects {
             match effect {
                 Effect::Reply { request, result } => {
-                    assert!(self.answered.insert(request), "answered twice");
-                    let proposed = entry.proposed.expect("an announcement answers nothing");
+                    assert!(self.replied.insert(request), "replied twice");
+                    let proposed = entry.proposed.expect("an announcement gets no reply");
                     assert_eq!(request, proposed.request);
-                    let verdict = verdict.expect("a repeat answers nothing");
-                    check_answer(&result.map(|change| change.revision), verdict);
+                    let outcome = outcome.expect("a duplicate gets no reply");
+                    check_reply(&result.map(|change| change.revision), outcome);
                 }
                 Effect::Changed(change) => {
                     assert_eq!(change.revision, Offset(position as u64 - 1));
-                    assert_eq!(verdict, Some(Ok(change.revision.0)));
+                    assert_eq!(outcome, Some(Ok(change.revision.0)));
                 }
                 Effect::Append(sent) => {
                     let in_flight = after.nodes[node].in_flight;
-                    let (_, next) = in_flight.expect("the model sends it too");
+                    let (_, next) = in_flight.expect("the model sends a proposal");
                     assert_eq!(sent, body(next));
                 }
             }
@@ -141,7 +142,7 @@
         self.highest[node] = self.controls[node].next();
     }
 
-    fn feed(&mut self, model: &Model, node: usize, offset: usize) -> Vec<Effect> {
+    fn apply_record(&mut self, model: &Model, node: usize, offset: usize) -> Vec<Effect> {
         let event = Event::RecordRead {
             offset: Offset(offset as u64),
             index: 0,
@@ -156,14 +157,14 @@
     }
 }
 
-fn check_answer(result: &Result<Offset, ControlError>, verdict: Result<u64, Option<u64>>) {
-    match (result, verdict) {
+fn check_reply(result: &Result<Offset, ControlError>, outcome: Result<u64, Option<u64>>) {
+    match (result, outcome) {
         (Ok(revision), Ok(expected)) => assert_eq!(revision.0, expected),
         (Err(ControlError::NotFound), Err(None)) => {}
         (Err(ControlError::Conflict { found, .. }), Err(Some(expected))) => {
             assert_eq!(found.0, expected);
         }
-        other => panic!("wrong answer {other:?}"),
+        other => panic!("wrong reply {other:?}"),
     }
 }
 
@@ -188,8 +189,8 @@
 }
 
 fn body(proposed: Proposed) -> ControlBody {
-    let name = NAMES[proposed.wanted.name];
-    match proposed.wanted.limit {
+    let name = NAMES[proposed.change.name];
+    match proposed.change.limit {
         Some(limit) => put(budget(name, name, limit), proposed.expected),
         None => delete(Kind::Budget, name, proposed.expected),
     }
--- a/crates/control/tests/agreement/model.rs
+++ b/crates/control/tests/agreement/model.rs
@@ -1,45 +1,45 @@
-//! What operators and the log did, and what must follow from it, told as simply as possible.
+//! Reference model of operators, nodes and the log.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// Nodes that race each other.
+/// Number of nodes.
 pub const NODES: usize = 3;
 
-/// Names of the resources that they race for.
+/// Names of the resources that operators change.
 pub const NAMES: [&str; 3] = ["alpha", "beta", "gamma"];
 
-/// What an operator expects of a resource.
+/// Precondition of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expectation {
-    /// Anything.
+pub enum Precondition {
+    /// No precondition.
     Any,
-    /// It does not exist.
+    /// The resource does not exist.
     Absent,
-    /// It is as this node sees it.
-    AsSeen,
-    /// It is at an old revision.
+    /// The resource has the revision that this node sees.
+    Current,
+    /// The resource has an outdated revision.
     Stale,
 }
 
-/// A change as an operator asks for it; no limit deletes.
+/// A change to the resource with index `name`. Deletes the resource if `limit` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct RequestedChange {
     pub name: usize,
     pub limit: Option<u64>,
 }
 
-/// A change as it was proposed.
+/// A change as proposed by a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Proposed {
     pub request: u64,
-    pub wanted: Wanted,
+    pub change: RequestedChange,
     pub expected: Option<u64>,
 }
 
-/// A record of the log: an announcement if it proposes nothing.
+/// A record of the log. It is an announcement if `proposed` is `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub node: usize,
@@ -48,21 +48,22 @@
     pub proposed: Option<Proposed>,
 }
 
+/// A step of the test.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// An operator asks a node for a change.
-    Propose(usize, Wanted, Expectation),
-    /// What a node has in flight reaches the log, perhaps once more after a lost answer.
+    /// An operator requests a change from a node.
+    Propose(usize, RequestedChange, Precondition),
+    /// The record that a node has in flight is appended to the log, possibly again.
     Append(usize),
-    /// What a node had in flight before it was replaced reaches the log.
+    /// The record that a node had in flight before its restart is appended to the log.
     AppendLate(usize),
     /// A node reads the next record.
     Read(usize),
-    /// A node is given records again that it has applied.
+    /// A node reads a number of already applied records again.
     Rewind(usize, usize),
-    /// A node is replaced; it starts from nothing.
+    /// A node restarts with empty state.
     Restart(usize),
-    /// A node is replaced; it starts from the state of another.
+    /// A node restarts with the state of another node.
     RestartFrom(usize, usize),
 }
 
@@ -70,15 +71,16 @@
 pub struct Node {
     pub nonce: u64,
     pub next_sequence: u64,
+    /// Sequence number and proposal in flight.
     pub in_flight: Option<(u64, Proposed)>,
     pub waiting: VecDeque<Proposed>,
-    /// What the start before this one had in flight.
+    /// Record that was in flight before the last restart.
     pub late: Option<Entry>,
-    /// Records applied.
+    /// Number of records applied.
     pub position: usize,
 }
 
-/// Resources by name: revision and limit.
+/// Revision and limit of each resource, by index of its name.
 pub type Budgets = BTreeMap<usize, (u64, u64)>;
 
 #[derive(Clone, Debug)]
@@ -89,23 +91,25 @@
 }
 
 impl Model {
-    /// Resources after the first `position` records, and the verdict on the last of them: `None`
-    /// where it does not count.
+    /// Returns the resources after the first `position` records and the result of the last record, or
+    /// `None` if the last record has no effect.
     pub fn replay(&self, position: usize) -> (Budgets, Option<Result<u64, Option<u64>>>) {
         let mut budgets = Budgets::new();
         let mut seen = BTreeSet::new();
-        let mut verdict = None;
+        let mut outcome = None;
         for (offset, entry) in self.log[..position].iter().enumerate() {
             let is_new = seen.insert((entry.node, entry.nonce, entry.sequence));
-            verdict = match entry.proposed {
-                Some(proposed) if is_new => Some(judge(&mut budgets, proposed, offset as u64)),
+            outcome = match entry.proposed {
+                Some(proposed) if is_new => {
+                    Some(apply_change(&mut budgets, proposed, offset as u64))
+                }
                 _ => None,
             };
         }
-        (budgets, verdict)
+        (budgets, outcome)
     }
 
-    /// Whether a node has read its own announcement.
+    /// Returns whether a node has read its own announcement.
     pub fn has_started(&self, node: usize) -> bool {
         let own = &self.nodes[node];
         self.log[..own.position]
@@ -113,21 +117,26 @@
             .any(|entry| entry.node == node && entry.nonce == own.nonce)
     }
 
-    /// The proposal that a step makes, as the node sees the resource now.
-    pub fn proposal(&self, node: usize, wanted: Wanted, expectation: Expectation) -> Proposed {
+    /// Returns the proposal of a change, given the node's current view of the resource.
+    pub fn proposal(
+        &self,
+        node: usize,
+        change: RequestedChange,
+        precondition: Precondition,
+    ) -> Proposed {
         let (budgets, _) = self.replay(self.nodes[node].position);
         let seen = budgets
-            .get(&wanted.name)
+            .get(&change.name)
             .map_or(0, |(revision, _)| *revision);
-        let expected = match expectation {
-            Expectation::Any => None,
-            Expectation::Absent => Some(0),
-            Expectation::AsSeen => Some(seen),
-            Expectation::Stale => Some(seen.saturating_sub(1).max(1)),
+        let expected = match precondition {
+            Precondition::Any => None,
+            Precondition::Absent => Some(0),
+            Precondition::Current => Some(seen),
+            Precondition::Stale => Some(seen.saturating_sub(1).max(1)),
         };
         Proposed {
             request: self.last_request + 1,
-            wanted,
+            change,
             expected,
         }
     }
@@ -193,9 +202,14 @@
     }
 }
 
-/// The new revision, or the revision that stood in the way (`None`: there was nothing to delete).
-fn judge(budgets: &mut Budgets, proposed: Proposed, offset: u64) -> Result<u64, Option<u64>> {
-    let Wanted { name, limit } = proposed.wanted;
+/// Applies a change. Returns the revision of the resource, or the conflicting revision as an error, or
+/// `Err(None)` if there is no resource to delete.
+fn apply_change(
+    budgets: &mut Budgets,
+    proposed: Proposed,
+    offset: u64,
+) -> Result<u64, Option<u64>> {
+    let RequestedChange { name, limit } = proposed.change;
     let current = budgets.get(&name).copied();
     let found = current.map_or(0, |(revision, _)| revision);
     if limit.is_none() && current.is_none() {
@@ -236,16 +250,17 @@
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
         let node = 0..NODES;
         let limit = prop_oneof![4 => (1..4u64).prop_map(Some), 1 => Just(None)];
-        let wanted = (0..NAMES.len(), limit).prop_map(|(name, limit)| Wanted { name, limit });
-        let expectation = prop_oneof![
-            Just(Expectation::Any),
-            Just(Expectation::Absent),
-            Just(Expectation::AsSeen),
-            Just(Expectation::Stale),
+        let change =
+            (0..NAMES.len(), limit).prop_map(|(name, limit)| RequestedChange { name, limit });
+        let precondition = prop_oneof![
+            Just(Precondition::Any),
+            Just(Precondition::Absent),
+            Just(Precondition::Current),
+            Just(Precondition::Stale),
         ];
         prop_oneof![
-            4 => (node.clone(), wanted, expectation)
-                .prop_map(|(node, wanted, expectation)| Step::Propose(node, wanted, expectation)),
+            4 => (node.clone(), change, precondition)
+                .prop_map(|(node, change, precondition)| Step::Propose(node, change, precondition)),
             6 => node.clone().prop_map(Step::Append),
             1 => node.clone().prop_map(Step::AppendLate),
             12 => node.clone().prop_map(Step::Read),
@@ -269,8 +284,8 @@
 
     fn apply(mut model: Model, step: &Step) -> Model {
         match *step {
-            Step::Propose(node, wanted, expectation) => {
-                let proposed = model.proposal(node, wanted, expectation);
+            Step::Propose(node, change, precondition) => {
+                let proposed = model.proposal(node, change, precondition);
                 model.last_request += 1;
                 if model.has_started(node) {
                     model.nodes[node].waiting.push_back(proposed);
--- a/crates/control/tests/arbitrary.rs
+++ b/crates/control/tests/arbitrary.rs
@@ -1,4 +1,5 @@
-//! Whatever stands in a file, a snapshot or on the stream, it is judged and not trusted.
+//! Property tests: arbitrary manifests, snapshots and records neither crash a node nor lead to invalid
+//! state.
 
 mod support;
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// Names good and bad, few enough that resources refer to each other.
+/// Valid and invalid names, from a small set so that resources refer to each other.
 fn name() -> impl Strategy<Value = String> {
     prop_oneof![
         8 => "[a-d]",
@@ -65,7 +66,7 @@
     ]
 }
 
-/// Everything in force is well formed, refers to what exists, and survives a snapshot.
+/// Checks that all resources are valid, refer to existing ones and are restored from a snapshot.
 fn check(control: &Control) -> Result<(), TestCaseError> {
     let kinds = [
         Kind::Program,
@@ -81,7 +82,7 @@
     for resource in control.list(Kind::Program) {
         let spec = control
             .program(&resource.metadata.name)
-            .expect("it is listed");
+            .expect("a listed program exists");
         for service in &spec.services {
             prop_assert!(control.get(Kind::Service, service).is_some());
         }
@@ -101,25 +102,25 @@
     #![proptest_config(config())]
 
     #[test]
-    fn accepted_resources_are_sound(changes in proptest::collection::vec(change(), 1..60)) {
+    fn accepted_resources_are_valid(changes in proptest::collection::vec(change(), 1..60)) {
         let mut log = TestLog::with_nodes(&["a"]);
         for (sequence, body) in (2..).zip(changes) {
             log.append("a", 0, sequence, body);
         }
         let mut control = reader("a", 0);
-        log.feed(&mut control);
+        log.replay(&mut control);
         check(&control)?;
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,200}", bytes in any::<Vec<u8>>()) {
+    fn arbitrary_text_is_parsed_or_rejected(text in "\\PC{0,200}", bytes in any::<Vec<u8>>()) {
         let _ = from_yaml(&text);
         let _ = from_yaml(&format!("apiVersion: elderworks/v1\nkind: Program\n{text}"));
         let _ = from_json(&bytes);
     }
 
     #[test]
-    fn any_bytes_are_passed_over(
+    fn arbitrary_bytes_are_skipped(
         pages in proptest::collection::vec(any::<Vec<u8>>(), 1..20),
         state in any::<Vec<u8>>(),
     ) {
@@ -133,7 +134,7 @@
             step = bootstrap.handle_read(rest, end);
         }
         let BootstrapStep::Done { start, .. } = step else {
-            return Err(TestCaseError::fail("the search does not end"));
+            return Err(TestCaseError::fail("the bootstrap did not finish"));
         };
         prop_assert_eq!(start, Offset(0));
     }
--- a/crates/control/tests/bootstrap.rs
+++ b/crates/control/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! A new node finds the latest snapshot and ends with the state of one that read everything.
+//! Bootstrap from the latest snapshot must result in the same state as a full replay.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use elderworks_types::{Epoch, Offset, Sequence};
 use support::{NOW, TestLog, budget, put, reader, writer};
 
-/// What stands at one offset.
+/// Content of the stream at one offset.
 enum Entry {
     Record(Record<ControlBody>),
-    /// Bytes that are no batch.
+    /// Bytes that cannot be decoded.
     Malformed,
 }
 
-/// A stream as the platform holds it.
+/// A control stream in memory.
 struct Stream {
     entries: Vec<Entry>,
     sequence: u64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Records of a snapshot of the state so far.
+    /// Returns the records of a snapshot of the current state.
     fn snapshot(&self) -> Vec<ControlBody> {
         let mut control = reader("a", 0);
         self.replay(&mut control, 0);
@@ -99,7 +99,8 @@
         .collect()
     }
 
-    /// Bootstraps a node; returns it with where replay begins and how many records were read.
+    /// Bootstraps a node. Returns its state, the offset at which replay starts and the number of
+    /// records read.
     fn bootstrap(&self, page_length: usize) -> (Control, Offset, usize) {
         let mut bootstrap = Bootstrap::new(writer("b", 7));
         let mut from = bootstrap.first_read();
@@ -116,7 +117,7 @@
     }
 }
 
-/// Resources and revisions of a reader.
+/// Returns all budgets.
 fn resources(control: &Control) -> Vec<elderworks_types::resource::Resource> {
     control.list(Kind::Budget).cloned().collect()
 }
@@ -124,7 +125,7 @@
 struct Case {
     name: &'static str,
     build: fn(&mut Stream),
-    /// Whether replay can begin after the start of the stream.
+    /// Whether replay starts after the beginning of the stream.
     finds_snapshot: bool,
 }
 
@@ -157,7 +158,7 @@
         finds_snapshot: true,
     },
     Case {
-        name: "changes between taking and writing",
+        name: "changes between taking and writing the snapshot",
         build: |stream| {
             stream.push_changes(4_200);
             let snapshot = stream.snapshot();
@@ -170,7 +171,7 @@
         finds_snapshot: true,
     },
     Case {
-        name: "newest snapshot was never finished",
+        name: "latest snapshot is incomplete",
         build: |stream| {
             stream.push_changes(4_200);
             stream.push_snapshot();
@@ -181,7 +182,7 @@
         finds_snapshot: true,
     },
     Case {
-        name: "newest snapshot does not decode",
+        name: "latest snapshot cannot be decoded",
         build: |stream| {
             stream.push_changes(4_200);
             stream.push_snapshot();
@@ -209,7 +210,7 @@
     },
 ];
 
-/// The first of two parts.
+/// Appends the first of two parts of a snapshot.
 fn push_part_of_snapshot(stream: &mut Stream) {
     let mut snapshot = stream.snapshot();
     let Some(ControlBody::Snapshot { parts, .. }) = snapshot.first_mut() else {
@@ -220,7 +221,7 @@
 }
 
 #[test]
-fn bootstrap_ends_with_the_state_of_a_full_replay() {
+fn bootstrap_results_in_the_state_of_a_full_replay() {
     for case in CASES {
         let mut stream = Stream::new();
         (case.build)(&mut stream);
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn snapshot_is_taken_when_due_and_once() {
+fn snapshot_is_taken_once_when_due() {
     let mut stream = Stream::new();
     stream.push_changes(4_000);
     assert_eq!(stream.snapshot(), [], "too early");
@@ -285,10 +286,10 @@
     assert_eq!(
         control.handle(NOW, Event::TakeSnapshot),
         [],
-        "one is being written"
+        "a snapshot is being written"
     );
     stream.push_snapshot();
-    assert_eq!(stream.snapshot(), [], "just written");
+    assert_eq!(stream.snapshot(), [], "a snapshot was just written");
 }
 
 #[test]
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn changes_before_the_snapshot_have_to_be_listed_anew() {
+fn changes_before_the_snapshot_are_not_retained() {
     let mut stream = Stream::new();
     stream.push_changes(5_000);
     stream.push_snapshot();
@@ -309,12 +310,14 @@
     let (mut control, start, _) = stream.bootstrap(100);
     stream.replay(&mut control, start.0 as usize);
     assert_eq!(control.changes_since(Offset(10)), None);
-    let recent = control.changes_since(Offset(5_000)).expect("remembered");
+    let recent = control
+        .changes_since(Offset(5_000))
+        .expect("recent changes are retained");
     assert_eq!(recent.len(), 3);
 }
 
 #[test]
-fn damaged_state_is_refused() {
+fn truncated_state_is_rejected() {
     let mut stream = Stream::new();
     stream.push_changes(10);
     let mut control = reader("a", 0);
--- a/crates/control/tests/manifest.rs
+++ b/crates/control/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Documents: what is read, and how mistakes are named.
+//! Parsing of documents, and the path and text of the errors that they cause.
 
 mod support;
 
@@ -35,9 +35,9 @@
 ";
 
 #[test]
-fn several_documents_are_read_in_order() {
+fn several_documents_are_parsed_in_order() {
     let text = format!("---\n{TOOL}\n---\n---\n{PROGRAM}");
-    let manifests = from_yaml(&text).expect("both documents are sound");
+    let manifests = from_yaml(&text).expect("both documents are valid");
     let [tool, program] = manifests.as_slice() else {
         panic!("found {manifests:?}");
     };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_kind_survives_writing_and_reading() {
+fn every_kind_round_trips() {
     let resources: [Resource; 5] = [
         program("boundary", &["cadastre"], Some("lublin")),
         model_service("drafts", "model-a", &["engine-1", "engine-2"]),
@@ -62,24 +62,24 @@
         let document = Document::from(&resource);
         let json = serde_json::to_vec(&document).expect("documents encode");
         let yaml = serde_norway::to_string(&document).expect("documents encode");
-        let from_json = from_json(&json).expect("own JSON is sound");
-        let from_yaml = from_yaml(&yaml).expect("own YAML is sound");
+        let from_json = from_json(&json).expect("generated JSON is valid");
+        let from_yaml = from_yaml(&yaml).expect("generated YAML is valid");
         assert_eq!(from_json.resource, resource);
         assert_eq!(from_yaml, [from_json]);
     }
 }
 
 #[test]
-fn numbers_in_a_configuration_are_taken_as_text() {
+fn numbers_in_a_configuration_are_converted_to_strings() {
     let text = "{apiVersion: elderworks/v1, kind: Configuration, metadata: {name: global}, \
                 spec: {values: {call.maxAttempts: 2, call.modelTimeout: 45s}}}";
-    let manifests = from_yaml(text).expect("it is sound");
-    let wanted = [("call.maxAttempts", "2"), ("call.modelTimeout", "45s")];
-    assert_eq!(manifests[0].resource, configuration("global", &wanted));
+    let manifests = from_yaml(text).expect("the document is valid");
+    let expected = [("call.maxAttempts", "2"), ("call.modelTimeout", "45s")];
+    assert_eq!(manifests[0].resource, configuration("global", &expected));
 }
 
 #[test]
-fn mistakes_are_named_by_path() {
+fn errors_contain_the_path() {
     struct Case {
         change: (&'static str, &'static str),
         path: &'static str,
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn mistake_in_a_later_document_names_the_document() {
+fn errors_contain_the_document_number() {
     let wrong = PROGRAM.replace("maxTurns: 50", "maxTurns: 0");
-    let error = from_yaml(&format!("{TOOL}---{wrong}")).expect_err("no turns");
+    let error = from_yaml(&format!("{TOOL}---{wrong}")).expect_err("zero turns are invalid");
     assert_eq!(error.document, 2);
     assert_eq!(error.path, "spec.maxTurns");
 }
--- a/crates/control/tests/replay.rs
+++ b/crates/control/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Replay of the control stream: who wins, what is answered, what is dropped.
+//! Replay of the control stream: conflicts, replies and ignored records.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use elderworks_types::{Credits, Offset};
 use support::{NOW, TestLog, budget, configuration, delete, put, reader, tool_service};
 
-/// Proposes, appends what the machine asks for and returns the effects of reading it back.
+/// Proposes a change, appends the resulting record and returns the effects of reading it.
 fn propose(
     log: &mut TestLog,
     control: &mut elderworks_control::Control,
@@ -19,14 +19,14 @@
         panic!("expected one append, found {effects:?}");
     };
     log.append("a", 0, sequence, body.clone());
-    log.feed(control)
+    log.replay(control)
 }
 
 #[test]
-fn accepted_change_is_answered_when_read_back() {
+fn accepted_change_is_confirmed_when_its_record_is_read() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
-    assert_eq!(log.feed(&mut control), []);
+    assert_eq!(log.replay(&mut control), []);
     assert!(control.has_started());
 
     let effects = propose(&mut log, &mut control, 2, put(budget("b", "t", 10), None));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn expectation_is_judged_in_log_order() {
+fn expected_revision_is_checked_in_log_order() {
     struct Case {
         name: &'static str,
         expected: Option<u64>,
@@ -75,7 +75,7 @@
     for case in cases {
         let mut log = TestLog::with_nodes(&["a"]);
         let mut control = reader("a", 0);
-        log.feed(&mut control);
+        log.replay(&mut control);
         propose(
             &mut log,
             &mut control,
@@ -103,10 +103,10 @@
 }
 
 #[test]
-fn loser_of_a_race_learns_what_it_lost_to() {
+fn losing_proposal_gets_the_conflicting_revision() {
     let mut log = TestLog::with_nodes(&["a", "b"]);
     let mut control = reader("a", 0);
-    log.feed(&mut control);
+    log.replay(&mut control);
     log.append("b", 1, 2, put(budget("b", "t", 99), Some(0)));
 
     let effects = propose(
@@ -135,21 +135,21 @@
 fn repeated_record_takes_effect_once() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
-    log.feed(&mut control);
+    log.replay(&mut control);
     propose(&mut log, &mut control, 2, put(budget("b", "t", 10), None));
     propose(&mut log, &mut control, 3, delete(Kind::Budget, "b", None));
 
     log.append("a", 0, 2, put(budget("b", "t", 10), None));
 
-    assert_eq!(log.feed(&mut control), []);
+    assert_eq!(log.replay(&mut control), []);
     assert_eq!(control.get(Kind::Budget, &"b".into()), None);
 }
 
 #[test]
-fn repeat_of_an_equal_change_does_not_answer_the_next_one() {
+fn duplicate_record_does_not_confirm_the_next_equal_change() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
-    log.feed(&mut control);
+    log.replay(&mut control);
     let body = put(budget("b", "t", 10), Some(0));
     propose(&mut log, &mut control, 2, body.clone());
     let effects = control.handle(
@@ -163,13 +163,13 @@
 
     log.append("a", 0, 2, body.clone());
     assert_eq!(
-        log.feed(&mut control),
+        log.replay(&mut control),
         [],
-        "a late copy of the first answers nothing"
+        "a late duplicate of the first gets no reply"
     );
 
     log.append("a", 0, 3, body);
-    let effects = log.feed(&mut control);
+    let effects = log.replay(&mut control);
     assert!(
         matches!(
             effects.as_slice(),
@@ -183,11 +183,11 @@
 }
 
 #[test]
-fn record_of_an_unknown_writer_is_void() {
+fn record_of_an_unregistered_writer_is_ignored() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
     log.append("stranger", 4, 1, put(budget("b", "t", 10), None));
-    log.feed(&mut control);
+    log.replay(&mut control);
     assert_eq!(control.get(Kind::Budget, &"b".into()), None);
 }
 
@@ -195,7 +195,7 @@
 fn unchanged_put_keeps_its_revision() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
-    log.feed(&mut control);
+    log.replay(&mut control);
     propose(
         &mut log,
         &mut control,
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn what_was_surely_not_appended_is_refused_when_the_log_is_down() {
+fn queued_proposals_are_rejected_when_the_log_is_unreachable() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
     let early = control.handle(
@@ -237,8 +237,8 @@
         request,
         result: Err(ControlError::Unavailable),
     };
-    assert_eq!(early, [unavailable(1)], "before the node has started");
-    log.feed(&mut control);
+    assert_eq!(early, [unavailable(1)], "before the node has registered");
+    log.replay(&mut control);
     let in_flight = put(budget("b", "t", 2), None);
     control.handle(
         NOW,
@@ -260,7 +260,7 @@
     assert_eq!(
         down,
         [unavailable(3)],
-        "the one in flight may have been appended"
+        "the proposal in flight may have been appended"
     );
     let late = control.handle(
         NOW,
@@ -272,7 +272,7 @@
     assert_eq!(late, [unavailable(4)]);
 
     log.append("a", 0, 2, in_flight);
-    let effects = log.feed(&mut control);
+    let effects = log.replay(&mut control);
     assert!(
         matches!(
             effects.last(),
@@ -289,7 +289,7 @@
 fn configuration_applies_and_reverts_to_the_default() {
     let mut log = TestLog::with_nodes(&["a"]);
     let mut control = reader("a", 0);
-    log.feed(&mut control);
+    log.replay(&mut control);
     let values = [("call.modelTimeout", "45s"), ("call.maxAttempts", "2")];
     propose(
         &mut log,
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Records, resources and readers shared by the tests of this crate.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Fixtures shared by the tests of this crate.
+#![allow(dead_code, reason = "each test uses only some of the fixtures")]
 
 use elderworks_control::{Control, ControlBody, Effect, Event};
 use elderworks_protocol::record::{Record, Writer};
@@ -10,16 +10,16 @@
 use elderworks_types::{Credits, Epoch, Incarnation, NodeId, Offset, Sequence, Timestamp, Tokens};
 use std::time::Duration;
 
-/// The time in tests that need none.
+/// Time passed to [`Control::handle`] by tests that do not depend on it.
 pub const NOW: Timestamp = Timestamp(0);
 
-/// A log of one stream, with the readers that follow it.
+/// A log that contains only the control stream.
 pub struct TestLog {
     pub records: Vec<Record<ControlBody>>,
 }
 
 impl TestLog {
-    /// Begins with the announcement of each node; its nonce is its position.
+    /// Creates a log with the announcement of each node, whose nonce is its position in `nodes`.
     pub fn with_nodes(nodes: &[&str]) -> Self {
         let mut log = Self {
             records: Vec::new(),
@@ -43,18 +43,18 @@
         });
     }
 
-    /// Feeds every record that `control` has not applied; returns all effects.
-    pub fn feed(&self, control: &mut Control) -> Vec<Effect> {
+    /// Applies all records that `control` has not applied yet and returns the effects.
+    pub fn replay(&self, control: &mut Control) -> Vec<Effect> {
         let first = control.next().0 as usize;
         let mut effects = Vec::new();
         for offset in first..self.records.len() {
-            effects.extend(self.feed_one(control, offset));
+            effects.extend(self.replay_record(control, offset));
         }
         effects
     }
 
-    /// Feeds the record at one offset.
-    pub fn feed_one(&self, control: &mut Control, offset: usize) -> Vec<Effect> {
+    /// Applies the record at one offset and returns the effects.
+    pub fn replay_record(&self, control: &mut Control, offset: usize) -> Vec<Effect> {
         let event = Event::RecordRead {
             offset: Offset(offset as u64),
             index: 0,
@@ -64,7 +64,7 @@
     }
 }
 
-/// An empty reader whose node announces itself under `nonce`.
+/// Returns the empty state of a node that announces itself with `nonce`.
 pub fn reader(node: &str, nonce: u64) -> Control {
     Control::new(writer(node, nonce))
 }
--- a/crates/control/tests/validation.rs
+++ b/crates/control/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Rules between resources, judged at a record's place in the log.
+//! Validation against other resources, which takes place in log order.
 
 mod support;
 
@@ -8,8 +8,8 @@
     NOW, TestLog, budget, configuration, delete, model_service, program, put, reader, tool_service,
 };
 
-/// A store with one resource of each kind, and its log.
-fn furnished() -> (TestLog, Control) {
+/// Returns a store with resources of every kind, and its log.
+fn populated() -> (TestLog, Control) {
     let mut log = TestLog::with_nodes(&["a"]);
     let bodies = [
         tool_service("cadastre", "cadastre.lookup"),
@@ -22,28 +22,28 @@
         log.append("a", 0, sequence, put(resource, Some(0)));
     }
     let mut control = reader("a", 0);
-    let effects = log.feed(&mut control);
+    let effects = log.replay(&mut control);
     assert_eq!(effects.len(), 5, "{effects:?}");
     (log, control)
 }
 
-/// The answer to a change proposed on top of [`furnished`].
-fn judge(body: ControlBody) -> Result<(), ControlError> {
-    let (mut log, mut control) = furnished();
+/// Returns the reply to a change proposed on a [`populated`] store.
+fn propose(body: ControlBody) -> Result<(), ControlError> {
+    let (mut log, mut control) = populated();
     let effects = control.handle(NOW, Event::Propose { request: 1, body });
     if let [Effect::Append(body)] = effects.as_slice() {
         log.append("a", 0, 99, body.clone());
     }
-    let effects = [effects, log.feed(&mut control)].concat();
+    let effects = [effects, log.replay(&mut control)].concat();
     let reply = effects.into_iter().find_map(|effect| match effect {
         Effect::Reply { result, .. } => Some(result),
         _ => None,
     });
-    reply.expect("every proposal is answered").map(|_| ())
+    reply.expect("every proposal gets a reply").map(|_| ())
 }
 
 #[test]
-fn references_and_uniqueness_are_kept() {
+fn broken_references_and_duplicate_keys_are_rejected() {
     let two_engines = model_service("more", "model-b", &["engine-2", "engine-1"]);
     let twice = model_service("more", "model-b", &["engine-2", "engine-2"]);
     let cases: Vec<(ControlBody, &str, &str)> = vec![
@@ -119,7 +119,7 @@
     ];
     for (body, path, problem) in cases {
         let description = format!("{body:?}");
-        match judge(body) {
+        match propose(body) {
             Err(ControlError::Invalid {
                 path: found,
                 problem: text,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn sound_changes_are_accepted() {
+fn valid_changes_are_accepted() {
     let cases = [
         put(program("other", &["cadastre"], None), Some(0)),
         put(
@@ -147,19 +147,19 @@
     ];
     for body in cases {
         let description = format!("{body:?}");
-        assert_eq!(judge(body), Ok(()), "{description}");
+        assert_eq!(propose(body), Ok(()), "{description}");
     }
 }
 
 #[test]
-fn deletion_of_nothing_is_not_found() {
+fn deletion_of_a_missing_resource_is_not_found() {
     let missing = delete(Kind::Program, "absent", None);
-    assert_eq!(judge(missing), Err(ControlError::NotFound));
+    assert_eq!(propose(missing), Err(ControlError::NotFound));
 }
 
 #[test]
-fn service_is_free_again_once_its_program_is_gone() {
-    let (mut log, mut control) = furnished();
+fn service_can_be_replaced_once_its_program_is_deleted() {
+    let (mut log, mut control) = populated();
     log.append("a", 0, 10, delete(Kind::Program, "boundary", None));
     log.append("a", 0, 11, delete(Kind::Service, "drafts", None));
     log.append(
@@ -168,7 +168,7 @@
         12,
         put(model_service("new", "model-a", &["engine-1"]), None),
     );
-    log.feed(&mut control);
+    log.replay(&mut control);
     let terms = control
         .model_terms(&"model-a".into())
         .expect("it is offered");
@@ -177,8 +177,10 @@
 
 #[test]
 fn lookups_follow_the_resources() {
-    let (_, control) = furnished();
-    let limits = control.run_limits(&"boundary".into()).expect("it exists");
+    let (_, control) = populated();
+    let limits = control
+        .run_limits(&"boundary".into())
+        .expect("the program exists");
     assert!(limits.tenant_budget);
     assert_eq!(limits.max_turns, 50);
     assert!(control.program_may_call(&"boundary".into(), &"cadastre".into()));
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn far_words_are_not_suggested() {
+fn dissimilar_words_are_not_suggested() {
     assert_eq!(nearest("xyz", ["drafts", "cadastre"]), None);
     assert_eq!(nearest("DRAFT", ["drafts", "cadastre"]), Some("drafts"));
 }
