--- a/crates/control/src/changes.rs
+++ b/crates/control/src/changes.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Appends a change, dropping the oldest if there are more than [`REMEMBERED_CHANGES`].
+    /// Appends a change, dropping the oldest if there are too many.
     pub(crate) fn push(&mut self, change: Change) {
         self.changes.push_back(change);
         if self.changes.len() <= REMEMBERED_CHANGES {
