--- a/crates/control/src/changes.rs
+++ b/crates/control/src/changes.rs
@@ -29,7 +29,7 @@
     /// Appends a change, dropping the oldest if there are too many.
     pub(crate) fn push(&mut self, change: Change) {
         self.changes.push_back(change);
-        if self.changes.len() <= REMEMBERED_CHANGES {
+        if self.changes.len() <= MAX_RETAINED_CHANGES {
             return;
         }
         if let Some(oldest) = self.changes.pop_front() {
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -68,7 +68,7 @@
     }
 
     /// Closes a watch.
-    pub fn end(&mut self, request: RequestId) {
+    pub fn unsubscribe(&mut self, request: RequestId) {
         self.open.remove(&request);
     }
 
--- a/crates/gateway-core/tests/worker_health.rs
+++ b/crates/gateway-core/tests/worker_health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use elderworks_gateway_core::worker_health::{Standing, WorkerHealth};
+use elderworks_gateway_core::worker_health::{HealthStatus, WorkerHealth};
 use elderworks_types::{NodeId, Timestamp};
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -19,18 +19,18 @@
 }
 
 #[test]
-fn an_ejection_is_followed_by_a_probation() {
+fn an_ejection_is_followed_by_probation() {
     let health = ejected();
     let cases = [
-        (0, Standing::Ejected),
-        (299, Standing::Ejected),
-        (300, Standing::OnProbation),
-        (3_299, Standing::OnProbation),
-        (3_300, Standing::Good),
+        (0, HealthStatus::Ejected),
+        (299, HealthStatus::Ejected),
+        (300, HealthStatus::OnProbation),
+        (3_299, HealthStatus::OnProbation),
+        (3_300, HealthStatus::Healthy),
     ];
     for (milliseconds, expected) in cases {
         assert_eq!(
-            health.standing(after(milliseconds)),
+            health.status(after(milliseconds)),
             expected,
             "{milliseconds} ms"
         );
@@ -38,48 +38,48 @@
 }
 
 #[test]
-fn successes_end_a_probation() {
+fn successes_end_probation() {
     let mut health = ejected();
     health.note_success();
-    assert_eq!(health.standing(after(300)), Standing::OnProbation);
+    assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
     health.note_success();
-    assert_eq!(health.standing(after(300)), Standing::Good);
+    assert_eq!(health.status(after(300)), HealthStatus::Healthy);
 }
 
 #[test]
 fn a_failure_on_probation_ejects_for_longer() {
     let mut health = ejected();
     assert!(health.note_failure(after(300)));
-    assert_eq!(health.standing(after(899)), Standing::Ejected);
-    assert_eq!(health.standing(after(900)), Standing::OnProbation);
+    assert_eq!(health.status(after(899)), HealthStatus::Ejected);
+    assert_eq!(health.status(after(900)), HealthStatus::OnProbation);
 }
 
 #[test]
-fn after_a_report_one_failure_of_our_own_ejects() {
+fn after_a_report_one_local_failure_ejects() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
     assert_eq!(
-        health.standing(START),
-        Standing::Good,
-        "it may be cut off there alone"
+        health.status(START),
+        HealthStatus::Healthy,
+        "the worker may be unreachable from that node only"
     );
     assert!(health.note_failure(START));
 }
 
 #[test]
-fn two_nodes_reports_eject_and_one_nodes_do_not() {
+fn reports_of_two_nodes_eject_but_not_of_one() {
     let mut health = WorkerHealth::default();
-    assert!(!health.note_report(START, NodeId::new("n2")));
-    assert!(!health.note_report(after(10), NodeId::new("n2")));
-    assert!(health.note_report(after(20), NodeId::new("n3")));
-    assert_eq!(health.standing(after(20)), Standing::Ejected);
+    assert!(!health.note_ejection_report(START, NodeId::new("n2")));
+    assert!(!health.note_ejection_report(after(10), NodeId::new("n2")));
+    assert!(health.note_ejection_report(after(20), NodeId::new("n3")));
+    assert_eq!(health.status(after(20)), HealthStatus::Ejected);
 }
 
 #[test]
-fn an_old_report_confirms_nothing() {
+fn expired_reports_do_not_count() {
     let mut health = WorkerHealth::default();
-    health.note_report(START, NodeId::new("n2"));
-    assert!(!health.note_report(after(2_000), NodeId::new("n3")));
+    health.note_ejection_report(START, NodeId::new("n2"));
+    assert!(!health.note_ejection_report(after(2_000), NodeId::new("n3")));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let mut health = ejected();
     for (number, milliseconds) in [(2, 250), (3, 260), (4, 270)] {
         let node = NodeId::new(format!("n{number}"));
-        assert!(!health.note_report(after(milliseconds), node));
+        assert!(!health.note_ejection_report(after(milliseconds), node));
     }
-    assert_eq!(health.standing(after(300)), Standing::OnProbation);
+    assert_eq!(health.status(after(300)), HealthStatus::OnProbation);
 }
