--- a/crates/control/src/api/collection.rs
+++ b/crates/control/src/api/collection.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Collection {
     /// Resources that operators create and change.
-    Written(Kind),
+    Writable(Kind),
     /// Runs (read-only).
     Runs,
     /// Nodes (read-only).
--- a/crates/control/src/changes.rs
+++ b/crates/control/src/changes.rs
@@ -7,7 +7,7 @@
 use crate::Change;
 
 /// Maximum number of changes retained.
-pub const REMEMBERED_CHANGES: usize = 2_048;
+pub const MAX_RETAINED_CHANGES: usize = 2_048;
 
 /// Recent changes in order of revision.
 #[derive(Clone, Debug, Default)]
--- a/crates/control/src/configuration/keys.rs
+++ b/crates/control/src/configuration/keys.rs
@@ -9,7 +9,7 @@
     /// Name in the form `group.key`.
     pub key: &'static str,
     /// Description shown to operators.
-    pub meaning: &'static str,
+    pub description: &'static str,
     /// Unit and range of the value, and the field that holds it.
     pub unit: Unit,
 }
@@ -47,7 +47,7 @@
 pub const KNOWN_KEYS: &[KnownKey] = &[
     KnownKey {
         key: "admission.maxOpenCalls",
-        meaning: "maximum number of waiting or open calls per partition; further calls are refused",
+        description: "maximum number of waiting or open calls per partition; further calls are refused",
         unit: Unit::Count {
             min: 1,
             max: 1_000_000,
@@ -56,7 +56,7 @@
     },
     KnownKey {
         key: "call.earlierCallWait",
-        meaning: "maximum time that a call waits for an earlier call of its run to arrive",
+        description: "maximum time that a call waits for an earlier call of its run to arrive",
         unit: Unit::Duration {
             min: Duration::from_millis(100),
             max: Duration::from_secs(60),
@@ -65,7 +65,7 @@
     },
     KnownKey {
         key: "call.maxAttempts",
-        meaning: "maximum number of attempts per call, including the first; only repeatable calls are retried",
+        description: "maximum number of attempts per call, including the first; only repeatable calls are retried",
         unit: Unit::Count {
             min: 1,
             max: 10,
@@ -74,7 +74,7 @@
     },
     KnownKey {
         key: "call.modelTimeout",
-        meaning: "timeout of one attempt of a model call",
+        description: "timeout of one attempt of a model call",
         unit: Unit::Duration {
             min: Duration::from_secs(1),
             max: Duration::from_secs(3_600),
@@ -83,7 +83,7 @@
     },
     KnownKey {
         key: "control.snapshotInterval",
-        meaning: "number of control records between two snapshots",
+        description: "number of control records between two snapshots",
         unit: Unit::Count {
             min: 64,
             max: 1_000_000,
@@ -92,7 +92,7 @@
     },
     KnownKey {
         key: "engine.silentAfter",
-        meaning: "time without an answer after which an engine receives no new work",
+        description: "time without an answer after which an engine receives no new work",
         unit: Unit::Duration {
             min: Duration::from_millis(500),
             max: Duration::from_secs(10),
@@ -101,7 +101,7 @@
     },
     KnownKey {
         key: "retry.budgetPercent",
-        meaning: "maximum number of retries, in percent of first attempts",
+        description: "maximum number of retries, in percent of first attempts",
         unit: Unit::Percent {
             max: 100,
             field: |settings| &mut settings.retry_budget_percent,
--- a/crates/control/src/watch.rs
+++ b/crates/control/src/watch.rs
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Returns an error if too many watches are open or changes after `after` are no longer retained.
-    pub fn begin(
+    pub fn subscribe(
         &mut self,
         control: &Control,
         request: RequestId,
@@ -73,7 +73,7 @@
     }
 
     /// Iterates over the watches that must be notified of a change, in order of request.
-    pub fn interested<'a>(
+    pub fn subscribers_of<'a>(
         &'a self,
         change: &'a Change,
     ) -> impl Iterator<Item = RequestId> + use<'a> {
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -138,7 +138,7 @@
 
     /// Returns whether this node has joined its cell, or has waited long enough to assume that it is
     /// the first member. Until then, its view of partition ownership must not be used.
-    pub fn is_settled(&self, now: Timestamp) -> bool {
+    pub fn is_join_complete(&self, now: Timestamp) -> bool {
         let waited = self
             .started
             .is_some_and(|started| now.since(started) >= JOIN_TIMEOUT);
