--- a/crates/placement/benches/decision.rs
+++ b/crates/placement/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision by number of engines, and by number of runs with 64 engines.
+//! Time of one placement decision, by number of engines and by number of known runs.
 
 #![allow(
     missing_docs,
@@ -17,11 +17,11 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Blocks of a prompt of about 4 000 tokens.
+/// Number of blocks in a prompt of about 4 000 tokens.
 const PROMPT_BLOCKS: u64 = 250;
 const MODEL: &str = "agent";
 
-/// Spread like real block hashes; maps by block hash do not hash them again.
+/// Returns well-distributed hashes, since `BlockMap` uses them without hashing them again.
 fn block_hashes(run: u64) -> Vec<BlockHash> {
     (0..PROMPT_BLOCKS)
         .map(|block| xxh3_64_with_seed(&block.to_le_bytes(), run))
@@ -69,6 +69,7 @@
     }
 }
 
+/// Creates a placement in which each run has completed one call.
 fn prepared(engines: usize, runs: u64) -> Placement {
     let mut placement = Placement::new(PlacementSettings::new(ZoneId::new("a"), 1));
     for index in 0..engines {
--- a/crates/placement/src/counters.rs
+++ b/crates/placement/src/counters.rs
@@ -1,30 +1,30 @@
-//! What placement counted.
+//! Counters of placement, exported as metrics.
 
-/// Sums since the start; sizes are current.
+/// Totals since the process started, and current sizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Calls sent to an engine.
     pub dispatched: u64,
-    /// Of those, calls sent to another engine than their run's last one.
+    /// Dispatched calls whose run's previous call was sent to another engine.
     pub moved: u64,
-    /// First calls that had to wait for room.
+    /// Calls queued because no engine had capacity.
     pub held: u64,
-    /// Calls refused because too many wait.
+    /// Calls refused because the queue was full.
     pub refused_overloaded: u64,
-    /// Calls refused because their deadline cannot be met.
+    /// Calls refused because their deadline had passed.
     pub refused_deadline: u64,
-    /// Calls refused because no engine serves their model.
+    /// Calls refused because no available engine serves their model.
     pub refused_no_backend: u64,
-    /// Times that an engine was ejected.
+    /// Ejections of engines after repeated failures.
     pub ejections: u64,
     /// Cache events reported as lost.
     pub missed_cache_events: u64,
-    /// Runs forgotten because the table was full.
+    /// Runs removed because the run table was full.
     pub forgotten_runs: u64,
-    /// Calls waiting now.
+    /// Calls currently queued.
     pub waiting: usize,
-    /// Runs known now.
+    /// Runs currently known.
     pub runs: usize,
-    /// Block hashes indexed now.
+    /// Block hashes currently in the cache index.
     pub indexed_blocks: usize,
 }
--- a/crates/placement/src/effect.rs
+++ b/crates/placement/src/effect.rs
@@ -1,4 +1,4 @@
-//! What placement decides.
+//! The outputs of placement.
 
 use elderworks_types::{EngineId, Refusal, RunId};
 
@@ -7,34 +7,34 @@
 /// An output of [`crate::Placement::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the attempt to this engine now.
+    /// Send an attempt to an engine.
     Dispatch {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// Where to.
+        /// The engine to send it to.
         engine: EngineId,
-        /// Priority for the engine's own queue; smaller goes first.
+        /// Priority in the engine's own queue; smaller values are served first.
         engine_priority: i64,
-        /// Why there, and how long it waited, for `explain`.
+        /// Reason for the choice and time in the queue, shown by `explain`.
         note: String,
     },
-    /// Give the attempt up; no engine has seen it.
+    /// Refuse an attempt that has not been sent to any engine.
     Refuse {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// Why, and when to come back.
+        /// The reason, and when the caller may retry.
         refusal: Refusal,
     },
-    /// Keep the run's blocks on the engine for at most this long, above ordinary eviction order.
+    /// Exempt the blocks of a paused run from eviction until the lease expires.
     Retain {
         /// The run.
         run: RunId,
         /// The engine.
         engine: EngineId,
-        /// Lease.
+        /// Maximum time to keep the blocks.
         lease: std::time::Duration,
     },
-    /// Let the run's blocks on the engine go.
+    /// Release the run's blocks on the engine.
     Drop {
         /// The run.
         run: RunId,
@@ -45,9 +45,9 @@
     Transfer {
         /// The run.
         run: RunId,
-        /// Exporting engine.
+        /// The engine that exports the blocks.
         from: EngineId,
-        /// Importing engine.
+        /// The engine that imports the blocks.
         to: EngineId,
     },
 }
--- a/crates/placement/src/engines.rs
+++ b/crates/placement/src/engines.rs
@@ -1,4 +1,7 @@
-//! Engines as one node sees them.
+//! Engines with their load, as one node estimates it.
+//!
+//! The load of an engine is the last report, corrected by this node's own attempts since then. Without
+//! a fresh report, it is extrapolated from this node's own attempts and its fraction of all requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,28 +13,31 @@
 use crate::event::{LoadReport, ReadyCall};
 use crate::health::Health;
 
-/// Reports older than this are no longer trusted; own counts take their place.
-const STALE_REPORT: Duration = Duration::from_secs(15);
+/// Age from which a load report is ignored in favour of this node's own counts.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
-/// Smoothing of the share of all open requests that are this node's own, for each report.
-const SHARE_SMOOTHING: f64 = 0.02;
-/// The share is never taken to be smaller.
-const SMALLEST_SHARE: f64 = 0.02;
+/// Weight of one load report in the moving average [`EngineTable::own_fraction`].
+const OWN_FRACTION_SMOOTHING: f64 = 0.02;
+/// Lower bound of [`EngineTable::own_fraction`].
+const MIN_OWN_FRACTION: f64 = 0.02;
 
-/// Blocks that an engine is taken to have before its first report.
+/// Number of cache blocks assumed for an engine without a report.
 const ASSUMED_BLOCKS: u32 = 8_192;
 
-/// An attempt under way.
+/// An attempt dispatched to an engine and not yet finished.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenCall {
     pub(crate) run: RunId,
     pub(crate) sent: Timestamp,
+    /// Cache blocks that the attempt uses.
     pub(crate) blocks: u32,
-    pub(crate) missing: Tokens,
-    pub(crate) has_begun: bool,
+    /// Prompt tokens that the engine has to prefill.
+    pub(crate) uncached: Tokens,
+    /// Whether the first token has arrived.
+    pub(crate) has_started: bool,
 }
 
-/// One engine.
+/// An engine, its health and its load.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) id: EngineId,
@@ -39,12 +45,13 @@
     pub(crate) models: Vec<ModelName>,
     pub(crate) is_leaving: bool,
     pub(crate) health: Health,
+    /// Open attempts of this node.
     pub(crate) open: BTreeMap<Ticket, OpenCall>,
-    /// Blocks of own runs that are paused with their prefix here.
+    /// Blocks of this node's paused runs whose last call was here.
     pub(crate) paused_blocks: u32,
     report: Option<LoadReport>,
-    /// Own attempts ended since the report was measured that it still counts.
-    ended_since: VecDeque<Timestamp>,
+    /// End times of attempts that ended after the last report was measured and are included in it.
+    ended_since_report: VecDeque<Timestamp>,
 }
 
 impl Engine {
@@ -58,61 +65,69 @@
             open: BTreeMap::new(),
             paused_blocks: 0,
             report: None,
-            ended_since: VecDeque::new(),
+            ended_since_report: VecDeque::new(),
         }
     }
 
-    /// Whether a call may be sent to it now.
+    /// Returns whether the call may be sent to this engine now.
     pub(crate) fn accepts(&self, now: Timestamp, call: &ReadyCall) -> bool {
         !self.is_leaving
-            && self.open.len() < self.health.open_limit(now)
+            && self.open.len() < self.health.max_open_attempts(now)
             && self.models.contains(&call.model)
     }
 
+    /// Replaces the load report.
     pub(crate) fn take_report(&mut self, report: LoadReport) {
         while self
-            .ended_since
+            .ended_since_report
             .front()
             .is_some_and(|at| *at <= report.measured)
         {
-            self.ended_since.pop_front();
+            self.ended_since_report.pop_front();
         }
         self.report = Some(report);
     }
 
+    /// Removes an open attempt and returns it.
     pub(crate) fn close(&mut self, now: Timestamp, ticket: Ticket) -> Option<OpenCall> {
         let call = self.open.remove(&ticket)?;
         let reported = self.report.as_ref().map(|report| report.measured);
         if reported.is_some_and(|measured| call.sent <= measured) {
-            self.ended_since.push_back(now);
+            self.ended_since_report.push_back(now);
         }
         Some(call)
     }
 
-    /// Requests at the engine, running or waiting, of all nodes.
-    pub(crate) fn requests(&self, now: Timestamp, own_share: f64) -> u32 {
+    /// Returns the estimated number of running and waiting requests from all nodes.
+    pub(crate) fn requests(&self, now: Timestamp, own_fraction: f64) -> u32 {
         let own = self.open.len() as u32;
         let Some(report) = self.fresh_report(now) else {
-            return (f64::from(own) / own_share) as u32;
+            return (f64::from(own) / own_fraction) as u32;
         };
         let reported = report.running + report.waiting;
-        let reported = reported.saturating_sub(self.ended_since.len() as u32);
+        let reported = reported.saturating_sub(self.ended_since_report.len() as u32);
         (reported + self.sent_since(report.measured).count() as u32).max(own)
     }
 
-    /// Prompt tokens that the engine has yet to prefill.
+    /// Returns the number of prompt tokens that wait to be prefilled.
     pub(crate) fn prefill_backlog(&self, now: Timestamp) -> Tokens {
         let Some(report) = self.fresh_report(now) else {
-            let waiting = self.open.values().filter(|call| !call.has_begun);
-            return waiting.map(|call| call.missing).sum();
+            let waiting = self.open.values().filter(|call| !call.has_started);
+            return waiting.map(|call| call.uncached).sum();
         };
         let since = self.sent_since(report.measured);
-        report.waiting_prefill + since.map(|call| call.missing).sum()
-    }
-
-    /// Blocks that running requests use or will use soon, as a share of all blocks.
-    pub(crate) fn memory_share(&self, now: Timestamp, own_share: f64, paused_weight: f64) -> f64 {
-        let paused = f64::from(self.paused_blocks) / own_share * paused_weight;
+        report.waiting_prefill + since.map(|call| call.uncached).sum()
+    }
+
+    /// Returns the fraction of the engine's blocks in use by running requests and, weighted by
+    /// `paused_weight`, by paused runs.
+    pub(crate) fn memory_fraction(
+        &self,
+        now: Timestamp,
+        own_fraction: f64,
+        paused_weight: f64,
+    ) -> f64 {
+        let paused = f64::from(self.paused_blocks) / own_fraction * paused_weight;
         let total = self
             .report
             .as_ref()
@@ -125,22 +140,28 @@
             }
             None => {
                 let own: u32 = self.open.values().map(|call| call.blocks).sum();
-                f64::from(own) / own_share
+                f64::from(own) / own_fraction
             }
         };
         (running + paused) / f64::from(total.max(1))
     }
 
-    /// Expected time until a call would have its first token, beside the distance.
-    pub(crate) fn expected_wait(&self, now: Timestamp, requests: u32, missing: Tokens) -> Duration {
+    /// Returns the expected time to first token of a new call, without network latency.
+    pub(crate) fn expected_wait(
+        &self,
+        now: Timestamp,
+        requests: u32,
+        uncached: Tokens,
+    ) -> Duration {
         let queue = requests.saturating_sub(cost::ENGINE_BATCH);
-        let turnover = cost::full_step() * QUEUE_STEPS_PER_CALL;
-        cost::prefill(self.prefill_backlog(now) + missing) + turnover * queue
+        let turnover = cost::full_batch_step() * QUEUE_STEPS_PER_CALL;
+        cost::prefill_time(self.prefill_backlog(now) + uncached) + turnover * queue
     }
 
+    /// Returns the last report unless it is older than [`MAX_REPORT_AGE`].
     fn fresh_report(&self, now: Timestamp) -> Option<&LoadReport> {
         let report = self.report.as_ref();
-        report.filter(|report| now.since(report.measured) <= STALE_REPORT)
+        report.filter(|report| now.since(report.measured) <= MAX_REPORT_AGE)
     }
 
     fn sent_since(&self, measured: Timestamp) -> impl Iterator<Item = &OpenCall> {
@@ -148,15 +169,19 @@
     }
 }
 
-/// Decoding steps after which a full batch frees one place: mean answer over batch size.
+/// Mean number of decoding steps until a full batch completes one sequence: mean answer length divided
+/// by batch size.
 const QUEUE_STEPS_PER_CALL: u32 = 6;
 
-/// All engines by slot, and which share of their work is this node's.
+/// All engines, addressed by slot.
+///
+/// A slot is an index that an engine keeps as long as the process runs, also while it is removed.
 #[derive(Debug)]
 pub(crate) struct EngineTable {
     slots: Vec<Engine>,
     by_id: BTreeMap<EngineId, usize>,
-    pub(crate) own_share: f64,
+    /// Moving average of this node's fraction of all requests at the engines.
+    pub(crate) own_fraction: f64,
 }
 
 impl Default for EngineTable {
@@ -164,12 +189,13 @@
         Self {
             slots: Vec::new(),
             by_id: BTreeMap::new(),
-            own_share: 1.0,
+            own_fraction: 1.0,
         }
     }
 }
 
 impl EngineTable {
+    /// Adds an engine, or updates one that has a slot and makes it available again.
     pub(crate) fn add(&mut self, id: EngineId, zone: ZoneId, models: Vec<ModelName>) {
         if let Some(slot) = self.by_id.get(&id) {
             let engine = &mut self.slots[*slot];
@@ -182,7 +208,7 @@
         self.slots.push(Engine::new(id, zone, models));
     }
 
-    /// The engine keeps its slot, serving nothing, until it is added again.
+    /// Marks an engine as unavailable and forgets its attempts. Its slot stays reserved for it.
     pub(crate) fn remove(&mut self, id: &EngineId) -> Option<usize> {
         let slot = *self.by_id.get(id)?;
         let engine = &mut self.slots[slot];
@@ -212,12 +238,13 @@
         self.slots.iter().enumerate()
     }
 
+    /// Applies a load report to an engine and to [`Self::own_fraction`].
     pub(crate) fn take_report(&mut self, slot: usize, report: LoadReport) {
         let reported = f64::from(report.running + report.waiting);
         let own = self.slots[slot].open.len() as f64;
         if reported > 0.0 {
-            let share = (own / reported.max(own)).clamp(SMALLEST_SHARE, 1.0);
-            self.own_share += (share - self.own_share) * SHARE_SMOOTHING;
+            let fraction = (own / reported.max(own)).clamp(MIN_OWN_FRACTION, 1.0);
+            self.own_fraction += (fraction - self.own_fraction) * OWN_FRACTION_SMOOTHING;
         }
         self.slots[slot].take_report(report);
     }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,4 @@
-//! What placement is told.
+//! The inputs of placement.
 
 use std::time::Duration;
 
@@ -10,74 +10,74 @@
 /// One attempt of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// The call.
+    /// The call that is attempted.
     pub call: CallId,
-    /// The attempt.
+    /// Number of the attempt within the call.
     pub attempt: Attempt,
 }
 
 /// A model call that is ready to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadyCall {
-    /// Names the attempt.
+    /// The attempt to place.
     pub ticket: Ticket,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
     /// Chained hashes of the prompt's full blocks.
     pub blocks: Vec<BlockHash>,
-    /// Prompt length.
+    /// Length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_output: Tokens,
-    /// Whose run.
+    /// The tenant that owns the run.
     pub tenant: TenantId,
-    /// Its program.
+    /// The program of the run.
     pub program: ResourceName,
     /// When the run started.
     pub run_started: Timestamp,
     /// Tokens prefilled and generated for the run so far.
     pub attained: Tokens,
-    /// Calls that the run has made so far.
+    /// Number of calls that the run has made before this one.
     pub turns: u32,
-    /// When the run should be done.
+    /// Deadline of the whole run.
     pub run_deadline: Option<Timestamp>,
-    /// When this answer stops being useful.
+    /// Deadline of this call, after which it is refused.
     pub call_deadline: Option<Timestamp>,
-    /// Larger is more urgent.
+    /// Priority of the run; larger values are more urgent.
     pub priority: i32,
     /// The run's parent, if it is a sub-agent.
     pub parent: Option<RunId>,
 }
 
-/// State of one engine as it published it, some time ago.
+/// Load of an engine as published by it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
-    /// When the engine measured it, by the receiving node's clock less the known lag.
+    /// Time of the measurement: when this node received the report, less the publishing delay.
     pub measured: Timestamp,
     /// Sequences being decoded.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests waiting to be scheduled.
     pub waiting: u32,
     /// Prompt tokens waiting to be prefilled.
     pub waiting_prefill: Tokens,
-    /// Cache blocks that running sequences use; idle cached ones do not count.
+    /// Cache blocks used by running sequences, without blocks that are merely cached.
     pub blocks_used: u32,
-    /// Cache blocks in all.
+    /// Total number of cache blocks.
     pub blocks_total: u32,
 }
 
 /// A change in an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// Blocks are now held.
+    /// Blocks were added.
     Stored(Vec<BlockHash>),
-    /// Blocks are no longer held.
+    /// Blocks were removed.
     Evicted(Vec<BlockHash>),
-    /// Everything was dropped, as after a restart.
+    /// All blocks were removed, for example by a restart.
     Cleared,
-    /// So many events of the engine were lost; what they said is unknown.
+    /// Events of the engine were lost.
     Gap {
-        /// How many.
+        /// Number of lost events.
         missed: u64,
     },
 }
@@ -85,87 +85,87 @@
 /// An input of [`crate::Placement::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An engine became known, or its description changed.
+    /// An engine was added, became available again, or changed its zone or models.
     EngineAdded {
-        /// Which.
+        /// The engine.
         engine: EngineId,
-        /// Where.
+        /// Zone of the engine.
         zone: ZoneId,
-        /// What it can serve.
+        /// Models that it serves.
         models: Vec<ModelName>,
     },
-    /// An engine is leaving: no new work; its streams finish.
+    /// An engine takes no new attempts; its open ones may finish.
     EngineLeaving {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
-    /// An engine is gone.
+    /// An engine was removed together with its cache.
     EngineRemoved {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
     /// A load report arrived.
     Load {
-        /// From this engine.
+        /// The reporting engine.
         engine: EngineId,
         /// The report.
         report: LoadReport,
     },
-    /// A cache event arrived.
+    /// The contents of an engine's cache changed.
     Cache {
-        /// From this engine.
+        /// The engine.
         engine: EngineId,
         /// The change.
         change: CacheChange,
     },
-    /// A call wants to run.
+    /// An attempt is ready to be placed.
     CallReady(Box<ReadyCall>),
-    /// The engine began to answer.
+    /// The first token of an attempt arrived.
     FirstToken {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
-    /// The attempt ended.
+    /// A dispatched attempt ended.
     Finished {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// How.
+        /// The result.
         result: FinishedResult,
     },
-    /// The attempt is no longer wanted, whether waiting or running.
+    /// An attempt, queued or dispatched, was cancelled.
     Cancelled {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
-    /// The run waits for a tool or its caller.
+    /// A run waits for a tool or for its caller.
     RunPaused {
         /// The run.
         run: RunId,
-        /// When its caller expects to continue, if it said so.
+        /// Expected time until the next call, if the caller gave one.
         expected_reuse: Option<Duration>,
     },
-    /// The run ended.
+    /// A run ended.
     RunEnded {
         /// The run.
         run: RunId,
     },
-    /// Time passed; sent at least every 100 ms while calls wait.
+    /// Time passed. Sent at least every 100 ms while calls are queued.
     Tick,
 }
 
-/// How an attempt ended, as far as placement cares.
+/// Result of an attempt, as far as it concerns placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishedResult {
-    /// With an answer of this many tokens, of whose prompt so many were cached.
+    /// The attempt was answered in full.
     Completed {
         /// Prompt tokens found in the cache.
         cached: Tokens,
         /// Generated tokens.
         output: Tokens,
     },
-    /// The engine refused it as full.
+    /// The engine refused the attempt because it is full.
     Rejected,
-    /// The engine did not answer, or broke off.
+    /// The engine did not answer, or the connection broke.
     Lost,
     /// The engine answered with an error.
     Errored,
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,46 +1,47 @@
-//! Ejection of engines that fail, and probes that let them back.
+//! Ejection of failing engines, and their return after a successful probe.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// Failures in a row that eject an engine.
+/// Number of consecutive failures that eject an engine.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection; each one that follows without a success between lasts twice as long.
-const FIRST_EJECTION: Duration = Duration::from_secs(2);
-/// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+/// Duration of the first ejection. It doubles with each further ejection without a success in between.
+const INITIAL_EJECTION: Duration = Duration::from_secs(2);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(60);
 
-/// Health of one engine as its answers show it.
+/// Health of one engine, derived from the results of its attempts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    failures_in_a_row: u32,
-    ejections_in_a_row: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Option<Timestamp>,
 }
 
 impl Health {
-    /// An attempt was answered.
-    pub(crate) fn succeeded(&mut self) {
+    /// Records an answered attempt, which ends an ejection.
+    pub(crate) fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// An attempt failed or was lost; true if that ejects the engine.
-    pub(crate) fn failed(&mut self, now: Timestamp) -> bool {
-        self.failures_in_a_row += 1;
-        let is_probe = self.ejections_in_a_row > 0;
-        if !is_probe && self.failures_in_a_row < FAILURES_TO_EJECT {
+    /// Records a failed or lost attempt and returns whether the engine is ejected for it. A failed probe
+    /// ejects at once.
+    pub(crate) fn record_failure(&mut self, now: Timestamp) -> bool {
+        self.consecutive_failures += 1;
+        let is_probe = self.consecutive_ejections > 0;
+        if !is_probe && self.consecutive_failures < FAILURES_TO_EJECT {
             return false;
         }
-        let doublings = self.ejections_in_a_row.min(16);
-        let lasts = (FIRST_EJECTION * (1 << doublings)).min(LONGEST_EJECTION);
-        self.ejected_until = Some(now + lasts);
-        self.ejections_in_a_row += 1;
+        let doublings = self.consecutive_ejections.min(16);
+        let duration = (INITIAL_EJECTION * (1 << doublings)).min(MAX_EJECTION);
+        self.ejected_until = Some(now + duration);
+        self.consecutive_ejections += 1;
         true
     }
 
-    /// Most attempts that the engine may have open now: none while ejected, one as a probe.
-    pub(crate) fn open_limit(&self, now: Timestamp) -> usize {
+    /// Returns the maximum number of open attempts: none while ejected, one as a probe afterwards.
+    pub(crate) fn max_open_attempts(&self, now: Timestamp) -> usize {
         match self.ejected_until {
             Some(until) if now < until => 0,
             Some(_) => 1,
--- a/crates/placement/src/index.rs
+++ b/crates/placement/src/index.rs
@@ -1,19 +1,21 @@
-//! Which engine holds which block, as far as is known.
+//! Index of the blocks in the prefix caches of the engines.
 //!
-//! One entry a block with a bit for each engine, so that a prompt is matched against all engines in
-//! one pass. Entries live in two generations; the older one is dropped when the younger is full.
+//! Each block has a bit set with one bit per engine, so that a prompt is matched against all engines in
+//! one pass. The size is bounded by two generations: when the young one is full it becomes the old one,
+//! whose entries are discarded. Storing a block moves its entry to the young generation.
 
 use elderworks_types::text::{BlockHash, BlockMap};
 
-/// Engines that can be indexed; further ones count as holding nothing.
+/// Number of engines that can be indexed. Engines in higher slots count as holding no blocks.
 pub(crate) const MAX_SLOTS: usize = 128;
 
-/// Entries in one generation.
+/// Maximum number of entries in one generation.
 const GENERATION_ENTRIES: usize = 262_144;
 
+/// Set of engine slots.
 type EngineBits = u128;
 
-/// The index.
+/// Maps block hashes to the slots of the engines that hold them.
 #[derive(Debug, Default)]
 pub(crate) struct CacheIndex {
     young: BlockMap<EngineBits>,
@@ -21,26 +23,27 @@
 }
 
 impl CacheIndex {
-    /// Leading blocks of a prompt that each slot holds.
+    /// Returns for each slot the number of leading blocks of a prompt that it holds.
     pub(crate) fn matches(&self, blocks: &[BlockHash], slots: usize) -> Vec<u32> {
         let mut matched = vec![0; slots];
         let mut holding = all_slots(slots);
         for (depth, hash) in blocks.iter().enumerate() {
-            let still = holding & self.holders(*hash);
-            for slot in bits(holding & !still) {
+            let still_holding = holding & self.holders(*hash);
+            for slot in set_bits(holding & !still_holding) {
                 matched[slot] = depth as u32;
             }
-            holding = still;
+            holding = still_holding;
             if holding == 0 {
                 return matched;
             }
         }
-        for slot in bits(holding) {
+        for slot in set_bits(holding) {
             matched[slot] = blocks.len() as u32;
         }
         matched
     }
 
+    /// Records that the engine in `slot` holds `blocks`.
     pub(crate) fn store(&mut self, slot: usize, blocks: &[BlockHash]) {
         if slot >= MAX_SLOTS {
             return;
@@ -56,17 +59,18 @@
         }
     }
 
+    /// Records that the engine in `slot` no longer holds `blocks`.
     pub(crate) fn evict(&mut self, slot: usize, blocks: &[BlockHash]) {
         if slot >= MAX_SLOTS {
             return;
         }
         for hash in blocks {
-            clear_bit(&mut self.young, hash, slot);
-            clear_bit(&mut self.old, hash, slot);
+            clear_slot(&mut self.young, hash, slot);
+            clear_slot(&mut self.old, hash, slot);
         }
     }
 
-    /// Forgets all that a slot holds.
+    /// Removes all blocks of the engine in `slot`.
     pub(crate) fn clear(&mut self, slot: usize) {
         if slot >= MAX_SLOTS {
             return;
@@ -103,7 +107,8 @@
     }
 }
 
-fn bits(mut mask: EngineBits) -> impl Iterator<Item = usize> {
+/// Returns the indices of the set bits in ascending order.
+fn set_bits(mut mask: EngineBits) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
         if mask == 0 {
             return None;
@@ -114,7 +119,7 @@
     })
 }
 
-fn clear_bit(generation: &mut BlockMap<EngineBits>, hash: &BlockHash, slot: usize) {
+fn clear_slot(generation: &mut BlockMap<EngineBits>, hash: &BlockHash, slot: usize) {
     let Some(holders) = generation.get_mut(hash) else {
         return;
     };
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,11 @@
-//! Where a call runs and when: routing, admission, priority, cache index, retention.
+//! Decides on which engine a model call runs, and when.
 //!
-//! [`Placement`] is a deterministic state machine without I/O; its random choices come from a
-//! seeded generator. It sees engines through lagging load reports and gappy cache events and counts
-//! its own dispatches in between.
+//! [`Placement`] is a deterministic state machine without I/O: it takes an [`Event`] and returns
+//! [`Effect`]s, and its random choices come from a seeded generator. It covers routing by cached
+//! prefix and load, admission, priorities, and the retention of the blocks of paused runs.
+//!
+//! Load reports arrive late and cache events can be lost, so placement corrects the reported load by
+//! the attempts it has dispatched and completed since the last report.
 
 pub mod cost;
 pub mod counters;
--- a/crates/placement/src/policy.rs
+++ b/crates/placement/src/policy.rs
@@ -1,4 +1,4 @@
-//! The placement policy.
+//! The state machine that places calls on engines.
 
 mod choice;
 mod retention;
@@ -21,37 +21,39 @@
 use crate::{Effect, Event, Ticket};
 use choice::Choice;
 
-/// Calls that may wait for room; further ones are refused.
+/// Maximum number of queued calls; further ones are refused.
 const MAX_WAITING: usize = 8_192;
-/// Held calls that are tried each time something changes.
-const TRIES_PER_CHANGE: usize = 4;
-/// When a call refused for overload may come back.
-const OVERLOAD_RETRY: Duration = Duration::from_secs(5);
-/// When a call that no engine serves may come back.
-const NO_BACKEND_RETRY: Duration = Duration::from_secs(2);
-
-/// Urgencies closer than this are the same to engines, so that they preempt seldom.
-const URGENCY_STEP: f64 = 4.0;
-/// Calls of one tenant that wait make its next ones this many seconds less urgent each.
-const TENANT_PENALTY: f64 = 0.1;
-
-/// Limits and weights of placement.
+/// Number of calls at the head of the queue that are tried. Dispatching stops when none of them can be
+/// placed.
+const MAX_CALLS_TRIED: usize = 4;
+/// Retry delay given to callers refused because the queue is full.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Retry delay given to callers refused because no engine serves their model.
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Granularity of the priority given to engines, which keeps them from preempting for small differences.
+/// Also the weight of one step of [`ReadyCall::priority`].
+const URGENCY_STEP_SECONDS: f64 = 4.0;
+/// Seconds of urgency that a call loses for each queued call of the same tenant.
+const TENANT_PENALTY_SECONDS: f64 = 0.1;
+
+/// Settings of placement.
 #[derive(Clone, Debug)]
 pub struct PlacementSettings {
-    /// The zone of the node that decides.
+    /// Zone of this node.
     pub zone: ZoneId,
-    /// Seed of its random choices.
+    /// Seed of the random number generator that breaks ties.
     pub seed: u64,
 }
 
 impl PlacementSettings {
-    /// Default limits and weights.
+    /// Creates settings for a node in `zone`.
     pub fn new(zone: ZoneId, seed: u64) -> Self {
         Self { zone, seed }
     }
 }
 
-/// Decides for the calls of one node.
+/// Places the model calls of one node.
 pub struct Placement {
     settings: PlacementSettings,
     random: ChaCha8Rng,
@@ -64,7 +66,7 @@
 }
 
 impl Placement {
-    /// Knows no engine yet.
+    /// Creates a placement without engines.
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the resulting effects in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
@@ -99,7 +101,7 @@
             Event::FirstToken { ticket } => self.first_token(ticket),
             Event::Finished { ticket, result } => {
                 self.finished(now, ticket, result);
-                self.release_held(now, &mut effects);
+                self.dispatch_waiting(now, &mut effects);
             }
             Event::Cancelled { ticket } => {
                 self.queue.cancel(ticket);
@@ -110,12 +112,12 @@
                 expected_reuse,
             } => self.run_paused(now, run, expected_reuse, &mut effects),
             Event::RunEnded { run } => self.run_ended(run, &mut effects),
-            Event::Tick => self.release_held(now, &mut effects),
+            Event::Tick => self.dispatch_waiting(now, &mut effects),
         }
         effects
     }
 
-    /// What was counted so far.
+    /// Returns the current counters.
     pub fn counters(&self) -> Counters {
         Counters {
             waiting: self.queue.len(),
@@ -150,21 +152,22 @@
     }
 
     fn call_ready(&mut self, now: Timestamp, call: Box<ReadyCall>, effects: &mut Vec<Effect>) {
-        self.note_call(now, &call, effects);
-        if self.is_too_late(now, &call) {
+        self.record_call(now, &call, effects);
+        if self.has_missed_deadline(now, &call) {
             self.counters.refused_deadline += 1;
             effects.push(refuse(call.ticket, RefusalReason::DeadlinePassed, None));
             return;
         }
         match self.choose(now, &call) {
             Some(choice) => self.dispatch(now, &call, &choice, Duration::ZERO, effects),
-            None => self.hold(now, call, effects),
+            None => self.enqueue(now, call, effects),
         }
     }
 
-    fn note_call(&mut self, now: Timestamp, call: &ReadyCall, effects: &mut Vec<Effect>) {
+    /// Updates the run table for a new call, which ends a pause of its run.
+    fn record_call(&mut self, now: Timestamp, call: &ReadyCall, effects: &mut Vec<Effect>) {
         let run = call.ticket.call.run;
-        if let Some((forgotten, known)) = self.runs.seen(now, run, &call.program) {
+        if let Some((forgotten, known)) = self.runs.touch(now, run, &call.program) {
             self.counters.forgotten_runs += 1;
             self.drop_blocks(forgotten, &known, effects);
         }
@@ -182,52 +185,55 @@
             return;
         };
         self.estimates
-            .pause_took(&known.program, now.since(paused_at));
+            .record_pause(&known.program, now.since(paused_at));
         if let Some(home) = known.home {
             let engine = self.engines.get_mut(home);
             engine.paused_blocks = engine.paused_blocks.saturating_sub(known.blocks);
         }
     }
 
-    fn is_too_late(&self, now: Timestamp, call: &ReadyCall) -> bool {
+    /// Returns whether the deadline of the call has passed.
+    fn has_missed_deadline(&self, now: Timestamp, call: &ReadyCall) -> bool {
         call.call_deadline.is_some_and(|deadline| deadline <= now)
     }
 
-    fn hold(&mut self, now: Timestamp, call: Box<ReadyCall>, effects: &mut Vec<Effect>) {
+    /// Queues a call for which no engine has capacity, or refuses it.
+    fn enqueue(&mut self, now: Timestamp, call: Box<ReadyCall>, effects: &mut Vec<Effect>) {
         if !self.is_served(&call) {
             self.counters.refused_no_backend += 1;
-            let retry = Some(NO_BACKEND_RETRY);
+            let retry = Some(NO_BACKEND_RETRY_AFTER);
             effects.push(refuse(call.ticket, RefusalReason::NoBackend, retry));
             return;
         }
         if self.queue.len() >= MAX_WAITING {
             self.counters.refused_overloaded += 1;
-            let retry = Some(OVERLOAD_RETRY);
+            let retry = Some(OVERLOAD_RETRY_AFTER);
             effects.push(refuse(call.ticket, RefusalReason::Overloaded, retry));
             return;
         }
         self.counters.held += 1;
         let penalty = self.tenant_penalty(&call.tenant);
-        let urgency = (self.urgency(&call) + penalty) * MICROS;
+        let urgency = (self.urgency(&call) + penalty) * MICROS_PER_SECOND;
         self.queue.push(now, urgency as i64, call);
     }
 
     fn tenant_penalty(&self, tenant: &TenantId) -> f64 {
-        self.queue.of_tenant(tenant) as f64 * TENANT_PENALTY
+        self.queue.waiting_for_tenant(tenant) as f64 * TENANT_PENALTY_SECONDS
     }
 
+    /// Returns whether some engine, even a full one, serves the model of the call.
     fn is_served(&self, call: &ReadyCall) -> bool {
         let mut engines = self.engines.iter();
         engines.any(|(_, engine)| !engine.is_leaving && engine.models.contains(&call.model))
     }
 
-    /// Dispatches held calls for which there is room now.
-    fn release_held(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
+    /// Dispatches the queued calls for which an engine has capacity.
+    fn dispatch_waiting(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         loop {
-            let keys = self.queue.first_keys(TRIES_PER_CHANGE);
+            let keys = self.queue.first_keys(MAX_CALLS_TRIED);
             let Some(released) = keys
                 .into_iter()
-                .find(|key| self.try_held(now, *key, effects))
+                .find(|key| self.try_waiting(now, *key, effects))
             else {
                 return;
             };
@@ -235,14 +241,14 @@
         }
     }
 
-    /// Dispatches or refuses one held call; false if it has to wait on.
-    fn try_held(&mut self, now: Timestamp, key: QueueKey, effects: &mut Vec<Effect>) -> bool {
+    /// Dispatches or refuses a queued call. Returns `false` if it has to stay queued.
+    fn try_waiting(&mut self, now: Timestamp, key: QueueKey, effects: &mut Vec<Effect>) -> bool {
         let Some(waiting) = self.queue.get(key) else {
             return false;
         };
         let call = waiting.call.clone();
         let waited = now.since(waiting.since);
-        if self.is_too_late(now, &call) {
+        if self.has_missed_deadline(now, &call) {
             self.counters.refused_deadline += 1;
             effects.push(refuse(call.ticket, RefusalReason::DeadlinePassed, None));
             return true;
@@ -263,20 +269,20 @@
         effects: &mut Vec<Effect>,
     ) {
         let run = call.ticket.call.run;
-        let urgency = (self.urgency(call) / URGENCY_STEP).floor() as i64;
+        let urgency = (self.urgency(call) / URGENCY_STEP_SECONDS).floor() as i64;
         let engine = self.engines.get_mut(choice.slot);
         let open = OpenCall {
             run,
             sent: now,
             blocks: call.blocks.len() as u32 + 1,
-            missing: choice.missing,
-            has_begun: false,
+            uncached: choice.uncached,
+            has_started: false,
         };
         engine.open.insert(call.ticket, open);
         let engine = engine.id.clone();
         self.index.store(choice.slot, &call.blocks);
         self.counters.dispatched += 1;
-        self.settle_run(run, choice.slot, call.blocks.len() as u32);
+        self.set_home(run, choice.slot, call.blocks.len() as u32);
         effects.push(Effect::Dispatch {
             ticket: call.ticket,
             engine,
@@ -284,12 +290,13 @@
             note: format!(
                 "waited {} ms, prefill of {}",
                 waited.as_millis(),
-                choice.missing
+                choice.uncached
             ),
         });
     }
 
-    fn settle_run(&mut self, run: RunId, slot: usize, blocks: u32) {
+    /// Records the engine to which the last call of a run was dispatched.
+    fn set_home(&mut self, run: RunId, slot: usize, blocks: u32) {
         let Some(known) = self.runs.get_mut(run) else {
             return;
         };
@@ -306,7 +313,7 @@
         if let Some(slot) = home
             && let Some(call) = self.engines.get_mut(slot).open.get_mut(&ticket)
         {
-            call.has_begun = true;
+            call.has_started = true;
         }
     }
 
@@ -317,11 +324,11 @@
         let health = &mut self.engines.get_mut(slot).health;
         match result {
             FinishedResult::Completed { output, .. } => {
-                health.succeeded();
-                self.turn_completed(now, &call, output);
+                health.record_success();
+                self.record_completed_turn(now, &call, output);
             }
             FinishedResult::Lost | FinishedResult::Errored => {
-                if health.failed(now) {
+                if health.record_failure(now) {
                     self.counters.ejections += 1;
                 }
             }
@@ -329,22 +336,23 @@
         }
     }
 
+    /// Removes an open attempt and returns it with the slot of its engine.
     fn close(&mut self, now: Timestamp, ticket: Ticket) -> Option<(usize, OpenCall)> {
         let home = self.runs.get(ticket.call.run).and_then(|run| run.home)?;
         let call = self.engines.get_mut(home).close(now, ticket)?;
         Some((home, call))
     }
 
-    fn turn_completed(&mut self, now: Timestamp, call: &OpenCall, output: Tokens) {
+    fn record_completed_turn(&mut self, now: Timestamp, call: &OpenCall, output: Tokens) {
         if let Some(known) = self.runs.get_mut(call.run) {
             known.turns += 1;
             let took = now.since(call.sent);
-            self.estimates.turn_took(&known.program, took, output);
+            self.estimates.record_turn(&known.program, took, output);
         }
     }
 }
 
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 fn refuse(ticket: Ticket, reason: RefusalReason, retry_after: Option<Duration>) -> Effect {
     Effect::Refuse {
--- a/crates/placement/src/policy/choice.rs
+++ b/crates/placement/src/policy/choice.rs
@@ -1,4 +1,4 @@
-//! Which engine a call goes to, whether a run may start there, and how urgent it is.
+//! Choice of an engine for a call, admission of new runs, and urgency of calls.
 
 use std::time::Duration;
 
@@ -6,34 +6,36 @@
 use elderworks_types::{Timestamp, Tokens};
 use rand::Rng;
 
-use super::{Placement, URGENCY_STEP};
+use super::{Placement, URGENCY_STEP_SECONDS};
 use crate::cost;
 use crate::engines::Engine;
 use crate::event::ReadyCall;
 
-/// A run starts on an engine only while the engine's memory is less used than this.
-const MEMORY_LIMIT: f64 = 0.7;
-/// How much a paused run's blocks count towards that limit.
+/// Fraction of an engine's memory in use from which no new run starts there.
+const MAX_MEMORY_FRACTION: f64 = 0.7;
+/// Weight of the blocks of paused runs in the memory in use.
 const PAUSED_WEIGHT: f64 = 1.0;
-/// A run starts on an engine only while it has fewer requests than this.
-const START_LIMIT: u32 = cost::ENGINE_BATCH;
-/// Engine time spent on recomputation delays all that the engine serves, not only this call.
+/// Number of requests at an engine from which only runs whose last call was there may use it.
+const ADMISSION_REQUEST_LIMIT: u32 = cost::ENGINE_BATCH;
+/// Weight of the time to prefill uncached tokens, which delays all calls at the engine.
 const RECOMPUTE_WEIGHT: u32 = 20;
-/// How much of a run's age counts against its expected remaining time.
-const AGEING: f64 = 0.25;
+/// Seconds of urgency gained for each second of age of a run, which prevents starvation of long runs.
+const AGE_WEIGHT: f64 = 0.25;
+/// Tokens in one cache block.
 const BLOCK_TOKENS: u64 = TOKENS_PER_BLOCK as u64;
-/// Choices whose costs differ by less than this are as good as equal, and chance decides.
-const TIE_MICROS: u64 = 2_000;
+/// Upper bound, in microseconds, of the random cost added to each engine. Spreads calls over engines of
+/// nearly equal cost.
+const TIE_BREAK_MICROS: u64 = 2_000;
 
-/// Where a call should go.
+/// The engine chosen for a call.
 pub(super) struct Choice {
     pub(super) slot: usize,
-    /// Prompt tokens that the engine is not known to hold.
-    pub(super) missing: Tokens,
+    /// Prompt tokens that are not known to be in the engine's cache.
+    pub(super) uncached: Tokens,
 }
 
 impl Placement {
-    /// The best engine, or `None` if the call has to wait for room.
+    /// Returns the engine with the lowest predicted cost, or `None` if no engine has capacity.
     pub(super) fn choose(&mut self, now: Timestamp, call: &ReadyCall) -> Option<Choice> {
         let home = self.runs.get(call.ticket.call.run).and_then(|run| run.home);
         let matches = self.index.matches(&call.blocks, self.engines.len());
@@ -41,49 +43,56 @@
         let mut best: Option<(Duration, Choice)> = None;
         for (slot, engine) in self.engines.iter() {
             let is_home = home == Some(slot);
-            if !engine.accepts(now, call) || !(is_home || self.has_room(now, engine, call)) {
+            if !engine.accepts(now, call) || !(is_home || self.has_capacity(now, engine, call)) {
                 continue;
             }
             let matched = Tokens(u64::from(matches[slot]) * BLOCK_TOKENS);
-            let missing = call.prompt.saturating_sub(matched);
-            let cost = self.predicted(now, engine, missing, steps);
-            let cost = cost + Duration::from_micros(self.random.random_range(0..TIE_MICROS));
-            if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-                best = Some((cost, Choice { slot, missing }));
+            let uncached = call.prompt.saturating_sub(matched);
+            let cost = self.predicted_cost(now, engine, uncached, steps);
+            let cost = cost + Duration::from_micros(self.random.random_range(0..TIE_BREAK_MICROS));
+            if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
+                best = Some((cost, Choice { slot, uncached }));
             }
         }
         best.map(|(_, choice)| choice)
     }
 
-    fn has_room(&self, now: Timestamp, engine: &Engine, call: &ReadyCall) -> bool {
-        let own_share = self.engines.own_share;
-        let requests = engine.requests(now, own_share);
+    /// Returns whether an engine other than the last one of the run may take the call.
+    fn has_capacity(&self, now: Timestamp, engine: &Engine, call: &ReadyCall) -> bool {
+        let own_fraction = self.engines.own_fraction;
+        let requests = engine.requests(now, own_fraction);
         if requests == 0 {
             return true;
         }
-        if requests >= START_LIMIT {
+        if requests >= ADMISSION_REQUEST_LIMIT {
             return false;
         }
-        let memory = engine.memory_share(now, own_share, PAUSED_WEIGHT);
-        // A program that is under way has been admitted; only its engine changes.
+        let memory = engine.memory_fraction(now, own_fraction, PAUSED_WEIGHT);
+        // The memory limit admits new runs. A started run or a sub-agent has been admitted before.
         let is_under_way = call.turns > 0 || call.parent.is_some();
-        is_under_way || memory < MEMORY_LIMIT
+        is_under_way || memory < MAX_MEMORY_FRACTION
     }
 
-    /// Time until the whole answer, and what the call costs the others that the engine serves.
-    fn predicted(&self, now: Timestamp, engine: &Engine, missing: Tokens, steps: u32) -> Duration {
-        let requests = engine.requests(now, self.engines.own_share);
-        let wait = engine.expected_wait(now, requests, missing);
-        let decoding = cost::added_to_step(requests) * steps;
-        let recompute = cost::prefill(missing) * RECOMPUTE_WEIGHT;
-        let distance = cost::distance(engine.zone == self.settings.zone);
+    /// Returns the predicted time to the complete answer, plus the weighted delay of other calls.
+    fn predicted_cost(
+        &self,
+        now: Timestamp,
+        engine: &Engine,
+        uncached: Tokens,
+        steps: u32,
+    ) -> Duration {
+        let requests = engine.requests(now, self.engines.own_fraction);
+        let wait = engine.expected_wait(now, requests, uncached);
+        let decoding = cost::added_step_time(requests) * steps;
+        let recompute = cost::prefill_time(uncached) * RECOMPUTE_WEIGHT;
+        let distance = cost::network_round_trip(engine.zone == self.settings.zone);
         wait + decoding + recompute + distance
     }
 
-    /// Decoding steps for which the choice binds: those of this call, or of the whole run where
-    /// the run starts.
+    /// Returns the number of decoding steps that will run on the chosen engine: those of this call, or
+    /// those of the whole run for its first call, since later calls tend to follow their cache.
     fn expected_steps(&self, call: &ReadyCall) -> u32 {
-        let output = self.estimates.output(&call.program);
+        let output = self.estimates.output_tokens(&call.program);
         if call.turns > 0 {
             return output as u32;
         }
@@ -91,10 +100,12 @@
         (turns * output) as u32
     }
 
-    /// Smaller is more urgent: expected remaining time of the run, less its age by weight.
+    /// Returns the urgency of a call in seconds; smaller is more urgent. It is the expected remaining time
+    /// of the run, reduced by its weighted age and its priority.
     pub(super) fn urgency(&self, call: &ReadyCall) -> f64 {
-        let remaining = self.estimates.remaining(&call.program, call.turns);
+        let remaining = self.estimates.remaining_time(&call.program, call.turns);
         let started = call.run_started.0 as f64 / 1e6;
-        remaining.as_secs_f64() + AGEING * started - f64::from(call.priority) * URGENCY_STEP
+        remaining.as_secs_f64() + AGE_WEIGHT * started
+            - f64::from(call.priority) * URGENCY_STEP_SECONDS
     }
 }
--- a/crates/placement/src/policy/retention.rs
+++ b/crates/placement/src/policy/retention.rs
@@ -1,4 +1,4 @@
-//! What engines keep for paused runs, and what they drop.
+//! Retention of the blocks of paused runs, and their release when a run ends.
 
 use std::time::Duration;
 
@@ -8,12 +8,15 @@
 use crate::Effect;
 use crate::runs::KnownRun;
 
-/// Paused blocks are kept for this many expected pauses.
-const LEASE_PAUSES: u32 = 4;
-const SHORTEST_LEASE: Duration = Duration::from_secs(2);
-const LONGEST_LEASE: Duration = Duration::from_secs(60);
+/// Length of a lease, as a multiple of the expected pause.
+const LEASE_PAUSE_MULTIPLE: u32 = 4;
+/// Minimum length of a lease.
+const MIN_LEASE: Duration = Duration::from_secs(2);
+/// Maximum length of a lease.
+const MAX_LEASE: Duration = Duration::from_secs(60);
 
 impl Placement {
+    /// Retains the blocks of a paused run on the engine of its last call.
     pub(super) fn run_paused(
         &mut self,
         now: Timestamp,
@@ -34,10 +37,11 @@
         effects.push(Effect::Retain {
             run,
             engine: self.engines.get(home).id.clone(),
-            lease: (pause * LEASE_PAUSES).clamp(SHORTEST_LEASE, LONGEST_LEASE),
+            lease: (pause * LEASE_PAUSE_MULTIPLE).clamp(MIN_LEASE, MAX_LEASE),
         });
     }
 
+    /// Records the end of a run and releases its blocks.
     pub(super) fn run_ended(&mut self, run: RunId, effects: &mut Vec<Effect>) {
         let Some(known) = self.runs.remove(run) else {
             return;
@@ -48,10 +52,11 @@
             let engine = self.engines.get_mut(home);
             engine.paused_blocks = engine.paused_blocks.saturating_sub(known.blocks);
         }
-        self.estimates.run_ended(&known.program, known.turns);
+        self.estimates.record_run(&known.program, known.turns);
         self.drop_blocks(run, &known, effects);
     }
 
+    /// Releases the blocks of a run on all engines that may hold them.
     pub(super) fn drop_blocks(&self, run: RunId, known: &KnownRun, effects: &mut Vec<Effect>) {
         for slot in &known.holders {
             effects.push(Effect::Drop {
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for room, most urgent first.
+//! Priority queue of calls for which no engine has capacity.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use crate::Ticket;
 use crate::event::ReadyCall;
 
-/// Position in the queue: urgency, then arrival. Smaller goes first.
+/// Position in the queue: urgency, then order of arrival. Smaller keys are served first.
 pub(crate) type QueueKey = (i64, u64);
 
-/// A call that waits.
+/// A queued call and the time at which it was queued.
 #[derive(Debug)]
 pub(crate) struct WaitingCall {
     pub(crate) call: Box<ReadyCall>,
     pub(crate) since: Timestamp,
 }
 
-/// The queue.
+/// Queued calls in the order of their keys.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     calls: BTreeMap<QueueKey, WaitingCall>,
@@ -31,11 +31,12 @@
         self.calls.len()
     }
 
-    /// Calls of a tenant that wait.
-    pub(crate) fn of_tenant(&self, tenant: &TenantId) -> usize {
+    /// Returns the number of queued calls of a tenant.
+    pub(crate) fn waiting_for_tenant(&self, tenant: &TenantId) -> usize {
         self.by_tenant.get(tenant).copied().unwrap_or(0)
     }
 
+    /// Queues a call; a smaller `urgency` is served first.
     pub(crate) fn push(&mut self, now: Timestamp, urgency: i64, call: Box<ReadyCall>) {
         let key = (urgency, self.next_arrival);
         self.next_arrival += 1;
@@ -44,7 +45,7 @@
         self.calls.insert(key, WaitingCall { call, since: now });
     }
 
-    /// Keys of the most urgent calls.
+    /// Returns the keys of the `count` most urgent calls.
     pub(crate) fn first_keys(&self, count: usize) -> Vec<QueueKey> {
         self.calls.keys().take(count).copied().collect()
     }
@@ -66,6 +67,7 @@
         Some(waiting)
     }
 
+    /// Removes the call of an attempt and returns whether it was queued.
     pub(crate) fn cancel(&mut self, ticket: Ticket) -> bool {
         let key = self.keys.get(&ticket).copied();
         key.is_some_and(|key| self.remove(key).is_some())
--- a/crates/placement/tests/placement.rs
+++ b/crates/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The policy through its surface: choice, holding, refusal, health, retention and bounds.
+//! Tests of placement through its events and effects.
 
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_idle_engine_of_the_own_zone_is_preferred() {
+fn an_idle_engine_in_the_same_zone_is_preferred() {
     let mut placement = placement(4);
     let effects = submit(&mut placement, second(1), ready(1, 1, 10));
     let chosen = dispatched_to(&effects).unwrap();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_run_stays_with_its_blocks() {
+fn a_run_stays_on_the_engine_that_holds_its_blocks() {
     let mut placement = placement(6);
     let first = dispatched_to(&submit(&mut placement, second(1), ready(1, 1, 200))).unwrap();
     for number in 2..8 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn cache_events_attract_and_repel() {
+fn calls_follow_stored_blocks_but_not_evicted_ones() {
     let call = ready(1, 1, 200);
     let stored = CacheChange::Stored(call.blocks.clone());
     let evicted = CacheChange::Evicted(call.blocks.clone());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn new_runs_wait_for_memory_and_running_programs_do_not() {
+fn new_runs_wait_for_memory_but_started_runs_do_not() {
     let mut placement = placement(1);
     submit(&mut placement, second(1), ready(1, 1, 10));
     placement.handle(second(2), load(0, report(second(2), 20, 8_000)));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn cancelled_calls_stop_waiting() {
+fn cancelled_calls_leave_the_queue() {
     let mut placement = placement(1);
     placement.handle(second(1), load(0, report(second(1), 20, 8_000)));
     submit(&mut placement, second(1), ready(2, 1, 10));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn refusals_name_their_reason() {
+fn refusals_give_their_reason() {
     let mut late = ready(1, 1, 10);
     late.call_deadline = Some(second(1));
     let mut unserved = ready(2, 1, 10);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn leaving_and_removed_engines_get_nothing() {
+fn leaving_and_removed_engines_get_no_calls() {
     let gone = [
         Event::EngineLeaving { engine: engine(0) },
         Event::EngineRemoved { engine: engine(0) },
@@ -236,11 +236,14 @@
     };
     let result = COMPLETED;
     let effects = placement.handle(second(5), Event::Finished { ticket, result });
-    assert!(dispatched_to(&effects).is_some(), "the other call follows");
+    assert!(
+        dispatched_to(&effects).is_some(),
+        "the queued call is dispatched after the successful probe"
+    );
 }
 
 #[test]
-fn pauses_keep_blocks_under_a_lease_and_ends_drop_them() {
+fn blocks_are_retained_during_a_pause_and_dropped_at_the_end_of_the_run() {
     let mut placement = placement(3);
     let home = dispatched_to(&submit(&mut placement, second(1), ready(1, 1, 50))).unwrap();
     placement.handle(second(2), finished(1, 1, COMPLETED));
@@ -261,7 +264,7 @@
 }
 
 #[test]
-fn stale_reports_do_not_stop_placement() {
+fn stale_load_reports_are_ignored() {
     let mut placement = placement(2);
     placement.handle(second(1), load(0, report(second(1), 32, 8_000)));
     placement.handle(second(1), load(1, report(second(1), 32, 8_000)));
@@ -270,6 +273,7 @@
     assert!(dispatched_to(&effects).is_some());
 }
 
+/// A step of a random scenario; the first number is that of a run or of an engine.
 #[derive(Clone, Debug)]
 enum Action {
     Submit(u64),
@@ -294,7 +298,7 @@
     ]
 }
 
-/// Every call is dispatched or refused at most once, and each one is somewhere.
+/// Checks that each call is dispatched or refused at most once, and is queued until then.
 fn check(actions: Vec<Action>) -> Result<(), TestCaseError> {
     let mut placement = placement(4);
     let mut numbers = [0_u32; 40];
@@ -322,7 +326,7 @@
         };
         for effect in placement.handle(now, event) {
             if let Effect::Dispatch { ticket, .. } | Effect::Refuse { ticket, .. } = effect {
-                prop_assert!(answered.insert(ticket), "{ticket:?} twice");
+                prop_assert!(answered.insert(ticket), "{ticket:?} was decided twice");
             }
         }
         prop_assert_eq!(answered.len() + placement.counters().waiting, submitted);
@@ -331,7 +335,7 @@
 }
 
 #[test]
-fn every_call_is_waiting_or_decided_once() {
+fn every_call_is_queued_or_decided_exactly_once() {
     let config = Config {
         cases: 200,
         failure_persistence: None,
