--- a/crates/node-core/src/assignment.rs
+++ b/crates/node-core/src/assignment.rs
@@ -1,32 +1,32 @@
-//! Where each partition should be owned, by this node's view of members and cells.
+//! Assignment of partitions to nodes and cells, derived from this node's view of the membership.
 
 use elderworks_membership::{Membership, PartitionHome};
 use elderworks_types::{CellId, NodeId, PartitionId};
 
-/// Where a partition should be owned.
+/// The node or cell that should own a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Home {
-    /// By this node of the cell.
+    /// A node of this node's cell.
     Node(NodeId),
-    /// In another cell.
+    /// Another cell.
     Cell(CellId),
 }
 
-/// The wanted home of every partition.
+/// The assigned home of each partition.
 #[derive(Debug)]
 pub(crate) struct Assignment {
     homes: Vec<Option<Home>>,
 }
 
 impl Assignment {
-    /// Nobody owns anything: what a node believes before it has joined.
+    /// Creates an assignment in which no partition has a home, as before the node has joined.
     pub(crate) fn unknown(partition_count: u32) -> Self {
         Self {
             homes: vec![None; partition_count as usize],
         }
     }
 
-    /// Assigns every partition anew.
+    /// Recomputes the home of every partition.
     pub(crate) fn recompute(&mut self, membership: &Membership) {
         for (partition, home) in (0..).zip(&mut self.homes) {
             let chosen = membership.home_of(PartitionId(partition));
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether anything is known of the partition.
+    /// Returns whether the partition has a home.
     pub(crate) fn is_known(&self, partition: PartitionId) -> bool {
         self.home(partition).is_some()
     }
 
-    /// The wanted owner, if it is in this node's cell.
+    /// Returns the assigned owner if it is in this node's cell.
     pub(crate) fn owner(&self, partition: PartitionId) -> Option<&NodeId> {
         match self.home(partition)? {
             Home::Node(node) => Some(node),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The other cell in which the partition should be owned, if it is one.
+    /// Returns the assigned cell if it is not the cell of this node.
     pub(crate) fn other_cell(&self, partition: PartitionId) -> Option<&CellId> {
         match self.home(partition)? {
             Home::Node(_) => None,
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Returns the partitions assigned to a node, in ascending order.
     pub(crate) fn assigned_to<'a>(
         &'a self,
         node: &'a NodeId,
--- a/crates/node-core/src/attempt_reports.rs
+++ b/crates/node-core/src/attempt_reports.rs
@@ -1,4 +1,4 @@
-//! What placement and back ends report of attempts.
+//! Results of attempts, reported by placement and by back ends.
 
 use elderworks_execution as execution;
 use elderworks_execution::event::AttemptFailure;
@@ -12,7 +12,7 @@
 use crate::effect::{Effect, Generate};
 
 impl NodeCore {
-    /// Placement chose an engine.
+    /// Sends an attempt to the engine that placement chose.
     pub(crate) fn attempt_placed(
         &mut self,
         ticket: Ticket,
@@ -61,7 +61,7 @@
         })));
     }
 
-    /// Placement gave the attempt up.
+    /// Reports a refusal by placement to execution.
     pub(crate) fn placement_refused(&mut self, ticket: Ticket, refusal: Refusal) {
         let Some(record) = self.attempts.open.remove(&ticket) else {
             return;
@@ -69,6 +69,7 @@
         self.attempt_refused(record.partition, ticket, refusal);
     }
 
+    /// Reports a refused attempt to its partition.
     pub(crate) fn attempt_refused(
         &mut self,
         partition: PartitionId,
@@ -85,7 +86,7 @@
         );
     }
 
-    /// A piece of an answer arrived.
+    /// Handles a chunk of an answer.
     pub(crate) fn attempt_chunk(&mut self, ticket: Ticket, index: u32, text: String) {
         let Some(record) = self.attempts.open.get_mut(&ticket) else {
             self.counters.stale_attempt_events += 1;
@@ -112,7 +113,7 @@
         );
     }
 
-    /// An attempt ran to its end.
+    /// Handles the complete answer of an attempt.
     pub(crate) fn attempt_completed(&mut self, ticket: Ticket, content: String, usage: Usage) {
         let Some(record) = self.attempts.open.remove(&ticket) else {
             self.counters.stale_attempt_events += 1;
@@ -138,7 +139,7 @@
         );
     }
 
-    /// An attempt ended without an answer.
+    /// Handles the failure of an attempt at its back end.
     pub(crate) fn attempt_failed(&mut self, ticket: Ticket, failure: AttemptFailure) {
         let Some(record) = self.attempts.open.remove(&ticket) else {
             self.counters.stale_attempt_events += 1;
@@ -152,6 +153,7 @@
         self.fail_attempt(record.partition, ticket, failure);
     }
 
+    /// Reports a failed attempt to its partition.
     pub(crate) fn fail_attempt(
         &mut self,
         partition: PartitionId,
@@ -169,8 +171,8 @@
         );
     }
 
-    /// Placement need not remember a run that has ended.
-    pub(crate) fn note_run_end(&mut self, partition: PartitionId, body: &JournalBody) {
+    /// Notifies placement if `body` ends a run of a partition that this node owns.
+    pub(crate) fn report_run_end(&mut self, partition: PartitionId, body: &JournalBody) {
         if let JournalBody::RunEnded { run, .. } = body
             && self.ownership.owns(partition)
         {
--- a/crates/node-core/src/configuration.rs
+++ b/crates/node-core/src/configuration.rs
@@ -1,11 +1,12 @@
-//! Bringing the configuration in force to the parts that it governs.
+//! Applies the current `Configuration` resource to the partitions.
 
 use elderworks_execution::ExecutionSettings;
 
 use crate::core::NodeCore;
 
 impl NodeCore {
-    /// Limits of execution: those of this process, where no `Configuration` sets another.
+    /// Returns the execution limits: those of the `Configuration` where it sets them, otherwise those of the
+    /// process.
     pub(crate) fn execution_settings(&self) -> ExecutionSettings {
         let configured = self.control.settings();
         let mut execution = self.settings.execution.clone();
@@ -24,11 +25,11 @@
         execution
     }
 
-    /// Gives every partition followed here the limits in force.
+    /// Applies the current limits to all followed partitions.
     pub(crate) fn configure_partitions(&mut self) {
         let execution = self.execution_settings();
-        for held in self.ownership.held.values_mut() {
-            held.machine.configure(execution.clone());
+        for followed in self.ownership.followed.values_mut() {
+            followed.machine.configure(execution.clone());
         }
     }
 }
--- a/crates/node-core/src/control_plane.rs
+++ b/crates/node-core/src/control_plane.rs
@@ -1,4 +1,7 @@
-//! The control state: joining through it, following it, relaying it and saying when it is current.
+//! The node's copy of the control state.
+//!
+//! Covers joining the fleet with a start record, following the control stream, relaying its records to
+//! peers that cannot read the log, and readiness.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,19 +20,19 @@
 use crate::services::known_engines;
 use crate::streams::Delivery;
 
-/// Bytes of control records kept to be relayed to peers.
+/// Maximum size of the control records kept for relaying, in bytes.
 pub const MAX_RELAY_BYTES: usize = 1024 * 1024;
 
-/// Bytes of control records in one message to a peer.
+/// Maximum size of the control records in one message to a peer, in bytes.
 pub const MAX_RELAY_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// A node that stays behind a peer for this long asks it for what the log has not brought.
-pub const RELAY_PATIENCE: Duration = Duration::from_secs(1);
+/// Time for which a node stays behind a peer before it asks the peer for the missing control records.
+pub const RELAY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between requests to peers for control records.
+/// Minimum time between two requests for control records.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The most recent control records, as they stand on the log.
+/// The most recent batches of control records, as encoded on the log.
 #[derive(Debug, Default)]
 pub(crate) struct RelayBuffer {
     records: VecDeque<(Offset, Vec<u8>)>,
@@ -37,6 +40,7 @@
 }
 
 impl RelayBuffer {
+    /// Appends a batch unless it is known, and removes the oldest ones over [`MAX_RELAY_BYTES`].
     fn push(&mut self, offset: Offset, bytes: Vec<u8>) {
         let known = self.records.back().is_some_and(|(last, _)| *last >= offset);
         if known {
@@ -51,8 +55,9 @@
         }
     }
 
-    /// Records from an offset on, as many as one message takes; `None` if the first is not kept.
-    fn from(&self, first: Offset) -> Option<Vec<(Offset, Vec<u8>)>> {
+    /// Returns the batches from `first` on, up to [`MAX_RELAY_MESSAGE_BYTES`] or a single larger batch, or
+    /// `None` if `first` has been removed.
+    fn records_from(&self, first: Offset) -> Option<Vec<(Offset, Vec<u8>)>> {
         let oldest = self.records.front()?.0;
         if first < oldest {
             return None;
@@ -68,31 +73,31 @@
     }
 }
 
-/// How far this node has joined.
+/// Progress of joining the fleet.
 #[derive(Debug, Default)]
 pub(crate) struct JoinState {
-    /// The first event was taken.
-    pub(crate) begun: bool,
-    /// The last state told to the driver.
+    /// Whether the first event has been handled.
+    pub(crate) started: bool,
+    /// Readiness as last reported to the driver.
     pub(crate) ready: bool,
-    /// Since when a peer has been ahead of this node.
+    /// Time since which some peer has applied more control records than this node.
     pub(crate) behind_since: Option<Timestamp>,
-    /// When control records were last asked of a peer.
-    pub(crate) relay_asked: Timestamp,
+    /// Time of the last request for control records to a peer.
+    pub(crate) last_relay_request: Timestamp,
 }
 
 impl NodeCore {
-    /// Tells the driver, with the first event, that this node does not serve yet.
-    pub(crate) fn begin(&mut self) {
-        if !self.join.begun {
-            self.join.begun = true;
+    /// On the first event, reports that the node is not ready and starts to load the control state.
+    pub(crate) fn start(&mut self) {
+        if !self.join.started {
+            self.join.started = true;
             self.agenda.effect(Effect::Ready(false));
             self.continue_control_loading();
         }
     }
 
-    /// Gives one input to the control stream's client and passes on what it delivers.
-    pub(crate) fn drive_control_stream(&mut self, input: logstream::Event<ControlBody>) {
+    /// Passes an input to the client of the control stream and forwards its deliveries.
+    pub(crate) fn handle_control_stream_input(&mut self, input: logstream::Event<ControlBody>) {
         let deliveries = self
             .streams
             .handle_control(self.now, input, &mut self.agenda);
@@ -103,7 +108,7 @@
                     index,
                     record,
                 } => {
-                    self.note_own_start(offset, &record);
+                    self.record_own_start(offset, &record);
                     self.agenda.control(control::Event::RecordRead {
                         offset,
                         index,
@@ -118,8 +123,9 @@
         }
     }
 
-    /// This node's start record, read back, gives it its incarnation.
-    fn note_own_start(&mut self, offset: Offset, record: &Record<ControlBody>) {
+    /// Starts the membership if `record` is the start record of this process; its offset is the
+    /// incarnation of the node.
+    fn record_own_start(&mut self, offset: Offset, record: &Record<ControlBody>) {
         let ControlBody::NodeStarted { node, nonce } = &record.body else {
             return;
         };
@@ -132,14 +138,14 @@
         self.start_membership(incarnation);
     }
 
-    /// Gives one event to the control state and carries out its effects.
-    pub(crate) fn drive_control(&mut self, event: control::Event) {
+    /// Passes an event to the control state and executes its effects.
+    pub(crate) fn handle_control_event(&mut self, event: control::Event) {
         let next_before = self.control.next();
         for effect in self.control.handle(self.now, event) {
             match effect {
                 control::Effect::Append(body) => {
                     let epoch = elderworks_types::Epoch(0);
-                    self.drive_control_stream(logstream::Event::Propose { epoch, body });
+                    self.handle_control_stream_input(logstream::Event::Propose { epoch, body });
                 }
                 control::Effect::Reply { request, result } => {
                     self.agenda.effect(Effect::OperatorReply {
@@ -160,8 +166,9 @@
         }
     }
 
+    /// Applies a change of a resource.
     fn control_changed(&mut self, change: &Change) {
-        self.tell_watchers(change);
+        self.notify_watchers(change);
         match change.kind {
             Kind::Service => self.apply_services(),
             Kind::Budget => self.tenant_limits_changed(),
@@ -170,13 +177,13 @@
         }
     }
 
-    /// Takes over the engines that services name now.
+    /// Applies the engines listed by the current services.
     pub(crate) fn apply_services(&mut self) {
         let changes = self.engines.configure(known_engines(&self.control));
         self.apply_engine_changes(changes);
     }
 
-    /// Lets one node of the fleet write a snapshot where one is due: the first by name.
+    /// Writes a snapshot of the control state if one is due and this is the first eligible node by name.
     pub(crate) fn offer_control_snapshot(&mut self) {
         let Some(membership) = &self.membership else {
             return;
@@ -187,9 +194,9 @@
         }
     }
 
-    /// Control records for a peer, from `first` on.
+    /// Returns the control records from `first` on, for a peer.
     pub(crate) fn control_records(&mut self, first: Offset) -> PeerMessage {
-        let records = self.relay.from(first);
+        let records = self.relay.records_from(first);
         if records.is_none() {
             self.counters.relay_misses += 1;
         }
@@ -199,22 +206,22 @@
         }
     }
 
-    /// A peer sent control records.
+    /// Handles control records sent by a peer.
     pub(crate) fn relayed_records(&mut self, records: Vec<(Offset, Vec<u8>)>) {
         self.counters.relayed_records += records.len() as u64;
-        self.drive_control_stream(logstream::Event::Relayed { records });
+        self.handle_control_stream_input(logstream::Event::Relayed { records });
     }
 
-    /// A peer has applied control records that this node has not. The log brings them as a rule; a
-    /// node that stays behind asks the peer.
+    /// Handles the notice that a peer has applied more control records than this node. They usually
+    /// arrive from the log; if they don't within [`RELAY_DELAY`], the peer is asked for them.
     pub(crate) fn control_behind(&mut self, peer: NodeAddress) {
         let behind_since = *self.join.behind_since.get_or_insert(self.now);
-        let patient = self.now.since(behind_since) < RELAY_PATIENCE;
-        let asked_lately = self.now.since(self.join.relay_asked) < RELAY_INTERVAL;
-        if patient || asked_lately {
+        let waiting = self.now.since(behind_since) < RELAY_DELAY;
+        let asked_recently = self.now.since(self.join.last_relay_request) < RELAY_INTERVAL;
+        if waiting || asked_recently {
             return;
         }
-        self.join.relay_asked = self.now;
+        self.join.last_relay_request = self.now;
         let from = self.control.next();
         self.agenda.effect(Effect::SendPeer {
             peer,
@@ -222,26 +229,26 @@
         });
     }
 
-    /// Whether this node knows its peers, or has waited for them long enough.
+    /// Returns whether this node knows its peers or has stopped waiting for them.
     fn is_settled(&self) -> bool {
         let membership = self.membership.as_ref();
         membership.is_some_and(|membership| membership.is_settled(self.now))
     }
 
-    /// The highest next offset of the control stream that any peer has told of.
+    /// Returns the highest next offset of the control stream reported by any peer.
     fn peers_next(&self) -> Offset {
         let membership = self.membership.as_ref();
         membership.map_or(Offset(0), |membership| membership.highest_control_next())
     }
 
-    /// Whether the control state is as new as that of any peer known.
+    /// Returns whether the control state is at least as recent as that of every known peer.
     fn is_current(&self) -> bool {
         let caught_up = self.control_loading.is_none() && self.streams.control.caught_up();
         caught_up && self.control.next() >= self.peers_next()
     }
 
-    /// Tells the driver when readiness changes. Once reached, it is lost only by leaving.
-    pub(crate) fn judge_readiness(&mut self) {
+    /// Reports changes of readiness to the driver. A ready node stays ready until it drains.
+    pub(crate) fn update_readiness(&mut self) {
         let reached = self.join.ready || (self.is_settled() && self.is_current());
         let ready = reached && !self.draining();
         if ready != self.join.ready {
--- a/crates/node-core/src/core.rs
+++ b/crates/node-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The composition.
+//! Composition of the state machines of a node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,46 +27,47 @@
 use crate::loading::ControlLoading;
 use crate::ownership::Ownership;
 use crate::sidecars::Requests;
-use crate::step::{Agenda, Request, Step};
+use crate::step::{Agenda, BackEndRequest, Step};
 use crate::streams::{Streams, control_stream};
 use crate::{Effect, Event};
 
-/// How often a driver sends [`Event::Tick`].
+/// Interval at which the driver sends [`Event::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A driver that sent no tick for this long was paused.
-const PAUSE_SUSPECTED: Duration = Duration::from_secs(1);
+/// Time between two events from which the process is assumed to have been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// What a node is given at its start.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// Its cell; the empty name puts every node in one cell.
+    /// Cell of the node. All nodes with the empty name form a single cell.
     pub cell: CellId,
-    /// Where it takes gossip.
+    /// Address for gossip.
     pub gossip_address: SocketAddr,
-    /// Where it takes connections from sidecars and peers.
+    /// Address for connections from sidecars and peers.
     pub address: SocketAddr,
-    /// Gossip addresses to ask at the start.
+    /// Gossip addresses of the nodes to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Number of partitions; the same on every process of the system.
+    /// Number of partitions; must be the same on all nodes and sidecars.
     pub partition_count: u32,
-    /// Seed of this process's random choices; different at each start of a process.
+    /// Seed of the random number generator; must differ between starts of the process.
     pub seed: u64,
-    /// Limits of execution.
+    /// Execution limits, unless a `Configuration` sets others.
     pub execution: ExecutionSettings,
 }
 
-/// One node.
+/// The state machine of one node.
 pub struct NodeCore {
     pub(crate) settings: NodeSettings,
     pub(crate) now: Timestamp,
     pub(crate) agenda: Agenda,
     pub(crate) counters: Counters,
     random: ChaCha8Rng,
+    /// Identifies this start of the process until its incarnation is known.
     pub(crate) nonce: u64,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) join: JoinState,
@@ -79,18 +80,18 @@
     pub(crate) assignment: Assignment,
     pub(crate) ownership: Ownership,
     pub(crate) placement: Placement,
-    /// Tenants' limits as last told to the partitions that hold their budgets.
+    /// Tenant limits as last sent to the partitions that hold their budgets.
     pub(crate) tenant_limits: BTreeMap<TenantId, Credits>,
     pub(crate) engines: Engines,
     pub(crate) attempts: Attempts,
-    /// Requests to back ends of partitions whose stream has not been read to its end.
-    pub(crate) withheld: Vec<Request>,
+    /// Requests to back ends that wait until the stream of their partition has been read to its end.
+    pub(crate) withheld_requests: Vec<BackEndRequest>,
     pub(crate) requests: Requests,
     pub(crate) watches: Watches,
 }
 
 impl NodeCore {
-    /// A node with empty memory.
+    /// Creates a node that has read nothing from the log.
     pub fn new(settings: NodeSettings) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         let nonce = random.random();
@@ -124,51 +125,52 @@
             tenant_limits: BTreeMap::new(),
             engines: Engines::default(),
             attempts: Attempts::default(),
-            withheld: Vec::new(),
+            withheld_requests: Vec::new(),
             requests: Requests::default(),
             watches: Watches::default(),
             settings,
         }
     }
 
-    /// What this node has done so far.
+    /// Returns the counters of this node.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// What its partitions have counted so far, and their sizes as of now.
+    /// Returns the counters of all partitions since the start, with current sizes.
     pub fn execution_counters(&self) -> execution::Counters {
         self.ownership.execution_counters()
     }
 
-    /// What placement has counted so far, and its sizes as of now.
+    /// Returns the counters of placement, with current sizes.
     pub fn placement_counters(&self) -> placement::Counters {
         self.placement.counters()
     }
 
-    /// Partitions that this node owns now.
+    /// Returns the partitions that this node currently owns.
     pub fn owned_partitions(&self) -> impl Iterator<Item = PartitionId> {
         self.ownership.owned()
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the resulting effects in order.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
-        self.doubt_after_pause(now);
+        self.revalidate_streams_after_pause(now);
         self.now = now;
-        self.begin();
+        self.start();
         self.route(event);
         while let Some(step) = self.agenda.next_step() {
-            self.take_step(step);
+            self.handle_step(step);
         }
-        self.release_requests_to_back_ends();
+        self.send_permitted_requests();
         self.agenda.take_effects()
     }
 
-    /// After a pause others may have claimed this node's partitions. Answers that arrived meanwhile
-    /// do not show it, so that streams are read anew before anything goes to back ends. No safety
-    /// rests on the clock here: it only narrows the time in which a late request can leave.
-    fn doubt_after_pause(&mut self, now: Timestamp) {
-        if now.since(self.now) < PAUSE_SUSPECTED {
+    /// Marks all streams as possibly outdated after a pause of the process. Other nodes may have claimed
+    /// partitions in the meantime, which reads answered before then don't show, so streams are read again
+    /// before requests go to back ends. Correctness doesn't depend on the clock; this only makes late
+    /// requests less likely.
+    fn revalidate_streams_after_pause(&mut self, now: Timestamp) {
+        if now.since(self.now) < PAUSE_THRESHOLD {
             return;
         }
         for stream in self.streams.partitions.values_mut() {
@@ -176,15 +178,16 @@
         }
     }
 
-    fn take_step(&mut self, step: Step) {
+    fn handle_step(&mut self, step: Step) {
         match step {
-            Step::Control(event) => self.drive_control(event),
-            Step::Membership(event) => self.drive_membership(event),
-            Step::Partition(partition, event) => self.drive_partition(partition, event),
-            Step::Placement(event) => self.drive_placement(event),
+            Step::Control(event) => self.handle_control_event(event),
+            Step::Membership(event) => self.handle_membership_event(event),
+            Step::Partition(partition, event) => self.handle_partition_event(partition, event),
+            Step::Placement(event) => self.handle_placement_event(event),
         }
     }
 
+    /// Dispatches an event to its handler.
     fn route(&mut self, event: Event) {
         match event {
             Event::LogAppended { token, result } => self.log_appended(token, result),
@@ -195,13 +198,13 @@
             } => match stream {
                 StreamName::Control => {
                     if !self.control_loading_read(&result) {
-                        self.drive_control_stream(logstream::Event::Read { from, result });
+                        self.handle_control_stream_input(logstream::Event::Read { from, result });
                     }
                 }
                 StreamName::Partition(partition) => {
                     if !self.search_read(partition, from, &result) {
                         let read = logstream::Event::Read { from, result };
-                        self.drive_partition_stream(partition, read);
+                        self.handle_partition_stream_input(partition, read);
                     }
                 }
             },
@@ -217,7 +220,7 @@
                     .membership(membership::Event::MachineList { live, leaving });
                 let ignored = self.settings.execution.faults.ignore_leaving();
                 let leaving_engines = if ignored { Vec::new() } else { leaving_engines };
-                let changes = self.engines.list_leaving(leaving_engines);
+                let changes = self.engines.set_listed_leaving(leaving_engines);
                 self.apply_engine_changes(changes);
             }
             Event::Received {
@@ -233,6 +236,7 @@
         }
     }
 
+    /// Dispatches an event about a back end to its handler.
     fn route_backend(&mut self, event: Event) {
         match event {
             Event::AttemptChunk {
@@ -249,13 +253,13 @@
             }
             Event::AttemptFailed { ticket, failure } => self.attempt_failed(ticket, failure),
             Event::MemoryReleased { run, engine } => self.memory_released(run, engine),
-            Event::EngineHoldings { engine, runs } => self.compare_holdings(&engine, runs),
+            Event::EngineHoldings { engine, runs } => self.release_leftover_memory(&engine, runs),
             Event::EngineAnswered { engine } => {
-                let changes = self.engines.answered(&engine);
+                let changes = self.engines.record_answer(&engine);
                 self.apply_engine_changes(changes);
             }
             Event::EngineLoad { engine, report } => {
-                let changes = self.engines.answered(&engine);
+                let changes = self.engines.record_answer(&engine);
                 self.apply_engine_changes(changes);
                 self.agenda
                     .placement(placement::Event::Load { engine, report });
@@ -265,15 +269,15 @@
                 .placement(placement::Event::Cache { engine, change }),
             Event::EngineLeaving { .. } if self.settings.execution.faults.ignore_leaving() => {}
             Event::EngineLeaving { engine } => {
-                let changes = self.engines.said_leaving(self.now, &engine);
+                let changes = self.engines.record_leaving(self.now, &engine);
                 self.apply_engine_changes(changes);
             }
             Event::EngineSilent { engine, silent_for } => {
                 let limit = self.control.settings().engine_silent_after;
-                let changes = self.engines.silent(&engine, silent_for, limit);
+                let changes = self.engines.record_silence(&engine, silent_for, limit);
                 self.apply_engine_changes(changes);
             }
-            other => unreachable!("routed before: {other:?}"),
+            other => unreachable!("not an event about a back end: {other:?}"),
         }
     }
 
@@ -287,10 +291,10 @@
         };
         match stream {
             StreamName::Control => {
-                self.drive_control_stream(logstream::Event::Appended { token, result });
+                self.handle_control_stream_input(logstream::Event::Appended { token, result });
             }
             StreamName::Partition(partition) => {
-                self.drive_partition_stream(
+                self.handle_partition_stream_input(
                     partition,
                     logstream::Event::Appended { token, result },
                 );
@@ -301,30 +305,30 @@
     fn tick(&mut self) {
         if self.control_loading.is_some() {
             self.continue_control_loading();
-            self.judge_drain();
+            self.update_drain();
             return;
         }
-        self.drive_control_stream(logstream::Event::Tick);
+        self.handle_control_stream_input(logstream::Event::Tick);
         self.agenda.control(elderworks_control::Event::Tick);
         self.offer_control_snapshot();
         self.agenda.membership(membership::Event::Tick);
         self.agenda.placement(placement::Event::Tick);
         self.pace_partitions();
-        let followed: Vec<PartitionId> = self.ownership.held.keys().copied().collect();
+        let followed: Vec<PartitionId> = self.ownership.followed.keys().copied().collect();
         for partition in followed {
-            self.drive_partition_stream(partition, logstream::Event::Tick);
+            self.handle_partition_stream_input(partition, logstream::Event::Tick);
             self.agenda.partition(partition, execution::Event::Tick);
-            self.release_if_caught_up(partition);
+            self.serve_held_if_caught_up(partition);
         }
         let changes = self.engines.tick(self.now, &self.attempts.engines());
         self.apply_engine_changes(changes);
         self.expire_requests();
-        self.judge_readiness();
+        self.update_readiness();
         self.reconcile_ownership();
-        self.judge_drain();
+        self.update_drain();
     }
 
-    /// Membership begins with the incarnation that the log gave.
+    /// Starts the membership with the incarnation assigned by the log.
     pub(crate) fn start_membership(&mut self, incarnation: Incarnation) {
         let settings = MembershipSettings {
             node: self.settings.node.clone(),
@@ -346,7 +350,8 @@
         self.reassign();
     }
 
-    pub(crate) fn drive_membership(&mut self, event: membership::Event) {
+    /// Passes an event to the membership and executes its effects.
+    pub(crate) fn handle_membership_event(&mut self, event: membership::Event) {
         let Some(membership) = self.membership.as_mut() else {
             return;
         };
@@ -372,14 +377,14 @@
         }
     }
 
-    /// Assigns partitions anew after a change of members or cells.
+    /// Recomputes the assignment of partitions after a change of members or cells.
     pub(crate) fn reassign(&mut self) {
         if let Some(membership) = &self.membership {
             self.assignment.recompute(membership);
         }
     }
 
-    /// Whether this node may claim partitions: it is current, knows its peers and stays.
+    /// Returns whether this node may claim partitions: it is ready and not draining.
     pub(crate) fn may_take_over(&self) -> bool {
         self.join.ready && !self.draining()
     }
--- a/crates/node-core/src/dispatch.rs
+++ b/crates/node-core/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way between execution, placement and back ends.
+//! Open attempts, and their dispatch to placement and back ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,15 +16,15 @@
 use crate::core::NodeCore;
 use crate::effect::Effect;
 
-/// Attempts in progress at one node; further ones are refused at once.
+/// Maximum number of open attempts at one node; further ones are refused.
 pub const MAX_ATTEMPTS: usize = 16_384;
 
-/// When a caller may try again after [`MAX_ATTEMPTS`] turned it away.
+/// Retry delay given to callers refused because of [`MAX_ATTEMPTS`].
 pub const ATTEMPTS_RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// What a model attempt needs once placement has chosen its engine.
+/// Request of a model attempt, kept until placement has chosen an engine.
 #[derive(Debug)]
-pub(crate) struct ModelWork {
+pub(crate) struct ModelAttempt {
     pub(crate) model: ModelName,
     pub(crate) messages: Vec<Message>,
     pub(crate) continue_text: String,
@@ -33,28 +33,30 @@
     pub(crate) timeout: std::time::Duration,
 }
 
+/// Location of an open attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptState {
     /// Placement has not chosen an engine yet.
-    Waiting(ModelWork),
-    /// At an engine that placement chose.
+    Waiting(ModelAttempt),
+    /// Sent to an engine that placement chose.
     AtEngine {
         engine: EngineId,
         first_chunk_seen: bool,
     },
-    /// At an engine that an earlier owner chose; placement does not count it.
+    /// Resumed at the engine chosen by an earlier owner; unknown to placement.
     Resumed { engine: EngineId },
-    /// At a tool.
+    /// Sent to a tool.
     AtTool,
 }
 
+/// An open attempt and its partition.
 #[derive(Debug)]
 pub(crate) struct AttemptRecord {
     pub(crate) partition: PartitionId,
     pub(crate) state: AttemptState,
 }
 
-/// Attempts in progress.
+/// All open attempts.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     pub(crate) open: BTreeMap<Ticket, AttemptRecord>,
@@ -65,12 +67,12 @@
         self.open.len()
     }
 
-    /// Partitions with open attempts.
+    /// Returns the partitions with open attempts.
     pub(crate) fn partitions(&self) -> BTreeSet<PartitionId> {
         self.open.values().map(|record| record.partition).collect()
     }
 
-    /// Engines at which an attempt is open.
+    /// Returns the engines with open attempts.
     pub(crate) fn engines(&self) -> BTreeSet<EngineId> {
         let engines = self.open.values().filter_map(|record| match &record.state {
             AttemptState::AtEngine { engine, .. } | AttemptState::Resumed { engine } => {
@@ -86,9 +88,9 @@
     }
 }
 
-/// An invocation of a tool.
+/// Request of a tool attempt.
 #[derive(Debug)]
-struct ToolWork {
+struct ToolAttempt {
     tool: ToolName,
     arguments: String,
     idempotency_key: String,
@@ -96,7 +98,7 @@
 }
 
 impl NodeCore {
-    /// Hands an attempt to placement, or straight to its tool.
+    /// Passes a model attempt to placement, or sends a tool attempt to its tool.
     pub(crate) fn dispatch(
         &mut self,
         partition: PartitionId,
@@ -122,7 +124,7 @@
                 continue_chunks,
                 max_output,
             } => {
-                let work = ModelWork {
+                let work = ModelAttempt {
                     model,
                     messages,
                     continue_text,
@@ -137,7 +139,7 @@
                 arguments,
                 idempotency_key,
             } => {
-                let work = ToolWork {
+                let work = ToolAttempt {
                     tool,
                     arguments,
                     idempotency_key,
@@ -152,7 +154,7 @@
         &mut self,
         partition: PartitionId,
         ticket: Ticket,
-        work: ModelWork,
+        work: ModelAttempt,
         hints: DispatchHints,
     ) {
         let mut prompt = render_prompt(&work.messages);
@@ -179,7 +181,7 @@
             .placement(placement::Event::CallReady(Box::new(ready)));
     }
 
-    fn dispatch_tool(&mut self, partition: PartitionId, ticket: Ticket, work: ToolWork) {
+    fn dispatch_tool(&mut self, partition: PartitionId, ticket: Ticket, work: ToolAttempt) {
         let Some(service) = self.control.tool_terms(&work.tool) else {
             let refusal = Refusal {
                 reason: RefusalReason::NoBackend,
@@ -211,7 +213,7 @@
         });
     }
 
-    /// Takes up an attempt of an earlier owner at its engine.
+    /// Resumes an attempt of an earlier owner at its engine.
     pub(crate) fn resume(
         &mut self,
         partition: PartitionId,
@@ -235,7 +237,7 @@
         });
     }
 
-    /// Asks a tool about an invocation of an earlier owner.
+    /// Asks a tool for the result of an invocation by an earlier owner.
     pub(crate) fn query_tool(
         &mut self,
         partition: PartitionId,
@@ -262,39 +264,42 @@
         });
     }
 
-    /// Lets requests to back ends go, except those of partitions whose stream shows more records than
-    /// were read: one of them may be the claim that takes the partition away. A node that wakes from a
-    /// pause reads the record that permits a request before it reads that claim.
-    pub(crate) fn release_requests_to_back_ends(&mut self) {
-        let mut requests = std::mem::take(&mut self.withheld);
+    /// Releases the requests to back ends, except those of partitions whose stream has unread records: one
+    /// of them may be another node's claim of the partition. After a pause, a node reads the record that
+    /// permits a request before it reads such a claim.
+    pub(crate) fn send_permitted_requests(&mut self) {
+        let mut requests = std::mem::take(&mut self.withheld_requests);
         requests.extend(self.agenda.take_requests());
         for request in requests {
             let attempt = self.attempts.open.get(&request.ticket);
             match attempt.map(|attempt| attempt.partition) {
-                Some(partition) if self.is_behind(partition) => self.withheld.push(request),
+                Some(partition) if self.is_behind(partition) => {
+                    self.withheld_requests.push(request)
+                }
                 Some(_) => self.agenda.effect(request.effect),
-                // Cancelled, or lost with its partition, before it was sent.
+                // Cancelled or detached before it was sent.
                 None => {}
             }
         }
     }
 
-    /// Whether the partition's stream shows, or may hold, more records than were read.
+    /// Returns whether the partition's stream has, or may have, unread records.
     pub(crate) fn is_behind(&self, partition: PartitionId) -> bool {
         let stream = self.streams.partitions.get(&partition);
         stream.is_some_and(|stream| !stream.caught_up())
     }
 
-    /// Takes back a request that was decided and not sent yet; whether there was one.
-    fn withdraw_request(&mut self, ticket: Ticket) -> bool {
+    /// Removes a request that has not been sent yet and returns whether there was one.
+    fn remove_unsent_request(&mut self, ticket: Ticket) -> bool {
         let decided = self.agenda.take_requests();
-        self.withheld.extend(decided);
-        let before = self.withheld.len();
-        self.withheld.retain(|request| request.ticket != ticket);
-        self.withheld.len() < before
+        self.withheld_requests.extend(decided);
+        let before = self.withheld_requests.len();
+        self.withheld_requests
+            .retain(|request| request.ticket != ticket);
+        self.withheld_requests.len() < before
     }
 
-    /// Stops an attempt wherever it is.
+    /// Cancels an attempt in any state.
     pub(crate) fn cancel_attempt(&mut self, ticket: Ticket) {
         let Some(record) = self.attempts.open.remove(&ticket) else {
             return;
@@ -315,18 +320,17 @@
         }
     }
 
-    /// The partition is not this node's any more: its attempts go on at their engines, where the
-    /// next owner takes them up, and are forgotten here. One that was to be sent in this same step is
-    /// not sent: after a pause, the record that permits it and the claim that voids it are read
-    /// together.
-    pub(crate) fn forget_attempts(&mut self, partition: PartitionId) {
+    /// Removes the attempts of a partition that this node no longer owns. Attempts at engines keep
+    /// running, and the next owner resumes them. Requests that have not been sent are dropped: after a
+    /// pause, the record that permits a request and the claim that voids it can be read in one step.
+    pub(crate) fn detach_attempts(&mut self, partition: PartitionId) {
         let open = std::mem::take(&mut self.attempts.open);
         let (forgotten, kept): (BTreeMap<_, _>, BTreeMap<_, _>) = open
             .into_iter()
             .partition(|(_, record)| record.partition == partition);
         self.attempts.open = kept;
         for (ticket, record) in forgotten {
-            let unsent = self.withdraw_request(ticket);
+            let unsent = self.remove_unsent_request(ticket);
             match record.state {
                 AttemptState::Waiting(_) => self
                     .agenda
--- a/crates/node-core/src/drain.rs
+++ b/crates/node-core/src/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving in order.
+//! Orderly shutdown: releases all partitions and finishes open attempts.
 
 use std::time::Duration;
 
@@ -10,70 +10,69 @@
 use crate::core::NodeCore;
 use crate::effect::Effect;
 use crate::event::Connection;
-use crate::ownership::Held;
+use crate::ownership::FollowedPartition;
 
-/// A drain ends after this long, whatever is still open; the next owners take it up.
+/// Maximum duration of a drain. The next owners resume what is open when it expires.
 pub const DRAIN_LIMIT: Duration = Duration::from_secs(60);
 
-/// How far this node has got with leaving.
+/// Progress of the drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum DrainState {
-    /// It is not leaving.
+    /// The node is not draining.
     #[default]
     Serving,
-    /// It lets its partitions go.
+    /// The node releases its partitions.
     Draining { since: Timestamp },
-    /// It may exit.
+    /// The process may exit.
     Drained,
 }
 
 impl NodeCore {
-    /// Whether this node is leaving or has left.
+    /// Returns whether the drain has started or finished.
     pub(crate) fn draining(&self) -> bool {
         self.drain != DrainState::Serving
     }
 
-    /// Begins to leave: nothing new is taken over, and everything held is released.
+    /// Starts the drain: no more partitions are claimed, and all owned ones are released.
     pub(crate) fn start_drain(&mut self) {
         if self.draining() {
             return;
         }
         self.drain = DrainState::Draining { since: self.now };
-        self.drive_membership(membership::Event::Drain);
+        self.handle_membership_event(membership::Event::Drain);
         self.reassign();
         let sidecars: Vec<Connection> = self.requests.sidecars().collect();
         for connection in sidecars {
             self.send(connection, NodeMessage::Draining);
         }
-        self.turn_away_held();
-        self.judge_readiness();
+        self.redirect_held_requests();
+        self.update_readiness();
     }
 
-    /// Ends the drain once nothing is left, or when its time is up.
-    pub(crate) fn judge_drain(&mut self) {
+    /// Ends the drain when nothing is left or after [`DRAIN_LIMIT`].
+    pub(crate) fn update_drain(&mut self) {
         let DrainState::Draining { since } = self.drain else {
             return;
         };
-        let nothing_left = self.attempts.len() == 0 && self.may_leave_all_partitions();
+        let nothing_left = self.attempts.len() == 0 && self.can_abandon_all_partitions();
         let overdue = self.now.since(since) >= DRAIN_LIMIT;
-        let impatient = self.settings.execution.faults.drain_at_once();
-        if nothing_left || overdue || impatient {
+        let skips_wait = self.settings.execution.faults.drain_at_once();
+        if nothing_left || overdue || skips_wait {
             self.drain = DrainState::Drained;
             self.agenda.effect(Effect::Drained);
         }
     }
 
-    fn may_leave_all_partitions(&self) -> bool {
-        let mut held = self.ownership.held.iter();
-        held.all(|(partition, held)| self.may_leave(*partition, held))
+    fn can_abandon_all_partitions(&self) -> bool {
+        let mut followed = self.ownership.followed.iter();
+        followed.all(|(partition, followed)| self.can_abandon(*partition, followed))
     }
 
-    /// Whether a partition that is still held need not be waited for: the log does not answer, so
-    /// its release may never be read back, and nothing is lost without one. Its next owner claims
-    /// it by force.
-    fn may_leave(&self, partition: PartitionId, held: &Held) -> bool {
+    /// Returns whether the drain need not wait for a partition: it has no unfinished work, and its release
+    /// can't be written because the log doesn't answer. The next owner forces its claim.
+    fn can_abandon(&self, partition: PartitionId, followed: &FollowedPartition) -> bool {
         let stream = self.streams.partitions.get(&partition);
         let is_reachable = stream.is_none_or(LogStream::reachable);
-        !is_reachable && !held.machine.has_unfinished_work()
+        !is_reachable && !followed.machine.has_unfinished_work()
     }
 }
--- a/crates/node-core/src/effect.rs
+++ b/crates/node-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a node asks of its driver.
+//! The outputs of a node, executed by its driver.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 /// An output of [`crate::NodeCore::handle`].
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Append to a stream; answered by [`crate::Event::LogAppended`].
+    /// Append a batch to a stream; answered by [`crate::Event::LogAppended`].
     Append {
         /// The stream.
         stream: StreamName,
-        /// Matches the result.
+        /// Identifies the append in its result.
         token: AppendToken,
         /// One encoded batch.
         bytes: Vec<u8>,
@@ -34,108 +34,108 @@
     Read {
         /// The stream.
         stream: StreamName,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
-        /// How long the log may hold the read while there is nothing new.
+        /// Maximum time to wait for new records at the end of the stream.
         wait: Duration,
     },
     /// Send a datagram.
     SendDatagram {
-        /// To this address.
+        /// Destination address.
         to: SocketAddr,
         /// The datagram.
         datagram: Datagram,
     },
-    /// Send on a connection that the other side opened.
+    /// Send a message on a connection that the remote side opened.
     Send {
         /// The connection.
         connection: Connection,
         /// The message.
         message: FromNode,
     },
-    /// Send to a peer, connecting first if need be. May be lost.
+    /// Send a message to a peer, connecting first if necessary. The message may be lost.
     SendPeer {
         /// The peer.
         peer: NodeAddress,
         /// The message.
         message: PeerMessage,
     },
-    /// Begin to poll an engine's load, cache events, holdings and state, until forgotten; at the
-    /// pace of rest until told otherwise.
+    /// Start to poll an engine's state, load, cache events and held runs, at the idle pace until a
+    /// [`Effect::PaceEngine`] and until a [`Effect::ForgetEngine`].
     WatchEngine {
-        /// Which.
+        /// The engine.
         engine: EngineId,
         /// Base URL.
         url: String,
     },
-    /// Poll a watched engine at another pace from now on.
+    /// Change the pace at which a watched engine is polled.
     PaceEngine {
-        /// Which.
+        /// The engine.
         engine: EngineId,
-        /// How often.
+        /// The new pace.
         pace: EnginePace,
     },
     /// Stop polling an engine.
     ForgetEngine {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
     /// Send an attempt to an engine.
     Generate(Box<Generate>),
-    /// Take up an attempt that an engine may still be running or remember.
+    /// Resume reading an attempt that an engine may still run or store.
     ResumeStream {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
         /// The engine.
         engine: EngineId,
-        /// Its base URL.
+        /// Base URL of the engine.
         url: String,
-        /// First chunk wanted.
+        /// Index of the first chunk to read.
         from_chunk: u32,
     },
-    /// Stop an attempt wherever it is.
+    /// Cancel an attempt at its back end.
     CancelAttempt {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
-    /// Stop reading an attempt without stopping it: the partition's next owner takes it up.
+    /// Stop reading an attempt without cancelling it; the next owner of the partition resumes it.
     DetachAttempt {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
     /// Invoke a tool.
     InvokeTool {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
         /// The tool.
         tool: ToolName,
-        /// Its base URL.
+        /// Base URL of the tool.
         url: String,
         /// Arguments as JSON text.
         arguments: String,
-        /// Key under which the tool recognises a repeat.
+        /// Key by which the tool recognises a repeated invocation.
         idempotency_key: String,
-        /// Longest wait.
+        /// Maximum time to wait for the result.
         timeout: Duration,
     },
-    /// Ask a tool what became of an invocation.
+    /// Ask a tool for the result of an earlier invocation.
     QueryTool {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
         /// The tool.
         tool: ToolName,
-        /// Its base URL.
+        /// Base URL of the tool.
         url: String,
-        /// The key it was sent under.
+        /// Idempotency key of the invocation.
         idempotency_key: String,
     },
-    /// Free what an engine holds for a run.
+    /// Release the memory that an engine holds for a run.
     ReleaseMemory {
         /// The run.
         run: RunId,
         /// The engine.
         engine: EngineId,
-        /// Its base URL.
+        /// Base URL of the engine.
         url: String,
     },
     /// Keep a run's blocks on an engine under a lease.
@@ -144,116 +144,116 @@
         run: RunId,
         /// The engine.
         engine: EngineId,
-        /// Its base URL.
+        /// Base URL of the engine.
         url: String,
-        /// For how long.
+        /// Maximum time to keep the blocks.
         lease: Duration,
     },
     /// Copy a run's blocks between engines.
     TransferMemory {
         /// The run.
         run: RunId,
-        /// Exporting engine's base URL.
+        /// Base URL of the exporting engine.
         from_url: String,
-        /// Importing engine's base URL.
+        /// Base URL of the importing engine.
         to_url: String,
     },
     /// Answer an operator.
     OperatorReply {
-        /// Which request.
+        /// The request that is answered.
         request: RequestId,
         /// The answer.
         reply: OperatorReply,
     },
-    /// A change for an operator's watch.
+    /// Send a change to an operator's watch.
     WatchEvent {
-        /// The watch's request id.
+        /// Id of the request that opened the watch.
         watch: RequestId,
         /// The change.
         change: Change,
     },
-    /// The node is ready to serve (`true`) or not (`false`).
+    /// Report that the node is ready to serve (`true`) or not (`false`).
     Ready(bool),
-    /// Draining is done: the process may exit.
+    /// Report that the drain is complete and the process may exit.
     Drained,
 }
 
-/// An attempt for an engine.
+/// A model attempt to send to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Generate {
-    /// Names the attempt; also the engine's request id, by which it resumes and cancels.
+    /// The attempt; also the request id by which the engine resumes or cancels it.
     pub ticket: Ticket,
     /// The engine.
     pub engine: EngineId,
-    /// Its base URL.
+    /// Base URL of the engine.
     pub url: String,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
     /// The whole prompt.
     pub messages: Vec<Message>,
-    /// Text of the answer to continue; usually empty.
+    /// Beginning of the answer, to be continued by the engine; usually empty.
     pub continue_text: String,
-    /// Number of the first chunk.
+    /// Index of the first chunk of this attempt.
     pub first_chunk: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_output: Tokens,
-    /// Smaller goes first in the engine's queue.
+    /// Priority in the engine's queue; smaller values are served first.
     pub engine_priority: i64,
-    /// Longest time for the attempt.
+    /// Maximum duration of the attempt.
     pub timeout: Duration,
 }
 
-/// An answer to an operator.
+/// A reply to an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorReply {
-    /// A change was accepted, or why not.
+    /// Result of a requested change.
     Changed(Result<Change, ControlError>),
-    /// One resource.
+    /// The requested resource, if it exists.
     Resource(Option<Resource>),
-    /// All of a kind, with the revision up to which the list is complete.
+    /// All resources of a kind, as of a revision.
     Resources {
-        /// In order of name.
+        /// The resources, ordered by name.
         items: Vec<Resource>,
-        /// Watch from here to miss nothing.
+        /// Revision of the list, from which a watch misses no change.
         revision: Offset,
     },
-    /// The watch has begun, or why not.
+    /// Result of opening a watch.
     Watching(Result<(), WatchError>),
     /// Members of the fleet.
     Nodes(Vec<Member>),
-    /// Engines.
+    /// Engines and their states.
     Engines(Vec<EngineView>),
-    /// Runs that this node owns, the latest first.
+    /// Runs that this node owns, most recent first.
     Runs(Vec<RunSummary>),
-    /// A run.
+    /// The requested run, if it exists.
     Run(Option<Box<RunView>>),
-    /// This node does not own the run; ask there.
+    /// The run belongs to another node, given if it is known.
     RunElsewhere(Option<NodeAddress>),
 }
 
-/// An engine as this node sees it.
+/// State of an engine as observed by this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineView {
-    /// Which.
+    /// The engine.
     pub id: EngineId,
-    /// Where it stands.
+    /// Zone of the engine.
     pub zone: ZoneId,
-    /// Its base URL.
+    /// Base URL of the engine.
     pub url: String,
-    /// What it serves.
+    /// Models that it serves.
     pub models: Vec<ModelName>,
-    /// Whether it gets new work.
+    /// State of the engine.
     pub state: EngineState,
 }
 
-/// Whether an engine gets new work.
+/// Availability of an engine for new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// Yes.
+    /// It takes new attempts.
     Serving,
-    /// No; its streams finish.
+    /// It takes no new attempts and finishes the open ones.
     Leaving,
-    /// No; it does not answer.
+    /// It does not answer and gets no new attempts.
     Silent,
 }
--- a/crates/node-core/src/engines.rs
+++ b/crates/node-core/src/engines.rs
@@ -1,4 +1,4 @@
-//! Engines as this node sees them: which it polls, and which get new work.
+//! Engines known to this node: which of them are polled, and which take new attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,18 +10,23 @@
 use crate::pace::{EnginePace, EngineUse};
 use crate::services::KnownEngine;
 
-/// An engine that has not answered for this long is taken to have lost what it held.
-pub const GONE_LIMIT: Duration = Duration::from_secs(60);
+/// Time without an answer after which an engine is assumed to have lost its memory.
+pub const GONE_AFTER: Duration = Duration::from_secs(60);
 
-/// An engine's own word that it is leaving holds for this long unless repeated.
-pub const LEAVING_WORD_LIFETIME: Duration = Duration::from_secs(3);
+/// Time for which an engine's announcement that it is leaving is valid unless it is repeated.
+pub const LEAVING_NOTICE_LIFETIME: Duration = Duration::from_secs(3);
 
+/// State of one engine.
 #[derive(Debug)]
 struct Engine {
     known: KnownEngine,
+    /// Whether the platform's machine list marks it as leaving.
     listed_leaving: bool,
-    said_leaving: Option<Timestamp>,
+    /// Time of its last announcement that it is leaving.
+    announced_leaving: Option<Timestamp>,
+    /// Whether it has not answered for the configured limit.
     silent: bool,
+    /// Whether it has not answered for [`GONE_AFTER`].
     gone: bool,
     usage: EngineUse,
     pace: EnginePace,
@@ -32,7 +37,7 @@
         Self {
             known,
             listed_leaving,
-            said_leaving: None,
+            announced_leaving: None,
             silent: false,
             gone: false,
             usage: EngineUse::default(),
@@ -43,7 +48,7 @@
     fn state(&self) -> EngineState {
         if self.silent {
             EngineState::Silent
-        } else if self.listed_leaving || self.said_leaving.is_some() {
+        } else if self.listed_leaving || self.announced_leaving.is_some() {
             EngineState::Leaving
         } else {
             EngineState::Serving
@@ -51,18 +56,18 @@
     }
 }
 
-/// What follows from a change of the engines.
+/// Consequence of a change of the engines.
 #[derive(Debug)]
 pub enum EngineChange {
-    /// For the driver.
+    /// An effect for the driver.
     Effect(Effect),
-    /// For placement.
+    /// An event for placement.
     Placement(placement::Event),
-    /// The engine is gone with all that it held.
+    /// The engine has lost all memory that it held for runs.
     Gone(EngineId),
 }
 
-/// Every engine named by a `Service`.
+/// All engines listed by a `Service`.
 #[derive(Debug, Default)]
 pub struct Engines {
     engines: BTreeMap<EngineId, Engine>,
@@ -70,13 +75,13 @@
 }
 
 impl Engines {
-    /// Base URL of an engine, or `None` if no service names it.
+    /// Returns the base URL of an engine, or `None` if no service lists it.
     pub fn url(&self, engine: &EngineId) -> Option<&str> {
         let engine = self.engines.get(engine)?;
         Some(&engine.known.endpoint.url)
     }
 
-    /// All engines, in order of name.
+    /// Returns all engines, ordered by name.
     pub fn views(&self) -> Vec<EngineView> {
         self.engines
             .iter()
@@ -90,7 +95,7 @@
             .collect()
     }
 
-    /// Takes over the engines that services name now.
+    /// Replaces the set of engines with those that the services list.
     pub fn configure(&mut self, wanted: BTreeMap<EngineId, KnownEngine>) -> Vec<EngineChange> {
         let mut changes = Vec::new();
         let removed: Vec<EngineId> = self
@@ -144,8 +149,8 @@
         changes.push(EngineChange::Gone(id.clone()));
     }
 
-    /// Takes the platform's list of leaving engines.
-    pub fn list_leaving(&mut self, leaving: Vec<EngineId>) -> Vec<EngineChange> {
+    /// Applies the platform's list of leaving engines.
+    pub fn set_listed_leaving(&mut self, leaving: Vec<EngineId>) -> Vec<EngineChange> {
         self.listed_leaving = leaving.into_iter().collect();
         let mut changes = Vec::new();
         for (id, engine) in &mut self.engines {
@@ -157,13 +162,13 @@
         changes
     }
 
-    /// The engine said that it is leaving.
-    pub fn said_leaving(&mut self, now: Timestamp, id: &EngineId) -> Vec<EngineChange> {
-        self.update_one(id, |engine| engine.said_leaving = Some(now))
+    /// Records that an engine announced that it is leaving.
+    pub fn record_leaving(&mut self, now: Timestamp, id: &EngineId) -> Vec<EngineChange> {
+        self.update_one(id, |engine| engine.announced_leaving = Some(now))
     }
 
-    /// The engine answered a poll.
-    pub fn answered(&mut self, id: &EngineId) -> Vec<EngineChange> {
+    /// Records that an engine answered a poll.
+    pub fn record_answer(&mut self, id: &EngineId) -> Vec<EngineChange> {
         self.update_one(id, |engine| {
             engine.silent = false;
             engine.gone = false;
@@ -171,8 +176,8 @@
         })
     }
 
-    /// The engine has not answered for `silent_for`; from `limit` on it gets no new work.
-    pub fn silent(
+    /// Records that an engine has not answered for `silent_for`. From `limit` on it gets no new attempts.
+    pub fn record_silence(
         &mut self,
         id: &EngineId,
         silent_for: Duration,
@@ -183,7 +188,7 @@
             engine.usage.suspected = !engine.silent;
         });
         if let Some(engine) = self.engines.get_mut(id)
-            && silent_for >= GONE_LIMIT
+            && silent_for >= GONE_AFTER
             && !engine.gone
         {
             engine.gone = true;
@@ -192,15 +197,15 @@
         changes
     }
 
-    /// Time passed: an engine's word that it is leaving lapses unless repeated, and engines at which
-    /// no attempt is open come to rest.
+    /// Expires announcements of leaving and updates the polling pace of each engine. `in_use` contains
+    /// the engines with open attempts.
     pub fn tick(&mut self, now: Timestamp, in_use: &BTreeSet<EngineId>) -> Vec<EngineChange> {
         let mut changes = Vec::new();
         for (id, engine) in &mut self.engines {
             update(id, engine, &mut changes, |engine| {
-                engine.said_leaving = engine
-                    .said_leaving
-                    .filter(|said| now.since(*said) < LEAVING_WORD_LIFETIME);
+                engine.announced_leaving = engine
+                    .announced_leaving
+                    .filter(|at| now.since(*at) < LEAVING_NOTICE_LIFETIME);
             });
             if in_use.contains(id) {
                 engine.usage.last_attempt = Some(now);
@@ -230,7 +235,7 @@
     }));
 }
 
-/// Applies a change and tells placement if the engine's state is another afterwards.
+/// Applies a change and notifies placement if the state of the engine differs afterwards.
 fn update(
     id: &EngineId,
     engine: &mut Engine,
@@ -244,6 +249,7 @@
     }
 }
 
+/// Adds the event by which placement learns the state of an engine.
 fn announce(id: &EngineId, engine: &Engine, changes: &mut Vec<EngineChange>) {
     let added = placement::Event::EngineAdded {
         engine: id.clone(),
--- a/crates/node-core/src/event.rs
+++ b/crates/node-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told.
+//! The inputs of a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use elderworks_types::resource::Kind;
 use elderworks_types::{EngineId, NodeId, Offset, ResourceName, RunId, Usage};
 
-/// Names one accepted connection for as long as it lasts.
+/// Identifies an accepted connection until it is closed.
 pub type Connection = u64;
 
-/// Matches an append to its result.
+/// Identifies an append in its result.
 pub type AppendToken = u64;
 
-/// Matches an operator's request to its reply.
+/// Identifies an operator's request in its replies.
 pub type RequestId = u64;
 
 /// An input of [`crate::NodeCore::handle`].
@@ -28,28 +28,28 @@
 pub enum Event {
     /// An append ended.
     LogAppended {
-        /// Which.
+        /// Identifies the append.
         token: AppendToken,
-        /// The offset given, or no answer.
+        /// Offset of the batch, or no answer.
         result: Result<Offset, NoAnswer>,
     },
     /// A read ended.
     LogRead {
         /// The stream.
         stream: StreamName,
-        /// The offset asked for.
+        /// The requested offset.
         from: Offset,
-        /// What was read, or no answer.
+        /// The records, or no answer.
         result: Result<ReadRecords, NoAnswer>,
     },
-    /// A datagram came in.
+    /// A datagram was received.
     Datagram {
-        /// From this address.
+        /// Address of the sender.
         from: SocketAddr,
         /// The datagram.
         datagram: Datagram,
     },
-    /// The platform's machine list was read.
+    /// The platform's machine list was fetched.
     MachineList {
         /// Machines listed as live.
         live: Vec<NodeId>,
@@ -58,58 +58,58 @@
         /// Engines listed as leaving.
         leaving_engines: Vec<EngineId>,
     },
-    /// A sidecar or peer sent a message on a connection it opened.
+    /// A message was received on a connection that a sidecar or peer opened.
     Received {
-        /// On this connection.
+        /// The connection.
         connection: Connection,
         /// The message.
         message: ToNode,
     },
-    /// A peer sent a message on the connection that this node opened to it.
+    /// A message was received from a peer on a connection that this node opened.
     PeerReply {
-        /// Which peer.
+        /// The peer.
         node: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A connection is gone.
+    /// A connection was closed.
     Closed {
-        /// Which.
+        /// The connection.
         connection: Connection,
     },
-    /// A piece of an answer.
+    /// A chunk of an answer arrived.
     AttemptChunk {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// Position, from 0.
+        /// Index of the chunk, from 0.
         index: u32,
-        /// The text.
+        /// Text of the chunk.
         text: String,
     },
-    /// An attempt ran to its end.
+    /// An attempt completed with an answer.
     AttemptCompleted {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
         /// The whole answer of this attempt.
         content: String,
-        /// What was consumed.
+        /// Tokens consumed.
         usage: Usage,
     },
     /// An attempt ended without an answer.
     AttemptFailed {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         failure: AttemptFailure,
     },
-    /// An engine acknowledged a release.
+    /// An engine acknowledged the release of a run's memory.
     MemoryReleased {
         /// The run.
         run: RunId,
         /// The engine.
         engine: EngineId,
     },
-    /// An engine lists the runs for which it holds retained memory.
+    /// An engine listed the runs for which it holds memory.
     EngineHoldings {
         /// The engine.
         engine: EngineId,
@@ -118,86 +118,86 @@
     },
     /// An engine answered a poll.
     EngineAnswered {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
-    /// A load report arrived.
+    /// An engine reported its load.
     EngineLoad {
-        /// From this engine.
+        /// The engine.
         engine: EngineId,
         /// The report.
         report: LoadReport,
     },
-    /// A cache event arrived.
+    /// The contents of an engine's cache changed.
     EngineCache {
-        /// From this engine.
+        /// The engine.
         engine: EngineId,
         /// The change.
         change: CacheChange,
     },
-    /// An engine says of itself that it is leaving.
+    /// An engine announced that it is leaving.
     EngineLeaving {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
-    /// An engine could not be reached for this long.
+    /// An engine did not answer a poll.
     EngineSilent {
-        /// Which.
+        /// The engine.
         engine: EngineId,
-        /// Since its last answer.
+        /// Time since its last answer.
         silent_for: Duration,
     },
-    /// An operator asks for something.
+    /// An operator sent a request.
     Operator {
-        /// Matches the reply.
+        /// Identifies the request in its reply.
         request: RequestId,
-        /// What.
+        /// The request.
         question: OperatorRequest,
     },
-    /// This node was told to leave in order (SIGTERM).
+    /// The process was asked to shut down gracefully (SIGTERM).
     Drain,
-    /// Time passed; sent every [`crate::core::TICK_INTERVAL`].
+    /// Time passed. Sent every [`crate::core::TICK_INTERVAL`].
     Tick,
 }
 
-/// What an operator can ask of a node.
+/// A request by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
     /// Change a resource.
     Change(ControlBody),
     /// Read one resource.
     Get {
-        /// Kind.
+        /// Kind of the resource.
         kind: Kind,
-        /// Name.
+        /// Name of the resource.
         name: ResourceName,
     },
-    /// Read all of a kind.
+    /// Read all resources of a kind.
     List {
-        /// Kind.
+        /// The kind.
         kind: Kind,
     },
-    /// Receive every change after a revision, until unwatched.
+    /// Watch all changes after a revision, until [`OperatorRequest::Unwatch`].
     Watch {
-        /// Kind, or all kinds.
+        /// The kind to watch; all kinds if `None`.
         kind: Option<Kind>,
-        /// Last revision seen.
+        /// The last revision known to the watcher.
         after: Offset,
     },
-    /// Stop a watch, named by its request id.
+    /// Stop a watch.
     Unwatch {
-        /// The watch's request id.
+        /// Id of the request that opened the watch.
         watch: RequestId,
     },
-    /// What this node knows of nodes.
+    /// List the members of the fleet as known to this node.
     Nodes,
-    /// What this node knows of engines.
+    /// List the engines as known to this node.
     Engines,
-    /// The runs of the partitions that this node owns.
+    /// List the runs of the partitions that this node owns.
     Runs,
-    /// A run as its owner sees it; answered only by the owner.
+    /// Read a run; only its owner can answer.
     Run {
-        /// Which.
+        /// The run.
         run: RunId,
     },
 }
--- a/crates/node-core/src/lib.rs
+++ b/crates/node-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! One node as a deterministic state machine: control, membership, execution and placement composed.
+//! A node as a deterministic state machine, composed of control, membership, execution and placement.
 //!
 //! The driver in `elderworks-node` turns sockets, timers and HTTP streams into [`Event`]s and
-//! carries out [`Effect`]s; the simulator does the same on a virtual clock. No decision is made
-//! outside this crate and the ones that it composes.
+//! executes the resulting [`Effect`]s; the simulator does the same on a virtual clock. Drivers make no
+//! decisions of their own.
 
 mod assignment;
 mod attempt_reports;
--- a/crates/node-core/src/loading.rs
+++ b/crates/node-core/src/loading.rs
@@ -1,4 +1,4 @@
-//! Beginning to follow streams: from the latest snapshot where there is one.
+//! Start of replay of the control stream and of partition streams, from the latest snapshot if any.
 
 use std::time::Duration;
 
@@ -15,13 +15,15 @@
 use crate::snapshot_search::{SearchStep, SnapshotSearch};
 use crate::streams::control_stream;
 
-/// Pause before a read of a search is repeated after no answer.
+/// Delay before a read that got no answer is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The search for the control state's latest snapshot.
+/// Loading of the control state from its latest snapshot.
 pub(crate) struct ControlLoading {
     bootstrap: Bootstrap,
+    /// Offset of the current read.
     next_read: Offset,
+    /// Time at which to repeat the current read.
     retry_at: Option<Timestamp>,
 }
 
@@ -31,15 +33,15 @@
         Self {
             next_read: bootstrap.first_read(),
             bootstrap,
-            // The first event starts the first read.
+            // Due at once: the first event sends the first read.
             retry_at: Some(Timestamp(0)),
         }
     }
 }
 
 impl NodeCore {
-    /// The writer of this start's control records: until the log has given it its incarnation, the
-    /// nonce tells its records from those of earlier starts.
+    /// Returns the writer of control records. It uses the nonce as its incarnation, because the real one is
+    /// only known once the start record has been written.
     pub(crate) fn control_writer(&self) -> Writer {
         Writer {
             node: self.settings.node.clone(),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Sends the read that the control state's loading waits for, if one is due.
+    /// Repeats the current read of the control state if it is due.
     pub(crate) fn continue_control_loading(&mut self) {
         let Some(loading) = &mut self.control_loading else {
             return;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A read of the control stream ended; `false` if it was not for the loading.
+    /// Handles the result of a read of the control stream. Returns `false` if the state is loaded already.
     pub(crate) fn control_loading_read(&mut self, result: &Result<ReadRecords, NoAnswer>) -> bool {
         let Some(loading) = &mut self.control_loading else {
             return false;
@@ -81,12 +83,13 @@
         true
     }
 
+    /// Starts to follow the control stream and writes the start record of this node.
     fn control_loaded(&mut self, start: Offset) {
         self.control_loading = None;
         self.streams.control = control_stream(self.control_writer(), start, self.now);
         self.apply_services();
         self.tenant_limits_changed();
-        self.drive_control_stream(logstream::Event::Propose {
+        self.handle_control_stream_input(logstream::Event::Propose {
             epoch: Epoch(0),
             body: ControlBody::NodeStarted {
                 node: self.settings.node.clone(),
@@ -95,6 +98,7 @@
         });
     }
 
+    /// Reads a stream without waiting for new records.
     fn read_now(&mut self, stream: StreamName, from: Offset) {
         self.agenda.effect(Effect::Read {
             stream,
@@ -103,15 +107,15 @@
         });
     }
 
-    /// Begins the search for a partition's latest snapshot.
-    pub(crate) fn begin_search(&mut self, partition: PartitionId) {
+    /// Starts the search for the latest snapshot of a partition.
+    pub(crate) fn start_search(&mut self, partition: PartitionId) {
         let search = SnapshotSearch::default();
         let from = search.next_read();
         self.ownership.searches.insert(partition, search);
         self.read_now(StreamName::Partition(partition), from);
     }
 
-    /// Repeats the read of a search that got no answer.
+    /// Repeats a read of a snapshot search that got no answer, if it is due.
     pub(crate) fn continue_search(&mut self, partition: PartitionId) {
         let Some(search) = self.ownership.searches.get_mut(&partition) else {
             return;
@@ -123,7 +127,7 @@
         }
     }
 
-    /// A read of a partition's stream ended; `false` if it was not for a search.
+    /// Handles the result of a read of a partition's stream. Returns `false` if no search is active.
     pub(crate) fn search_read(
         &mut self,
         partition: PartitionId,
@@ -140,7 +144,7 @@
             search.retry_at = Some(self.now + RETRY_PAUSE);
             return true;
         };
-        match search.take(read) {
+        match search.handle_read(read) {
             SearchStep::Read { from } => self.read_now(StreamName::Partition(partition), from),
             SearchStep::Done { start } => {
                 self.ownership.searches.remove(&partition);
@@ -150,7 +154,7 @@
         true
     }
 
-    /// Follows a partition's stream from an offset on, with an empty state machine.
+    /// Replays a partition's stream from `start` into an empty state machine.
     pub(crate) fn follow_partition(&mut self, partition: PartitionId, start: Offset) {
         let Some(incarnation) = self.incarnation else {
             return;
@@ -168,16 +172,17 @@
         let first_sequence = self.next_sequence(partition);
         let stream = LogStream::new(writer.clone(), first_sequence, start, self.now, settings);
         let machine = Partition::new(partition, writer, self.settings.execution.clone());
-        let Some(held) = self.ownership.held.get_mut(&partition) else {
+        let Some(followed) = self.ownership.followed.get_mut(&partition) else {
             return;
         };
-        let replaced = std::mem::replace(&mut held.machine, machine);
-        self.ownership.retired += replaced.counters().without_sizes();
-        held.start = start;
+        let replaced = std::mem::replace(&mut followed.machine, machine);
+        self.ownership.closed_counters += replaced.counters().without_sizes();
+        followed.start = start;
         self.streams.partitions.insert(partition, stream);
-        self.drive_partition_stream(partition, logstream::Event::Tick);
+        self.handle_partition_stream_input(partition, logstream::Event::Tick);
     }
 
+    /// Returns the sequence number of the next record that this node writes to a partition.
     fn next_sequence(&self, partition: PartitionId) -> Sequence {
         let followed = self.streams.partitions.get(&partition);
         followed
--- a/crates/node-core/src/operator.rs
+++ b/crates/node-core/src/operator.rs
@@ -1,4 +1,4 @@
-//! Requests of operators.
+//! Requests by operators.
 
 #[cfg(feature = "broken")]
 mod broken;
@@ -15,11 +15,11 @@
 use crate::effect::{Effect, OperatorReply};
 use crate::event::{OperatorRequest, RequestId};
 
-/// Most runs in one list.
+/// Maximum number of runs in a list.
 pub const MAX_LISTED_RUNS: usize = 1_000;
 
 impl NodeCore {
-    /// Answers an operator, at once or when the log has decided.
+    /// Handles a request by an operator. Changes are answered once their record has been read back.
     pub(crate) fn operator_request(&mut self, request: RequestId, question: OperatorRequest) {
         let reply = match question {
             OperatorRequest::Change(body) => {
@@ -57,11 +57,13 @@
         members.cloned().collect()
     }
 
-    /// The latest runs of the partitions that this node owns.
+    /// Returns the most recent runs of the owned partitions.
     fn own_runs(&self) -> Vec<RunSummary> {
-        let held = self.ownership.held.values();
-        let owned = held.filter(|held| held.epoch.is_some());
-        let mut runs: Vec<RunSummary> = owned.flat_map(|held| held.machine.summaries()).collect();
+        let followed = self.ownership.followed.values();
+        let owned = followed.filter(|followed| followed.epoch.is_some());
+        let mut runs: Vec<RunSummary> = owned
+            .flat_map(|followed| followed.machine.summaries())
+            .collect();
         runs.sort_by_key(|run| (Reverse(run.started), run.spec.id));
         runs.truncate(MAX_LISTED_RUNS);
         runs
@@ -69,9 +71,9 @@
 
     fn run_reply(&self, run: RunId) -> OperatorReply {
         let partition = run.partition(self.settings.partition_count);
-        let held = self.ownership.held.get(&partition);
-        match held.filter(|held| held.epoch.is_some()) {
-            Some(held) => OperatorReply::Run(held.machine.view(run).map(Box::new)),
+        let followed = self.ownership.followed.get(&partition);
+        match followed.filter(|followed| followed.epoch.is_some()) {
+            Some(followed) => OperatorReply::Run(followed.machine.view(run).map(Box::new)),
             None => OperatorReply::RunElsewhere(
                 self.owner_address(partition)
                     .filter(|owner| owner.node != self.settings.node),
@@ -79,11 +81,12 @@
         }
     }
 
+    /// Opens a watch and sends the changes since `after`.
     fn open_watch(&mut self, watch: RequestId, kind: Option<Kind>, after: Offset) {
-        let begun = self.watches.begin(&self.control, watch, kind, after);
-        let full = begun == Err(WatchError::TooMany);
+        let opened = self.watches.begin(&self.control, watch, kind, after);
+        let full = opened == Err(WatchError::TooMany);
         self.counters.watch_overflow += u64::from(full);
-        let (reply, missed) = match begun {
+        let (reply, missed) = match opened {
             Ok(missed) => (Ok(()), missed),
             Err(error) => (Err(error), Vec::new()),
         };
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Tells every watcher that is interested in a change.
-    pub(crate) fn tell_watchers(&mut self, change: &Change) {
+    /// Sends a change to all watches that match it.
+    pub(crate) fn notify_watchers(&mut self, change: &Change) {
         for watch in self.watches.interested(change) {
             let change = change.clone();
             self.agenda.effect(Effect::WatchEvent { watch, change });
--- a/crates/node-core/src/operator/broken.rs
+++ b/crates/node-core/src/operator/broken.rs
@@ -1,5 +1,5 @@
-//! What a node tells an operator wrongly on purpose, so that a checker can be shown to notice. Compiled
-//! only under the cargo feature `broken`.
+//! Deliberate faults in the replies to operators, which show that the checkers detect them. Compiled only
+//! with the feature `broken`.
 
 use elderworks_control as control;
 use elderworks_control::Change;
@@ -9,7 +9,7 @@
 use crate::event::RequestId;
 
 impl NodeCore {
-    /// Tells an operator that a change is accepted which may yet lose.
+    /// Reports a change as accepted before its record has been read back, so that it may still be rejected.
     pub(super) fn accept_unread(&mut self, request: RequestId, body: &control::ControlBody) {
         if !self.settings.execution.faults.accept_unread {
             return;
--- a/crates/node-core/src/ownership.rs
+++ b/crates/node-core/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Taking over partitions and letting them go, a bounded number at a time.
+//! Takeover and release of partitions, with a bounded number of concurrent takeovers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,56 +13,57 @@
 use crate::snapshot_search::SnapshotSearch;
 use crate::streams::Delivery;
 
-/// Partitions that one node loads or claims at the same time. Bounds the reads that the loss of
-/// many nodes at once puts on the log.
-pub const TAKEOVERS_AT_ONCE: usize = 16;
+/// Maximum number of partitions that a node loads or claims at the same time. Bounds the load on the log
+/// when many nodes fail at once.
+pub const MAX_CONCURRENT_TAKEOVERS: usize = 16;
 
-/// A claim that waited this long for the present owner's release goes ahead without it.
-pub const HANDOVER_LIMIT: Duration = Duration::from_secs(10);
+/// Time for which a claim waits for the release by the current owner before it is forced.
+pub const MAX_RELEASE_WAIT: Duration = Duration::from_secs(10);
 
-/// Where this node stands with one partition.
+/// State of a partition at this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Reading the stream.
+    /// The stream is being read.
     Loading,
-    /// Claim asked for, not yet in force.
+    /// A claim has been requested and is not in force yet.
     Claiming(Claiming),
-    /// In force.
+    /// This node owns the partition.
     Owned,
-    /// Release asked for, not yet in force.
+    /// A release has been requested and is not in force yet.
     Releasing,
-    /// Not owned any more; waiting for its last records to be read back.
+    /// The partition is no longer wanted, and the records of this node are still being read back.
     Closing,
 }
 
-/// A claim that is not yet in force.
+/// A claim that is not in force yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Claiming {
-    /// Since when the present owner's release has been waited for.
+    /// Start of the wait for the release by the current owner.
     since: Timestamp,
-    /// That owner's epoch.
+    /// Epoch of the current owner.
     epoch: Epoch,
-    /// Whether the release is not waited for any more.
+    /// Whether the claim no longer waits for the release.
     forced: bool,
 }
 
-/// One partition that this node follows.
-pub(crate) struct Held {
+/// A partition whose stream this node follows.
+pub(crate) struct FollowedPartition {
     pub(crate) machine: Partition,
     pub(crate) phase: Phase,
+    /// Epoch in which this node owns the partition.
     pub(crate) epoch: Option<Epoch>,
-    /// Where the replay of its stream began.
+    /// Offset at which the replay started.
     pub(crate) start: Offset,
-    /// When a record was last read, or an attempt or append last open.
+    /// Time at which a record was last read, or an attempt or append was last open.
     pub(crate) last_activity: Timestamp,
-    /// End of what had been read when activity was last looked for.
-    pub(crate) seen: Offset,
+    /// Next offset to read, as of the last check for activity.
+    pub(crate) next_offset_at_last_check: Offset,
 }
 
-impl Held {
-    /// Whether the state is that of the whole stream. A replay that began in the middle, at a
-    /// snapshot, is not if the snapshot turned out to be broken.
-    fn is_whole(&self) -> bool {
+impl FollowedPartition {
+    /// Returns whether the state covers the whole stream. After a replay from a snapshot, it does not if
+    /// the snapshot was invalid.
+    fn is_complete(&self) -> bool {
         self.start == Offset(0) || self.machine.is_loaded()
     }
 
@@ -71,52 +72,57 @@
     }
 }
 
-/// Partitions that this node follows, and what must outlive following them.
+/// The followed partitions, and state kept after they are closed.
 #[derive(Default)]
 pub(crate) struct Ownership {
-    pub(crate) held: BTreeMap<PartitionId, Held>,
-    /// Searches for the latest snapshot of partitions that are being loaded.
+    pub(crate) followed: BTreeMap<PartitionId, FollowedPartition>,
+    /// Active snapshot searches of partitions that are being loaded.
     pub(crate) searches: BTreeMap<PartitionId, SnapshotSearch>,
-    /// Next sequence on streams that this incarnation has written and stopped following.
+    /// Next sequence numbers on streams that this incarnation has written to and closed.
     pub(crate) sequences: BTreeMap<PartitionId, Sequence>,
-    /// What partitions counted that are no longer held.
-    pub(crate) retired: execution::Counters,
+    /// Totals of the closed partitions.
+    pub(crate) closed_counters: execution::Counters,
 }
 
 impl Ownership {
-    /// Whether this node owns the partition, be it while letting it go.
+    /// Returns whether this node owns the partition, also while it is being released.
     pub(crate) fn owns(&self, partition: PartitionId) -> bool {
-        self.held
+        self.followed
             .get(&partition)
-            .is_some_and(|held| held.epoch.is_some())
+            .is_some_and(|followed| followed.epoch.is_some())
     }
 
+    /// Returns the partitions that this node owns.
     pub(crate) fn owned(&self) -> impl Iterator<Item = PartitionId> {
-        self.held
+        self.followed
             .iter()
-            .filter(|(_, held)| held.epoch.is_some())
+            .filter(|(_, followed)| followed.epoch.is_some())
             .map(|(partition, _)| *partition)
     }
 
-    /// What all partitions counted since the start, and their sizes as of now.
+    /// Returns the counters of all partitions since the start, with current sizes.
     pub(crate) fn execution_counters(&self) -> execution::Counters {
-        let mut total = self.retired;
-        for held in self.held.values() {
-            total += held.machine.counters();
+        let mut total = self.closed_counters;
+        for followed in self.followed.values() {
+            total += followed.machine.counters();
         }
         total
     }
 
+    /// Returns the number of partitions being loaded or claimed.
     fn takeovers(&self) -> usize {
-        let taking_over = self.held.values().filter(|held| held.is_taking_over());
+        let taking_over = self
+            .followed
+            .values()
+            .filter(|followed| followed.is_taking_over());
         taking_over.count()
     }
 }
 
 impl NodeCore {
-    /// Brings what this node follows in line with what it should own.
+    /// Moves each partition one step towards its assignment.
     pub(crate) fn reconcile_ownership(&mut self) {
-        let partitions: Vec<PartitionId> = self.ownership.held.keys().copied().collect();
+        let partitions: Vec<PartitionId> = self.ownership.followed.keys().copied().collect();
         for partition in partitions {
             self.reconcile_partition(partition);
         }
@@ -132,46 +138,46 @@
             .partitions
             .get(&partition)
             .is_some_and(LogStream::caught_up);
-        let Some(held) = self.ownership.held.get_mut(&partition) else {
+        let Some(followed) = self.ownership.followed.get_mut(&partition) else {
             return;
         };
-        match held.phase {
+        match followed.phase {
             Phase::Loading | Phase::Claiming(_) if !wanted => {
-                held.phase = Phase::Closing;
-                // Withdraws the wish to claim.
+                followed.phase = Phase::Closing;
+                // Withdraws the claim.
                 self.agenda.partition(partition, execution::Event::Release);
             }
-            Phase::Loading if caught_up && held.is_whole() => self.claim(partition, None),
+            Phase::Loading if caught_up && followed.is_complete() => self.claim(partition, None),
             Phase::Loading if caught_up => self.follow_partition(partition, Offset(0)),
             Phase::Loading => self.continue_search(partition),
             Phase::Claiming(claiming) => self.claim(partition, Some(claiming)),
             Phase::Owned if !wanted => {
-                held.phase = Phase::Releasing;
+                followed.phase = Phase::Releasing;
                 self.agenda.partition(partition, execution::Event::Release);
             }
-            Phase::Closing if wanted && caught_up && held.is_whole() => {
+            Phase::Closing if wanted && caught_up && followed.is_complete() => {
                 self.claim(partition, None);
             }
-            Phase::Closing if wanted => held.phase = Phase::Loading,
+            Phase::Closing if wanted => followed.phase = Phase::Loading,
             Phase::Closing => self.close_partition(partition),
             Phase::Owned | Phase::Releasing => {}
         }
     }
 
-    /// Asks the partition to claim, without waiting for a release where none can be expected. Asked
-    /// again until the claim is in force: one that lost a race is forgotten by the partition.
+    /// Requests a claim, which is forced if no release can be expected. Repeated until the claim is in
+    /// force, because the partition drops a claim that was overtaken by another one.
     fn claim(&mut self, partition: PartitionId, earlier: Option<Claiming>) {
         let cannot_release = self.owner_cannot_release(partition);
-        let Some(held) = self.ownership.held.get_mut(&partition) else {
+        let Some(followed) = self.ownership.followed.get_mut(&partition) else {
             return;
         };
-        let (epoch, _) = held.machine.owner();
+        let (epoch, _) = followed.machine.owner();
         let waiting = earlier.filter(|earlier| earlier.epoch == epoch);
         let since = waiting.map_or(self.now, |waiting| waiting.since);
-        let forced = cannot_release || self.now.since(since) >= HANDOVER_LIMIT;
+        let forced = cannot_release || self.now.since(since) >= MAX_RELEASE_WAIT;
         let forced_before = waiting.is_some_and(|waiting| waiting.forced);
         self.counters.forced_claims += u64::from(forced && !forced_before);
-        held.phase = Phase::Claiming(Claiming {
+        followed.phase = Phase::Claiming(Claiming {
             since,
             epoch,
             forced,
@@ -180,12 +186,12 @@
             .partition(partition, execution::Event::Claim { forced });
     }
 
-    /// Whether the owner by the stream is an earlier start of this node, dead, or unknown.
+    /// Returns whether the current owner is an earlier start of this node, or is not a live member.
     fn owner_cannot_release(&self, partition: PartitionId) -> bool {
-        let Some(held) = self.ownership.held.get(&partition) else {
+        let Some(followed) = self.ownership.followed.get(&partition) else {
             return false;
         };
-        match held.machine.owner() {
+        match followed.machine.owner() {
             (_, Some(owner)) => owner.node == self.settings.node || !self.is_live(&owner.node),
             (_, None) => false,
         }
@@ -200,9 +206,9 @@
             .any(|member| member.update.node == *node && member.update.state != MemberState::Dead)
     }
 
-    /// Opens assigned partitions that are not followed yet, those that callers wait for first.
+    /// Opens assigned partitions up to the limit, those with waiting requests first.
     fn open_partitions(&mut self) {
-        let capacity = TAKEOVERS_AT_ONCE.saturating_sub(self.ownership.takeovers());
+        let capacity = MAX_CONCURRENT_TAKEOVERS.saturating_sub(self.ownership.takeovers());
         if capacity == 0 {
             return;
         }
@@ -210,7 +216,7 @@
         let missing: BTreeSet<(bool, PartitionId)> = self
             .assignment
             .assigned_to(&self.settings.node)
-            .filter(|partition| !self.ownership.held.contains_key(partition))
+            .filter(|partition| !self.ownership.followed.contains_key(partition))
             .map(|partition| (!awaited.contains(&partition), partition))
             .collect();
         for (_, partition) in missing.into_iter().take(capacity) {
@@ -218,6 +224,7 @@
         }
     }
 
+    /// Starts to load a partition.
     fn open_partition(&mut self, partition: PartitionId) {
         let Some(incarnation) = self.incarnation else {
             return;
@@ -226,19 +233,19 @@
             node: self.settings.node.clone(),
             incarnation,
         };
-        let held = Held {
+        let followed = FollowedPartition {
             machine: Partition::new(partition, writer, self.settings.execution.clone()),
             phase: Phase::Loading,
             epoch: None,
             start: Offset(0),
             last_activity: self.now,
-            seen: Offset(0),
+            next_offset_at_last_check: Offset(0),
         };
-        self.ownership.held.insert(partition, held);
-        self.begin_search(partition);
+        self.ownership.followed.insert(partition, followed);
+        self.start_search(partition);
     }
 
-    /// Stops following a partition once nothing of this node's is on its way to the stream.
+    /// Closes a partition once all appends of this node have been read back.
     fn close_partition(&mut self, partition: PartitionId) {
         if let Some(stream) = self.streams.partitions.get(&partition) {
             if stream.outstanding() > 0 {
@@ -249,13 +256,13 @@
         }
         self.streams.partitions.remove(&partition);
         self.ownership.searches.remove(&partition);
-        if let Some(held) = self.ownership.held.remove(&partition) {
-            self.ownership.retired += held.machine.counters().without_sizes();
+        if let Some(followed) = self.ownership.followed.remove(&partition) {
+            self.ownership.closed_counters += followed.machine.counters().without_sizes();
         }
     }
 
-    /// Gives one input to a partition's stream client and passes on what it delivers.
-    pub(crate) fn drive_partition_stream(
+    /// Passes an input to the client of a partition's stream and forwards its deliveries.
+    pub(crate) fn handle_partition_stream_input(
         &mut self,
         partition: PartitionId,
         input: logstream::Event<elderworks_protocol::journal::JournalBody>,
@@ -266,7 +273,7 @@
         for delivery in deliveries {
             let event = match delivery {
                 Delivery::Record { offset, record, .. } => {
-                    self.note_run_end(partition, &record.body);
+                    self.report_run_end(partition, &record.body);
                     execution::Event::RecordRead { offset, record }
                 }
                 Delivery::Batch { .. } => continue,
@@ -276,20 +283,20 @@
         }
     }
 
-    /// The partition began or ceased to be this node's, as its stream shows.
+    /// Handles a change of ownership that was read from the stream.
     pub(crate) fn ownership_changed(&mut self, partition: PartitionId, owned: Option<Epoch>) {
         let wanted = self.assignment.owner(partition) == Some(&self.settings.node);
-        let Some(held) = self.ownership.held.get_mut(&partition) else {
+        let Some(followed) = self.ownership.followed.get_mut(&partition) else {
             return;
         };
-        let owned_before = held.epoch.is_some();
-        held.epoch = owned;
-        let (seen, _) = held.machine.owner();
-        held.phase = match owned {
+        let owned_before = followed.epoch.is_some();
+        followed.epoch = owned;
+        let (owner_epoch, _) = followed.machine.owner();
+        followed.phase = match owned {
             Some(_) => Phase::Owned,
             None if wanted => Phase::Claiming(Claiming {
                 since: self.now,
-                epoch: seen,
+                epoch: owner_epoch,
                 forced: false,
             }),
             None => Phase::Closing,
@@ -298,12 +305,12 @@
             (false, true) => {
                 self.counters.partitions_gained += 1;
                 self.announce_tenant_limits(partition);
-                self.release_requests(partition);
+                self.serve_held_requests(partition);
             }
             (true, false) => {
                 self.counters.partitions_lost += 1;
-                self.forget_attempts(partition);
-                self.turn_away_for(partition);
+                self.detach_attempts(partition);
+                self.redirect_requests_for(partition);
             }
             _ => {}
         }
--- a/crates/node-core/src/pace.rs
+++ b/crates/node-core/src/pace.rs
@@ -1,31 +1,33 @@
-//! How often engines and the streams of partitions are polled: often while something is going on
-//! there, seldom at rest. Nothing safe rests on it: records are judged by their place on the stream.
+//! Polling intervals of engines and of partition streams: short while in use, long while idle.
+//!
+//! Correctness does not depend on them, since records are ordered by their position on the stream.
 
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-/// An engine or stream counts as in use for this long after its last use.
-pub const REST_AFTER: Duration = Duration::from_secs(5);
+/// Time without use after which an engine or a stream counts as idle.
+pub const IDLE_AFTER: Duration = Duration::from_secs(5);
 
-/// Time between reads at the end of the stream of a partition in use. An owner notices by them that
-/// it was fenced out; a successor notices the release.
+/// Interval between reads at the end of the stream of a partition in use. They show an owner that it has
+/// been fenced off, and the next owner that the partition has been released.
 pub const BUSY_PARTITION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same of a partition at rest. Its next append shows whether others wrote.
-pub const RESTING_PARTITION_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between reads at the end of the stream of an idle partition. Records of other writers are
+/// also noticed at the next append.
+pub const IDLE_PARTITION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How often an engine is polled.
+/// Polling pace of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnginePace {
-    /// This node uses the engine, or asks itself whether it still answers.
+    /// The engine is in use, or its last poll failed.
     Busy,
-    /// Often enough to notice within 3 s that the engine leaves or falls silent.
+    /// The engine is not in use. Still detects within 3 s that it leaves or stops answering.
     Resting,
 }
 
 impl EnginePace {
-    /// Time between two polls; each asks for the engine's state.
+    /// Returns the interval between two polls. Each poll fetches the engine's state.
     pub fn interval(self) -> Duration {
         match self {
             Self::Busy => Duration::from_millis(250),
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Polls between two questions after load, which placement uses for 15 s.
+    /// Returns the number of polls per fetch of the load report, which placement uses for up to 15 s.
     pub fn polls_per_load(self) -> u32 {
         match self {
             Self::Busy => 1,
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Polls between two questions after cache events.
+    /// Returns the number of polls per fetch of the cache events.
     pub fn polls_per_cache_events(self) -> u32 {
         match self {
             Self::Busy => 1,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Polls between two questions after holdings.
+    /// Returns the number of polls per fetch of the runs for which the engine holds memory.
     pub fn polls_per_holdings(self) -> u32 {
         match self {
             Self::Busy => 8,
@@ -58,21 +60,21 @@
     }
 }
 
-/// What this node has to do with an engine.
+/// Use of an engine by this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineUse {
-    /// When an attempt of this node was last open there.
+    /// Time at which an attempt of this node was last open there.
     pub last_attempt: Option<Timestamp>,
-    /// Whether the last poll failed, and the engine does not count as silent yet.
+    /// Whether the last poll failed and the engine does not count as silent yet.
     pub suspected: bool,
 }
 
 impl EngineUse {
-    /// How often to poll the engine.
+    /// Returns the pace at which to poll the engine.
     pub fn pace(&self, now: Timestamp) -> EnginePace {
         let used = self
             .last_attempt
-            .is_some_and(|last| now.since(last) < REST_AFTER);
+            .is_some_and(|last| now.since(last) < IDLE_AFTER);
         match used || self.suspected {
             true => EnginePace::Busy,
             false => EnginePace::Resting,
@@ -80,24 +82,24 @@
     }
 }
 
-/// What goes on with a partition that this node follows.
+/// Use of a partition that this node follows.
 #[derive(Clone, Copy, Debug)]
 pub struct PartitionUse {
-    /// Whether this node owns it and is to keep it; otherwise a hand-over is under way.
+    /// Whether this node owns the partition and keeps it. Otherwise it is being handed over.
     pub settled: bool,
-    /// Whether an attempt is open or an append is not read back.
+    /// Whether an attempt is open or an append has not been read back.
     pub working: bool,
-    /// When a record was last read, or an attempt or append last open.
+    /// Time at which a record was last read, or an attempt or append was last open.
     pub last_activity: Timestamp,
 }
 
 impl PartitionUse {
-    /// Time between reads at the end of the partition's stream.
+    /// Returns the interval between reads at the end of the partition's stream.
     pub fn poll_interval(&self, now: Timestamp) -> Duration {
-        let recent = now.since(self.last_activity) < REST_AFTER;
+        let recent = now.since(self.last_activity) < IDLE_AFTER;
         match !self.settled || self.working || recent {
             true => BUSY_PARTITION_INTERVAL,
-            false => RESTING_PARTITION_INTERVAL,
+            false => IDLE_PARTITION_INTERVAL,
         }
     }
 }
--- a/crates/node-core/src/partitions.rs
+++ b/crates/node-core/src/partitions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what partitions and placement decide.
+//! Executes the effects of partitions and of placement.
 
 use elderworks_execution as execution;
 use elderworks_logstream as logstream;
@@ -10,20 +10,27 @@
 use crate::engines::EngineChange;
 
 impl NodeCore {
-    /// Gives one event to a partition and carries out its effects.
-    pub(crate) fn drive_partition(&mut self, partition: PartitionId, event: execution::Event) {
-        let Some(held) = self.ownership.held.get_mut(&partition) else {
+    /// Passes an event to a partition and executes its effects.
+    pub(crate) fn handle_partition_event(
+        &mut self,
+        partition: PartitionId,
+        event: execution::Event,
+    ) {
+        let Some(followed) = self.ownership.followed.get_mut(&partition) else {
             return;
         };
-        for effect in held.machine.handle(self.now, event) {
-            self.carry_out_partition(partition, effect);
+        for effect in followed.machine.handle(self.now, event) {
+            self.execute_partition_effect(partition, effect);
         }
     }
 
-    fn carry_out_partition(&mut self, partition: PartitionId, effect: execution::Effect) {
+    fn execute_partition_effect(&mut self, partition: PartitionId, effect: execution::Effect) {
         match effect {
             execution::Effect::Append { epoch, body } => {
-                self.drive_partition_stream(partition, logstream::Event::Propose { epoch, body });
+                self.handle_partition_stream_input(
+                    partition,
+                    logstream::Event::Propose { epoch, body },
+                );
             }
             execution::Effect::Send {
                 connection,
@@ -89,6 +96,7 @@
         }
     }
 
+    /// Releases a run's memory on an engine, or reports the engine as gone if no service lists it.
     fn release_memory(&mut self, partition: PartitionId, run: RunId, engine: EngineId) {
         match self.engines.url(&engine) {
             Some(url) => {
@@ -102,14 +110,14 @@
         }
     }
 
-    /// Gives one event to placement and carries out its effects.
-    pub(crate) fn drive_placement(&mut self, event: placement::Event) {
+    /// Passes an event to placement and executes its effects.
+    pub(crate) fn handle_placement_event(&mut self, event: placement::Event) {
         for effect in self.placement.handle(self.now, event) {
-            self.carry_out_placement(effect);
+            self.execute_placement_effect(effect);
         }
     }
 
-    fn carry_out_placement(&mut self, effect: placement::Effect) {
+    fn execute_placement_effect(&mut self, effect: placement::Effect) {
         match effect {
             placement::Effect::Dispatch {
                 ticket,
@@ -152,7 +160,7 @@
         }
     }
 
-    /// Passes on what a change of the engines leads to.
+    /// Applies the consequences of a change of the engines.
     pub(crate) fn apply_engine_changes(&mut self, changes: Vec<EngineChange>) {
         for change in changes {
             match change {
@@ -163,6 +171,7 @@
         }
     }
 
+    /// Notifies all owned partitions that an engine has lost its memory.
     fn engine_gone(&mut self, engine: &EngineId) {
         let owned: Vec<PartitionId> = self.ownership.owned().collect();
         for partition in owned {
@@ -172,15 +181,15 @@
         }
     }
 
-    /// An engine acknowledged a release.
+    /// Notifies the partition of a run that an engine has released the run's memory.
     pub(crate) fn memory_released(&mut self, run: RunId, engine: EngineId) {
         let partition = run.partition(self.settings.partition_count);
         self.agenda
             .partition(partition, execution::Event::MemoryReleased { run, engine });
     }
 
-    /// Frees what an engine holds for runs that have ended, as far as this node owns them.
-    pub(crate) fn compare_holdings(&mut self, engine: &EngineId, runs: Vec<RunId>) {
+    /// Releases the memory that an engine holds for ended runs of owned partitions.
+    pub(crate) fn release_leftover_memory(&mut self, engine: &EngineId, runs: Vec<RunId>) {
         if self.settings.execution.faults.release_not_retried() {
             return;
         }
@@ -199,17 +208,19 @@
         }
     }
 
+    /// Returns whether the run belongs to an owned partition and is not live.
     fn is_leftover(&self, run: RunId) -> bool {
         let partition = run.partition(self.settings.partition_count);
         if !self.ownership.owns(partition) {
             return false;
         }
-        let held = self.ownership.held.get(&partition);
-        held.is_some_and(|held| !held.machine.is_live(run))
+        let followed = self.ownership.followed.get(&partition);
+        followed.is_some_and(|followed| !followed.machine.is_live(run))
     }
 
+    /// Returns the program of a run.
     pub(crate) fn program_of(&self, partition: PartitionId, run: RunId) -> Option<ResourceName> {
-        let held = self.ownership.held.get(&partition)?;
-        held.machine.program(run).cloned()
+        let followed = self.ownership.followed.get(&partition)?;
+        followed.machine.program(run).cloned()
     }
 }
--- a/crates/node-core/src/peers.rs
+++ b/crates/node-core/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: budget allotments and the relay of control records.
+//! Messages between nodes: allotments of tenant budgets, and relayed control records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::event::Connection;
 
 impl NodeCore {
-    /// A peer's message, on the connection it opened or on the one that this node opened to it.
+    /// Handles a message from a peer. `connection` is set if the peer opened the connection.
     pub(crate) fn peer_message(
         &mut self,
         node: &NodeId,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A partition of this node wants part of a tenant's budget.
+    /// Requests a part of a tenant's budget for a partition of this node from the holder of the budget.
     pub(crate) fn request_allotment(
         &mut self,
         partition: PartitionId,
@@ -103,7 +103,7 @@
         );
     }
 
-    /// The holder of a tenant's budget answers a partition, here or elsewhere.
+    /// Sends a part of a tenant's budget to the partition that requested it.
     pub(crate) fn grant_allotment(
         &mut self,
         tenant: TenantId,
@@ -131,7 +131,8 @@
         self.send_to_owner(partition, message);
     }
 
-    /// Sends to the wanted owner of a partition; lost messages are asked for again by execution.
+    /// Sends a message to the assigned owner of a partition. Execution repeats requests whose messages
+    /// are lost.
     fn send_to_owner(&mut self, partition: PartitionId, message: PeerMessage) {
         let owner = self
             .owner_address(partition)
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Tells a partition gained just now the limits of the tenants whose budgets it holds.
+    /// Sends a newly owned partition the limits of the tenants whose budgets it holds.
     pub(crate) fn announce_tenant_limits(&mut self, partition: PartitionId) {
         for (tenant, limit) in &self.tenant_limits {
             if tenant_holder(tenant, self.settings.partition_count) == partition {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Tells the holders of tenants' budgets which limits changed.
+    /// Sends changed tenant limits to the partitions that hold the budgets.
     pub(crate) fn tenant_limits_changed(&mut self) {
         let limits: BTreeMap<TenantId, Credits> = self
             .control
@@ -172,6 +173,7 @@
         }
     }
 
+    /// Sends a tenant limit to the partition that holds the budget, if this node owns it.
     fn announce_tenant_limit(&mut self, tenant: TenantId, limit: Option<Credits>) {
         let holder = tenant_holder(&tenant, self.settings.partition_count);
         if self.ownership.owns(holder) {
--- a/crates/node-core/src/services.rs
+++ b/crates/node-core/src/services.rs
@@ -1,4 +1,4 @@
-//! What resources say about the calls of this node: terms, limits and engines.
+//! Engines and call terms derived from the resources of the control state.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
     CallRequest, Credits, EngineId, ModelName, Refusal, RefusalReason, ResourceName,
 };
 
-/// One engine with the models it may serve, gathered over all services that list it.
+/// An engine, merged from all services that list it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownEngine {
-    /// Its endpoint.
+    /// Endpoint of the engine.
     pub endpoint: EngineEndpoint,
-    /// Models it may serve.
+    /// Models of the services that list it.
     pub models: Vec<ModelName>,
 }
 
-/// Every engine that some service lists.
+/// Returns all engines that some service lists.
 pub fn known_engines(control: &Control) -> BTreeMap<EngineId, KnownEngine> {
     let mut engines = BTreeMap::new();
     for (endpoint, model) in control.engines() {
@@ -35,8 +35,12 @@
     engines
 }
 
-/// Prices and limits of a call of a run of `program`; the refusal where no service offers what it
-/// asks for, or the program may not use that service. With no program known, every service counts.
+/// Returns the prices and limits of a call by a run of `program`. If the program is unknown, every service
+/// is permitted.
+///
+/// # Errors
+///
+/// Returns a refusal if no service offers the requested model or tool, or if the program may not use it.
 pub fn call_terms(
     control: &Control,
     program: Option<&ResourceName>,
--- a/crates/node-core/src/sidecars.rs
+++ b/crates/node-core/src/sidecars.rs
@@ -1,4 +1,4 @@
-//! Requests of sidecars: answered here, held back during a takeover, or pointed elsewhere.
+//! Requests by sidecars: served here, held back during a takeover, or redirected to the owner.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,47 +13,49 @@
 use crate::event::Connection;
 use crate::services::call_terms;
 
-/// A request is held back at most this long while its partition is being taken over. Longer than a
-/// starting node waits for its seeds, so that what comes meanwhile is not turned away just before.
-pub const HOLD_LIMIT: Duration = Duration::from_secs(8);
+/// Maximum time for which a request is held back while its partition is being taken over. Exceeds the time
+/// that a starting node waits for its seeds, so that requests received in that time can be served.
+pub const MAX_HOLD_TIME: Duration = Duration::from_secs(8);
 
-/// Requests held back at the same time; further ones are pointed elsewhere.
+/// Maximum number of requests held back; further ones are redirected.
 pub const MAX_HELD_REQUESTS: usize = 4096;
 
-/// Who speaks on a connection.
+/// The remote side of a connection, as announced by its hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Speaker {
+enum Remote {
     Sidecar,
     Peer(NodeId),
 }
 
+/// A request that waits for its partition.
 #[derive(Debug)]
 struct HeldRequest {
     partition: PartitionId,
     connection: Connection,
     message: SidecarMessage,
+    /// Time at which it is redirected if it is still waiting.
     until: Timestamp,
 }
 
-/// Connections and the requests that wait for a partition.
+/// Open connections, and the requests that wait for a partition.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
-    speakers: BTreeMap<Connection, Speaker>,
-    /// In order of arrival, so that the first to expire stands first.
+    remotes: BTreeMap<Connection, Remote>,
+    /// In order of arrival and therefore of expiry.
     held: VecDeque<HeldRequest>,
 }
 
 impl Requests {
-    /// Partitions for which some request waits.
+    /// Returns the partitions for which requests wait.
     pub(crate) fn awaited_partitions(&self) -> BTreeSet<PartitionId> {
         self.held.iter().map(|request| request.partition).collect()
     }
 
-    /// Connections opened by sidecars.
+    /// Returns the connections opened by sidecars.
     pub(crate) fn sidecars(&self) -> impl Iterator<Item = Connection> {
-        self.speakers
+        self.remotes
             .iter()
-            .filter(|(_, speaker)| **speaker == Speaker::Sidecar)
+            .filter(|(_, remote)| **remote == Remote::Sidecar)
             .map(|(connection, _)| *connection)
     }
 
@@ -83,7 +85,7 @@
     }
 }
 
-/// The run that a request is about, and the call if it makes one.
+/// Returns the run that a request refers to, and the number of the call if it submits one.
 fn subject(message: &SidecarMessage) -> Option<(RunId, Option<CallNumber>)> {
     match message {
         SidecarMessage::Locate { .. } => None,
@@ -97,34 +99,34 @@
 }
 
 impl NodeCore {
-    /// A message came in on a connection that the other side opened.
+    /// Handles a message on a connection that the remote side opened.
     pub(crate) fn received(&mut self, connection: Connection, message: ToNode) {
-        let speaker = self.requests.speakers.get(&connection).cloned();
-        match (message, speaker) {
+        let remote = self.requests.remotes.get(&connection).cloned();
+        match (message, remote) {
             (ToNode::Hello(hello), None) => {
-                let speaker = match hello {
-                    Hello::Sidecar { .. } => Speaker::Sidecar,
-                    Hello::Peer { node } => Speaker::Peer(node),
+                let remote = match hello {
+                    Hello::Sidecar { .. } => Remote::Sidecar,
+                    Hello::Peer { node } => Remote::Peer(node),
                 };
-                self.requests.speakers.insert(connection, speaker);
+                self.requests.remotes.insert(connection, remote);
                 if self.draining() {
                     self.send(connection, NodeMessage::Draining);
                 }
             }
-            (ToNode::Sidecar(message), Some(Speaker::Sidecar)) => {
+            (ToNode::Sidecar(message), Some(Remote::Sidecar)) => {
                 self.counters.sidecar_requests += 1;
                 self.sidecar_request(connection, message);
             }
-            (ToNode::Peer(message), Some(Speaker::Peer(node))) => {
+            (ToNode::Peer(message), Some(Remote::Peer(node))) => {
                 self.peer_message(&node, Some(connection), message);
             }
             _ => self.counters.unintroduced_messages += 1,
         }
     }
 
-    /// The other side closed its connection.
+    /// Removes a closed connection and its requests.
     pub(crate) fn connection_closed(&mut self, connection: Connection) {
-        self.requests.speakers.remove(&connection);
+        self.requests.remotes.remove(&connection);
         self.requests
             .held
             .retain(|request| request.connection != connection);
@@ -143,16 +145,16 @@
         let partition = run.partition(self.settings.partition_count);
         let owned = self.ownership.owns(partition);
         if owned && self.is_behind(partition) {
-            // What it would be answered from may be out of date.
+            // The state may be outdated.
             self.hold(partition, connection, message);
         } else if owned {
             self.serve(partition, connection, message);
         } else if matches!(message, SidecarMessage::Acknowledge { .. }) {
-            // The chunks it would free are not here.
+            // The chunks that it would release are not stored on this node.
         } else if self.should_hold(partition) {
             self.hold(partition, connection, message);
         } else {
-            self.point_elsewhere(connection, run, number);
+            self.redirect(connection, run, number);
         }
     }
 
@@ -168,7 +170,7 @@
         self.send(connection, located);
     }
 
-    /// Whether this node is about to own the partition, or does not know yet who should.
+    /// Returns whether requests wait because this node should own the partition or its owner is unknown.
     fn should_hold(&self, partition: PartitionId) -> bool {
         if self.draining() {
             return false;
@@ -177,10 +179,11 @@
         is_own || !self.assignment.is_known(partition)
     }
 
+    /// Holds a request back, or redirects it if too many are held back.
     fn hold(&mut self, partition: PartitionId, connection: Connection, message: SidecarMessage) {
         if self.requests.held.len() >= MAX_HELD_REQUESTS {
             self.counters.held_overflow += 1;
-            self.turn_away(connection, &message);
+            self.redirect_request(connection, &message);
             return;
         }
         self.counters.requests_held += 1;
@@ -188,56 +191,57 @@
             partition,
             connection,
             message,
-            until: self.now + HOLD_LIMIT,
+            until: self.now + MAX_HOLD_TIME,
         });
     }
 
-    /// Serves what was held back for a partition that this node owns now.
-    pub(crate) fn release_requests(&mut self, partition: PartitionId) {
+    /// Serves the requests held back for a partition that this node now owns.
+    pub(crate) fn serve_held_requests(&mut self, partition: PartitionId) {
         for request in self.requests.take_for(partition) {
             self.serve(partition, request.connection, request.message);
         }
     }
 
-    /// Serves what was held back until the partition's stream was read to its end.
-    pub(crate) fn release_if_caught_up(&mut self, partition: PartitionId) {
+    /// Serves the requests held back for an owned partition once its stream has been read to its end.
+    pub(crate) fn serve_held_if_caught_up(&mut self, partition: PartitionId) {
         let waiting = self.requests.holds_for(partition);
         if waiting && self.ownership.owns(partition) && !self.is_behind(partition) {
-            self.release_requests(partition);
+            self.serve_held_requests(partition);
         }
     }
 
-    /// Turns away what was held back for a partition that another node is to own.
-    pub(crate) fn turn_away_for(&mut self, partition: PartitionId) {
+    /// Redirects the requests held back for a partition unless this node should own it.
+    pub(crate) fn redirect_requests_for(&mut self, partition: PartitionId) {
         if self.should_hold(partition) {
             return;
         }
         for request in self.requests.take_for(partition) {
-            self.turn_away(request.connection, &request.message);
+            self.redirect_request(request.connection, &request.message);
         }
     }
 
-    /// Turns away what has been held back for too long.
+    /// Redirects the requests that have been held back for [`MAX_HOLD_TIME`].
     pub(crate) fn expire_requests(&mut self) {
         for request in self.requests.take_expired(self.now) {
-            self.turn_away(request.connection, &request.message);
+            self.redirect_request(request.connection, &request.message);
         }
     }
 
-    /// Turns away everything that is held back: this node will own nothing more.
-    pub(crate) fn turn_away_held(&mut self) {
+    /// Redirects all requests held back, because a draining node takes over no more partitions.
+    pub(crate) fn redirect_held_requests(&mut self) {
         for request in std::mem::take(&mut self.requests.held) {
-            self.turn_away(request.connection, &request.message);
+            self.redirect_request(request.connection, &request.message);
         }
     }
 
-    fn turn_away(&mut self, connection: Connection, message: &SidecarMessage) {
+    fn redirect_request(&mut self, connection: Connection, message: &SidecarMessage) {
         if let Some((run, number)) = subject(message) {
-            self.point_elsewhere(connection, run, number);
+            self.redirect(connection, run, number);
         }
     }
 
-    fn point_elsewhere(&mut self, connection: Connection, run: RunId, number: Option<CallNumber>) {
+    /// Redirects a sidecar to the assigned owner of a run.
+    fn redirect(&mut self, connection: Connection, run: RunId, number: Option<CallNumber>) {
         self.counters.not_owner += 1;
         let partition = run.partition(self.settings.partition_count);
         let owner = self
@@ -246,7 +250,7 @@
         self.send(connection, NodeMessage::NotOwner { run, number, owner });
     }
 
-    /// A run may spend no more than its program allows, whatever its caller asks for.
+    /// Limits the budget of a run to that of its program.
     fn within_program(&self, mut spec: RunSpec) -> RunSpec {
         if let Some(program) = self.control.program(&spec.program) {
             spec.budget = spec.budget.min(program.run_budget);
@@ -254,6 +258,7 @@
         spec
     }
 
+    /// Passes a request to its partition.
     fn serve(&mut self, partition: PartitionId, connection: Connection, message: SidecarMessage) {
         let event = match message {
             SidecarMessage::Locate { .. } => return,
@@ -302,7 +307,8 @@
         self.agenda.partition(partition, event);
     }
 
-    /// Where the wanted owner of a partition takes connections, or a node of its cell that knows.
+    /// Returns the address of a partition's assigned owner, or of a representative of its cell if that is
+    /// another cell.
     pub(crate) fn owner_address(&self, partition: PartitionId) -> Option<NodeAddress> {
         if let Some(cell) = self.assignment.other_cell(partition) {
             return self.cell_address(cell);
@@ -330,6 +336,7 @@
         })
     }
 
+    /// Sends a message to a sidecar.
     pub(crate) fn send(&mut self, connection: Connection, message: NodeMessage) {
         self.agenda.effect(Effect::Send {
             connection,
--- a/crates/node-core/src/snapshot_search.rs
+++ b/crates/node-core/src/snapshot_search.rs
@@ -1,8 +1,7 @@
-//! Where to begin reading a partition's stream.
+//! Search for the snapshot at which the replay of a partition's stream starts.
 //!
-//! The stream is read backwards from its end in windows of bounded length until one confirms a
-//! snapshot; replay begins there. A snapshot that no later record confirms is passed over: an owner
-//! that had been fenced out may have written it.
+//! The stream is read backwards from its end in windows until one contains the confirmation of a snapshot.
+//! Unconfirmed snapshots are ignored, since they may have been written by an owner that had been fenced off.
 
 use elderworks_logstream::ReadRecords;
 use elderworks_protocol::decode;
@@ -10,43 +9,45 @@
 use elderworks_protocol::record::RecordBatch;
 use elderworks_types::{Offset, Timestamp};
 
-/// Offsets in one window. A shorter stream is replayed from its beginning.
+/// Number of offsets in one window. A stream of at most this length is replayed from its start.
 pub const WINDOW_OFFSETS: u64 = 512;
 
-/// What a search wants next.
+/// Next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SearchStep {
-    /// Read from this offset on, without waiting.
+    /// Read from this offset, without waiting for new records.
     Read { from: Offset },
-    /// Replay begins here.
+    /// Start the replay at this offset.
     Done { start: Offset },
 }
 
-/// The part of the stream being read: from `low` to before `high`.
+/// The offsets being searched: from `low` (inclusive) to `high` (exclusive).
 #[derive(Clone, Copy, Debug)]
 struct Window {
     low: Offset,
     high: Offset,
+    /// Next offset to read.
     next: Offset,
 }
 
-/// One search.
+/// State of a search.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotSearch {
     window: Option<Window>,
+    /// Offset of the latest confirmed snapshot.
     found: Option<Offset>,
-    /// When to repeat a read that got no answer.
+    /// Time at which to repeat a read that got no answer.
     pub(crate) retry_at: Option<Timestamp>,
 }
 
 impl SnapshotSearch {
-    /// The read to begin with, or to go on with after no answer.
+    /// Returns the offset of the current read, to be sent again if it gets no answer.
     pub(crate) fn next_read(&self) -> Offset {
         self.window.map_or(Offset(0), |window| window.next)
     }
 
-    /// Takes the answer to the read that was asked for last.
-    pub(crate) fn take(&mut self, read: &ReadRecords) -> SearchStep {
+    /// Handles the result of the current read.
+    pub(crate) fn handle_read(&mut self, read: &ReadRecords) -> SearchStep {
         let Some(mut window) = self.window else {
             return self.search_before(read.end);
         };
@@ -55,7 +56,7 @@
                 break;
             }
             window.next = offset.next();
-            self.note_confirmations(bytes);
+            self.record_confirmations(bytes);
         }
         if window.next < window.high && window.next < read.end && !read.records.is_empty() {
             self.window = Some(window);
@@ -67,6 +68,7 @@
         }
     }
 
+    /// Moves the window to the offsets before `high`.
     fn search_before(&mut self, high: Offset) -> SearchStep {
         if high.0 <= WINDOW_OFFSETS {
             return SearchStep::Done { start: Offset(0) };
@@ -80,7 +82,8 @@
         SearchStep::Read { from: low }
     }
 
-    fn note_confirmations(&mut self, bytes: &[u8]) {
+    /// Records the confirmations of snapshots in an encoded batch.
+    fn record_confirmations(&mut self, bytes: &[u8]) {
         let Ok(batch) = decode::<RecordBatch<JournalBody>>(bytes) else {
             return;
         };
--- a/crates/node-core/src/step.rs
+++ b/crates/node-core/src/step.rs
@@ -1,4 +1,4 @@
-//! Work that one event leads to inside the node, in order.
+//! Queue of the internal steps and effects that result from one event.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 
 use crate::effect::Effect;
 
-/// An input for one of the composed state machines.
+/// An event for one of the composed state machines.
 #[derive(Debug)]
 pub(crate) enum Step {
     Control(control::Event),
@@ -19,13 +19,14 @@
     Placement(placement::Event),
 }
 
-/// An attempt that is about to be sent to a back end.
+/// An effect that sends an attempt to a back end.
 #[derive(Debug)]
-pub(crate) struct Request {
+pub(crate) struct BackEndRequest {
     pub(crate) ticket: Ticket,
     pub(crate) effect: Effect,
 }
 
+/// Returns the attempt of an effect that sends one to a back end.
 fn request_ticket(effect: &Effect) -> Option<Ticket> {
     match effect {
         Effect::Generate(generate) => Some(generate.ticket),
@@ -34,10 +35,10 @@
     }
 }
 
-/// Steps still to be taken and effects already decided, both in order.
+/// Pending steps and decided effects, both in order.
 ///
-/// State machines answer each other through this queue instead of calling each other, so that no
-/// call nests and the order of effects depends on the events alone.
+/// The state machines send events to each other through this queue instead of calling each other. This
+/// avoids nested calls and makes the order of effects depend on the order of events only.
 #[derive(Debug, Default)]
 pub(crate) struct Agenda {
     steps: VecDeque<Step>,
@@ -65,12 +66,12 @@
         self.effects.push(effect);
     }
 
-    /// Takes out the requests to back ends that were decided so far, in order.
-    pub(crate) fn take_requests(&mut self) -> Vec<Request> {
+    /// Removes the requests to back ends from the effects and returns them in order.
+    pub(crate) fn take_requests(&mut self) -> Vec<BackEndRequest> {
         let mut requests = Vec::new();
         for effect in std::mem::take(&mut self.effects) {
             match request_ticket(&effect) {
-                Some(ticket) => requests.push(Request { ticket, effect }),
+                Some(ticket) => requests.push(BackEndRequest { ticket, effect }),
                 None => self.effects.push(effect),
             }
         }
--- a/crates/node-core/src/streams.rs
+++ b/crates/node-core/src/streams.rs
@@ -1,4 +1,4 @@
-//! Clients of the log's streams, and the tokens by which their appends are told apart.
+//! Clients of the log's streams, and the tokens that identify their appends.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::event::AppendToken;
 use crate::step::Agenda;
 
-/// A record delivered in the order of its stream, or news of the log.
+/// A delivery of a stream client: a record in stream order, an encoded batch, or the state of the log.
 #[derive(Debug)]
 pub(crate) enum Delivery<B> {
     Record {
@@ -27,7 +27,7 @@
     Reachable(bool),
 }
 
-/// Client of the control stream.
+/// Creates the client of the control stream.
 pub(crate) fn control_stream(
     writer: Writer,
     start: Offset,
@@ -40,7 +40,7 @@
     LogStream::new(writer, Sequence(1), start, now, settings)
 }
 
-/// Every stream that this node follows.
+/// Clients of all streams that this node follows.
 pub(crate) struct Streams {
     pub(crate) control: LogStream<ControlBody>,
     pub(crate) partitions: BTreeMap<PartitionId, LogStream<JournalBody>>,
@@ -56,11 +56,12 @@
         }
     }
 
-    /// Which stream an append was on, and its token there.
+    /// Removes an append and returns its stream and the token used by the client of that stream.
     pub(crate) fn append_ended(&mut self, token: AppendToken) -> Option<(StreamName, u64)> {
         self.appends.open.remove(&token)
     }
 
+    /// Passes an input to the client of the control stream and returns its deliveries.
     pub(crate) fn handle_control(
         &mut self,
         now: Timestamp,
@@ -68,9 +69,10 @@
         agenda: &mut Agenda,
     ) -> Vec<Delivery<ControlBody>> {
         let effects = self.control.handle(now, input);
-        self.appends.carry_out(StreamName::Control, effects, agenda)
+        self.appends.execute(StreamName::Control, effects, agenda)
     }
 
+    /// Passes an input to the client of a partition's stream and returns its deliveries.
     pub(crate) fn handle_partition(
         &mut self,
         now: Timestamp,
@@ -83,11 +85,11 @@
         };
         let effects = stream.handle(now, input);
         let name = StreamName::Partition(partition);
-        self.appends.carry_out(name, effects, agenda)
+        self.appends.execute(name, effects, agenda)
     }
 }
 
-/// Tokens of appends in flight. Each stream has at most a few.
+/// Appends in flight, identified by tokens that are unique across streams.
 #[derive(Default)]
 struct AppendTokens {
     next: AppendToken,
@@ -95,7 +97,8 @@
 }
 
 impl AppendTokens {
-    fn carry_out<B>(
+    /// Executes the effects of a stream client and returns its deliveries.
+    fn execute<B>(
         &mut self,
         stream: StreamName,
         effects: Vec<logstream::Effect<B>>,
--- a/crates/node-core/tests/node/configuration.rs
+++ b/crates/node-core/tests/node/configuration.rs
@@ -1,4 +1,4 @@
-//! A `Configuration` is in force on every node, and its deletion restores the defaults.
+//! A `Configuration` applies on every node, and its deletion restores the defaults.
 
 use std::time::Duration;
 
@@ -32,12 +32,12 @@
 
 fn world() -> World {
     let mut world = World::new(NODES);
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && (0..NODES).all(|node| !world.owned(node).is_empty())
     });
     world.apply(0, model_service());
     world.apply(0, program(&["model"], false));
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     world
 }
 
@@ -48,26 +48,26 @@
         expected: None,
     };
     let question = OperatorRequest::Change(body);
-    world.give(
+    world.handle(
         0,
         Event::Operator {
             request: 3,
             question,
         },
     );
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
 }
 
-/// The state of the engine at a node, after a silence of one second and an answer before it.
+/// Reports one second without an answer from the engine and returns its state at the node.
 fn state_after_a_second(world: &mut World, node: usize) -> EngineState {
     let engine = EngineId::new("engine-1");
     let silent = Event::EngineSilent {
         engine,
         silent_for: Duration::from_secs(1),
     };
-    world.give(node, silent);
+    world.handle(node, silent);
     let question = OperatorRequest::Engines;
-    world.give(
+    world.handle(
         node,
         Event::Operator {
             request: 2,
@@ -81,24 +81,24 @@
 }
 
 #[test]
-fn silence_limit_is_in_force_on_every_node() {
+fn silence_limit_applies_on_every_node() {
     let mut world = world();
     assert_eq!(state_after_a_second(&mut world, 1), EngineState::Serving);
 
     world.apply(0, configuration(&[("engine.silentAfter", "700ms")]));
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
 
     for node in 0..NODES {
         assert_eq!(state_after_a_second(&mut world, node), EngineState::Silent);
     }
 }
 
-/// Whether a call whose predecessor never comes is refused within a second.
+/// Returns whether a call whose predecessor is never submitted is refused within a second.
 fn gap_is_refused_within_a_second(world: &mut World, node: usize, run: RunId) -> bool {
-    world.say(node, start_run(run));
-    world.pass(Duration::from_secs(1));
-    world.say(node, model_call(run, 2));
-    world.pass(Duration::from_secs(1));
+    world.send(node, start_run(run));
+    world.advance(Duration::from_secs(1));
+    world.send(node, model_call(run, 2));
+    world.advance(Duration::from_secs(1));
     world.node(node).sent.iter().any(|(_, message)| {
         matches!(
             message,
@@ -112,21 +112,24 @@
 fn limits_of_execution_follow_the_configuration_and_its_deletion() {
     let mut world = world();
     for node in 0..NODES {
-        let partition = *world.owned(node).first().expect("it owns some");
+        let partition = *world.owned(node).first().expect("the node owns partitions");
         let first = run_in(partition);
         let others = (first.root..).map(RunId::root);
         let mut runs = others.filter(|run| run.partition(crate::world::PARTITIONS) == partition);
         let mut refused = |world: &mut World| {
-            let run = runs.next().expect("there are many");
+            let run = runs.next().expect("the partition has further runs");
             gap_is_refused_within_a_second(world, node, run)
         };
-        assert!(!refused(&mut world), "the default is longer");
+        assert!(
+            !refused(&mut world),
+            "the default wait is longer than a second"
+        );
 
         world.apply(0, configuration(&[("call.earlierCallWait", "200ms")]));
-        world.pass(Duration::from_secs(1));
-        assert!(refused(&mut world), "the configured wait is over");
+        world.advance(Duration::from_secs(1));
+        assert!(refused(&mut world), "the configured wait has expired");
 
         delete_configuration(&mut world);
-        assert!(!refused(&mut world), "the default is back");
+        assert!(!refused(&mut world), "the default wait applies again");
     }
 }
--- a/crates/node-core/tests/node/engines.rs
+++ b/crates/node-core/tests/node/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that leave, fall silent, or hold what nobody needs.
+//! Engines that leave, stop answering, or hold memory of ended runs.
 
 use std::time::Duration;
 
@@ -17,16 +17,16 @@
 
 fn world() -> World {
     let mut world = World::new(1);
-    world.until("it owns all", |world| world.settled());
+    world.run_until("the node owns all partitions", |world| world.settled());
     world.apply(0, model_service());
     world.apply(0, program(&["model"], false));
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     world
 }
 
 fn state(world: &mut World) -> EngineState {
     let question = OperatorRequest::Engines;
-    world.give(
+    world.handle(
         0,
         Event::Operator {
             request: 2,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_engine_leaves_by_list_by_word_and_by_silence_and_may_come_back() {
+fn an_engine_leaves_by_list_announcement_or_silence_and_can_return() {
     let listed = |leaving: bool| Event::MachineList {
         live: Vec::new(),
         leaving: Vec::new(),
@@ -65,7 +65,7 @@
         silent_for: Duration::from_secs(seconds),
     };
     let said = Event::EngineLeaving { engine: engine() };
-    // An event, a time that passes after it, and the state that must follow.
+    // An event, the seconds that pass after it, and the expected state.
     let cases = [
         (load(), 0, EngineState::Serving),
         (listed(true), 0, EngineState::Leaving),
@@ -80,8 +80,8 @@
     ];
     let mut world = world();
     for (step, (event, seconds, expected)) in cases.into_iter().enumerate() {
-        world.give(0, event);
-        world.pass(Duration::from_secs(seconds));
+        world.handle(0, event);
+        world.advance(Duration::from_secs(seconds));
         assert_eq!(state(&mut world), expected, "step {step}");
     }
 }
@@ -91,10 +91,10 @@
     let mut world = world();
     let live = RunId::root(1);
     let unknown = RunId::root(2);
-    world.say(0, start_run(live));
-    world.pass(Duration::from_secs(1));
+    world.send(0, start_run(live));
+    world.advance(Duration::from_secs(1));
     world.node(0).effects.clear();
-    world.give(
+    world.handle(
         0,
         Event::EngineHoldings {
             engine: engine(),
--- a/crates/node-core/tests/node/fixtures.rs
+++ b/crates/node-core/tests/node/fixtures.rs
@@ -1,4 +1,4 @@
-//! Resources, runs and calls of these tests.
+//! Resources, runs and calls used by the tests.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     resource("budget", Spec::Budget(spec))
 }
 
-/// A program that may call these services.
+/// Returns a program that may call the given services.
 pub fn program(services: &[&str], with_budget: bool) -> Resource {
     let spec = ProgramSpec {
         services: services.iter().map(ResourceName::new).collect(),
@@ -76,12 +76,12 @@
     resource("program", Spec::Program(spec))
 }
 
-/// A run of this partition.
+/// Returns the root run with the lowest number in a partition.
 pub fn run_in(partition: PartitionId) -> RunId {
     (1..)
         .map(RunId::root)
         .find(|run| run.partition(PARTITIONS) == partition)
-        .expect("every partition has runs")
+        .expect("every partition has a run")
 }
 
 pub fn start_run(run: RunId) -> SidecarMessage {
--- a/crates/node-core/tests/node/main.rs
+++ b/crates/node-core/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The composed node against a log in memory.
+//! Tests of composed nodes on an in-memory log.
 
 mod calls;
 mod configuration;
--- a/crates/node-core/tests/node/operators.rs
+++ b/crates/node-core/tests/node/operators.rs
@@ -1,4 +1,4 @@
-//! What operators may ask of a node beside resources.
+//! Requests by operators that do not concern resources.
 
 use elderworks_node_core::Event;
 use elderworks_node_core::effect::OperatorReply;
@@ -11,7 +11,7 @@
 
 fn listed_runs(world: &mut World, node: usize) -> Vec<(RunId, RunPhase)> {
     let question = OperatorRequest::Runs;
-    world.give(
+    world.handle(
         node,
         Event::Operator {
             request: 2,
@@ -30,16 +30,16 @@
 #[test]
 fn run_is_listed_by_its_owner_only() {
     let mut world = World::new(2);
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && (0..2).all(|node| !world.owned(node).is_empty())
     });
     world.apply(0, tool_service());
     world.apply(0, program(&["tool"], false));
-    world.pass(std::time::Duration::from_secs(1));
-    let partition = *world.owned(1).first().expect("it owns some");
+    world.advance(std::time::Duration::from_secs(1));
+    let partition = *world.owned(1).first().expect("the node owns partitions");
     let run = run_in(partition);
-    world.say(1, start_run(run));
-    world.until("the run is started", |world| {
+    world.send(1, start_run(run));
+    world.run_until("the run is started", |world| {
         let started = NodeMessage::RunStarted { run };
         let mut sent = world.node(1).sent.iter();
         sent.any(|(_, message)| *message == started)
--- a/crates/node-core/tests/node/ownership.rs
+++ b/crates/node-core/tests/node/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns which partition, through starts, stops and pauses.
+//! Ownership of partitions across starts, stops and pauses of nodes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,26 +15,26 @@
 }
 
 #[test]
-fn every_partition_finds_one_owner_among_any_number_of_nodes() {
+fn every_partition_gets_one_owner_for_any_number_of_nodes() {
     for nodes in 1..=4 {
         let mut world = World::new(nodes);
-        world.until("one owner each", |world| world.settled());
-        world.pass(Duration::from_secs(5));
+        world.run_until("every partition has one owner", |world| world.settled());
+        world.advance(Duration::from_secs(5));
         assert!(world.settled(), "{nodes} nodes: {:?}", world.owners());
     }
 }
 
 #[test]
-fn cells_share_the_partitions_and_point_to_each_other() {
+fn cells_share_the_partitions_and_redirect_to_each_other() {
     let mut world = World::with_cells(4, 2);
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && (0..4).all(|index| !world.owned(index).is_empty())
     });
-    let partition = *world.owned(1).first().expect("it owns some");
-    // Node 0 is of the other cell; it names some node of the right one.
+    let partition = *world.owned(1).first().expect("the node owns partitions");
+    // Node 0 is in the other cell and redirects to a representative of the assigned one.
     world.node(0).sent.clear();
-    world.say(0, SidecarMessage::Locate { partition });
-    let (_, located) = world.node(0).sent.pop().expect("an answer at once");
+    world.send(0, SidecarMessage::Locate { partition });
+    let (_, located) = world.node(0).sent.pop().expect("an immediate answer");
     let NodeMessage::Located { owner, .. } = located else {
         panic!("not located: {located:?}");
     };
@@ -43,11 +43,13 @@
 }
 
 #[test]
-fn a_joining_node_receives_its_share_by_release() {
+fn a_joining_node_receives_released_partitions() {
     let mut world = World::new(1);
-    world.until("the first owns all", |world| world.owned(0) == all());
+    world.run_until("the first node owns all partitions", |world| {
+        world.owned(0) == all()
+    });
     world.start(1);
-    world.until("both own some", |world| {
+    world.run_until("both nodes own partitions", |world| {
         world.settled() && !world.owned(1).is_empty()
     });
     assert_eq!(world.counters(1).forced_claims, 0);
@@ -56,47 +58,55 @@
 #[test]
 fn a_dead_nodes_partitions_are_taken_over() {
     let mut world = World::new(3);
-    world.until("one owner each", |world| world.settled());
+    world.run_until("every partition has one owner", |world| world.settled());
     world.kill(0);
-    world.until("the others own all", |world| world.settled());
+    world.run_until("the other nodes own all partitions", |world| {
+        world.settled()
+    });
     let forced = world.counters(1).forced_claims + world.counters(2).forced_claims;
     assert!(forced > 0);
 }
 
 #[test]
-fn a_restarted_node_takes_back_what_its_earlier_start_held() {
+fn a_restarted_node_reclaims_its_partitions() {
     let mut world = World::new(1);
-    world.until("it owns all", |world| world.owned(0) == all());
+    world.run_until("the node owns all partitions", |world| {
+        world.owned(0) == all()
+    });
     world.kill(0);
     world.start(0);
-    world.until("it owns all again", |world| world.owned(0) == all());
+    world.run_until("the node owns all partitions again", |world| {
+        world.owned(0) == all()
+    });
 }
 
 #[test]
-fn a_paused_owner_that_wakes_is_fenced_out() {
+fn a_resumed_owner_is_fenced_off() {
     let mut world = World::new(2);
     world.apply(0, program(&[], false));
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && !world.owned(0).is_empty()
     });
-    let partition = *world.owned(0).first().expect("it owns some");
+    let partition = *world.owned(0).first().expect("the node owns partitions");
     world.node(0).paused = true;
-    world.until("the other owns all", |world| world.owned(1) == all());
+    world.run_until("the other node owns all partitions", |world| {
+        world.owned(1) == all()
+    });
     world.node(0).sent.clear();
 
-    // Its records of now are void: a start that it tells a caller must be one that is kept. It may
-    // come to own the partition again and start the run then.
-    world.wake(0);
+    // Its records are void until it owns the partition again, so that it may only report a start that is
+    // recorded in a valid epoch.
+    world.resume(0);
     let run = run_in(partition);
-    world.say(0, start_run(run));
+    world.send(0, start_run(run));
     let sent_at_once = std::mem::take(&mut world.node(0).sent);
     assert!(sent_at_once.is_empty(), "{sent_at_once:?}");
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     let started = NodeMessage::RunStarted { run };
-    let told = world.node(0).sent.contains(&(SIDECAR, started));
-    world.until("one owner each", |world| world.settled());
+    let reported = world.node(0).sent.contains(&(SIDECAR, started));
+    world.run_until("every partition has one owner", |world| world.settled());
     let owner = usize::from(!world.owned(0).contains(&partition));
-    assert_eq!(has_run(&mut world, owner, run), told);
+    assert_eq!(has_run(&mut world, owner, run), reported);
 }
 
 fn has_run(world: &mut World, index: usize, run: RunId) -> bool {
@@ -106,7 +116,7 @@
         tenant: tenant(),
         run,
     };
-    world.say(index, query);
+    world.send(index, query);
     match world.node(index).sent.pop() {
         Some((_, NodeMessage::RunView { view, .. })) => view.is_some(),
         other => panic!("the owner does not answer: {other:?}"),
@@ -114,43 +124,45 @@
 }
 
 #[test]
-fn a_drained_node_releases_everything_and_may_exit() {
+fn a_drained_node_has_released_all_partitions() {
     let mut world = World::new(2);
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && !world.owned(0).is_empty()
     });
-    world.give(0, Event::Drain);
+    world.handle(0, Event::Drain);
     assert!(!world.node(0).ready);
-    world.until("it has drained", |world| world.node(0).drained);
+    world.run_until("the node has drained", |world| world.node(0).drained);
     assert!(world.owned(0).is_empty());
-    world.until("the other owns all", |world| world.owned(1) == all());
+    world.run_until("the other node owns all partitions", |world| {
+        world.owned(1) == all()
+    });
     assert_eq!(world.counters(1).forced_claims, 0);
 }
 
 #[test]
-fn a_request_that_comes_during_a_takeover_waits_for_it() {
+fn a_request_during_a_takeover_is_held_back() {
     let mut world = World::new(1);
     world.apply(0, program(&[], false));
-    // Nothing is owned yet: the node has only just begun.
+    // The node has just started and owns no partitions yet.
     let run = run_in(PartitionId(3));
-    world.say(0, start_run(run));
-    world.until("the run is started", |world| {
+    world.send(0, start_run(run));
+    world.run_until("the run is started", |world| {
         let started = NodeMessage::RunStarted { run };
         let refused = |message: &NodeMessage| matches!(message, NodeMessage::RunRefused { .. });
         let sent = &world.node(0).sent;
-        // The program was put before the log had this start, so it may not be known yet.
+        // The program may not be known yet, because it was applied before the node had joined.
         sent.contains(&(SIDECAR, started)) || sent.iter().any(|(_, message)| refused(message))
     });
     assert_eq!(world.counters(0).requests_held, 1);
 }
 
 #[test]
-fn a_request_at_the_wrong_node_is_pointed_to_the_owner() {
+fn a_request_at_the_wrong_node_is_redirected_to_the_owner() {
     let mut world = World::new(2);
-    world.until("one owner each", |world| {
+    world.run_until("every partition has one owner", |world| {
         world.settled() && !world.owned(1).is_empty()
     });
-    let partition = *world.owned(1).first().expect("it owns some");
+    let partition = *world.owned(1).first().expect("the node owns partitions");
     let run = run_in(partition);
     world.node(0).sent.clear();
     let messages = [
@@ -162,8 +174,8 @@
         SidecarMessage::Locate { partition },
     ];
     for message in messages {
-        world.say(0, message.clone());
-        let (_, answer) = world.node(0).sent.pop().expect("an answer at once");
+        world.send(0, message.clone());
+        let (_, answer) = world.node(0).sent.pop().expect("an immediate answer");
         let owner = match answer {
             NodeMessage::NotOwner { owner, .. } | NodeMessage::Located { owner, .. } => owner,
             other => panic!("{message:?} was answered by {other:?}"),
--- a/crates/node-core/tests/node/pace.rs
+++ b/crates/node-core/tests/node/pace.rs
@@ -1,9 +1,9 @@
-//! How often engines and partitions are polled.
+//! Polling pace of engines and partitions.
 
 use std::time::Duration;
 
-use elderworks_node_core::pace::{BUSY_PARTITION_INTERVAL, RESTING_PARTITION_INTERVAL};
-use elderworks_node_core::pace::{EnginePace, EngineUse, PartitionUse, REST_AFTER};
+use elderworks_node_core::pace::{BUSY_PARTITION_INTERVAL, IDLE_PARTITION_INTERVAL};
+use elderworks_node_core::pace::{EnginePace, EngineUse, IDLE_AFTER, PartitionUse};
 use elderworks_node_core::{Effect, Event};
 use elderworks_types::{EngineId, RunId, Timestamp};
 
@@ -12,7 +12,7 @@
 
 const NOW: Timestamp = Timestamp(100_000_000);
 
-/// Longest time in which an engine that leaves or falls silent must be noticed.
+/// Maximum time to detect that an engine leaves or stops answering.
 const NOTICE_LIMIT: Duration = Duration::from_secs(3);
 
 fn ago(age: Duration) -> Timestamp {
@@ -21,14 +21,14 @@
 
 #[test]
 fn an_engine_is_polled_often_while_used_or_suspected() {
-    let just_under = REST_AFTER - Duration::from_micros(1);
+    let just_under = IDLE_AFTER - Duration::from_micros(1);
     let cases = [
         (None, false, EnginePace::Resting),
         (None, true, EnginePace::Busy),
         (Some(Duration::ZERO), false, EnginePace::Busy),
         (Some(just_under), false, EnginePace::Busy),
-        (Some(REST_AFTER), false, EnginePace::Resting),
-        (Some(REST_AFTER), true, EnginePace::Busy),
+        (Some(IDLE_AFTER), false, EnginePace::Resting),
+        (Some(IDLE_AFTER), true, EnginePace::Busy),
     ];
     for (last_attempt, suspected, expected) in cases {
         let engine_use = EngineUse {
@@ -45,10 +45,10 @@
 fn a_partition_is_read_often_while_handed_over_or_active() {
     let busy = BUSY_PARTITION_INTERVAL;
     let cases = [
-        (true, false, REST_AFTER, RESTING_PARTITION_INTERVAL),
+        (true, false, IDLE_AFTER, IDLE_PARTITION_INTERVAL),
         (true, false, Duration::ZERO, busy),
-        (true, true, REST_AFTER, busy),
-        (false, false, REST_AFTER, busy),
+        (true, true, IDLE_AFTER, busy),
+        (false, false, IDLE_AFTER, busy),
         (false, true, Duration::ZERO, busy),
     ];
     for (settled, working, quiet_for, expected) in cases {
@@ -86,27 +86,27 @@
 }
 
 #[test]
-fn a_call_or_a_missed_poll_quickens_an_engines_polls_until_it_rests() {
+fn a_call_or_a_missed_poll_makes_an_engine_busy_until_it_is_idle_again() {
     let mut world = World::new(1);
-    world.until("it owns all", |world| world.settled());
+    world.run_until("the node owns all partitions", |world| world.settled());
     world.apply(0, model_service());
     world.apply(0, program(&["model"], false));
-    world.pass(Duration::from_secs(1));
-    assert_eq!(paces(&mut world), [], "it begins at rest");
+    world.advance(Duration::from_secs(1));
+    assert_eq!(paces(&mut world), [], "a new engine is idle");
 
     world.back_ends = BackEnds::Hang;
     let run = RunId::root(1);
-    world.say(0, start_run(run));
-    world.say(0, model_call(run, 1));
-    world.pass(2 * REST_AFTER);
+    world.send(0, start_run(run));
+    world.send(0, model_call(run, 1));
+    world.advance(2 * IDLE_AFTER);
     assert_eq!(
         paces(&mut world),
         [EnginePace::Busy],
-        "while the call lasts"
+        "the engine is busy while the call is open"
     );
 
     let mut world = World::new(1);
-    world.until("it owns all", |world| world.settled());
+    world.run_until("the node owns all partitions", |world| world.settled());
     world.apply(0, model_service());
     world.node(0).effects.clear();
     let cases = [
@@ -120,8 +120,8 @@
         ),
     ];
     for (step, (event, expected)) in cases.into_iter().enumerate() {
-        world.give(0, event);
-        world.pass(Duration::from_millis(100));
+        world.handle(0, event);
+        world.advance(Duration::from_millis(100));
         assert_eq!(paces(&mut world), expected, "step {step}");
     }
 }
--- a/crates/node-core/tests/node/snapshots.rs
+++ b/crates/node-core/tests/node/snapshots.rs
@@ -1,4 +1,4 @@
-//! Beginning in the middle of a stream.
+//! Replay that starts at a snapshot.
 
 use std::time::Duration;
 
@@ -12,11 +12,13 @@
 use crate::fixtures::{program, run_in, start_run, tenant, tool_call, tool_service};
 use crate::world::World;
 
-/// Enough runs of enough calls that the stream is longer than one window of the search.
+/// Number of runs; with [`CALLS`], it makes the stream longer than one window of the search.
 const RUNS: usize = 4;
+/// Number of calls of each run.
 const CALLS: u32 = 90;
 
-/// Offsets before the end that this search may read: one window, for confirmations come often.
+/// Number of offsets before the end that the search may read: one window, which always contains a
+/// confirmation in this test.
 const SEARCHED: u64 = 512;
 
 fn runs(partition: PartitionId) -> Vec<RunId> {
@@ -34,7 +36,7 @@
     records.into_iter().map(|record| record.body).collect()
 }
 
-/// Offsets whose batch holds a record that a test asks for.
+/// Returns the offsets of the batches that contain a wanted record.
 fn offsets_with(
     world: &World,
     stream: StreamName,
@@ -45,19 +47,19 @@
         .collect()
 }
 
-/// A node that has journalled all the calls of all the runs.
+/// Returns a node that has completed all calls of all runs.
 fn busy_world(partition: PartitionId) -> World {
     let mut world = World::new(1);
-    world.until("it owns all", |world| world.settled());
+    world.run_until("the node owns all partitions", |world| world.settled());
     world.apply(0, tool_service());
     world.apply(0, program(&["tool"], false));
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     for run in runs(partition) {
-        world.say(0, start_run(run));
+        world.send(0, start_run(run));
         for number in 1..=CALLS {
-            world.say(0, tool_call(run, number, true));
+            world.send(0, tool_call(run, number, true));
         }
-        world.pass(Duration::from_secs(1));
+        world.advance(Duration::from_secs(1));
     }
     world
 }
@@ -69,7 +71,7 @@
         tenant: tenant(),
         run,
     };
-    world.say(index, query);
+    world.send(index, query);
     match world.node(index).sent.pop() {
         Some((_, NodeMessage::RunView { view, .. })) => view.map_or(0, |view| view.calls.len()),
         other => panic!("the run cannot be read: {other:?}"),
@@ -77,7 +79,7 @@
 }
 
 #[test]
-fn a_new_owner_begins_at_the_latest_confirmed_snapshot() {
+fn a_new_owner_starts_at_the_latest_confirmed_snapshot() {
     let partition = PartitionId(0);
     let stream = StreamName::Partition(partition);
     let mut world = busy_world(partition);
@@ -87,18 +89,20 @@
     let length = world.log[&stream].len();
     assert!(
         length > 600,
-        "the stream is too short for this test: {length}"
+        "the stream is too short for this test: {length} offsets"
     );
     assert!(snapshots.len() > 2, "{snapshots:?}");
     let latest = *snapshots.last().expect("there are some");
 
-    // An owner of long ago wakes up and writes its old snapshot again; nobody confirms it.
+    // A former owner writes its old snapshot again, which is not confirmed.
     let stale = world.log[&stream][snapshots[0]].clone();
     world.log.get_mut(&stream).expect("the stream").push(stale);
 
     world.kill(0);
     world.start(1);
-    world.until("the other owns all", |world| world.settled());
+    world.run_until("the other node owns all partitions", |world| {
+        world.settled()
+    });
     let reads: Vec<Offset> = world
         .node(1)
         .effects
@@ -111,7 +115,7 @@
         })
         .collect();
     assert!(reads.contains(&Offset(latest as u64)), "{reads:?}");
-    // The first read only shows where the stream ends; all others are near that end.
+    // The first read determines the end of the stream; all others are close to it.
     let near_end = |from: &Offset| from.0 + SEARCHED >= length as u64;
     assert!(reads[1..].iter().all(near_end), "{reads:?}");
     for run in runs(partition) {
--- a/crates/node-core/tests/node/world.rs
+++ b/crates/node-core/tests/node/world.rs
@@ -1,7 +1,7 @@
-//! Nodes on a virtual clock around a log in memory.
+//! Nodes on a virtual clock with an in-memory log.
 //!
-//! Small on purpose: messages arrive at once and in order, and back ends answer at once or never.
-//! Networks that lose and reorder are the simulation's business.
+//! Messages are delivered immediately and in order, and back ends answer immediately or never. The
+//! simulation covers networks that lose and reorder messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -23,19 +23,19 @@
 
 pub const PARTITIONS: u32 = 8;
 
-/// The connection on which a test speaks to each node as a sidecar.
+/// The connection by which a test acts as a sidecar of each node.
 pub const SIDECAR: Connection = 1;
 
-/// Records of a partition between two snapshots.
+/// Number of records of a partition between two snapshots.
 const SNAPSHOT_INTERVAL: u64 = 100;
 
-/// Longest virtual time for anything to come true.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Maximum virtual time to wait for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(120);
 
-/// What engines and tools do with new attempts.
+/// Behaviour of engines and tools for new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackEnds {
-    /// Answer at once.
+    /// Answer immediately.
     Answer,
     /// Never answer.
     Hang,
@@ -44,7 +44,7 @@
 pub struct TestNode {
     core: NodeCore,
     pub paused: bool,
-    held_back: VecDeque<Event>,
+    delayed_events: VecDeque<Event>,
     pub ready: bool,
     pub drained: bool,
     open_reads: Vec<(StreamName, Offset, Timestamp)>,
@@ -57,10 +57,10 @@
     pub now: Timestamp,
     pub log: BTreeMap<StreamName, Vec<Vec<u8>>>,
     pub log_up: bool,
-    /// Nodes that the log does not answer.
+    /// Nodes that get no answers from the log.
     pub cut_from_log: BTreeSet<NodeId>,
     pub back_ends: BackEnds,
-    /// A node that is paused in the moment in which the log takes the start of an attempt from it.
+    /// A node to pause when it next appends the start of an attempt.
     pub pause_at_attempt: Option<NodeId>,
     pub nodes: BTreeMap<NodeId, TestNode>,
     addresses: BTreeMap<SocketAddr, NodeId>,
@@ -78,12 +78,12 @@
 }
 
 impl World {
-    /// A world with this many nodes, all started at once.
+    /// Starts the given number of nodes in one cell.
     pub fn new(nodes: usize) -> Self {
         Self::with_cells(nodes, 1)
     }
 
-    /// The same, with the nodes dealt over this many cells.
+    /// Starts the given number of nodes, distributed over `cells` cells.
     pub fn with_cells(nodes: usize, cells: usize) -> Self {
         let mut world = Self {
             now: Timestamp(1_000_000),
@@ -104,7 +104,7 @@
         world
     }
 
-    /// Starts a node, or starts it anew with empty memory.
+    /// Starts or restarts a node, which keeps no state.
     pub fn start(&mut self, index: usize) {
         self.starts += 1;
         let settings = NodeSettings {
@@ -124,7 +124,7 @@
         let node = TestNode {
             core: NodeCore::new(settings),
             paused: false,
-            held_back: VecDeque::new(),
+            delayed_events: VecDeque::new(),
             ready: false,
             drained: false,
             open_reads: Vec::new(),
@@ -135,7 +135,7 @@
         self.addresses.insert(address(index), name(index));
         self.nodes.insert(name(index), node);
         let hello = ToNode::Hello(Hello::Sidecar { sidecar: 1 });
-        self.give(
+        self.handle(
             index,
             Event::Received {
                 connection: SIDECAR,
@@ -144,13 +144,15 @@
         );
     }
 
-    /// Kills a node between two events.
+    /// Removes a node without a drain.
     pub fn kill(&mut self, index: usize) {
         self.nodes.remove(&name(index));
     }
 
     pub fn node(&mut self, index: usize) -> &mut TestNode {
-        self.nodes.get_mut(&name(index)).expect("the node is up")
+        self.nodes
+            .get_mut(&name(index))
+            .expect("the node is running")
     }
 
     pub fn owned(&self, index: usize) -> BTreeSet<PartitionId> {
@@ -162,7 +164,7 @@
         *self.nodes[&name(index)].core.counters()
     }
 
-    /// Every partition owned, once for each node that believes to own it.
+    /// Returns the partitions that unpaused nodes own, once for each owner.
     pub fn owners(&self) -> Vec<PartitionId> {
         let owned = self.nodes.values().filter(|node| !node.paused);
         let mut owned: Vec<PartitionId> = owned
@@ -172,18 +174,20 @@
         owned
     }
 
-    /// Whether every partition has exactly one owner.
+    /// Returns whether every partition has exactly one unpaused owner.
     pub fn settled(&self) -> bool {
         self.owners() == (0..PARTITIONS).map(PartitionId).collect::<Vec<_>>()
     }
 
-    pub fn give(&mut self, index: usize, event: Event) {
+    /// Delivers an event to a node.
+    pub fn handle(&mut self, index: usize, event: Event) {
         self.queue.push_back((name(index), event));
         self.deliver();
     }
 
-    pub fn say(&mut self, index: usize, message: SidecarMessage) {
-        self.give(
+    /// Sends a message to a node as its sidecar.
+    pub fn send(&mut self, index: usize, message: SidecarMessage) {
+        self.handle(
             index,
             Event::Received {
                 connection: SIDECAR,
@@ -192,13 +196,14 @@
         );
     }
 
+    /// Requests a change of a resource as an operator.
     pub fn apply(&mut self, index: usize, resource: Resource) {
         let body = ControlBody::Put {
             resource,
             expected: None,
         };
         let question = OperatorRequest::Change(body);
-        self.give(
+        self.handle(
             index,
             Event::Operator {
                 request: 1,
@@ -207,17 +212,17 @@
         );
     }
 
-    /// Lets time pass until a condition holds.
-    pub fn until(&mut self, what: &str, mut condition: impl FnMut(&mut World) -> bool) {
-        let deadline = self.now + PATIENCE;
+    /// Advances the clock until a condition holds.
+    pub fn run_until(&mut self, what: &str, mut condition: impl FnMut(&mut World) -> bool) {
+        let deadline = self.now + MAX_WAIT;
         while !condition(self) {
-            assert!(self.now < deadline, "did not come true: {what}");
+            assert!(self.now < deadline, "condition not met in time: {what}");
             self.tick();
         }
     }
 
-    /// Lets some time pass.
-    pub fn pass(&mut self, duration: Duration) {
+    /// Advances the clock.
+    pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.tick();
@@ -240,7 +245,7 @@
             };
             if node.paused {
                 if !matches!(event, Event::Tick) {
-                    node.held_back.push_back(event);
+                    node.delayed_events.push_back(event);
                 }
                 continue;
             }
@@ -251,11 +256,11 @@
         }
     }
 
-    /// Wakes a paused node; what arrived meanwhile is delivered first.
-    pub fn wake(&mut self, index: usize) {
+    /// Resumes a paused node and delivers the events that arrived during the pause.
+    pub fn resume(&mut self, index: usize) {
         let node = self.node(index);
         node.paused = false;
-        for event in std::mem::take(&mut node.held_back) {
+        for event in std::mem::take(&mut node.delayed_events) {
             self.queue.push_back((name(index), event));
         }
         self.deliver();
@@ -438,5 +443,5 @@
     bodies.any(|body| matches!(body, JournalBody::AttemptStarted { .. }))
 }
 
-/// Connections above this number are peers'.
+/// Connections from this number on belong to peers.
 const PEER_CONNECTIONS: Connection = 1_000;
