--- a/crates/node-core/tests/node/world.rs
+++ b/crates/node-core/tests/node/world.rs
@@ -41,6 +41,7 @@
     Hang,
 }
 
+/// A node, its pending input and everything that it has sent.
 pub struct TestNode {
     core: NodeCore,
     pub paused: bool,
@@ -53,9 +54,11 @@
     pub effects: Vec<Effect>,
 }
 
+/// A fleet of nodes with their log, back ends and network.
 pub struct World {
     pub now: Timestamp,
     pub log: BTreeMap<StreamName, Vec<Vec<u8>>>,
+    /// Whether the log answers at all.
     pub log_up: bool,
     /// Nodes that get no answers from the log.
     pub cut_from_log: BTreeSet<NodeId>,
--- a/crates/placement/src/engines.rs
+++ b/crates/placement/src/engines.rs
@@ -119,7 +119,7 @@
         report.waiting_prefill + since.map(|call| call.uncached).sum()
     }
 
-    /// Returns the fraction of the engine's blocks in use by running requests and, weighted by
+    /// Returns the fraction of the engine's blocks in use by running requests and, multiplied by
     /// `paused_weight`, by paused runs.
     pub(crate) fn memory_fraction(
         &self,
--- a/crates/placement/src/policy/choice.rs
+++ b/crates/placement/src/policy/choice.rs
@@ -15,7 +15,7 @@
 const MAX_MEMORY_FRACTION: f64 = 0.7;
 /// Weight of the blocks of paused runs in the memory in use.
 const PAUSED_WEIGHT: f64 = 1.0;
-/// Number of requests at an engine from which only runs whose last call was there may use it.
+/// Number of requests from which an engine only takes calls of runs whose last call it served.
 const ADMISSION_REQUEST_LIMIT: u32 = cost::ENGINE_BATCH;
 /// Weight of the time to prefill uncached tokens, which delays all calls at the engine.
 const RECOMPUTE_WEIGHT: u32 = 20;
