--- a/crates/node-core/src/core.rs
+++ b/crates/node-core/src/core.rs
@@ -165,10 +165,10 @@
         self.agenda.take_effects()
     }
 
-    /// Marks all streams as possibly outdated after a pause of the process. Other nodes may have claimed
-    /// partitions in the meantime, which reads answered before then don't show, so streams are read again
-    /// before requests go to back ends. Correctness doesn't depend on the clock; this only makes late
-    /// requests less likely.
+    /// Marks all streams as possibly outdated after a pause of the process, so that they are read again
+    /// before requests go to back ends. Other nodes may have claimed partitions during the pause, and
+    /// reads that were answered before it ended need not show this. Correctness doesn't depend on the
+    /// clock; this only makes late requests less likely.
     fn revalidate_streams_after_pause(&mut self, now: Timestamp) {
         if now.since(self.now) < PAUSE_THRESHOLD {
             return;
--- a/crates/placement/src/effect.rs
+++ b/crates/placement/src/effect.rs
@@ -25,7 +25,7 @@
         /// The reason, and when the caller may retry.
         refusal: Refusal,
     },
-    /// Exempt the blocks of a paused run from eviction until the lease expires.
+    /// Keep the blocks of a paused run on the engine until the lease expires, evicting other blocks first.
     Retain {
         /// The run.
         run: RunId,
