--- a/crates/node-core/src/engines.rs
+++ b/crates/node-core/src/engines.rs
@@ -41,7 +41,7 @@
             silent: false,
             gone: false,
             usage: EngineUse::default(),
-            pace: EnginePace::Resting,
+            pace: EnginePace::Idle,
         }
     }
 
--- a/crates/node-core/src/loading.rs
+++ b/crates/node-core/src/loading.rs
@@ -176,7 +176,7 @@
             return;
         };
         let replaced = std::mem::replace(&mut followed.machine, machine);
-        self.ownership.closed_counters += replaced.counters().without_sizes();
+        self.ownership.closed_counters += replaced.counters().without_gauges();
         followed.start = start;
         self.streams.partitions.insert(partition, stream);
         self.handle_partition_stream_input(partition, logstream::Event::Tick);
--- a/crates/node-core/src/operator.rs
+++ b/crates/node-core/src/operator.rs
@@ -62,7 +62,7 @@
         let followed = self.ownership.followed.values();
         let owned = followed.filter(|followed| followed.epoch.is_some());
         let mut runs: Vec<RunSummary> = owned
-            .flat_map(|followed| followed.machine.summaries())
+            .flat_map(|followed| followed.machine.run_summaries())
             .collect();
         runs.sort_by_key(|run| (Reverse(run.started), run.spec.id));
         runs.truncate(MAX_LISTED_RUNS);
@@ -83,7 +83,7 @@
 
     /// Opens a watch and sends the changes since `after`.
     fn open_watch(&mut self, watch: RequestId, kind: Option<Kind>, after: Offset) {
-        let opened = self.watches.begin(&self.control, watch, kind, after);
+        let opened = self.watches.subscribe(&self.control, watch, kind, after);
         let full = opened == Err(WatchError::TooMany);
         self.counters.watch_overflow += u64::from(full);
         let (reply, missed) = match opened {
@@ -101,7 +101,7 @@
 
     /// Sends a change to all watches that match it.
     pub(crate) fn notify_watchers(&mut self, change: &Change) {
-        for watch in self.watches.interested(change) {
+        for watch in self.watches.subscribers_of(change) {
             let change = change.clone();
             self.agenda.effect(Effect::WatchEvent { watch, change });
         }
--- a/crates/node-core/src/ownership.rs
+++ b/crates/node-core/src/ownership.rs
@@ -257,7 +257,7 @@
         self.streams.partitions.remove(&partition);
         self.ownership.searches.remove(&partition);
         if let Some(followed) = self.ownership.followed.remove(&partition) {
-            self.ownership.closed_counters += followed.machine.counters().without_sizes();
+            self.ownership.closed_counters += followed.machine.counters().without_gauges();
         }
     }
 
--- a/crates/node-core/src/pace.rs
+++ b/crates/node-core/src/pace.rs
@@ -23,7 +23,7 @@
     /// The engine is in use, or its last poll failed.
     Busy,
     /// The engine is not in use. Still detects within 3 s that it leaves or stops answering.
-    Resting,
+    Idle,
 }
 
 impl EnginePace {
@@ -31,7 +31,7 @@
     pub fn interval(self) -> Duration {
         match self {
             Self::Busy => Duration::from_millis(250),
-            Self::Resting => Duration::from_secs(1),
+            Self::Idle => Duration::from_secs(1),
         }
     }
 
@@ -39,7 +39,7 @@
     pub fn polls_per_load(self) -> u32 {
         match self {
             Self::Busy => 1,
-            Self::Resting => 2,
+            Self::Idle => 2,
         }
     }
 
@@ -47,7 +47,7 @@
     pub fn polls_per_cache_events(self) -> u32 {
         match self {
             Self::Busy => 1,
-            Self::Resting => 5,
+            Self::Idle => 5,
         }
     }
 
@@ -55,7 +55,7 @@
     pub fn polls_per_holdings(self) -> u32 {
         match self {
             Self::Busy => 8,
-            Self::Resting => 10,
+            Self::Idle => 10,
         }
     }
 }
@@ -77,7 +77,7 @@
             .is_some_and(|last| now.since(last) < IDLE_AFTER);
         match used || self.suspected {
             true => EnginePace::Busy,
-            false => EnginePace::Resting,
+            false => EnginePace::Idle,
         }
     }
 }
--- a/crates/node-core/src/partitions.rs
+++ b/crates/node-core/src/partitions.rs
@@ -215,7 +215,7 @@
             return false;
         }
         let followed = self.ownership.followed.get(&partition);
-        followed.is_some_and(|followed| !followed.machine.is_live(run))
+        followed.is_some_and(|followed| !followed.machine.is_run_active(run))
     }
 
     /// Returns the program of a run.
--- a/crates/node-core/tests/node/pace.rs
+++ b/crates/node-core/tests/node/pace.rs
@@ -23,11 +23,11 @@
 fn an_engine_is_polled_often_while_used_or_suspected() {
     let just_under = IDLE_AFTER - Duration::from_micros(1);
     let cases = [
-        (None, false, EnginePace::Resting),
+        (None, false, EnginePace::Idle),
         (None, true, EnginePace::Busy),
         (Some(Duration::ZERO), false, EnginePace::Busy),
         (Some(just_under), false, EnginePace::Busy),
-        (Some(IDLE_AFTER), false, EnginePace::Resting),
+        (Some(IDLE_AFTER), false, EnginePace::Idle),
         (Some(IDLE_AFTER), true, EnginePace::Busy),
     ];
     for (last_attempt, suspected, expected) in cases {
@@ -37,8 +37,8 @@
         };
         assert_eq!(engine_use.pace(NOW), expected, "{engine_use:?}");
     }
-    assert!(EnginePace::Busy.interval() < EnginePace::Resting.interval());
-    assert!(EnginePace::Resting.interval() * 2 < NOTICE_LIMIT);
+    assert!(EnginePace::Busy.interval() < EnginePace::Idle.interval());
+    assert!(EnginePace::Idle.interval() * 2 < NOTICE_LIMIT);
 }
 
 #[test]
@@ -111,12 +111,12 @@
     world.node(0).effects.clear();
     let cases = [
         (silent(Duration::from_secs(1)), vec![EnginePace::Busy]),
-        (silent(Duration::from_secs(2)), vec![EnginePace::Resting]),
+        (silent(Duration::from_secs(2)), vec![EnginePace::Idle]),
         (Event::EngineAnswered { engine: engine() }, vec![]),
         (silent(Duration::from_millis(500)), vec![EnginePace::Busy]),
         (
             Event::EngineAnswered { engine: engine() },
-            vec![EnginePace::Resting],
+            vec![EnginePace::Idle],
         ),
     ];
     for (step, (event, expected)) in cases.into_iter().enumerate() {
--- a/crates/node/src/engine_polls.rs
+++ b/crates/node/src/engine_polls.rs
@@ -40,7 +40,7 @@
     }
 
     pub(crate) fn watch(&mut self, engine: EngineId, url: &str) {
-        let (pace, pace_changes) = watch::channel(EnginePace::Resting);
+        let (pace, pace_changes) = watch::channel(EnginePace::Idle);
         let poll = EnginePoll {
             engine: engine.clone(),
             client: engine_client(&self.http, url),
--- a/crates/simulation/src/world/engine_service/polling.rs
+++ b/crates/simulation/src/world/engine_service/polling.rs
@@ -21,7 +21,7 @@
         };
         let watched = WatchedEngine {
             last_answer: self.now,
-            pace: EnginePace::Resting,
+            pace: EnginePace::Idle,
         };
         if self.nodes[from.node]
             .watched
