--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -85,7 +85,7 @@
     }
 
     /// Whether the request surely had no effect.
-    pub fn surely_not_run(&self) -> bool {
+    pub fn is_known_not_run(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::Rejected { .. })
     }
 
--- a/crates/backend/tests/decoders.rs
+++ b/crates/backend/tests/decoders.rs
@@ -268,7 +268,7 @@
     ];
     for (body, not_run) in table {
         let error = decode::error_body(503, None, body.as_bytes());
-        assert_eq!(error.surely_not_run(), not_run, "{body}");
+        assert_eq!(error.is_known_not_run(), not_run, "{body}");
     }
     let unknown = decode::error_body(503, None, table[1].0.as_bytes());
     assert!(matches!(
--- a/crates/engine-model/src/engine.rs
+++ b/crates/engine-model/src/engine.rs
@@ -41,7 +41,7 @@
     ) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
         let models: BTreeSet<ModelName> = models.into_iter().collect();
-        let streams = Streams::new(parameters.remembered_requests, parameters.tokens_per_chunk);
+        let streams = Streams::new(parameters.retained_requests, parameters.tokens_per_chunk);
         Self {
             batch: Batch::default(),
             cache: PrefixCache::new(parameters.cache_blocks),
--- a/crates/engine-model/src/feed.rs
+++ b/crates/engine-model/src/feed.rs
@@ -83,7 +83,7 @@
     fn publish_one(&mut self, now: Timestamp, change: CacheChange) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let loss = self.parameters.cache_loss.clamp(0.0, 1.0);
+        let loss = self.parameters.cache_loss_ratio.clamp(0.0, 1.0);
         if self.random.random_bool(loss) {
             return;
         }
--- a/crates/engine-model/src/parameters.rs
+++ b/crates/engine-model/src/parameters.rs
@@ -30,7 +30,7 @@
     /// Time to move one block to or from another engine.
     pub transfer_per_block: Duration,
     /// Ended requests whose answers can still be resumed.
-    pub remembered_requests: usize,
+    pub retained_requests: usize,
     /// Bytes of one model's weights, for loading from the weight store.
     pub model_bytes: u64,
     /// Delay and loss of published events and reports.
@@ -51,7 +51,7 @@
             preemption_gap: 1,
             tokens_per_chunk: 8,
             transfer_per_block: Duration::from_micros(250),
-            remembered_requests: 256,
+            retained_requests: 256,
             model_bytes: 16_000_000_000,
             feed: FeedParameters::default(),
         }
@@ -82,7 +82,7 @@
     /// Age of the newest cache event that can be read.
     pub cache_lag: Duration,
     /// Share of cache events that are lost, from 0 to 1. Their sequence numbers stay missing.
-    pub cache_loss: f64,
+    pub cache_loss_ratio: f64,
     /// Cache events kept for readers.
     pub retained_events: usize,
 }
@@ -92,7 +92,7 @@
         Self {
             load_lag: Duration::from_millis(500),
             cache_lag: Duration::from_millis(500),
-            cache_loss: 0.01,
+            cache_loss_ratio: 0.01,
             retained_events: 4_096,
         }
     }
--- a/crates/engine-model/src/request.rs
+++ b/crates/engine-model/src/request.rs
@@ -55,7 +55,7 @@
         continue_text: String,
     },
     /// Only sizes and block hashes; no text is made.
-    Counted {
+    Synthetic {
         /// Tokens in the prompt.
         prompt: Tokens,
         /// Tokens that will be generated.
@@ -80,7 +80,7 @@
                 prompt,
                 continue_text,
             } => Plan::of_text(prompt, continue_text, max_output),
-            Work::Counted {
+            Work::Synthetic {
                 prompt,
                 output,
                 chain,
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -37,7 +37,7 @@
         id: RequestId::new(id),
         run: RunId::root(run),
         model: ModelName::new(MODEL),
-        work: Work::Counted {
+        work: Work::Synthetic {
             prompt: Tokens(prompt),
             output: Tokens(output),
             chain,
@@ -221,7 +221,7 @@
         feed: FeedParameters {
             load_lag: lag,
             cache_lag: lag,
-            cache_loss: 0.0,
+            cache_loss_ratio: 0.0,
             ..FeedParameters::default()
         },
         ..EngineParameters::default()
@@ -253,7 +253,7 @@
     let parameters = EngineParameters {
         feed: FeedParameters {
             cache_lag: Duration::ZERO,
-            cache_loss: 0.5,
+            cache_loss_ratio: 0.5,
             ..FeedParameters::default()
         },
         ..EngineParameters::default()
@@ -274,7 +274,7 @@
     let mut first = engine(EngineParameters::default());
     let mut second = engine(EngineParameters::default());
     let request = counted_request("a", 1, 640, 64, 0);
-    let Work::Counted { chain, .. } = request.work.clone() else {
+    let Work::Synthetic { chain, .. } = request.work.clone() else {
         panic!("counted");
     };
     first.submit(Timestamp(0), request).unwrap();
--- a/crates/lab/src/compare/runs.rs
+++ b/crates/lab/src/compare/runs.rs
@@ -162,7 +162,7 @@
             id: RequestId::new(format!("{}/{}", ticket.call, ticket.attempt)),
             run: run.id,
             model: ModelName::new(MODEL),
-            work: Work::Counted {
+            work: Work::Synthetic {
                 prompt: Tokens(run.prompt_tokens()),
                 output: Tokens(output),
                 chain: self.chain_of(run.id),
--- a/crates/platform-model/src/tool.rs
+++ b/crates/platform-model/src/tool.rs
@@ -92,7 +92,7 @@
     /// It runs; poll for its end.
     Started(ExecutionId),
     /// An execution of the same key runs or has run; poll for its end.
-    Joined(ExecutionId),
+    Existing(ExecutionId),
     /// It was not run.
     Rejected,
     /// It was not run, and the client gets no answer.
@@ -103,7 +103,7 @@
     /// The execution that will answer, if any.
     pub fn execution(self) -> Option<ExecutionId> {
         match self {
-            Invocation::Started(id) | Invocation::Joined(id) => Some(id),
+            Invocation::Started(id) | Invocation::Existing(id) => Some(id),
             Invocation::Rejected | Invocation::Down => None,
         }
     }
@@ -154,7 +154,7 @@
             return Invocation::Down;
         }
         if let Some(id) = self.known(key) {
-            return Invocation::Joined(id);
+            return Invocation::Existing(id);
         }
         if self.faults.busy || self.running.len() >= self.settings.max_running {
             return Invocation::Rejected;
@@ -240,7 +240,7 @@
         let outcome = if self.faults.fail {
             ExecutionOutcome::Failed("the tool failed".to_owned())
         } else {
-            ExecutionOutcome::Completed(result_of(tool, &arguments))
+            ExecutionOutcome::Completed(tool_result(tool, &arguments))
         };
         self.running.insert(id, Running { due, outcome });
         self.by_key.insert(key.to_owned(), id);
@@ -299,6 +299,6 @@
 
 /// What a tool returns: a function of its name and arguments alone, so that repeated executions
 /// agree.
-pub fn result_of(tool: &ToolName, arguments: &Value) -> Value {
+pub fn tool_result(tool: &ToolName, arguments: &Value) -> Value {
     json!({ "tool": tool, "arguments": arguments, "accepted": true })
 }
--- a/crates/platform-model/tests/tool.rs
+++ b/crates/platform-model/tests/tool.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use elderworks_platform_api::tool::InvocationStatus;
-use elderworks_platform_model::tool::result_of;
+use elderworks_platform_model::tool::tool_result;
 use elderworks_platform_model::{
     ExecutionId, ExecutionOutcome, Invocation, ToolFaults, ToolModel, ToolSettings,
 };
@@ -33,7 +33,7 @@
     assert_eq!(tool.next_due(), Some(START + LATENCY));
     assert_eq!(tool.poll(START, id), None);
     assert_eq!(tool.status(START, "key"), InvocationStatus::Running);
-    let result = result_of(&tool_name(), &json!({"tray": 1}));
+    let result = tool_result(&tool_name(), &json!({"tray": 1}));
     let outcome = tool.poll(START + LATENCY, id).cloned();
     assert_eq!(outcome, Some(ExecutionOutcome::Completed(result.clone())));
     let status = tool.status(START + LATENCY, "key");
--- a/crates/simulation/src/platform/tool.rs
+++ b/crates/simulation/src/platform/tool.rs
@@ -71,7 +71,7 @@
             .and_then(|execution| self.result(time, execution));
         match (invocation, result) {
             (Invocation::Started(_), Some(result)) => ToolAnswer::Ran(result),
-            (Invocation::Joined(_), Some(result)) => ToolAnswer::Repeated(result),
+            (Invocation::Existing(_), Some(result)) => ToolAnswer::Repeated(result),
             _ => ToolAnswer::NotRun,
         }
     }
--- a/crates/standin/src/engine/requests.rs
+++ b/crates/standin/src/engine/requests.rs
@@ -26,7 +26,7 @@
     pub(super) fn of(now: Timestamp, request: &Request) -> Self {
         let continued = match &request.work {
             Work::Text { continue_text, .. } => token_count(continue_text),
-            Work::Counted { .. } => Tokens::ZERO,
+            Work::Synthetic { .. } => Tokens::ZERO,
         };
         Self {
             model: request.model.clone(),
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -199,7 +199,7 @@
     /// Forgets requests that the engine has forgotten, once there are many.
     fn forget_requests(&mut self) {
         let limits = &self.settings.parameters;
-        let known = limits.remembered_requests + limits.max_waiting + limits.max_batch;
+        let known = limits.retained_requests + limits.max_waiting + limits.max_batch;
         if self.requests.len() > known + MAX_FORGOTTEN_REQUESTS {
             let engine = &self.engine;
             self.requests
@@ -240,6 +240,6 @@
             let answer = answer_text(prompt, request.max_output);
             block_hashes(&rendered_sequence(prompt, &answer))
         }
-        Work::Counted { chain, .. } => chain.to_vec(),
+        Work::Synthetic { chain, .. } => chain.to_vec(),
     }
 }
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -127,7 +127,7 @@
         match outcome {
             ExecutionOutcome::Completed(result) => Ok(Reply::json(&InvocationResponse {
                 result,
-                repeated: matches!(invocation, Invocation::Joined(_)),
+                repeated: matches!(invocation, Invocation::Existing(_)),
             })),
             ExecutionOutcome::Failed(message) => Err(Refusal::failed(message)),
         }
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -30,7 +30,7 @@
     let mut settings = EngineSettings::new(EngineId::new("engine-a"));
     settings.models = vec![ModelName::new("menu")];
     settings.parameters = with_speed(EngineParameters::default(), SPEED);
-    settings.parameters.feed.cache_loss = 0.0;
+    settings.parameters.feed.cache_loss_ratio = 0.0;
     settings.parameters.feed.cache_lag = Duration::ZERO;
     settings.parameters.feed.load_lag = Duration::ZERO;
     settings
--- a/crates/standin/tests/log_contract.rs
+++ b/crates/standin/tests/log_contract.rs
@@ -84,7 +84,7 @@
         std::mem::discriminant(&lost),
         std::mem::discriminant(&broken)
     );
-    assert!(!lost.surely_not_run());
+    assert!(!lost.is_known_not_run());
     assert_eq!(records(&client, "stream", 0).await, [b"kept"]);
     let next = client.append("stream", Bytes::from_static(b"next")).await;
     assert_eq!(next, Ok(Offset(1)));
--- a/crates/standin/tests/tool_contract.rs
+++ b/crates/standin/tests/tool_contract.rs
@@ -12,7 +12,7 @@
 use elderworks_backend::{BackendError, HttpToolClient, ToolClient, ToolInvocation};
 use elderworks_platform_api::ErrorCode;
 use elderworks_platform_api::tool::InvocationStatus;
-use elderworks_platform_model::tool::result_of;
+use elderworks_platform_model::tool::tool_result;
 use elderworks_platform_model::{ToolFaults, ToolSettings};
 use elderworks_standin::ServerHandle;
 use elderworks_standin::tool::{ExecutionsResponse, ToolServiceSettings, serve};
@@ -55,7 +55,7 @@
 }
 
 fn expected_result() -> Value {
-    result_of(&ToolName::new(TOOL), &arguments())
+    tool_result(&ToolName::new(TOOL), &arguments())
 }
 
 async fn executions(server: &ServerHandle) -> ExecutionsResponse {
