--- a/crates/cli/src/demo/caller.rs
+++ b/crates/cli/src/demo/caller.rs
@@ -53,12 +53,12 @@
             .iter()
             .map(|(role, content)| WireMessage::new(*role, *content))
             .collect();
-        let mut body = CallBody::ask(MODEL, messages, MAX_OUTPUT_TOKENS);
+        let mut body = CallBody::model_call(MODEL, messages, MAX_OUTPUT_TOKENS);
         body.stream = true;
         let mut chunks = 0;
         let mut streamed = String::new();
         let on_event = |event: AnswerEvent<'_>| match event {
-            AnswerEvent::Piece(text) => {
+            AnswerEvent::Chunk(text) => {
                 chunks += 1;
                 streamed.push_str(text);
             }
@@ -77,7 +77,7 @@
 
     /// Calls a tool that may run more than once.
     pub async fn look_up(&self, run: RunId, tool: &str, arguments: Value) -> eyre::Result<String> {
-        self.call_tool(run, &CallBody::invoke(tool, arguments, true))
+        self.call_tool(run, &CallBody::tool_call(tool, arguments, true))
             .await
     }
 
@@ -89,7 +89,7 @@
         arguments: Value,
         idempotency_key: &str,
     ) -> eyre::Result<String> {
-        let mut body = CallBody::invoke(tool, arguments, false);
+        let mut body = CallBody::tool_call(tool, arguments, false);
         body.idempotency_key = Some(idempotency_key.to_owned());
         self.call_tool(run, &body).await
     }
--- a/crates/lab/src/load/program.rs
+++ b/crates/lab/src/load/program.rs
@@ -79,7 +79,7 @@
     turn: &PlannedTurn,
 ) -> Result<CallRecord, ClientError> {
     let message = WireMessage::new(Role::User, turn.prompt.as_str());
-    let mut body = CallBody::ask(MODEL, vec![message], turn.max_output);
+    let mut body = CallBody::model_call(MODEL, vec![message], turn.max_output);
     body.stream = true;
     let sent = Instant::now();
     let mut received = Received::default();
@@ -105,7 +105,7 @@
 impl Received {
     fn take(&mut self, event: AnswerEvent<'_>) {
         match event {
-            AnswerEvent::Piece(text) => {
+            AnswerEvent::Chunk(text) => {
                 self.first.get_or_insert_with(Instant::now);
                 self.text.push_str(text);
             }
--- a/crates/sidecar/src/client/stream.rs
+++ b/crates/sidecar/src/client/stream.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEvent<'a> {
     /// The next piece of text.
-    Piece(&'a str),
+    Chunk(&'a str),
     /// The pieces so far are void.
     Restarted,
 }
@@ -54,7 +54,7 @@
         match field("event: ") {
             Some("chunk") => {
                 let piece: Piece = parse(data)?;
-                on_event(AnswerEvent::Piece(&piece.text));
+                on_event(AnswerEvent::Chunk(&piece.text));
             }
             Some("restarted") => on_event(AnswerEvent::Restarted),
             Some("completed") => self.completed = Some(parse(data)?),
--- a/crates/sidecar/tests/callers/stream.rs
+++ b/crates/sidecar/tests/callers/stream.rs
@@ -22,7 +22,7 @@
         let mut reader = AnswerReader::default();
         let mut text = String::new();
         let mut take = |event: AnswerEvent<'_>| match event {
-            AnswerEvent::Piece(piece) => text.push_str(piece),
+            AnswerEvent::Chunk(piece) => text.push_str(piece),
             AnswerEvent::Restarted => text.clear(),
         };
         for part in bytes.as_bytes().chunks(size) {
@@ -67,17 +67,17 @@
     };
     let run = client.start_run(&start).await.expect("started");
     let message = WireMessage::new(Role::User, "draft");
-    let mut ask = CallBody::ask("m", vec![message], 16);
+    let mut ask = CallBody::model_call("m", vec![message], 16);
     ask.stream = true;
     let mut text = String::new();
     let take = |event: AnswerEvent<'_>| {
-        if let AnswerEvent::Piece(piece) = event {
+        if let AnswerEvent::Chunk(piece) = event {
             text.push_str(piece);
         }
     };
     let answer = client.stream(run, &ask, take).await.expect("answered");
     assert_eq!(answer.content, text);
-    let invoke = CallBody::invoke("lookup", serde_json::json!({}), true);
+    let invoke = CallBody::tool_call("lookup", serde_json::json!({}), true);
     client.call(run, &invoke).await.expect("answered");
     assert_eq!(client.read_run(run).await.expect("read").calls.len(), 2);
     assert_eq!(client.history(run).await.expect("read").len(), 3);
