--- a/crates/backend/src/engine/answer.rs
+++ b/crates/backend/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Decoding of streamed answers.
+//! Decoding of answers streamed as server-sent events.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 use crate::http::{payload_failure, timed_out};
 use crate::{BackendError, LostReason};
 
-/// Most bytes that may come between the ends of two events.
+/// Maximum number of bytes between the ends of two consecutive events.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Longest wait for the end of a stream after the end of its answer.
+/// Timeout of reading the end of a stream after the end of its answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Decodes a server-sent event stream whose first chunk should be number `from`, giving up at
-/// `deadline`. Survives arbitrary bytes.
+/// Decodes a stream of server-sent events whose first chunk must have the number `from`. The stream
+/// fails at `deadline`, and on malformed bytes.
 pub fn decode_answer(
     bytes: impl Stream<Item = Result<Bytes, PayloadError>> + 'static,
     from: u32,
@@ -48,15 +48,15 @@
 
 struct AnswerReader {
     events: LocalBoxStream<'static, Result<Event, EventStreamError<PayloadError>>>,
-    /// Bytes received since the last event ended.
+    /// Number of bytes received since the end of the last event.
     pending_bytes: Rc<Cell<usize>>,
     next_index: u32,
-    /// Bytes of text received, from which consumption is estimated until the engine reports it.
+    /// Number of text bytes received, used to estimate the usage of an answer that breaks off.
     text_bytes: usize,
     deadline: Instant,
 }
 
-/// What one event says.
+/// The content of one event.
 enum Decoded {
     Text(String),
     Finish(Finish),
@@ -107,13 +107,16 @@
         let event = event.map_err(|_| timed_out())?;
         self.pending_bytes.set(0);
         let event = event.ok_or_else(|| {
-            BackendError::lost(LostReason::Broken, "the stream ended before the answer did")
+            BackendError::lost(
+                LostReason::Broken,
+                "the stream ended before the end of the answer",
+            )
         })?;
         event.map_err(event_failure)
     }
 
-    /// Reads the end of the stream, so that its connection can be used again. The answer is whole
-    /// already: a stream that does not end is left.
+    /// Reads the rest of the stream so that its connection can be reused. Errors and timeouts are
+    /// ignored because the answer is complete.
     async fn drain(&mut self) {
         let to_end = async { while self.next_event().await.is_ok() {} };
         let _ = timeout(DRAIN_TIMEOUT, to_end).await;
@@ -128,7 +131,8 @@
     }
 }
 
-/// Fails the stream once more than [`MAX_EVENT_BYTES`] have come since `pending` was last set to 0.
+/// Makes the stream fail once more than [`MAX_EVENT_BYTES`] bytes have been received since `pending`
+/// was last reset to 0.
 fn limit_pending(
     bytes: impl Stream<Item = Result<Bytes, PayloadError>> + 'static,
     pending: Rc<Cell<usize>>,
@@ -158,15 +162,15 @@
     check_index(event, expected_index)?;
     let chunk: ChatChunk = serde_json::from_str(&event.data).map_err(malformed)?;
     let choice = chunk.choices.into_iter().next();
-    let choice = choice.ok_or_else(|| malformed("a chunk without a choice"))?;
+    let choice = choice.ok_or_else(|| malformed("chunk without a choice"))?;
     let Some(reason) = choice.finish_reason else {
         return Ok(Decoded::Text(choice.delta.content.unwrap_or_default()));
     };
     if choice.delta.content.is_some_and(|text| !text.is_empty()) {
-        return Err(malformed("text in the chunk that ends the answer"));
+        return Err(malformed("unexpected text in the final chunk"));
     }
     let usage = chunk.usage.map(Usage::from);
-    let usage = usage.ok_or_else(|| malformed("an end without usage"))?;
+    let usage = usage.ok_or_else(|| malformed("final chunk without usage"))?;
     Ok(Decoded::Finish(Finish { reason, usage }))
 }
 
@@ -174,7 +178,7 @@
     if event.id.parse() == Ok(expected) {
         return Ok(());
     }
-    let detail = format!("event {:?} where chunk {expected} was due", event.id);
+    let detail = format!("event {:?}, expected chunk {expected}", event.id);
     Err(malformed(detail))
 }
 
--- a/crates/backend/src/engine/http.rs
+++ b/crates/backend/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! [`EngineClient`] over HTTP.
+//! Implementation of [`EngineClient`] over HTTP.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 use crate::http::{self, Body};
 use crate::{BackendError, Endpoint};
 
-/// [`EngineClient`] over HTTP.
+/// An [`EngineClient`] over HTTP.
 #[derive(Clone)]
 pub struct HttpEngineClient {
     endpoint: Endpoint,
 }
 
 impl HttpEngineClient {
-    /// The engine at this endpoint.
+    /// Creates a client of the engine at `endpoint`.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint }
     }
@@ -34,7 +34,7 @@
         async move { endpoint.get(path).await }.boxed_local()
     }
 
-    fn empty<T: serde::de::DeserializeOwned + 'static>(
+    fn send_empty<T: serde::de::DeserializeOwned + 'static>(
         &self,
         method: Method,
         path: String,
@@ -91,7 +91,7 @@
 
     fn cancel(&self, request_id: &str) -> EngineFuture<bool> {
         let path = paths::answer_stream(request_id);
-        self.empty(Method::DELETE, path)
+        self.send_empty(Method::DELETE, path)
             .map_ok(|answer: CancelResponse| answer.cancelled)
             .boxed_local()
     }
@@ -121,11 +121,11 @@
     }
 
     fn release(&self, run: RunId) -> EngineFuture<ReleaseResponse> {
-        self.empty(Method::DELETE, paths::run(run))
+        self.send_empty(Method::DELETE, paths::run(run))
     }
 
     fn export(&self, run: RunId) -> EngineFuture<KvExport> {
-        self.empty(Method::POST, paths::export(run))
+        self.send_empty(Method::POST, paths::export(run))
     }
 
     fn import(&self, run: RunId, blocks: KvExport) -> EngineFuture<ImportResponse> {
--- a/crates/backend/src/engine/mod.rs
+++ b/crates/backend/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Client of a model engine.
+//! Client of an inference engine.
 
 mod answer;
 mod http;
@@ -18,101 +18,105 @@
 pub use answer::decode_answer;
 pub use http::HttpEngineClient;
 
-/// One request for generated text.
+/// A request to generate text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerateRequest {
-    /// Names the request on the engine; unique per attempt.
+    /// Id of the request at the engine; unique per attempt.
     pub request_id: String,
-    /// The run on whose behalf.
+    /// The run to which the request belongs.
     pub run: RunId,
-    /// The model.
+    /// The model to use.
     pub model: ModelName,
-    /// The whole prompt.
+    /// The complete prompt.
     pub messages: Vec<Message>,
-    /// Most tokens of the whole answer, continued text included.
+    /// Maximum number of tokens of the complete answer, including `continue_text`.
     pub max_output: Tokens,
-    /// Place in the engine's queue; smaller goes first.
+    /// Priority in the engine's queue; requests with smaller values run first.
     pub priority: i64,
-    /// Beginning of the answer, already generated elsewhere; the answer continues it.
+    /// Start of the answer that another request has generated already; the answer continues it.
     pub continue_text: String,
-    /// Number of the first chunk of this request's answer.
+    /// Index of the first chunk of this request's answer.
     pub first_chunk: u32,
-    /// Longest time from now to the end of the answer.
+    /// Timeout of the complete answer, from the time of the call.
     pub timeout: Duration,
 }
 
-/// How an answer ended.
+/// The end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finish {
-    /// Why it ended.
+    /// The reason why generation stopped.
     pub reason: FinishReason,
-    /// What it consumed.
+    /// The consumed tokens.
     pub usage: Usage,
 }
 
-/// A piece of an answer.
+/// An item of an answer stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerItem {
-    /// Text.
+    /// A chunk of text.
     Chunk {
-        /// Its number, from the request's `first_chunk` on without gaps.
+        /// Index of the chunk, counted without gaps from the request's `first_chunk`.
         index: u32,
-        /// The text.
+        /// The generated text.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finished(Finish),
 }
 
-/// Pieces of an answer in order. Ends after [`AnswerItem::Finished`] or the first error, one of
-/// which always comes. Dropping it closes the connection; the engine then cancels the request after
-/// a grace time unless it is resumed.
+/// The items of an answer in order. The stream always ends with [`AnswerItem::Finished`] or an error.
+/// Dropping it closes the connection; the engine then cancels the request after a grace period
+/// unless the request is resumed.
 pub type AnswerStream = LocalBoxStream<'static, Result<AnswerItem, BackendError>>;
 
-/// Result of a request to an engine.
+/// Future of a request to an engine.
 pub type EngineFuture<T> = LocalBoxFuture<'static, Result<T, BackendError>>;
 
-/// A model engine.
+/// Client of an inference engine.
 pub trait EngineClient {
     /// Generates text.
     fn generate(&self, request: GenerateRequest) -> AnswerStream;
 
-    /// Takes an answer up again at chunk `from`. An engine that does not know the request answers
-    /// by an error for which [`BackendError::is_not_found`] holds.
+    /// Resumes an answer at chunk `from`. If the engine does not know the request, the stream fails
+    /// with an error for which [`BackendError::is_not_found`] returns `true`.
     fn resume(&self, request_id: &str, from: u32, timeout: Duration) -> AnswerStream;
 
-    /// Stops a request; tells whether it was waiting or running.
+    /// Cancels a request. Returns whether it was waiting or running.
     fn cancel(&self, request_id: &str) -> EngineFuture<bool>;
 
-    /// The engine's load as published.
+    /// Returns the engine's published load.
     fn load(&self) -> EngineFuture<EngineLoad>;
 
-    /// Published cache events with numbers above `after`.
+    /// Returns the published cache events with sequence numbers above `after`.
     fn cache_events(&self, after: u64) -> EngineFuture<CacheEventsResponse>;
 
-    /// Runs for which the engine holds memory under a lease.
+    /// Returns the runs for which the engine holds memory under a lease.
     fn holdings(&self) -> EngineFuture<HoldingsResponse>;
 
-    /// Keeps a run's blocks for `lease` from now.
+    /// Protects a run's blocks from eviction for the duration of `lease`.
     fn retain(&self, run: RunId, lease: Duration) -> EngineFuture<Holding>;
 
-    /// Frees all that the engine holds for a run and cancels its requests. Harmless to repeat.
+    /// Frees all memory that the engine holds for a run and cancels the run's requests. Idempotent.
     fn release(&self, run: RunId) -> EngineFuture<ReleaseResponse>;
 
-    /// Takes out a copy of a run's blocks.
+    /// Exports a copy of a run's blocks.
     fn export(&self, run: RunId) -> EngineFuture<KvExport>;
 
-    /// Puts in a copy of a run's blocks.
+    /// Imports a copy of a run's blocks.
     fn import(&self, run: RunId, blocks: KvExport) -> EngineFuture<ImportResponse>;
 
-    /// Gives a fenced command.
+    /// Sends a fenced command.
     fn command(&self, command: FencedCommand) -> EngineFuture<CommandResponse>;
 
-    /// The engine's state.
+    /// Returns the engine's state.
     fn state(&self) -> EngineFuture<EngineState>;
 }
 
 /// Copies a run's blocks from one engine to another.
+///
+/// # Errors
+///
+/// Returns the error of the export or of the import.
 pub async fn transfer(
     from: &dyn EngineClient,
     to: &dyn EngineClient,
--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -1,71 +1,71 @@
-//! How a request to a back end can fail.
+//! Errors of requests to back ends.
 
 use std::time::Duration;
 
 use elderworks_platform_api::ErrorCode;
 use elderworks_types::Usage;
 
-/// Why it cannot be known whether a request ran.
+/// The reason why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LostReason {
     /// The connection broke after the request may have been sent.
     Broken,
-    /// No answer, or no whole answer, came in time.
+    /// The complete answer was not received in time.
     TimedOut,
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     Malformed,
 }
 
-/// A failed request, sorted by what is known of its effect.
+/// Error of a request, classified by whether the request can have had an effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BackendError {
-    /// The request surely never reached the back end.
+    /// The request did not reach the back end.
     #[error("not sent: {detail}")]
     NotSent {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// The back end said that it did not run the request.
+    /// The back end reported that it did not run the request.
     #[error("rejected as not run: {message}")]
     Rejected {
-        /// The back end's reason.
+        /// Error code of the back end.
         code: ErrorCode,
-        /// The reason in words.
+        /// Error message of the back end.
         message: String,
-        /// When it may take the request, if it said so.
+        /// Delay after which the back end may accept the request, if it sent one.
         retry_after: Option<Duration>,
     },
-    /// The request may have run, in whole or in part.
-    #[error("no whole answer ({reason:?}): {detail}")]
+    /// The request may have run, completely or partly.
+    #[error("no complete answer ({reason:?}): {detail}")]
     Lost {
-        /// Why there is no answer.
+        /// The reason why there is no complete answer.
         reason: LostReason,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
-        /// What the request had consumed as far as the answer showed.
+        /// Consumed tokens, as far as known from the part of the answer that was received.
         usage: Usage,
     },
-    /// The back end ran the request, or may have, and answered with an error.
+    /// The back end answered with an error and ran the request, or may have run it.
     #[error("answered with an error: {message}")]
     Errored {
-        /// The back end's reason.
+        /// Error code of the back end.
         code: ErrorCode,
-        /// The reason in words.
+        /// Error message of the back end.
         message: String,
-        /// What the request consumed as far as the answer showed.
+        /// Consumed tokens, as far as known from the answer.
         usage: Usage,
     },
 }
 
 impl BackendError {
-    /// A request that never left.
+    /// Creates the error of a request that was not sent.
     pub fn not_sent(detail: impl ToString) -> Self {
         Self::NotSent {
             detail: detail.to_string(),
         }
     }
 
-    /// A request whose answer is missing, of which nothing is known to have been consumed.
+    /// Creates the error of a request without a complete answer, with a usage of zero.
     pub fn lost(reason: LostReason, detail: impl ToString) -> Self {
         Self::Lost {
             reason,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The same failure, with what is known to have been consumed where that has a meaning.
+    /// Sets the usage of an error whose request may have run; other errors stay unchanged.
     #[must_use]
     pub fn with_usage(mut self, consumed: Usage) -> Self {
         match &mut self {
@@ -84,12 +84,12 @@
         self
     }
 
-    /// Whether the request surely had no effect.
+    /// Returns whether the request is known to have had no effect.
     pub fn surely_not_run(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::Rejected { .. })
     }
 
-    /// Whether the back end said that what the request names is not there.
+    /// Returns whether the back end reported that the requested object does not exist.
     pub fn is_not_found(&self) -> bool {
         let code = match self {
             Self::Rejected { code, .. } | Self::Errored { code, .. } => *code,
--- a/crates/backend/src/http.rs
+++ b/crates/backend/src/http.rs
@@ -1,4 +1,4 @@
-//! What all clients share: connections, deadlines and the sorting of failures.
+//! HTTP requests shared by all clients: connections, deadlines and classification of errors.
 
 use std::time::Duration;
 
@@ -17,20 +17,20 @@
 
 use crate::{BackendError, LostReason, decode};
 
-/// Most bytes of an answer that is read as a whole.
+/// Maximum size of a response body that is not streamed, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Most connections open at once; each streamed answer holds one.
+/// Maximum number of open connections; each streamed answer uses one.
 const MAX_CONNECTIONS: usize = 4_096;
 
-/// Longest time to establish a connection. Shorter than the limits of requests, so that a request
-/// to a machine that is gone counts as not sent rather than as perhaps run.
+/// Timeout of establishing a connection. It is shorter than the timeouts of requests, so that a
+/// request to an unreachable machine is classified as not sent instead of lost.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer whose body has yet to be read.
+/// A response whose body has not been read yet.
 pub(crate) type Answer = ClientResponse<LocalBoxStream<'static, Result<Bytes, PayloadError>>>;
 
-/// Connections to back ends, shared by the clients of one thread.
+/// A connection pool shared by the clients of one thread.
 #[derive(Clone)]
 pub struct HttpClient {
     client: awc::Client,
@@ -43,7 +43,7 @@
 }
 
 impl HttpClient {
-    /// No connection is open yet.
+    /// Creates a pool without open connections.
     pub fn new() -> Self {
         let connector = Connector::new()
             .limit(MAX_CONNECTIONS)
@@ -56,7 +56,7 @@
     }
 }
 
-/// One back end.
+/// The base URL of a back end, with the timeout of its requests.
 #[derive(Clone)]
 pub struct Endpoint {
     http: HttpClient,
@@ -65,8 +65,8 @@
 }
 
 impl Endpoint {
-    /// The back end at `base_url` (`http://IP:port`). `timeout` bounds each request for which no
-    /// other limit is given, from connecting to the end of the answer.
+    /// Creates an endpoint at `base_url` (`http://IP:port`). `timeout` limits each request without a
+    /// timeout of its own, from connecting to the end of the response.
     pub fn new(http: HttpClient, base_url: &str, timeout: Duration) -> Self {
         Self {
             http,
@@ -75,29 +75,29 @@
         }
     }
 
-    /// When a request that starts now is given up, unless it has a limit of its own.
+    /// Returns the deadline of a request that starts now and has no timeout of its own.
     pub(crate) fn deadline(&self) -> Instant {
         Instant::now() + self.timeout
     }
 
-    /// When a request that starts now and may wait for `wait` at the back end is given up.
+    /// Returns the deadline of a request that starts now and may wait for `wait` at the back end.
     pub(crate) fn deadline_after(&self, wait: Duration) -> Instant {
         Instant::now() + wait + self.timeout
     }
 
-    /// A request to `path`.
+    /// Creates a request to `path`.
     pub(crate) fn request(&self, method: Method, path: &str) -> ClientRequest {
         let url = format!("{}{path}", self.base_url);
         self.http.client.request(method, url)
     }
 
-    /// Asks for `path` and decodes the answer.
+    /// Sends a GET request to `path` and decodes the JSON response.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, BackendError> {
         let deadline = self.deadline();
         json(self.request(Method::GET, path), Body::Empty, deadline).await
     }
 
-    /// Sends `body` to `path` as JSON and decodes the answer.
+    /// Sends `body` to `path` as JSON and decodes the JSON response.
     pub(crate) async fn send<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -112,23 +112,23 @@
 
 /// Body of a request.
 pub(crate) enum Body {
-    /// None.
+    /// No body.
     Empty,
-    /// Bytes as they are.
+    /// Bytes, sent unchanged.
     Raw(Bytes),
     /// JSON text.
     Json(Vec<u8>),
 }
 
 impl Body {
-    /// Encodes `value`.
+    /// Encodes `value` as JSON.
     pub(crate) fn json(value: &impl Serialize) -> Result<Self, BackendError> {
         let encoded = serde_json::to_vec(value).map_err(BackendError::not_sent)?;
         Ok(Body::Json(encoded))
     }
 }
 
-/// Adds a query.
+/// Adds a query string to a request.
 pub(crate) fn with_query(
     request: ClientRequest,
     query: &impl Serialize,
@@ -136,18 +136,18 @@
     request.query(query).map_err(BackendError::not_sent)
 }
 
-/// Sends a request and decodes the whole answer.
+/// Sends a request, reads the complete response and decodes it as JSON.
 pub(crate) async fn json<T: DeserializeOwned>(
     request: ClientRequest,
     body: Body,
     deadline: Instant,
 ) -> Result<T, BackendError> {
     let answer = open(request, body, deadline).await?;
-    let body = whole_body(answer, deadline).await?;
+    let body = read_body(answer, deadline).await?;
     decode::json_body(&body)
 }
 
-/// Sends a request and returns a successful answer whose body has yet to be read.
+/// Sends a request and returns a successful response whose body has not been read yet.
 pub(crate) async fn open(
     request: ClientRequest,
     body: Body,
@@ -163,29 +163,29 @@
     if answer.status().is_success() {
         return Ok(answer);
     }
-    Err(error_answer(answer, deadline).await)
+    Err(decode_error(answer, deadline).await)
 }
 
-async fn error_answer(answer: Answer, deadline: Instant) -> BackendError {
+async fn decode_error(answer: Answer, deadline: Instant) -> BackendError {
     let status = answer.status().as_u16();
     let retry_after = answer
         .headers()
         .get(headers::RETRY_AFTER)
         .and_then(|value| decode::retry_after(value.as_bytes()));
-    match whole_body(answer, deadline).await {
+    match read_body(answer, deadline).await {
         Ok(body) => decode::error_body(status, retry_after, &body),
         Err(error) => error,
     }
 }
 
-async fn whole_body(mut answer: Answer, deadline: Instant) -> Result<Bytes, BackendError> {
+async fn read_body(mut answer: Answer, deadline: Instant) -> Result<Bytes, BackendError> {
     let expected_bytes = content_length(&answer);
     let body = answer.body().limit(MAX_ANSWER_BYTES);
     let body = timeout_at(deadline, body).await.map_err(|_| timed_out())?;
     let body = body.map_err(payload_failure)?;
-    // awc ends a body without an error where the connection does.
+    // awc does not report an error if the connection closes before the end of the body.
     if expected_bytes.is_some_and(|expected| expected != body.len()) {
-        let detail = "connection closed within the answer";
+        let detail = "connection closed before the end of the answer";
         return Err(BackendError::lost(LostReason::Broken, detail));
     }
     Ok(body)
@@ -196,12 +196,15 @@
     value.to_str().ok()?.parse().ok()
 }
 
-/// The failure of an answer that did not come, or did not end, in time.
+/// Creates the error of a response that was not completely received in time.
 pub(crate) fn timed_out() -> BackendError {
-    BackendError::lost(LostReason::TimedOut, "no whole answer in time")
+    BackendError::lost(
+        LostReason::TimedOut,
+        "timed out before the end of the answer",
+    )
 }
 
-/// Sorts a failure to read an answer's body.
+/// Classifies an error while reading a response body.
 pub(crate) fn payload_failure(error: PayloadError) -> BackendError {
     let reason = match error {
         PayloadError::Overflow | PayloadError::EncodingCorrupted | PayloadError::UnknownLength => {
@@ -212,8 +215,9 @@
     BackendError::lost(reason, error)
 }
 
-/// Sorts a failure to send a request. Only what happens before the connection stands is surely not
-/// sent; `awc` also reports a connection that closed before the answer as a `ConnectError`.
+/// Classifies an error while sending a request. Only an error before the connection is established
+/// means that the request was not sent. `awc` also reports a connection that closed before the
+/// response as a `ConnectError`; that request may have run.
 fn send_failure(error: SendRequestError) -> BackendError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
@@ -221,7 +225,7 @@
         }
         SendRequestError::Connect(error) => BackendError::not_sent(error),
         SendRequestError::Url(error) => BackendError::not_sent(error),
-        // Raised while the request is put together, as for a header value that is not allowed.
+        // Occurs while building the request, for example for an invalid header value.
         SendRequestError::Http(error) => BackendError::not_sent(error),
         SendRequestError::Timeout => timed_out(),
         SendRequestError::Response(ParseError::Io(error)) => {
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP clients for engines, tools and the platform, each behind one narrow trait.
+//! HTTP clients of engines, tools and the platform, each behind a small trait.
 //!
-//! The traits are what drivers depend on; the `Http*` types implement them over `awc`. Every answer
-//! from outside is decoded here, and no answer, however malformed, panics. Failures are sorted by
-//! what the caller must know of them, see [`BackendError`].
+//! Callers depend on the traits; the `Http*` types implement them with `awc`. This crate decodes all
+//! responses, and a malformed response never panics. Errors are classified by whether the request
+//! can have had an effect, see [`BackendError`].
 
 pub mod decode;
 pub mod engine;
--- a/crates/backend/src/log.rs
+++ b/crates/backend/src/log.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's log.
+//! Client of the platform's log service.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 use crate::http::{self, Body};
 use crate::{BackendError, Endpoint, LostReason};
 
-/// The append-only log service.
+/// Client of the append-only log service.
 pub trait LogClient {
-    /// Appends one record. After [`BackendError::Lost`] it may be in the stream all the same.
+    /// Appends one record and returns its offset. After [`BackendError::Lost`] the record may have
+    /// been appended.
     fn append(
         &self,
         stream: &str,
         data: Bytes,
     ) -> LocalBoxFuture<'static, Result<Offset, BackendError>>;
 
-    /// Reads records from `from` on, of about `max_bytes` in all, waiting up to `wait` for the
-    /// first.
+    /// Reads records from offset `from` on, with a total size of about `max_bytes`. Waits up to
+    /// `wait` for the first record.
     fn read(
         &self,
         stream: &str,
@@ -33,14 +34,14 @@
     ) -> LocalBoxFuture<'static, Result<ReadResponse, BackendError>>;
 }
 
-/// [`LogClient`] over HTTP.
+/// A [`LogClient`] over HTTP.
 #[derive(Clone)]
 pub struct HttpLogClient {
     endpoint: Endpoint,
 }
 
 impl HttpLogClient {
-    /// The log at this endpoint.
+    /// Creates a client of the log at `endpoint`.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint }
     }
@@ -85,13 +86,13 @@
     }
 }
 
-/// Holds an answer against what the interface promises: offsets dense from the one asked for.
+/// Checks that the record offsets are consecutive, start at `from` and are below the end.
 fn check_offsets(from: Offset, answer: &ReadResponse) -> Result<(), BackendError> {
     let mut expected = from;
     for record in &answer.records {
         if record.offset != expected || expected >= answer.end {
             let detail = format!(
-                "record at offset {} where {expected} was due",
+                "record at offset {}, expected offset {expected}",
                 record.offset
             );
             return Err(BackendError::lost(LostReason::Malformed, detail));
--- a/crates/backend/src/machines.rs
+++ b/crates/backend/src/machines.rs
@@ -1,4 +1,4 @@
-//! Client of the list of machines.
+//! Client of the platform's list of machines.
 
 use elderworks_platform_api::machines::MachineList;
 use elderworks_platform_api::paths;
@@ -7,20 +7,20 @@
 
 use crate::{BackendError, Endpoint};
 
-/// The platform's list of machines.
+/// Client of the platform's list of machines.
 pub trait MachinesClient {
-    /// The list as published; it lags behind the truth.
+    /// Returns the published list, which lags behind the actual state of the machines.
     fn list(&self) -> LocalBoxFuture<'static, Result<MachineList, BackendError>>;
 }
 
-/// [`MachinesClient`] over HTTP.
+/// A [`MachinesClient`] over HTTP.
 #[derive(Clone)]
 pub struct HttpMachinesClient {
     endpoint: Endpoint,
 }
 
 impl HttpMachinesClient {
-    /// The list at this endpoint.
+    /// Creates a client of the list at `endpoint`.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint }
     }
--- a/crates/backend/src/tool.rs
+++ b/crates/backend/src/tool.rs
@@ -14,42 +14,42 @@
 use crate::http::{self, Body};
 use crate::{BackendError, Endpoint};
 
-/// One invocation.
+/// An invocation of a tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToolInvocation {
-    /// The tool.
+    /// Name of the tool.
     pub tool: ToolName,
-    /// Key under which the tool recognises a repeat.
+    /// Key by which the tool recognises a repeated invocation.
     pub idempotency_key: String,
     /// Arguments as JSON text.
     pub arguments: String,
-    /// Longest time to wait for the result.
+    /// Timeout of the result.
     pub timeout: Duration,
 }
 
-/// A tool service.
+/// Client of a tool service.
 pub trait ToolClient {
-    /// Invokes the tool.
+    /// Invokes the tool and returns its result.
     fn invoke(
         &self,
         invocation: ToolInvocation,
     ) -> LocalBoxFuture<'static, Result<InvocationResponse, BackendError>>;
 
-    /// Asks what became of an invocation.
+    /// Queries the status of an invocation.
     fn status(
         &self,
         idempotency_key: &str,
     ) -> LocalBoxFuture<'static, Result<InvocationStatus, BackendError>>;
 }
 
-/// [`ToolClient`] over HTTP.
+/// A [`ToolClient`] over HTTP.
 #[derive(Clone)]
 pub struct HttpToolClient {
     endpoint: Endpoint,
 }
 
 impl HttpToolClient {
-    /// The tool service at this endpoint.
+    /// Creates a client of the tool service at `endpoint`.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint }
     }
--- a/crates/backend/src/weights.rs
+++ b/crates/backend/src/weights.rs
@@ -8,24 +8,24 @@
 
 use crate::{BackendError, Endpoint};
 
-/// The platform's weight store.
+/// Client of the platform's weight store.
 pub trait WeightsClient {
-    /// Looks a model's weights up. A request beyond the rate limit is
-    /// [`BackendError::Rejected`] and says when to come back.
+    /// Looks up a model's weights. A request beyond the rate limit fails with
+    /// [`BackendError::Rejected`], which has the time until the next request is allowed.
     fn weights(
         &self,
         model: &ModelName,
     ) -> LocalBoxFuture<'static, Result<WeightsResponse, BackendError>>;
 }
 
-/// [`WeightsClient`] over HTTP.
+/// A [`WeightsClient`] over HTTP.
 #[derive(Clone)]
 pub struct HttpWeightsClient {
     endpoint: Endpoint,
 }
 
 impl HttpWeightsClient {
-    /// The store at this endpoint.
+    /// Creates a client of the store at `endpoint`.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint }
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener: health, metrics and the operators' interface.
+//! The admin HTTP listener, which serves health checks, metrics and the operators' interface.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -11,13 +11,13 @@
 use crate::input::{Input, InputSender};
 use crate::operator::{OperatorContext, respond};
 
-/// Connections open at the same time.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// Paths of the operators' interface.
+/// Path prefix of the operators' interface.
 const OPERATOR_PREFIX: &str = "/apis";
 
-/// What the handlers of one connection share.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub(crate) struct Admin {
     pub(crate) operator: OperatorContext,
@@ -25,7 +25,7 @@
     pub(crate) status: watch::Receiver<NodeStatus>,
 }
 
-/// Serves on a bound socket until the handle is told to stop.
+/// Starts serving on a bound socket, until the returned handle stops the server.
 pub(crate) fn serve(listener: TcpListener, admin: Admin) -> std::io::Result<ServerHandle> {
     let server = Server::build()
         .workers(1)
@@ -44,7 +44,7 @@
     Ok(handle)
 }
 
-/// The address that a socket got.
+/// Returns the address to which a socket is bound.
 pub(crate) fn bound_address(listener: &TcpListener) -> std::io::Result<SocketAddr> {
     listener.local_addr()
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines and tools: one task each.
+//! Attempts at calls to engines and tools, one task per attempt.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,27 +18,28 @@
 
 use crate::input::{Input, InputSender};
 
-/// Longest wait for short requests to engines and tools.
+/// Timeout of short requests to engines and tools.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time for the rest of an attempt that an earlier owner started.
+/// Timeout for reading the rest of an attempt that a previous owner of the run started.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Time between questions after an invocation that is still running.
+/// Interval between status queries about an invocation that is still running.
 const TOOL_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Name by which an engine knows an attempt; the same for every owner.
+/// Returns the id of an attempt at the engine. It does not depend on the node, so that a new owner
+/// of the run can resume the attempt.
 pub(crate) fn request_id(ticket: Ticket) -> String {
     format!("{}#{}", ticket.call, ticket.attempt)
 }
 
 struct Running {
     task: JoinHandle<()>,
-    /// Where to cancel it, if it is at an engine.
+    /// URL at which to cancel the attempt; `None` for a tool.
     engine_url: Option<String>,
 }
 
-/// Attempts being read.
+/// Attempts whose answers are being read.
 pub(crate) struct AttemptTasks {
     http: HttpClient,
     inputs: InputSender,
@@ -58,7 +59,7 @@
         self.running.len()
     }
 
-    /// Forgets tasks that have ended.
+    /// Removes tasks that have finished.
     pub(crate) fn sweep(&mut self) {
         self.running
             .retain(|_, running| !running.task.is_finished());
@@ -110,13 +111,13 @@
         if let Some(url) = running.engine_url {
             let cancelling = engine_client(&self.http, &url).cancel(&request_id(ticket));
             actix_rt::spawn(async move {
-                // An engine also stops by itself once nobody reads the answer.
+                // A failed cancellation is harmless: the engine stops once the answer is not read.
                 let _ = cancelling.await;
             });
         }
     }
 
-    /// Stops reading only.
+    /// Stops reading an attempt's answer without cancelling the attempt.
     pub(crate) fn detach(&mut self, ticket: Ticket) {
         if let Some(running) = self.running.remove(&ticket) {
             running.task.abort();
@@ -146,14 +147,15 @@
 }
 
 async fn read_answer(ticket: Ticket, answer: AnswerStream, inputs: InputSender) {
-    if let Err(error) = pass_on_answer(ticket, answer, &inputs).await {
+    if let Err(error) = forward_answer(ticket, answer, &inputs).await {
         report_failure(ticket, attempt_failure(error), &inputs).await;
     }
 }
 
-/// Like [`read_answer`], but an engine that does not know the attempt has not received it again.
+/// Like [`read_answer`], but if the engine does not know the attempt, reports it as not sent: the
+/// resume request does not start an attempt.
 async fn read_resumed(ticket: Ticket, answer: AnswerStream, inputs: InputSender) {
-    if let Err(error) = pass_on_answer(ticket, answer, &inputs).await {
+    if let Err(error) = forward_answer(ticket, answer, &inputs).await {
         let failure = match error.is_not_found() {
             true => AttemptFailure::NotSent,
             false => attempt_failure(error),
@@ -162,7 +164,7 @@
     }
 }
 
-async fn pass_on_answer(
+async fn forward_answer(
     ticket: Ticket,
     mut answer: AnswerStream,
     inputs: &InputSender,
@@ -207,8 +209,8 @@
     }
 }
 
-/// Asks until the tool gives an answer that settles the question. A tool that does not know the key
-/// may have forgotten it, so its ignorance proves nothing.
+/// Queries a tool until the outcome of an invocation is known. A tool that does not know the key may
+/// have run the invocation and discarded the key, so that case counts as lost.
 async fn query_tool(ticket: Ticket, client: HttpToolClient, key: String, inputs: InputSender) {
     loop {
         match client.status(&key).await {
@@ -248,7 +250,7 @@
 }
 
 async fn report(event: Event, inputs: &InputSender) {
-    // The node has stopped if nobody takes it.
+    // The receiver is gone only if the node has stopped.
     let _ = inputs.send(Input::Event(Box::new(event))).await;
 }
 
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -4,7 +4,8 @@
 
 use elderworks_types::Timestamp;
 
-/// Reads the wall clock once and the monotonic clock from then on, so that time never runs back.
+/// A clock that reads the wall clock once and then adds the elapsed monotonic time, so that its
+/// readings never decrease.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -12,7 +13,7 @@
 }
 
 impl Clock {
-    /// Starts from the wall clock's present reading.
+    /// Creates a clock that starts at the current wall clock time.
     pub fn start() -> Self {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,7 +24,7 @@
         }
     }
 
-    /// The present reading.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         Timestamp(0) + (self.wall + self.started.elapsed())
     }
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,16 +1,16 @@
-//! Counters shared by the driver's tasks, all of one thread.
+//! Counters shared by the driver's tasks, which all run on one thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use crate::metrics::DriverCounters;
 
-/// Shared by cloning.
+/// A handle to the shared counters; clones refer to the same values.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedCounters(Rc<Cell<DriverCounters>>);
 
 impl SharedCounters {
-    /// Adds one to a counter.
+    /// Increments a counter.
     pub(crate) fn add(&self, counter: impl FnOnce(&mut DriverCounters) -> &mut u64) {
         let mut counters = self.0.get();
         *counter(&mut counters) += 1;
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,4 +1,5 @@
-//! The task that owns the node's state machine: inputs in, effects out, nothing decided.
+//! The task that owns the node's state machine. It passes inputs to the state machine and executes
+//! the returned effects; all decisions are made in `elderworks-node-core`.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,22 +22,22 @@
 use crate::input::{Input, InputSender};
 use crate::listener::Outgoing;
 use crate::log_io::LogIo;
-use crate::memory::MemoryOrders;
+use crate::memory::MemoryRequests;
 use crate::metrics::MetricsSnapshot;
 use crate::operator::{OperatorBridge, OperatorCommand};
 use crate::peers::PeerConnections;
 
-/// What a node tells those that started it.
+/// Status of a node, published to the code that started it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Whether it serves.
+    /// Whether the node is ready to serve.
     pub ready: bool,
-    /// Whether it has left in order.
+    /// Whether the node has finished draining.
     pub drained: bool,
 }
 
-/// Where the driver's parts reach the outside.
-pub(crate) struct Outside {
+/// I/O resources that the driver's parts share.
+pub(crate) struct DriverIo {
     pub(crate) http: HttpClient,
     pub(crate) log_url: String,
     pub(crate) gossip: Rc<UdpSocket>,
@@ -44,7 +45,7 @@
     pub(crate) counters: SharedCounters,
 }
 
-/// The owning task's state.
+/// State of the task that owns the state machine.
 pub(crate) struct Driver {
     core: NodeCore,
     clock: Clock,
@@ -55,7 +56,7 @@
     peers: PeerConnections,
     attempts: AttemptTasks,
     engines: EnginePolls,
-    memory: MemoryOrders,
+    memory: MemoryRequests,
     operators: OperatorBridge,
     status: watch::Sender<NodeStatus>,
 }
@@ -64,17 +65,17 @@
     pub(crate) fn new(
         core: NodeCore,
         node: elderworks_types::NodeId,
-        outside: Outside,
+        io: DriverIo,
         inputs: InputSender,
         status: watch::Sender<NodeStatus>,
     ) -> Self {
-        let Outside {
+        let DriverIo {
             http,
             log_url,
             gossip,
             clock,
             counters,
-        } = outside;
+        } = io;
         Self {
             core,
             clock,
@@ -85,13 +86,13 @@
             peers: PeerConnections::new(node, inputs.clone(), counters),
             attempts: AttemptTasks::new(http.clone(), inputs.clone()),
             engines: EnginePolls::new(http.clone(), inputs.clone(), clock),
-            memory: MemoryOrders::new(http, inputs),
+            memory: MemoryRequests::new(http, inputs),
             operators: OperatorBridge::default(),
             status,
         }
     }
 
-    /// Runs until the node has left in order.
+    /// Runs until the node has finished draining or all senders of inputs are gone.
     pub(crate) async fn run(
         mut self,
         mut queue: mpsc::Receiver<Input>,
@@ -108,7 +109,7 @@
                     self.handle(event);
                 }
                 input = queue.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
             }
@@ -123,9 +124,9 @@
         self.handle(Event::Tick);
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Event(event) => self.take_event(*event),
+            Input::Event(event) => self.receive_event(*event),
             Input::Accepted {
                 connection,
                 outgoing,
@@ -151,7 +152,7 @@
         }
     }
 
-    fn take_event(&mut self, event: Event) {
+    fn receive_event(&mut self, event: Event) {
         if let Event::Closed { connection } = &event {
             self.connections.remove(connection);
         }
@@ -160,11 +161,11 @@
 
     fn handle(&mut self, event: Event) {
         for effect in self.core.handle(self.clock.now(), event) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Append {
                 stream,
@@ -192,11 +193,11 @@
             Effect::Drained => {
                 self.status.send_modify(|status| status.drained = true);
             }
-            backend => self.carry_out_backend(backend),
+            backend => self.execute_backend(backend),
         }
     }
 
-    fn carry_out_backend(&mut self, effect: Effect) {
+    fn execute_backend(&mut self, effect: Effect) {
         match effect {
             Effect::Generate(generate) => self.attempts.generate(*generate),
             Effect::ResumeStream {
@@ -238,17 +239,17 @@
                 from_url,
                 to_url,
             } => self.memory.transfer(run, &from_url, &to_url),
-            other => unreachable!("carried out before: {other:?}"),
+            other => unreachable!("executed before: {other:?}"),
         }
     }
 
-    /// Queues a message; a connection whose queue is full is cut off.
+    /// Queues a message for a connection. A connection whose queue is full is closed.
     fn send(&mut self, connection: Connection, message: FromNode) {
         let Some(outgoing) = self.connections.get(&connection) else {
             return;
         };
         if let Err(mpsc::error::TrySendError::Full(_)) = outgoing.try_send(message) {
-            // Closing the queue ends the connection's writer, and with it the connection.
+            // Dropping the queue's sender ends the writer task, which closes the connection.
             self.connections.remove(&connection);
             self.counters.add(|counters| &mut counters.connections_cut);
         }
--- a/crates/node/src/engine_polls.rs
+++ b/crates/node/src/engine_polls.rs
@@ -1,4 +1,5 @@
-//! Polling of engines: state, load, cache events and holdings, at the pace that the core sets.
+//! Polling of engines for state, load, cache events and holdings, at intervals set by the state
+//! machine.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,7 +17,7 @@
 use crate::clock::Clock;
 use crate::input::{Input, InputSender};
 
-/// Engines being polled.
+/// Polling tasks by engine.
 pub(crate) struct EnginePolls {
     http: HttpClient,
     inputs: InputSender,
@@ -100,15 +101,15 @@
                 return;
             }
             round = round.wrapping_add(1);
-            if self.pace_changed_within(pace.interval()).await {
-                // Everything is asked for at once.
+            if self.wait_for_pace_change(pace.interval()).await {
+                // The first round of the new pace polls everything.
                 round = 0;
             }
         }
     }
 
-    /// Waits until the next poll is due; whether that is because of another pace.
-    async fn pace_changed_within(&mut self, interval: Duration) -> bool {
+    /// Waits for `interval`, or until the pace changes. Returns whether the pace changed.
+    async fn wait_for_pace_change(&mut self, interval: Duration) -> bool {
         let changed = actix_rt::time::timeout(interval, self.pace.changed());
         matches!(changed.await, Ok(Ok(())))
     }
@@ -167,7 +168,7 @@
     }
 
     async fn report(&self, event: Event) {
-        // The node has stopped if nobody takes it.
+        // The receiver is gone only if the node has stopped.
         let _ = self.inputs.send(Input::Event(Box::new(event))).await;
     }
 }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip socket.
+//! Receiving and sending of gossip datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,13 +11,13 @@
 use crate::counters::SharedCounters;
 use crate::input::{Input, InputSender};
 
-/// Largest datagram that UDP carries.
+/// Size of the receive buffer in bytes, large enough for any UDP datagram.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Pause after a failed receive.
+/// Delay after a failed receive.
 const RECEIVE_BACKOFF: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Passes on datagrams until the node stops.
+/// Decodes received datagrams and passes them to the driver until the node stops.
 pub(crate) async fn receive_datagrams(
     socket: Rc<UdpSocket>,
     inputs: InputSender,
@@ -26,7 +26,7 @@
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            // An earlier datagram was answered by "port unreachable", for example.
+            // Receiving can report that an earlier datagram was undeliverable ("port unreachable").
             actix_rt::time::sleep(RECEIVE_BACKOFF).await;
             continue;
         };
@@ -41,7 +41,7 @@
     }
 }
 
-/// Sends a datagram if the socket takes it now; gossip makes up for what is lost.
+/// Sends a datagram if the socket accepts it without waiting. Gossip tolerates lost datagrams.
 pub(crate) fn send_datagram(socket: &UdpSocket, to: SocketAddr, datagram: &Datagram) {
     let _ = socket.try_send_to(&encode(datagram), to);
 }
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the task that owns the node's state machine.
+//! Inputs of the task that owns the node's state machine.
 
 use elderworks_node_core::Event;
 use elderworks_node_core::event::Connection;
@@ -7,27 +7,27 @@
 
 use crate::metrics::MetricsSnapshot;
 
-/// Inputs waiting for the owning task; senders wait while it is full.
-pub const INPUT_QUEUE: usize = 8_192;
+/// Capacity of the input queue; senders wait while it is full.
+pub const INPUT_QUEUE_CAPACITY: usize = 8_192;
 
-/// The sending side of the queue.
+/// The sender of the input queue.
 pub(crate) type InputSender = mpsc::Sender<Input>;
 
-/// An input of the owning task.
+/// An input of the driver.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// For the state machine as it is.
+    /// An event for the state machine.
     Event(Box<Event>),
-    /// A connection was accepted; messages for it go into `outgoing`.
+    /// A connection was accepted.
     Accepted {
-        /// Its name.
+        /// The id of the connection.
         connection: Connection,
-        /// Queue of its writer.
+        /// The queue of the connection's writer.
         outgoing: mpsc::Sender<FromNode>,
     },
-    /// Asks for the counters.
+    /// Requests a snapshot of the metrics.
     Metrics {
-        /// Takes them.
+        /// Receives the snapshot.
         reply: oneshot::Sender<MetricsSnapshot>,
     },
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The node process: an actix-rt driver around `elderworks-node-core`.
+//! The node process: an actix-rt driver around the state machine of `elderworks-node-core`.
 //!
-//! One task owns the state machine and drains a bounded queue; every other task only turns bytes
-//! into inputs or effects into bytes. [`run`] is the whole process, [`start`] embeds a node.
+//! One task owns the state machine and drains a bounded queue. All other tasks only do I/O: they
+//! decode bytes into inputs and encode effects into bytes. [`run`] runs a node until a stop signal,
+//! [`start`] starts one inside an existing actix system.
 
 mod admin;
 mod attempts;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of sidecars and peers: framed messages over TCP.
+//! Incoming connections of sidecars and peers, which carry framed messages over TCP.
 
 #[cfg(test)]
 mod tests;
@@ -21,23 +21,23 @@
 use crate::counters::SharedCounters;
 use crate::input::{Input, InputSender};
 
-/// Connections open at the same time; further ones are closed at once.
+/// Maximum number of open connections; further ones are closed immediately.
 pub const MAX_CONNECTIONS: usize = 16_384;
 
-/// Messages waiting for one connection; a reader that falls further behind is cut off.
-pub const OUTGOING_QUEUE: usize = 4_096;
+/// Maximum number of messages queued for one connection; a connection that exceeds it is closed.
+pub const OUTGOING_QUEUE_CAPACITY: usize = 4_096;
 
-/// A connection that takes no bytes for this long is cut off.
+/// Timeout of a write, after which the connection is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes written to a connection at once while more messages wait.
+/// Size, in bytes, from which on no more queued messages are added to a write.
 const WRITE_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Pause after a failed accept, for example while no file descriptor is free.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Accepts connections until the node stops. Closing the listener then matters: a client whose
-/// connections are refused backs off, one whose connections end at once does not.
+/// Accepts connections until the node stops, then closes the listener. Clients back off when their
+/// connections are refused, but not when accepted connections are closed immediately.
 pub(crate) async fn accept_connections(
     listener: TcpListener,
     inputs: InputSender,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Carries one connection's messages both ways until either side ends it.
+/// Reads and writes one connection's messages until either side closes it.
 async fn serve_connection(
     stream: TcpStream,
     connection: Connection,
@@ -80,7 +80,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
-    let (outgoing, queue) = mpsc::channel(OUTGOING_QUEUE);
+    let (outgoing, queue) = mpsc::channel(OUTGOING_QUEUE_CAPACITY);
     let accepted = Input::Accepted {
         connection,
         outgoing,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Writes queued messages, those that wait together in one go.
+/// Writes queued messages, combining those that are already queued into one write.
 pub(crate) async fn write_messages<T: serde::Serialize>(
     mut writer: OwnedWriteHalf,
     mut queue: mpsc::Receiver<T>,
@@ -147,5 +147,5 @@
     let _ = writer.shutdown().await;
 }
 
-/// A connection's queue as the owning task sees it.
+/// The sender of a connection's outgoing queue, held by the driver.
 pub(crate) type Outgoing = mpsc::Sender<FromNode>;
--- a/crates/node/src/listener/tests.rs
+++ b/crates/node/src/listener/tests.rs
@@ -7,7 +7,7 @@
 use crate::counters::SharedCounters;
 
 #[actix_rt::test]
-async fn connections_are_refused_once_nobody_takes_inputs() {
+async fn connections_are_refused_after_the_input_queue_closes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     let (inputs, queue) = mpsc::channel(1);
--- a/crates/node/src/log_io.rs
+++ b/crates/node/src/log_io.rs
@@ -1,4 +1,4 @@
-//! Appends to and reads from the platform's log.
+//! Appends to and reads from the platform's log service.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::counters::SharedCounters;
 use crate::input::{Input, InputSender};
 
-/// An append or read without an answer for this long is taken to have none.
+/// Time after which an append or read counts as unanswered.
 const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of records asked for by one read.
+/// Maximum size of the records returned by one read, in bytes.
 const READ_BYTES: usize = 1024 * 1024;
 
-/// Carries out log effects, each in its own task.
+/// Executes the state machine's log effects, each in its own task.
 #[derive(Clone)]
 pub(crate) struct LogIo {
     client: HttpLogClient,
@@ -82,7 +82,7 @@
     }
 
     async fn report(&self, event: Event) {
-        // The node has stopped if nobody takes it.
+        // The receiver is gone only if the node has stopped.
         let _ = self.inputs.send(Input::Event(Box::new(event))).await;
     }
 }
--- a/crates/node/src/machine_polls.rs
+++ b/crates/node/src/machine_polls.rs
@@ -9,10 +9,11 @@
 use crate::attempts::REQUEST_TIMEOUT;
 use crate::input::{Input, InputSender};
 
-/// Time between polls: an engine or node listed as leaving must get no new work within 3 s.
+/// Interval between polls. An engine or node that is listed as leaving must stop receiving new work
+/// within 3 s.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Polls until the node stops. An unanswered poll leaves the last list in force.
+/// Polls until the node stops. After a failed poll the previous list remains in effect.
 pub(crate) async fn poll_machines(http: HttpClient, url: String, inputs: InputSender) {
     let client = HttpMachinesClient::new(Endpoint::new(http, &url, REQUEST_TIMEOUT));
     loop {
--- a/crates/node/src/memory.rs
+++ b/crates/node/src/memory.rs
@@ -1,4 +1,4 @@
-//! Orders about the memory that engines hold for runs.
+//! Requests to engines about the cache memory that they hold for runs.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 use crate::attempts::engine_client;
 use crate::input::{Input, InputSender};
 
-/// Carries out orders, each in its own task.
+/// Sends memory requests, each in its own task.
 #[derive(Clone)]
-pub(crate) struct MemoryOrders {
+pub(crate) struct MemoryRequests {
     http: HttpClient,
     inputs: InputSender,
 }
 
-impl MemoryOrders {
+impl MemoryRequests {
     pub(crate) fn new(http: HttpClient, inputs: InputSender) -> Self {
         Self { http, inputs }
     }
 
-    /// Frees what an engine holds; only a success is reported, and execution repeats the order.
+    /// Frees the memory that an engine holds for a run. Only success is reported; without a report
+    /// the state machine repeats the request.
     pub(crate) fn release(&self, run: RunId, engine: EngineId, url: &str) {
         let releasing = engine_client(&self.http, url).release(run);
         let inputs = self.inputs.clone();
@@ -33,7 +34,8 @@
         });
     }
 
-    /// Keeps a run's blocks; without an answer they fall to ordinary eviction.
+    /// Protects a run's blocks from eviction for the duration of `lease`. If the request fails, the
+    /// blocks stay subject to normal eviction.
     pub(crate) fn retain(&self, run: RunId, url: &str, lease: Duration) {
         let retaining = engine_client(&self.http, url).retain(run, lease);
         actix_rt::spawn(async move {
@@ -41,7 +43,7 @@
         });
     }
 
-    /// Copies a run's blocks; without them the importing engine computes the prefix anew.
+    /// Copies a run's blocks between engines. If that fails, the target engine recomputes the prefix.
     pub(crate) fn transfer(&self, run: RunId, from_url: &str, to_url: &str) {
         let from = engine_client(&self.http, from_url);
         let to = engine_client(&self.http, to_url);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters in the usual text form.
+//! Metrics of the node in the OpenMetrics text format.
 
 use elderworks_execution as execution;
 use elderworks_node_core::Counters;
@@ -9,49 +9,49 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-/// What the driver counts.
+/// Counters of the driver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DriverCounters {
     /// Connections accepted from sidecars and peers.
     pub connections_accepted: u64,
     /// Connections refused because too many were open.
     pub connections_refused: u64,
-    /// Connections cut because the other side read too slowly.
+    /// Connections closed because the other side read too slowly.
     pub connections_cut: u64,
-    /// Connections closed because of bytes that are no message.
+    /// Connections closed because of malformed bytes.
     pub malformed_streams: u64,
-    /// Datagrams that are no message.
+    /// Malformed datagrams.
     pub malformed_datagrams: u64,
     /// Messages to peers that were dropped.
     pub peer_messages_dropped: u64,
-    /// Watches cut because the watcher read too slowly.
+    /// Watches closed because the watcher read too slowly.
     pub watches_cut: u64,
-    /// Appends and reads without an answer.
+    /// Appends and reads that the log did not answer.
     pub log_failures: u64,
 }
 
-/// Everything that `/metrics` shows.
+/// Values of all metrics at one time, as exposed at `/metrics`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MetricsSnapshot {
-    /// Of the state machine.
+    /// Counters of the state machine.
     pub core: Counters,
-    /// Of its partitions.
+    /// Counters of the owned partitions, summed.
     pub execution: execution::Counters,
-    /// Of its placement.
+    /// Counters of the placement of calls on engines.
     pub placement: placement::Counters,
-    /// Of the driver.
+    /// Counters of the driver.
     pub driver: DriverCounters,
-    /// Partitions owned now.
+    /// Number of owned partitions.
     pub owned_partitions: u64,
-    /// Connections open now.
+    /// Number of open connections.
     pub open_connections: u64,
-    /// Attempts being read from back ends now.
+    /// Number of attempts whose answers are being read from back ends.
     pub open_attempts: u64,
-    /// Whether the node is ready.
+    /// Whether the node is ready to serve.
     pub ready: bool,
 }
 
-/// One line of the table that maps counters to names.
+/// A counter or gauge with its metric name and help text.
 struct NamedCounter {
     name: &'static str,
     help: &'static str,
@@ -69,12 +69,12 @@
 }
 
 impl MetricsSnapshot {
-    /// The text exposed at `/metrics`.
+    /// Returns the metrics as text for `/metrics`.
     pub fn encode(self) -> String {
         let mut registry = Registry::default();
         registry.register_collector(Box::new(SnapshotCollector(self)));
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string cannot fail.
         let _ = prometheus_client::encoding::text::encode(&mut text, &registry);
         text
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,42 +19,42 @@
 use crate::admin::{self, Admin};
 use crate::clock::Clock;
 use crate::counters::SharedCounters;
-use crate::driver::{Driver, NodeStatus, Outside};
+use crate::driver::{Driver, DriverIo, NodeStatus};
 use crate::gossip::receive_datagrams;
-use crate::input::{INPUT_QUEUE, Input, InputSender};
+use crate::input::{INPUT_QUEUE_CAPACITY, Input, InputSender};
 use crate::listener::accept_connections;
 use crate::machine_polls::poll_machines;
 use crate::operator::{OperatorContext, OperatorHandle, operator_channel};
 
-/// Time for queued messages to leave after the drain, before the process exits.
+/// Time for queued messages to be written after the drain, before the process exits.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Longest wait of an operator's request for the state machine, and for the log behind it.
+/// Longest time that an operator's request waits for the state machine, including its log append.
 const OPERATOR_REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a node did not start.
+/// The reason why a node did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address could not be bound.
     #[error("cannot listen on {address}: {error}")]
     Bind {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The system gave no random bytes to tell this start from others.
-    #[error("no random bytes: {0}")]
+    /// The operating system returned no random bytes for the node's seed.
+    #[error("no random bytes for the node's seed: {0}")]
     Random(String),
 }
 
-/// A running node. Dropping it stops the node at once, without draining.
+/// A running node. Dropping it stops the node immediately, without draining.
 pub struct NodeHandle {
-    /// Where it takes connections from sidecars and peers.
+    /// Address that accepts connections from sidecars and peers.
     pub address: SocketAddr,
-    /// Where it takes gossip.
+    /// Address that receives gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// Where it serves operators, metrics and health.
+    /// Address that serves the operators' interface, metrics and health checks.
     pub admin_address: SocketAddr,
     inputs: InputSender,
     operator: OperatorHandle,
@@ -64,18 +64,18 @@
 }
 
 impl NodeHandle {
-    /// Asks the node on behalf of operators.
+    /// Returns a handle for operators' requests to the node.
     pub fn operator(&self) -> OperatorHandle {
         self.operator.clone()
     }
 
-    /// Waits until the node serves; `false` if it stopped first.
+    /// Waits until the node is ready to serve. Returns `false` if it stopped first.
     pub async fn ready(&self) -> bool {
         let mut status = self.status.clone();
         status.wait_for(|status| status.ready).await.is_ok()
     }
 
-    /// Tells the node to leave in order, and waits until it has.
+    /// Drains the node: waits until it has handed over its work, then stops the listeners.
     pub async fn drain(self) {
         let _ = self.inputs.send(Input::Event(Box::new(Event::Drain))).await;
         let mut status = self.status.clone();
@@ -90,19 +90,23 @@
         for task in &self.tasks {
             task.abort();
         }
-        // The request to stop is sent by the call; the future only waits for the end.
+        // The call sends the stop request; the returned future only waits for completion.
         drop(self.admin.stop(false));
     }
 }
 
-/// Binds the node's addresses and starts its tasks on the present actix system. Port 0 lets the
-/// system choose; the handle tells what it chose.
+/// Binds the node's addresses and starts its tasks on the current actix system. With port 0 the
+/// operating system chooses the port; the handle has the actual addresses.
+///
+/// # Errors
+///
+/// Returns an error if an address cannot be bound or no random bytes are available.
 pub async fn start(settings: &NodeProcessSettings) -> Result<NodeHandle, StartError> {
     let clock = Clock::start();
     let counters = SharedCounters::default();
     let http = HttpClient::new();
     let sockets = Sockets::bind(settings).await?;
-    let (inputs, queue) = mpsc::channel(INPUT_QUEUE);
+    let (inputs, queue) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let (status, status_receiver) = watch::channel(NodeStatus::default());
     let (operator, commands) = operator_channel();
     let admin_address = sockets.admin_address;
@@ -113,14 +117,14 @@
     };
     let admin = admin::serve(sockets.admin, admin).map_err(bind_error(admin_address))?;
     let core = NodeCore::new(core_settings(settings, &sockets.addresses)?);
-    let outside = Outside {
+    let io = DriverIo {
         http: http.clone(),
         log_url: settings.log_url.clone(),
         gossip: sockets.gossip.clone(),
         clock,
         counters: counters.clone(),
     };
-    let driver = Driver::new(core, settings.name.clone(), outside, inputs.clone(), status);
+    let driver = Driver::new(core, settings.name.clone(), io, inputs.clone(), status);
     let accepting = accept_connections(sockets.listener, inputs.clone(), counters.clone());
     let mut tasks = vec![
         actix_rt::spawn(driver.run(queue, commands)),
@@ -143,7 +147,11 @@
     })
 }
 
-/// Runs a node until SIGTERM or SIGINT has drained it.
+/// Runs a node until SIGTERM or SIGINT, then drains it.
+///
+/// # Errors
+///
+/// Returns an error if the node does not start.
 pub async fn run(settings: &NodeProcessSettings) -> Result<(), StartError> {
     let node = start(settings).await?;
     wait_for_stop_signal().await;
@@ -158,7 +166,7 @@
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
     let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
-        // Without signals the process can only be killed.
+        // Without signal handlers the process can only be killed.
         return std::future::pending().await;
     };
     tokio::select! {
@@ -176,7 +184,7 @@
     }
 }
 
-/// Addresses as bound.
+/// Addresses after binding, with the actual ports.
 struct BoundAddresses {
     listen: SocketAddr,
     gossip: SocketAddr,
--- a/crates/node/src/operator/body.rs
+++ b/crates/node/src/operator/body.rs
@@ -11,10 +11,14 @@
 use futures_util::{Stream, StreamExt};
 use serde::Serialize;
 
-/// A request whose body has not arrived whole within this time is given up.
+/// Timeout of receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a request body of at most `limit` bytes.
+///
+/// # Errors
+///
+/// Returns an error if the body is too large, incomplete or not received within [`BODY_TIMEOUT`].
 pub(super) async fn read_body(
     payload: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
     limit: usize,
@@ -23,7 +27,7 @@
         Ok(body) => body,
         Err(_) => Err(ApiError::new(
             ErrorCode::Malformed,
-            "the body did not arrive in time",
+            "timed out while receiving the request body",
         )),
     }
 }
@@ -35,10 +39,13 @@
     let mut body = BytesMut::new();
     while let Some(piece) = payload.next().await {
         let piece = piece.map_err(|error| {
-            ApiError::new(ErrorCode::Malformed, format!("the body broke off: {error}"))
+            ApiError::new(
+                ErrorCode::Malformed,
+                format!("cannot read the request body: {error}"),
+            )
         })?;
         if body.len() + piece.len() > limit {
-            let message = format!("the body is over {limit} bytes");
+            let message = format!("the request body exceeds {limit} bytes");
             return Err(ApiError::new(ErrorCode::BodyTooLarge, message));
         }
         body.extend_from_slice(&piece);
@@ -46,7 +53,7 @@
     Ok(body.freeze())
 }
 
-/// A response that carries a value as JSON.
+/// Creates a response with a value as JSON body.
 pub(super) fn json_response(status: StatusCode, value: &impl Serialize) -> Response<BoxBody> {
     let bytes = serde_json::to_vec(value).expect("API types are plain data with text keys");
     let mut response = Response::with_body(status, bytes.boxed());
--- a/crates/node/src/operator/bridge.rs
+++ b/crates/node/src/operator/bridge.rs
@@ -1,4 +1,4 @@
-//! The driver's side: who waits for which reply.
+//! The driver's side of the operators' interface: pending requests and open watches.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 
 use super::{OperatorCommand, WatchMessage};
 
-/// Matches replies and changes of the node core to those who wait for them.
+/// Routes replies and changes of the node core to the HTTP requests that wait for them.
 #[derive(Debug, Default)]
 pub struct OperatorBridge {
     last_request: RequestId,
-    asked: BTreeMap<RequestId, oneshot::Sender<OperatorReply>>,
+    pending: BTreeMap<RequestId, oneshot::Sender<OperatorReply>>,
     watches: BTreeMap<RequestId, mpsc::Sender<WatchMessage>>,
 }
 
 impl OperatorBridge {
-    /// Takes a command; the event is for the node core.
+    /// Registers a command and returns the event to pass to the node core.
     pub fn accept(&mut self, command: OperatorCommand) -> Event {
         self.last_request += 1;
         let request = self.last_request;
         let question = match command {
             OperatorCommand::Ask { question, reply } => {
-                self.asked.insert(request, reply);
+                self.pending.insert(request, reply);
                 question
             }
             OperatorCommand::Watch {
@@ -40,20 +40,20 @@
         Event::Operator { request, question }
     }
 
-    /// Passes on a reply.
+    /// Sends a reply of the node core to the request that waits for it.
     pub fn reply(&mut self, request: RequestId, reply: OperatorReply) {
-        if let OperatorReply::Watching(begun) = reply {
-            self.begin_watch(request, begun);
+        if let OperatorReply::Watching(started) = reply {
+            self.start_watch(request, started);
             return;
         }
-        if let Some(waiting) = self.asked.remove(&request) {
-            // Whoever asked may have stopped waiting.
+        if let Some(waiting) = self.pending.remove(&request) {
+            // The HTTP request may have timed out or been closed.
             let _ = waiting.send(reply);
         }
     }
 
-    /// Passes on a change. A watcher that is gone, or too far behind, is dropped; the event to
-    /// unwatch is for the node core.
+    /// Sends a change to a watcher. If the watcher is gone or its queue is full, closes the watch and
+    /// returns the event that ends it in the node core.
     pub fn change(&mut self, watch: RequestId, change: Change) -> Option<Event> {
         let changes = self.watches.get(&watch)?;
         let message = WatchMessage::Change(Box::new(change));
@@ -64,10 +64,10 @@
         Some(unwatch(watch))
     }
 
-    /// Forgets everyone who stopped waiting; to be called now and then. The events are for the
-    /// node core.
+    /// Removes requests and watches whose receivers are gone, and returns the events that end these
+    /// watches in the node core. Must be called periodically.
     pub fn sweep(&mut self) -> Vec<Event> {
-        self.asked.retain(|_, waiting| !waiting.is_closed());
+        self.pending.retain(|_, waiting| !waiting.is_closed());
         let gone: Vec<RequestId> = self
             .watches
             .iter()
@@ -80,18 +80,18 @@
         gone.into_iter().map(unwatch).collect()
     }
 
-    /// How many watches are open.
+    /// Returns the number of open watches.
     pub fn open_watches(&self) -> usize {
         self.watches.len()
     }
 
-    fn begin_watch(&mut self, watch: RequestId, begun: Result<(), WatchError>) {
+    fn start_watch(&mut self, watch: RequestId, started: Result<(), WatchError>) {
         let Some(changes) = self.watches.get(&watch) else {
             return;
         };
-        // The first message always finds room; if the watcher is gone, a sweep removes it.
-        let _ = changes.try_send(WatchMessage::Begun(begun));
-        if begun.is_err() {
+        // The queue is empty, so this fails only if the watcher is gone; `sweep` then removes it.
+        let _ = changes.try_send(WatchMessage::Started(started));
+        if started.is_err() {
             self.watches.remove(&watch);
         }
     }
--- a/crates/node/src/operator/error.rs
+++ b/crates/node/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Errors as responses.
+//! HTTP responses for errors.
 
 use actix_http::body::BoxBody;
 use actix_http::header::{HeaderValue, RETRY_AFTER};
@@ -7,7 +7,7 @@
 
 use super::body::json_response;
 
-/// The status that stands for an error's code.
+/// Returns the HTTP status for an error code.
 fn status(code: ErrorCode) -> StatusCode {
     match code {
         ErrorCode::Malformed => StatusCode::BAD_REQUEST,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The response that carries an error.
+/// Creates the response for an error.
 pub(super) fn error_response(error: &ApiError) -> Response<BoxBody> {
     let mut response = json_response(status(error.code), error);
     if let Some(millis) = error.retry_after_ms {
--- a/crates/node/src/operator/handle.rs
+++ b/crates/node/src/operator/handle.rs
@@ -8,88 +8,96 @@
 use elderworks_types::resource::Kind;
 use tokio::sync::{mpsc, oneshot};
 
-/// Requests that may wait for the driver; more are refused.
-const WAITING_COMMANDS: usize = 256;
+/// Maximum number of commands queued for the driver; further ones are refused.
+const MAX_PENDING_COMMANDS: usize = 256;
 
-/// Changes that may wait for one watcher. A watcher that falls further behind is cut off and
-/// resumes from its last revision.
-const WAITING_CHANGES: usize = 1_024;
+/// Maximum number of changes queued for one watcher. A watch that exceeds it is closed; the client
+/// can resume from its last revision.
+const MAX_PENDING_CHANGES: usize = 1_024;
 
-/// Something for the driver to pass to the node core.
+/// A command that the driver passes to the node core.
 #[derive(Debug)]
 pub enum OperatorCommand {
-    /// A question with one reply.
+    /// A request with a single reply.
     Ask {
-        /// The question; never a watch.
+        /// The request; not [`OperatorRequest::Watch`].
         question: OperatorRequest,
-        /// Where the reply goes.
+        /// Receives the reply.
         reply: oneshot::Sender<OperatorReply>,
     },
-    /// A watch.
+    /// A request to watch changes.
     Watch {
-        /// Kind, or all kinds.
+        /// Kind of the watched resources; `None` for all kinds.
         kind: Option<Kind>,
-        /// Last revision seen.
+        /// Last revision that the watcher has seen.
         after: Offset,
-        /// Where the changes go; the watch ends when the receiver is gone.
+        /// Receives the changes; the watch ends when the receiver is dropped.
         changes: mpsc::Sender<WatchMessage>,
     },
 }
 
-/// What a watcher is sent.
+/// A message to a watcher.
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// The first message: the watch began, or why not.
-    Begun(Result<(), WatchError>),
-    /// A change.
+    /// The first message: the watch has started, or the reason why it has not.
+    Started(Result<(), WatchError>),
+    /// A change to a watched resource.
     Change(Box<Change>),
 }
 
-/// The driver did not take the question: nothing was done.
+/// Error: the driver did not accept the command, so it has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotTaken;
+pub struct NotAccepted;
 
-/// The driver took the question but will not answer it.
+/// Error: the driver accepted the command but dropped it without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoReply;
 
-/// The side of the channel that HTTP requests use.
+/// The sending side of the command channel, used by HTTP requests.
 #[derive(Clone, Debug)]
 pub struct OperatorHandle {
     commands: mpsc::Sender<OperatorCommand>,
 }
 
-/// The channel; the driver keeps the receiver.
+/// Creates the command channel; the receiver is for the driver.
 pub fn operator_channel() -> (OperatorHandle, mpsc::Receiver<OperatorCommand>) {
-    let (commands, receiver) = mpsc::channel(WAITING_COMMANDS);
+    let (commands, receiver) = mpsc::channel(MAX_PENDING_COMMANDS);
     (OperatorHandle { commands }, receiver)
 }
 
 impl OperatorHandle {
-    /// Asks a question; the returned future gives the reply.
+    /// Queues a request and returns a future of its reply.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the command queue is full or closed.
     pub fn ask(
         &self,
         question: OperatorRequest,
-    ) -> Result<impl Future<Output = Result<OperatorReply, NoReply>> + use<>, NotTaken> {
+    ) -> Result<impl Future<Output = Result<OperatorReply, NoReply>> + use<>, NotAccepted> {
         let (reply, receiver) = oneshot::channel();
         let command = OperatorCommand::Ask { question, reply };
-        self.commands.try_send(command).map_err(|_| NotTaken)?;
+        self.commands.try_send(command).map_err(|_| NotAccepted)?;
         Ok(async move { receiver.await.map_err(|_| NoReply) })
     }
 
-    /// Begins a watch.
+    /// Queues a request to watch changes and returns the receiver of the watch.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the command queue is full or closed.
     pub fn watch(
         &self,
         kind: Option<Kind>,
         after: Offset,
-    ) -> Result<mpsc::Receiver<WatchMessage>, NotTaken> {
-        let (changes, receiver) = mpsc::channel(WAITING_CHANGES);
+    ) -> Result<mpsc::Receiver<WatchMessage>, NotAccepted> {
+        let (changes, receiver) = mpsc::channel(MAX_PENDING_CHANGES);
         let command = OperatorCommand::Watch {
             kind,
             after,
             changes,
         };
-        self.commands.try_send(command).map_err(|_| NotTaken)?;
+        self.commands.try_send(command).map_err(|_| NotAccepted)?;
         Ok(receiver)
     }
 }
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' HTTP interface.
 //!
-//! [`respond`] turns one HTTP request into a question for the node core and its reply into a
-//! response. It talks to the driver through an [`OperatorHandle`]; the driver keeps an
-//! [`OperatorBridge`] that matches replies and changes to whoever waits for them.
+//! [`respond`] translates an HTTP request into a request to the node core, and the reply into a
+//! response. It sends commands to the driver through an [`OperatorHandle`]. The driver has an
+//! [`OperatorBridge`] that routes replies and changes to the HTTP requests that wait for them.
 
 mod body;
 mod bridge;
--- a/crates/node/src/operator/questions.rs
+++ b/crates/node/src/operator/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to the node core, with errors where it does not answer them.
+//! Requests to the node core, with API errors for missing or unexpected replies.
 
 use elderworks_control::api::{ApiError, ErrorCode};
 use elderworks_control::manifest::Document;
@@ -13,11 +13,11 @@
 use super::report::{node_document, run_document, run_summary_document};
 
 impl OperatorContext {
-    /// Asks for a change. Once the node core has taken it, silence means that its outcome is not
-    /// known.
+    /// Requests a change. If the node core accepted the request and does not reply in time, the
+    /// outcome is reported as unknown.
     pub(super) async fn change(&self, body: ControlBody) -> Result<Change, ApiError> {
         let question = OperatorRequest::Change(body);
-        let reply = self.handle.ask(question).map_err(|_| not_taken())?;
+        let reply = self.handle.ask(question).map_err(|_| not_accepted())?;
         match timeout(self.reply_timeout, reply).await {
             Ok(Ok(OperatorReply::Changed(result))) => Ok(result?),
             Ok(Ok(_)) => Err(unexpected_reply()),
@@ -25,16 +25,16 @@
         }
     }
 
-    /// Asks a question that changes nothing.
+    /// Sends a read-only request.
     pub(super) async fn read(&self, question: OperatorRequest) -> Result<OperatorReply, ApiError> {
-        let reply = self.handle.ask(question).map_err(|_| not_taken())?;
+        let reply = self.handle.ask(question).map_err(|_| not_accepted())?;
         match timeout(self.reply_timeout, reply).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(_)) | Err(_) => Err(ApiError::unavailable("the node did not answer in time")),
+            Ok(Err(_)) | Err(_) => Err(ApiError::unavailable("the node did not reply in time")),
         }
     }
 
-    pub(super) async fn list_written(
+    pub(super) async fn list_resources(
         &self,
         kind: Kind,
     ) -> Result<(Vec<Resource>, Offset), ApiError> {
@@ -44,7 +44,7 @@
         }
     }
 
-    pub(super) async fn get_written(&self, kind: Kind, name: &str) -> Result<Resource, ApiError> {
+    pub(super) async fn get_resource(&self, kind: Kind, name: &str) -> Result<Resource, ApiError> {
         let question = OperatorRequest::Get {
             kind,
             name: ResourceName::new(name),
@@ -96,20 +96,20 @@
 }
 
 fn not_found(name: &str) -> ApiError {
-    ApiError::new(ErrorCode::NotFound, format!("there is no {name:?}"))
+    ApiError::new(ErrorCode::NotFound, format!("{name:?} does not exist"))
 }
 
-pub(super) fn not_taken() -> ApiError {
-    ApiError::unavailable("the node is too busy or stopping")
+pub(super) fn not_accepted() -> ApiError {
+    ApiError::unavailable("the node is overloaded or stopping")
 }
 
 fn unexpected_reply() -> ApiError {
-    ApiError::unavailable("the node answered another question")
+    ApiError::unavailable("the node sent an unexpected reply")
 }
 
 fn run_elsewhere(owner: Option<NodeId>) -> ApiError {
     let message = match owner {
-        Some(node) => format!("the run is owned by node {node}: ask there"),
+        Some(node) => format!("the run is owned by node {node}; send the request there"),
         None => "the run's owner is not known yet".to_owned(),
     };
     ApiError::new(ErrorCode::RunElsewhere, message)
--- a/crates/node/src/operator/report.rs
+++ b/crates/node/src/operator/report.rs
@@ -1,4 +1,4 @@
-//! Documents of the read-only kinds.
+//! Documents of the read-only kinds, and the status of services.
 
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     models: Vec<&'a str>,
 }
 
-/// Status of a `Run` in a list; amounts in credits.
+/// Status of a `Run` in a list. Budget and spending are in credits.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 struct RunStatus<'a> {
@@ -47,7 +47,7 @@
     call_count: usize,
 }
 
-/// A member of the fleet as a `Node`.
+/// Returns the `Node` document of a fleet member.
 pub(super) fn node_document(member: &Member) -> Document {
     let update = &member.update;
     let status = NodeStatus {
@@ -67,7 +67,7 @@
     engines: BTreeMap<&'a str, EngineState>,
 }
 
-/// A service, with the states of its engines if it has any.
+/// Returns the document of a service; for a model service, with the states of its engines.
 pub(super) fn service_document(resource: &Resource, engines: &[EngineView]) -> Document {
     let mut document = Document::from(resource);
     let Spec::Service(ServiceSpec::Model(service)) = &resource.spec else {
@@ -84,7 +84,7 @@
     document
 }
 
-/// An engine as an `Engine`.
+/// Returns the `Engine` document of an engine.
 pub(super) fn engine_document(engine: &EngineView) -> Document {
     let status = EngineStatus {
         state: engine.state,
@@ -95,7 +95,7 @@
     Document::report("Engine", engine.id.to_string(), value(&status))
 }
 
-/// A run in a list as a `Run`, without its calls.
+/// Returns the `Run` document of a run in a list, without its calls.
 pub(super) fn run_summary_document(run: &RunSummary) -> Document {
     let status = RunStatus {
         phase: run.phase,
@@ -108,7 +108,7 @@
     Document::report("Run", run.spec.id.to_string(), value(&status))
 }
 
-/// A run as a `Run`.
+/// Returns the `Run` document of a run, with its calls.
 pub(super) fn run_document(run: RunId, view: &RunView) -> Document {
     Document::report("Run", run.to_string(), value(&RunReport::from(view)))
 }
--- a/crates/node/src/operator/request.rs
+++ b/crates/node/src/operator/request.rs
@@ -1,4 +1,4 @@
-//! What a request asks for: path, query and headers.
+//! Parsing of request paths, queries and headers.
 
 use actix_http::Method;
 use actix_http::header::{HeaderMap, IF_MATCH, IF_NONE_MATCH};
@@ -6,13 +6,13 @@
 use elderworks_types::Offset;
 use serde::Deserialize;
 
-/// The collection that stands for all written kinds in a watch.
+/// Path segment that, in a watch, selects all writable kinds.
 const ALL_CHANGES: &str = "changes";
 
-/// What a path names.
+/// The target of a request path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Target {
-    /// Changes of every written kind.
+    /// Changes to resources of all writable kinds.
     AllChanges,
     /// A whole collection.
     Collection(Collection),
@@ -20,9 +20,13 @@
     Item(Collection, String),
 }
 
-/// Reads a path below [`API_PREFIX`].
+/// Parses a path below [`API_PREFIX`].
+///
+/// # Errors
+///
+/// Returns an error if the path has no known collection or too many segments.
 pub(super) fn parse_path(path: &str) -> Result<Target, ApiError> {
-    let not_found = || ApiError::new(ErrorCode::NotFound, format!("there is no path {path:?}"));
+    let not_found = || ApiError::new(ErrorCode::NotFound, format!("path {path:?} does not exist"));
     let rest = path.strip_prefix(API_PREFIX).ok_or_else(not_found)?;
     let rest = rest.strip_prefix('/').ok_or_else(not_found)?;
     let (collection, name) = match rest.split_once('/') {
@@ -42,24 +46,32 @@
     }
 }
 
-/// What a query may say.
+/// The query parameters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct Query {
     /// Whether to follow changes.
     pub(super) watch: bool,
-    /// Last revision seen by the watcher; absent, the watch begins with the next change.
+    /// Last revision that the watcher has seen. If absent, the watch starts with the next change.
     pub(super) after: Option<u64>,
 }
 
-/// Reads a query.
+/// Parses a query string.
+///
+/// # Errors
+///
+/// Returns an error if the query has unknown parameters or malformed values.
 pub(super) fn parse_query(query: Option<&str>) -> Result<Query, ApiError> {
     serde_urlencoded::from_str(query.unwrap_or_default())
         .map_err(|error| ApiError::new(ErrorCode::Malformed, format!("query: {error}")))
 }
 
-/// The revision that a change expects, by `If-Match: "12"` or `If-None-Match: *` (0: it must not
-/// exist); absent, the change is unconditional.
+/// Returns the revision that a change expects, from `If-Match: "12"` or `If-None-Match: *` (0: the
+/// resource must not exist). Returns `None` for an unconditional change.
+///
+/// # Errors
+///
+/// Returns an error if `If-Match` has no single revision.
 pub(super) fn expected_revision(headers: &HeaderMap) -> Result<Option<Offset>, ApiError> {
     if headers.get(IF_NONE_MATCH).is_some_and(|value| value == "*") {
         return Ok(Some(Offset(0)));
@@ -75,8 +87,8 @@
     Ok(Some(Offset(revision)))
 }
 
-/// The error for a method that a path does not take.
+/// Creates the error for a method that a path does not support.
 pub(super) fn method_not_allowed(method: &Method, allowed: &str) -> ApiError {
-    let message = format!("{method} is not taken here; allowed: {allowed}");
+    let message = format!("method {method} is not supported here; supported: {allowed}");
     ApiError::new(ErrorCode::MethodNotAllowed, message)
 }
--- a/crates/node/src/operator/respond.rs
+++ b/crates/node/src/operator/respond.rs
@@ -1,4 +1,4 @@
-//! From request to response.
+//! Routing of requests and creation of responses.
 
 use std::time::Duration;
 
@@ -15,30 +15,30 @@
 use super::OperatorHandle;
 use super::body::{json_response, read_body};
 use super::error::error_response;
-use super::questions::{find, not_taken};
+use super::questions::{find, not_accepted};
 use super::report::{engine_document, service_document};
 use super::request::{
     Query, Target, expected_revision, method_not_allowed, parse_path, parse_query,
 };
 use super::watch::{WatchFilter, watch_response};
 
-/// What the interface needs to answer.
+/// Dependencies and settings of the operators' interface.
 #[derive(Clone, Debug)]
 pub struct OperatorContext {
-    /// The way to the node core.
+    /// Sends commands to the node core.
     pub handle: OperatorHandle,
-    /// What operators must show as `Authorization: Bearer`; `None` lets everyone in.
+    /// Token that operators must send as `Authorization: Bearer`; `None` disables the check.
     pub token: Option<BearerToken>,
-    /// Largest body taken, in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Longest wait for the node core. A change that the log has not confirmed by then is answered
-    /// as of unknown outcome.
+    /// Timeout of replies from the node core. The outcome of a change that the log has not confirmed
+    /// by then is reported as unknown.
     pub reply_timeout: Duration,
 }
 
 type Answer = Result<Response<BoxBody>, ApiError>;
 
-/// Answers one request whose path is below `/apis`.
+/// Handles one request whose path is below `/apis`.
 pub async fn respond(context: &OperatorContext, request: Request) -> Response<BoxBody> {
     match context.route(request).await {
         Ok(response) => response,
@@ -78,15 +78,15 @@
         let Some(token) = &self.token else {
             return Ok(());
         };
-        let shown = request
+        let presented = request
             .headers()
             .get(AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "));
-        if shown.is_some_and(|shown| equal_in_constant_time(shown, token.expose())) {
+        if presented.is_some_and(|presented| equal_in_constant_time(presented, token.expose())) {
             return Ok(());
         }
-        let message = "the operator's token is missing or wrong";
+        let message = "the operator token is missing or invalid";
         Err(ApiError::new(ErrorCode::Unauthorized, message))
     }
 
@@ -96,7 +96,7 @@
         }
         let list = match collection {
             Collection::Writable(kind) => {
-                let (items, revision) = self.list_written(kind).await?;
+                let (items, revision) = self.list_resources(kind).await?;
                 let items = self.with_status(kind, &items).await?;
                 ListDocument::new(collection, Some(revision.0), items)
             }
@@ -111,7 +111,8 @@
         Ok(json_response(StatusCode::OK, &list))
     }
 
-    /// Documents of resources; model services come with the states of their engines.
+    /// Returns the documents of resources; those of model services include the states of their
+    /// engines.
     async fn with_status(
         &self,
         kind: Kind,
@@ -133,7 +134,7 @@
         }
         let document = match collection {
             Collection::Writable(kind) => {
-                let resource = self.get_written(kind, &name).await?;
+                let resource = self.get_resource(kind, &name).await?;
                 let documents = self.with_status(kind, &[resource]).await?;
                 return Ok(resource_response(&find(documents, &name)?));
             }
@@ -169,7 +170,7 @@
         let change = self.change(change).await?;
         match &change.resource {
             Some(resource) => Ok(resource_response(&Document::from(resource))),
-            None => Err(ApiError::unavailable("the node answered another question")),
+            None => Err(ApiError::unavailable("the node sent an unexpected reply")),
         }
     }
 
@@ -201,9 +202,9 @@
     async fn watch(&self, kind: Option<Kind>, name: Option<String>, query: Query) -> Answer {
         let after = match query.after {
             Some(after) => Offset(after),
-            None => self.list_written(kind.unwrap_or(Kind::Program)).await?.1,
+            None => self.list_resources(kind.unwrap_or(Kind::Program)).await?.1,
         };
-        let messages = self.handle.watch(kind, after).map_err(|_| not_taken())?;
+        let messages = self.handle.watch(kind, after).map_err(|_| not_accepted())?;
         let filter = WatchFilter { after, name };
         watch_response(messages, filter, self.reply_timeout).await
     }
@@ -222,11 +223,11 @@
     if expected == found {
         return Ok(());
     }
-    let message = format!("the request says {expected:?}, the document {found:?}");
+    let message = format!("the request has {expected:?}, but the document has {found:?}");
     Err(ApiError::new(ErrorCode::Invalid, message).with_path(path))
 }
 
-/// Compares without telling by its duration where the texts differ.
+/// Compares two strings in a time that does not depend on where they differ.
 fn equal_in_constant_time(left: &str, right: &str) -> bool {
     let differences = left
         .bytes()
--- a/crates/node/src/operator/watch.rs
+++ b/crates/node/src/operator/watch.rs
@@ -1,4 +1,4 @@
-//! A watch as a stream of JSON lines.
+//! Responses that stream a watch as JSON lines.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 
 use super::WatchMessage;
 
-/// An idle watch carries an empty line this often, so that either side notices a dead connection.
+/// Interval at which an idle watch sends an empty line, so that both sides detect a dead connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Which changes a watcher wants to see.
+/// Selects the changes that a watcher receives.
 #[derive(Clone, Debug)]
 pub(super) struct WatchFilter {
-    /// Only later revisions.
+    /// Selects changes with a later revision.
     pub(super) after: Offset,
-    /// Only this resource.
+    /// Selects changes of this resource; `None` selects all resources.
     pub(super) name: Option<String>,
 }
 
 impl WatchFilter {
-    fn wants(&self, change: &Change) -> bool {
+    fn selects(&self, change: &Change) -> bool {
         let name_matches = self
             .name
             .as_ref()
@@ -39,17 +39,21 @@
     }
 }
 
-/// Waits until the watch has begun and streams it; `reply_timeout` bounds the wait.
+/// Waits up to `reply_timeout` for the watch to start, and returns a response that streams it.
+///
+/// # Errors
+///
+/// Returns an error if the node core refuses the watch or does not reply in time.
 pub(super) async fn watch_response(
     mut messages: mpsc::Receiver<WatchMessage>,
     filter: WatchFilter,
     reply_timeout: Duration,
 ) -> Result<Response<BoxBody>, ApiError> {
     match timeout(reply_timeout, messages.recv()).await {
-        Ok(Some(WatchMessage::Begun(Ok(())))) => {}
-        Ok(Some(WatchMessage::Begun(Err(error)))) => return Err(watch_error(error)),
+        Ok(Some(WatchMessage::Started(Ok(())))) => {}
+        Ok(Some(WatchMessage::Started(Err(error)))) => return Err(watch_error(error)),
         Ok(Some(WatchMessage::Change(_)) | None) | Err(_) => {
-            return Err(ApiError::unavailable("the watch did not begin"));
+            return Err(ApiError::unavailable("the watch did not start"));
         }
     }
     let body = BodyStream::new(lines(messages, filter));
@@ -77,7 +81,8 @@
     })
 }
 
-/// The next line, an empty one after a time without any; `None` at the end of the watch.
+/// Returns the next line, an empty one after [`KEEP_ALIVE_INTERVAL`] without a change, or `None` at
+/// the end of the watch.
 async fn next_line(
     messages: &mut mpsc::Receiver<WatchMessage>,
     filter: &WatchFilter,
@@ -87,10 +92,10 @@
             return Some(Bytes::from_static(b"\n"));
         };
         match message? {
-            WatchMessage::Change(change) if filter.wants(&change) => {
+            WatchMessage::Change(change) if filter.selects(&change) => {
                 return Some(encode_line(&change));
             }
-            WatchMessage::Change(_) | WatchMessage::Begun(_) => {}
+            WatchMessage::Change(_) | WatchMessage::Started(_) => {}
         }
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections that this node opens to its peers.
+//! Outgoing connections to peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,13 +19,14 @@
 use crate::input::{Input, InputSender};
 use crate::listener::write_messages;
 
-/// Messages waiting for one peer; further ones are dropped, and asked for again by their senders.
-const PEER_QUEUE: usize = 1_024;
+/// Maximum number of messages queued for one peer. Further ones are dropped; the protocol between
+/// nodes repeats requests that got no reply.
+const PEER_QUEUE_CAPACITY: usize = 1_024;
 
-/// Longest time to connect to a peer.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection that carried nothing for this long is closed.
+/// Time without a received message after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Connections to peers, opened when first needed.
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Sends a message, or drops and counts it.
+    /// Queues a message for a peer. If the queue is full or closed, drops and counts the message.
     pub(crate) fn send(&mut self, peer: NodeAddress, message: PeerMessage) {
         let queue = self.queue(peer);
         if queue.try_send(ToNode::Peer(message)).is_err() {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// The peer's queue; a new one if the peer moved or its connection ended.
+    /// Returns the peer's queue, after opening a new connection if the peer's address changed or the
+    /// previous connection ended.
     fn queue(&mut self, peer: NodeAddress) -> mpsc::Sender<ToNode> {
         if let Some(queue) = self.queues.get(&peer.node)
             && queue.peer == peer
@@ -68,11 +70,11 @@
         {
             return queue.messages.clone();
         }
-        let (messages, receiver) = mpsc::channel(PEER_QUEUE);
+        let (messages, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
         let hello = ToNode::Hello(Hello::Peer {
             node: self.node.clone(),
         });
-        // The queue is new and empty.
+        // This cannot fail because the queue is new and empty.
         let _ = messages.try_send(hello);
         let task = serve_peer(peer.clone(), receiver, self.inputs.clone());
         actix_rt::spawn(task);
@@ -98,7 +100,8 @@
     }
 }
 
-/// Passes on what the peer sends, until the connection ends, idles or carries malformed bytes.
+/// Passes the peer's messages to the driver until the connection ends, is idle for too long or
+/// carries malformed bytes.
 async fn read_replies(mut reader: OwnedReadHalf, node: &NodeId, inputs: &InputSender) {
     let mut buffer = BytesMut::new();
     loop {
