--- a/crates/engine-model/src/answer.rs
+++ b/crates/engine-model/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the text mode: a deterministic function of the prompt.
+//! Generated answers of text requests, a deterministic function of the prompt.
 
 use elderworks_types::Tokens;
 use elderworks_types::text::BYTES_PER_TOKEN;
@@ -6,13 +6,14 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Opens the assistant's turn in the rendered sequence, as `types::text::render_prompt` does.
+/// Start of the assistant's message in a rendered sequence. It must match
+/// `types::text::render_prompt`.
 const ASSISTANT_MARKER: &str = "<|assistant|>";
 
-const SHORTEST_ANSWER_TOKENS: u64 = 24;
-const LONGEST_ANSWER_TOKENS: u64 = 160;
+const MIN_ANSWER_TOKENS: u64 = 24;
+const MAX_ANSWER_TOKENS: u64 = 160;
 
-/// Words of which answers are made.
+/// Vocabulary of the answers.
 const WORDS: [&str; 16] = [
     "the",
     "parcel",
@@ -32,10 +33,10 @@
     "checked",
 ];
 
-/// The whole answer to a rendered prompt, of at most `max_output` tokens.
+/// Returns the complete answer to a rendered prompt, of at most `max_output` tokens.
 pub fn answer_text(prompt: &str, max_output: Tokens) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(xxh3_64(prompt.as_bytes()));
-    let tokens = random.random_range(SHORTEST_ANSWER_TOKENS..=LONGEST_ANSWER_TOKENS);
+    let tokens = random.random_range(MIN_ANSWER_TOKENS..=MAX_ANSWER_TOKENS);
     let tokens = usize::try_from(tokens.min(max_output.0.max(1))).unwrap_or(usize::MAX);
     let bytes = tokens.saturating_mul(BYTES_PER_TOKEN);
     let mut text = String::with_capacity(bytes);
@@ -47,7 +48,7 @@
     text
 }
 
-/// What is left of `whole` after `continue_text`, by length.
+/// Returns the rest of `whole` after the first `continue_text.len()` bytes.
 pub fn continuation(whole: &str, continue_text: &str) -> String {
     whole
         .get(continue_text.len()..)
@@ -55,12 +56,12 @@
         .to_owned()
 }
 
-/// Prompt and answer as one sequence; a prompt that repeats both as history begins with it.
+/// Returns prompt and answer as one sequence. A later prompt with both in its history starts with it.
 pub fn rendered_sequence(prompt: &str, answer: &str) -> String {
     format!("{prompt}{ASSISTANT_MARKER}{answer}")
 }
 
-/// Tokens that so many bytes count as, rounded up.
+/// Returns the number of tokens for a number of bytes, rounded up.
 pub fn tokens_of(bytes: usize) -> u64 {
     bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
--- a/crates/engine-model/src/batch.rs
+++ b/crates/engine-model/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: which sequences a step works on, and what it does to each.
+//! Continuous batching: admission of sequences, planning of steps and preemption.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 
 const BLOCK_TOKENS: u64 = TOKENS_PER_BLOCK as u64;
 
-/// Order of sequences: priority, then arrival. Smaller goes first.
+/// Scheduling order of a sequence: priority, then arrival number. Smaller ranks run first.
 pub(crate) type Rank = (i64, u64);
 
-/// A request on its way through the engine.
+/// The state of a request in the engine.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) id: RequestId,
     pub(crate) run: RunId,
     pub(crate) plan: Plan,
-    /// References held in the cache, from the start of the chain on.
+    /// Full blocks that the sequence references in the cache, from the start of the chain.
     held: Vec<BlockHash>,
     has_partial: bool,
-    /// Tokens whose keys and values are in memory.
+    /// Number of tokens whose keys and values are in memory.
     computed: u64,
     pub(crate) generated: u64,
-    /// Prompt tokens found in the cache when it first ran.
+    /// Number of prompt tokens found in the cache at the first admission to the batch.
     pub(crate) cached: Option<u64>,
     pub(crate) prefilled: u64,
 }
@@ -51,7 +51,7 @@
         self.plan.prompt + self.generated
     }
 
-    /// Tokens to prefill before the next one can be generated.
+    /// Returns the number of tokens to compute before the next one can be generated.
     fn missing(&self) -> u64 {
         self.sequence_tokens() - self.computed
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// What a step did for one sequence.
+/// Progress of one sequence in a step.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Progress {
     pub(crate) rank: Rank,
@@ -69,7 +69,7 @@
     pub(crate) ended: bool,
 }
 
-/// A step that is under way.
+/// The step in progress.
 #[derive(Debug)]
 struct Step {
     ends: Timestamp,
@@ -90,13 +90,13 @@
         self.step.as_ref().map(|step| step.ends)
     }
 
-    pub(crate) fn unprefilled(&self) -> u64 {
+    pub(crate) fn prefill_backlog(&self) -> u64 {
         let waiting = self.waiting.values().map(Sequence::missing).sum::<u64>();
         let running = self.running.values().map(Sequence::missing).sum::<u64>();
         waiting + running
     }
 
-    /// Starts a step if there is work and none is under way.
+    /// Admits waiting sequences and starts a step, if there is work and no step is in progress.
     pub(crate) fn start_step(
         &mut self,
         now: Timestamp,
@@ -117,8 +117,12 @@
         });
     }
 
-    /// Ends the step that is due and returns what it did.
-    pub(crate) fn end_step(&mut self, now: Timestamp, cache: &mut PrefixCache) -> Vec<Progress> {
+    /// Completes the step if it ends by `now`, and returns the progress of its sequences.
+    pub(crate) fn complete_step(
+        &mut self,
+        now: Timestamp,
+        cache: &mut PrefixCache,
+    ) -> Vec<Progress> {
         let Some(step) = self.step.take_if(|step| step.ends <= now) else {
             return Vec::new();
         };
@@ -132,7 +136,7 @@
         progress
     }
 
-    /// Takes a sequence out wherever it is, its blocks staying cached.
+    /// Removes a waiting or running sequence. Its full blocks stay cached.
     pub(crate) fn remove(
         &mut self,
         now: Timestamp,
@@ -143,7 +147,7 @@
             return Some(sequence);
         }
         let mut sequence = self.running.remove(&rank)?;
-        give_back(now, &mut sequence, cache);
+        release_blocks(now, &mut sequence, cache);
         Some(sequence)
     }
 
@@ -151,7 +155,7 @@
         while let Some((rank, sequence)) = self.waiting.first_key_value() {
             let rank = *rank;
             if self.running.len() >= parameters.max_batch
-                && !self.can_displace(rank, parameters.preemption_gap)
+                && !self.can_preempt(rank, parameters.preemption_gap)
             {
                 return;
             }
@@ -159,12 +163,12 @@
             let full = (sequence.sequence_tokens() / BLOCK_TOKENS) as usize;
             let matched =
                 cache.matched(&sequence.plan.chain[..full.min(sequence.plan.chain.len())]);
-            // Matched blocks may be idle and then count as available, so they are asked for too.
+            // Matched blocks can be evictable and count as available then, so `blocks` includes them.
             if !self.running.is_empty() && cache.available() <= blocks {
                 return;
             }
             if self.running.len() >= parameters.max_batch {
-                self.preempt_worst(now, cache);
+                self.preempt_last(now, cache);
             }
             let mut sequence = self.waiting.remove(&rank).expect("rank was just read");
             start(now, &mut sequence, matched, cache);
@@ -172,12 +176,12 @@
         }
     }
 
-    fn can_displace(&self, rank: Rank, gap: i64) -> bool {
+    fn can_preempt(&self, rank: Rank, gap: i64) -> bool {
         let worst = self.running.last_key_value();
         worst.is_some_and(|(worst, _)| rank.0.saturating_add(gap) <= worst.0)
     }
 
-    fn preempt_worst(&mut self, now: Timestamp, cache: &mut PrefixCache) {
+    fn preempt_last(&mut self, now: Timestamp, cache: &mut PrefixCache) {
         if let Some((worst, _)) = self.running.last_key_value() {
             self.preempt(now, *worst, cache);
         }
@@ -185,7 +189,7 @@
 
     fn preempt(&mut self, now: Timestamp, rank: Rank, cache: &mut PrefixCache) {
         if let Some(mut sequence) = self.running.remove(&rank) {
-            give_back(now, &mut sequence, cache);
+            release_blocks(now, &mut sequence, cache);
             self.waiting.insert(rank, sequence);
             self.preemptions += 1;
         }
@@ -217,7 +221,8 @@
         (work, duration)
     }
 
-    /// Adds computed tokens to a sequence; false if it was cancelled or had to give way.
+    /// Adds computed tokens to a sequence, preempting the last-ranked sequences while there is no
+    /// memory. Returns `false` if the sequence was cancelled or preempted itself.
     fn compute(
         &mut self,
         now: Timestamp,
@@ -236,7 +241,7 @@
                 sequence.computed += tokens;
                 return true;
             }
-            self.preempt_worst(now, cache);
+            self.preempt_last(now, cache);
         }
     }
 
@@ -254,7 +259,7 @@
     }
 }
 
-/// Takes the cached prefix of a sequence that enters the batch.
+/// Acquires the `matched` cached blocks of a sequence that enters the batch.
 fn start(now: Timestamp, sequence: &mut Sequence, matched: usize, cache: &mut PrefixCache) {
     for hash in &sequence.plan.chain[..matched] {
         let acquired = cache.acquire(now, *hash, sequence.run);
@@ -267,7 +272,8 @@
     sequence.cached.get_or_insert(in_prompt);
 }
 
-/// Takes memory for `tokens` computed tokens; false if there is none, keeping what was taken.
+/// Acquires memory for `tokens` computed tokens. Returns `false` if there is not enough; blocks
+/// acquired so far stay acquired.
 fn grow(now: Timestamp, sequence: &mut Sequence, tokens: u64, cache: &mut PrefixCache) -> bool {
     let full = ((tokens / BLOCK_TOKENS) as usize).min(sequence.plan.chain.len());
     if sequence.held.len() < full && sequence.has_partial {
@@ -283,13 +289,13 @@
     }
     let needs_partial = tokens > sequence.held.len() as u64 * BLOCK_TOKENS;
     if needs_partial && !sequence.has_partial {
-        sequence.has_partial = cache.take_partial(now);
+        sequence.has_partial = cache.reserve_partial(now);
         return sequence.has_partial;
     }
     true
 }
 
-fn give_back(now: Timestamp, sequence: &mut Sequence, cache: &mut PrefixCache) {
+fn release_blocks(now: Timestamp, sequence: &mut Sequence, cache: &mut PrefixCache) {
     cache.release_references(now, &sequence.held);
     sequence.held.clear();
     if sequence.has_partial {
--- a/crates/engine-model/src/cache.rs
+++ b/crates/engine-model/src/cache.rs
@@ -1,31 +1,31 @@
-//! Block-wise prefix cache with leases and least-recently-used eviction.
+//! Prefix cache of blocks with leases and least-recently-used eviction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use elderworks_types::text::{BlockHash, BlockMap, BlockSet};
 use elderworks_types::{RunId, Timestamp};
 
-/// What a run holds in an engine's cache.
+/// Blocks and lease of a run in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// Which run.
+    /// The run.
     pub run: RunId,
-    /// Blocks that it used and that are still cached.
+    /// Number of cached blocks that the run has used.
     pub blocks: u32,
-    /// Until when they are kept above ordinary eviction order.
+    /// End of the run's lease. Leased blocks are evicted only after all others.
     pub lease_until: Option<Timestamp>,
 }
 
-/// Sums over the life of a cache.
+/// Statistics since the creation of a cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CacheStatistics {
-    /// Block-seconds between the last use of a block and its removal.
+    /// Time between the last use of blocks and their removal, in block-seconds.
     pub unused_block_seconds: f64,
-    /// Blocks removed to make room.
+    /// Number of blocks evicted to make room.
     pub evicted_blocks: u64,
 }
 
-/// Changes since they were last taken.
+/// Changes to the cache that have not been published yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingChanges {
     pub(crate) stored: Vec<BlockHash>,
@@ -34,20 +34,21 @@
 
 #[derive(Debug)]
 struct Block {
-    /// Running sequences that use it.
+    /// Number of running sequences that use the block.
     references: u32,
-    /// Runs with an unexpired lease on it.
+    /// Number of runs with an active lease on the block.
     leases: u32,
-    /// Position in eviction order, smallest first.
+    /// Position in eviction order; blocks with smaller values are evicted first.
     order: u64,
     last_used: Timestamp,
     owners: Vec<RunId>,
-    /// Used by several trees of runs at some time; then no run's release removes it.
+    /// Whether runs with different roots have used the block. The release of a run does not remove a
+    /// shared block.
     shared: bool,
 }
 
 impl Block {
-    fn disown(&mut self, run: RunId) {
+    fn remove_owner(&mut self, run: RunId) {
         if let Some(position) = self.owners.iter().position(|owner| *owner == run) {
             self.owners.swap_remove(position);
         }
@@ -60,16 +61,16 @@
     lease_until: Option<Timestamp>,
 }
 
-/// The cache of one engine. Working memory of running sequences counts against the same limit.
+/// The cache of one engine. The working memory of running sequences counts towards its capacity.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity: usize,
     blocks: BlockMap<Block>,
-    /// Blocks that no sequence uses, by (leased, order).
+    /// Blocks that no sequence uses, in eviction order: unleased ones first, then by `order`.
     evictable: BTreeSet<(bool, u64, BlockHash)>,
     runs: BTreeMap<RunId, RunBlocks>,
     lease_ends: BTreeSet<(Timestamp, RunId)>,
-    /// Partly filled blocks of running sequences.
+    /// Number of partly filled blocks of running sequences.
     partial_blocks: usize,
     next_order: u64,
     changes: PendingChanges,
@@ -95,12 +96,12 @@
         self.blocks.len() + self.partial_blocks
     }
 
-    /// Blocks that running sequences use.
+    /// Returns the number of blocks that running sequences use.
     pub(crate) fn referenced(&self) -> usize {
         self.used() - self.evictable.len()
     }
 
-    /// Blocks that can be had without touching a running sequence.
+    /// Returns the number of blocks that are free or evictable.
     pub(crate) fn available(&self) -> usize {
         self.capacity.saturating_sub(self.used()) + self.evictable.len()
     }
@@ -112,8 +113,8 @@
             .count()
     }
 
-    /// Reserves memory for a sequence's partly filled block; false if there is none.
-    pub(crate) fn take_partial(&mut self, now: Timestamp) -> bool {
+    /// Reserves memory for a sequence's partly filled block. Returns `false` if there is none.
+    pub(crate) fn reserve_partial(&mut self, now: Timestamp) -> bool {
         if !self.make_room(now) {
             return false;
         }
@@ -125,7 +126,8 @@
         self.partial_blocks -= 1;
     }
 
-    /// Takes a reference to a block for a run, storing it if it is new; false if there is no room.
+    /// Adds a reference to a block for a run, inserting the block if it is not cached. Returns `false`
+    /// if there is no memory.
     pub(crate) fn acquire(&mut self, now: Timestamp, hash: BlockHash, run: RunId) -> bool {
         if !self.blocks.contains_key(&hash) {
             if !self.make_room(now) {
@@ -140,11 +142,11 @@
         }
         block.references += 1;
         block.last_used = now;
-        self.own(hash, run);
+        self.add_owner(hash, run);
         true
     }
 
-    /// Gives back references, the deepest block becoming first in eviction order.
+    /// Drops references. Blocks at the end of the chain are evicted first.
     pub(crate) fn release_references(&mut self, now: Timestamp, held: &[BlockHash]) {
         for hash in held.iter().rev() {
             let order = self.next_order;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Stores blocks that no sequence uses yet; stops where there is no room.
+    /// Inserts blocks without references. Stops when there is no memory.
     pub(crate) fn import(&mut self, now: Timestamp, run: RunId, chain: &[BlockHash]) {
         let mut held = Vec::new();
         for hash in chain {
@@ -173,7 +175,7 @@
         self.release_references(now, &held);
     }
 
-    /// Keeps a run's present blocks above ordinary eviction order until `until`.
+    /// Leases a run's blocks until `until`, so that they are evicted only after all unleased ones.
     pub(crate) fn retain(&mut self, run: RunId, until: Timestamp) {
         self.end_lease(run);
         let Some(holding) = self.runs.get_mut(&run) else {
@@ -187,14 +189,15 @@
         }
     }
 
-    /// Ends the leases that have run out.
+    /// Removes expired leases.
     pub(crate) fn expire_leases(&mut self, now: Timestamp) {
         while let Some((_, run)) = self.lease_ends.first().copied().filter(|end| end.0 <= now) {
             self.end_lease(run);
         }
     }
 
-    /// Ends a run's ownership and removes the idle blocks that only it ever used.
+    /// Removes a run's ownership and those of its unreferenced blocks that no other run owns and that
+    /// are not shared. Returns the number of removed blocks.
     pub(crate) fn release_run(&mut self, now: Timestamp, run: RunId) -> u32 {
         self.end_lease(run);
         let Some(holding) = self.runs.remove(&run) else {
@@ -205,7 +208,7 @@
         blocks.sort_unstable();
         for hash in blocks {
             let block = self.blocks.get_mut(&hash).expect("owned blocks are cached");
-            block.disown(run);
+            block.remove_owner(run);
             if block.references == 0 && block.owners.is_empty() && !block.shared {
                 self.remove(now, hash);
                 freed += 1;
@@ -229,7 +232,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Sums so far, counting idle blocks as if they were removed now.
+    /// Returns the statistics, counting unused blocks as if they were removed at `now`.
     pub(crate) fn statistics(&self, now: Timestamp) -> CacheStatistics {
         let mut statistics = self.statistics;
         for (_, _, hash) in &self.evictable {
@@ -254,7 +257,7 @@
         self.changes.stored.push(hash);
     }
 
-    fn own(&mut self, hash: BlockHash, run: RunId) {
+    fn add_owner(&mut self, hash: BlockHash, run: RunId) {
         let holding = self.runs.entry(run).or_default();
         if !holding.blocks.insert(hash) {
             return;
@@ -295,12 +298,12 @@
             .remove(&(block.leases > 0, block.order, hash));
         self.statistics.unused_block_seconds += idle_seconds(&block, now);
         for run in &block.owners {
-            self.disown(*run, hash);
+            self.remove_owner(*run, hash);
         }
         self.changes.evicted.push(hash);
     }
 
-    fn disown(&mut self, run: RunId, hash: BlockHash) {
+    fn remove_owner(&mut self, run: RunId, hash: BlockHash) {
         let Some(holding) = self.runs.get_mut(&run) else {
             return;
         };
--- a/crates/engine-model/src/command.rs
+++ b/crates/engine-model/src/command.rs
@@ -1,59 +1,60 @@
-//! Fenced commands and the weight store that limits how fast models load.
+//! Fenced commands, and the weight store whose bandwidth limits the loading of models.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use elderworks_types::{ModelName, Timestamp};
 
-/// What an engine does with requests.
+/// Whether an engine accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRole {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Takes none; finishes those it has.
+    /// Accepts no new requests and finishes the existing ones.
     Draining,
 }
 
 /// A command that changes what an engine serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FencedAction {
-    /// Load a model, an adapter or another version of one, each under its own name.
+    /// Loads a model, an adapter or another version of one; each has its own name.
     Load {
-        /// Its name.
+        /// The model to load.
         model: ModelName,
     },
-    /// Unload it.
+    /// Unloads a model.
     Unload {
-        /// Its name.
+        /// The model to unload.
         model: ModelName,
     },
-    /// Change role.
+    /// Changes the engine's role.
     SetRole {
         /// The new role.
         role: EngineRole,
     },
 }
 
-/// A command with a fencing token; one below the largest seen is refused.
+/// A command with a fencing token. A command whose token is below the largest accepted one is
+/// refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedCommand {
-    /// Larger for a newer holder of authority.
+    /// The fencing token; a newer lease holder has a larger one.
     pub token: u64,
-    /// What to do.
+    /// The action to take.
     pub action: FencedAction,
 }
 
-/// Why a command was refused.
+/// The reason why a command was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// A command with a larger token was accepted before.
+    /// A command with a larger token has been accepted.
     Fenced {
-        /// That token.
+        /// The largest accepted token.
         highest: u64,
     },
 }
 
-/// Weights leave the store at a limited rate, one load after the other.
+/// A weight store with limited bandwidth that serves one load after the other.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
     bytes_per_second: u64,
@@ -61,7 +62,7 @@
 }
 
 impl WeightStore {
-    /// A store that serves `bytes_per_second` in all.
+    /// Creates a store with a total bandwidth of `bytes_per_second`.
     pub fn new(bytes_per_second: u64) -> Self {
         Self {
             bytes_per_second: bytes_per_second.max(1),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Queues a read of `bytes` and returns when it will be done.
+    /// Queues a read of `bytes` and returns the time at which it will complete.
     pub fn reserve(&mut self, now: Timestamp, bytes: u64) -> Timestamp {
         let start = self.free_at.max(now);
         let seconds = bytes as f64 / self.bytes_per_second as f64;
@@ -78,7 +79,7 @@
     }
 }
 
-/// Models, role and pending commands of one engine.
+/// Loaded models, role and pending commands of one engine.
 #[derive(Debug)]
 pub(crate) struct ControlState {
     pub(crate) models: BTreeSet<ModelName>,
@@ -114,7 +115,7 @@
         self.pending.iter().map(|(at, _)| *at).min()
     }
 
-    /// Carries out what is due and returns the tokens of the commands.
+    /// Applies the commands that take effect by `now` and returns their tokens.
     pub(crate) fn advance(&mut self, now: Timestamp) -> Vec<u64> {
         let (due, later) = std::mem::take(&mut self.pending)
             .into_iter()
--- a/crates/engine-model/src/engine.rs
+++ b/crates/engine-model/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: requests, steps, memory, commands and what it publishes.
+//! The engine: requests, batching steps, cache memory, commands and published state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,8 @@
     RequestId, Resumed, WeightStore,
 };
 
-/// One engine. Give it the time by [`Engine::advance`] no later than [`Engine::next_event_at`].
+/// A model of one inference engine. Callers must call [`Engine::advance`] no later than
+/// [`Engine::next_event_at`].
 #[derive(Debug)]
 pub struct Engine {
     parameters: EngineParameters,
@@ -33,7 +34,7 @@
 }
 
 impl Engine {
-    /// An idle engine with these models loaded.
+    /// Creates an idle engine that has loaded `models`; `seed` determines which cache events are lost.
     pub fn new(
         parameters: EngineParameters,
         models: impl IntoIterator<Item = ModelName>,
@@ -55,7 +56,11 @@
         }
     }
 
-    /// Takes a request into the queue.
+    /// Queues a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the request is rejected; it has no effect then.
     pub fn submit(&mut self, now: Timestamp, request: Request) -> Result<(), Rejected> {
         let plan = self.check(&request)?;
         let rank = (request.priority, self.next_arrival);
@@ -86,13 +91,13 @@
             return Err(Rejected::QueueFull);
         }
         let plan = request.work.plan(request.max_output);
-        if plan.blocks_at_most() + 1 > self.parameters.cache_blocks {
+        if plan.max_blocks() + 1 > self.parameters.cache_blocks {
             return Err(Rejected::TooLong);
         }
         Ok(plan)
     }
 
-    /// Stops a request wherever it is and forgets it; false if it is not open.
+    /// Cancels and removes a waiting or running request. Returns `false` if there is none with this id.
     pub fn cancel(&mut self, now: Timestamp, id: &RequestId) -> bool {
         let Some(rank) = self.ranks.remove(id) else {
             return false;
@@ -102,12 +107,13 @@
         true
     }
 
-    /// What exists of an answer from a chunk on; `None` if the request is unknown.
+    /// Returns the existing chunks of an answer from `from_chunk` on, or `None` if the request is
+    /// unknown.
     pub fn resume(&self, id: &RequestId, from_chunk: u32) -> Option<Resumed> {
         self.streams.resume(id, from_chunk)
     }
 
-    /// Does all that is due by `now`.
+    /// Processes everything that is due by `now` and returns the results in order.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Output> {
         let mut outputs = Vec::new();
         self.cache.expire_leases(now);
@@ -116,7 +122,7 @@
         }
         self.finish_imports(now, &mut outputs);
         while let Some(ends) = self.batch.step_ends().filter(|ends| *ends <= now) {
-            for progress in self.batch.end_step(ends, &mut self.cache) {
+            for progress in self.batch.complete_step(ends, &mut self.cache) {
                 self.report_progress(ends, &progress, &mut outputs);
             }
             self.start_step(ends);
@@ -125,7 +131,7 @@
         outputs
     }
 
-    /// When something will happen by itself; `None` while there is nothing to do.
+    /// Returns the time of the next internal event, or `None` if none is scheduled.
     pub fn next_event_at(&self) -> Option<Timestamp> {
         let imports = self.imports.iter().map(|(at, _)| *at).min();
         [self.batch.step_ends(), self.control.next_at(), imports]
@@ -134,34 +140,34 @@
             .min()
     }
 
-    /// The newest load report that has become visible.
+    /// Returns the newest visible load report.
     pub fn load_report(&mut self, now: Timestamp) -> Option<LoadReport> {
         self.feed.report(now)
     }
 
-    /// Cache events with a number above `after` that have become visible, oldest first.
+    /// Returns up to `limit` visible cache events with sequence numbers above `after`, oldest first.
     pub fn cache_events(&self, now: Timestamp, after: u64, limit: usize) -> Vec<CacheEvent> {
         self.feed.events(now, after, limit)
     }
 
-    /// What each run holds.
+    /// Returns the cached blocks and leases of each run.
     pub fn holdings(&self) -> Vec<Holding> {
         self.cache.holdings()
     }
 
-    /// Keeps a run's blocks above ordinary eviction order for a while.
+    /// Evicts a run's current blocks only after all unleased ones, for the duration of `lease`.
     pub fn retain(&mut self, now: Timestamp, run: RunId, lease: Duration) {
         self.cache.retain(run, now + lease);
     }
 
-    /// Frees what a run holds and returns how many blocks that was. Repeating it is harmless.
+    /// Frees the blocks that only this run used, and returns their number. Idempotent.
     pub fn release(&mut self, now: Timestamp, run: RunId) -> u32 {
         let freed = self.cache.release_run(now, run);
         self.publish(now);
         freed
     }
 
-    /// The part of a chain that is cached, to be imported by another engine.
+    /// Returns the cached prefix of a chain, for import by another engine.
     pub fn export(
         &self,
         run: RunId,
@@ -174,7 +180,7 @@
         }
     }
 
-    /// Begins an import and returns when the blocks will be usable.
+    /// Starts an import and returns the time at which the blocks will be cached.
     pub fn import(&mut self, now: Timestamp, exported: ExportedBlocks) -> Timestamp {
         let blocks = u32::try_from(exported.blocks.len()).unwrap_or(u32::MAX);
         let done = now + self.parameters.transfer_per_block * blocks;
@@ -182,7 +188,11 @@
         done
     }
 
-    /// Accepts a fenced command; a load takes effect when the weight store has delivered.
+    /// Accepts a fenced command. A load takes effect once the weights have been read from the store.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a command with a larger token has been accepted.
     pub fn command(
         &mut self,
         now: Timestamp,
@@ -198,22 +208,22 @@
         Ok(())
     }
 
-    /// Models that are loaded, in order of name.
+    /// Returns the loaded models, ordered by name.
     pub fn models(&self) -> Vec<ModelName> {
         self.control.models.iter().cloned().collect()
     }
 
-    /// Its role.
+    /// Returns the engine's role.
     pub fn role(&self) -> EngineRole {
         self.control.role
     }
 
-    /// Sums over the cache's life.
+    /// Returns cache statistics since the start of the engine.
     pub fn cache_statistics(&self, now: Timestamp) -> CacheStatistics {
         self.cache.statistics(now)
     }
 
-    /// Sequences that lost their place in the batch so far.
+    /// Returns the number of preemptions so far.
     pub fn preemptions(&self) -> u64 {
         self.batch.preemptions
     }
@@ -279,7 +289,7 @@
             measured: now,
             running: self.batch.running.len() as u32,
             waiting: self.batch.waiting.len() as u32,
-            waiting_prefill: Tokens(self.batch.unprefilled()),
+            waiting_prefill: Tokens(self.batch.prefill_backlog()),
             blocks_used: self.cache.referenced() as u32,
             blocks_total: self.parameters.cache_blocks as u32,
         });
--- a/crates/engine-model/src/feed.rs
+++ b/crates/engine-model/src/feed.rs
@@ -1,4 +1,4 @@
-//! What an engine publishes about itself: late, and with gaps.
+//! Published cache events and load reports, which are delayed and can have gaps.
 
 use std::collections::VecDeque;
 
@@ -10,47 +10,47 @@
 use crate::FeedParameters;
 use crate::cache::PendingChanges;
 
-/// Oldest load samples beyond this number are forgotten.
+/// Maximum number of load samples kept; the oldest are dropped.
 const MAX_LOAD_SAMPLES: usize = 4_096;
 
 /// A change in the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// Blocks are now held.
+    /// Blocks were added to the cache.
     Stored(Vec<BlockHash>),
-    /// Blocks are no longer held.
+    /// Blocks were removed from the cache.
     Evicted(Vec<BlockHash>),
-    /// Everything was dropped.
+    /// The cache was cleared.
     Cleared,
 }
 
-/// A published change.
+/// A published change of the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Number among the engine's events, from 1; a missing number is a lost event.
+    /// Sequence number among the engine's events, starting at 1. A missing number is a lost event.
     pub sequence: u64,
     /// The change.
     pub change: CacheChange,
 }
 
-/// State of an engine at one moment.
+/// Load of an engine at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When it was measured, by the engine's clock.
+    /// Time of the measurement by the engine's clock.
     pub measured: Timestamp,
-    /// Sequences in the batch.
+    /// Number of sequences in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Prompt tokens not yet prefilled, of waiting and running requests.
+    /// Tokens of waiting and running requests that are not prefilled yet.
     pub waiting_prefill: Tokens,
-    /// Blocks that running sequences use; idle cached ones do not count.
+    /// Number of blocks that running sequences use, without unused cached blocks.
     pub blocks_used: u32,
-    /// Blocks in all.
+    /// Total number of blocks.
     pub blocks_total: u32,
 }
 
-/// Holds events and reports back until their lag has passed.
+/// Delays events and reports by the configured lag, and loses some events.
 #[derive(Debug)]
 pub(crate) struct Feed {
     parameters: FeedParameters,
@@ -94,7 +94,7 @@
             .push_back((now, CacheEvent { sequence, change }));
     }
 
-    /// Published events with a larger number than `after`, oldest first.
+    /// Returns up to `limit` visible events with sequence numbers above `after`, oldest first.
     pub(crate) fn events(&self, now: Timestamp, after: u64, limit: usize) -> Vec<CacheEvent> {
         let start = self
             .events
@@ -120,7 +120,7 @@
         self.samples.push_back(report);
     }
 
-    /// The newest report that is old enough to be seen; older ones are forgotten.
+    /// Returns the newest report that is visible at `now`, and drops older ones.
     pub(crate) fn report(&mut self, now: Timestamp) -> Option<LoadReport> {
         let lag = self.parameters.load_lag;
         while self.samples.len() > 1 && self.samples[1].measured + lag <= now {
--- a/crates/engine-model/src/lib.rs
+++ b/crates/engine-model/src/lib.rs
@@ -1,9 +1,9 @@
 //! Model of a batching inference engine with a prefix cache, on a virtual clock.
 //!
-//! [`Engine`] is a deterministic state machine: it is given the time, does no I/O and draws its few
-//! random choices (lost cache events) from a seeded generator. The same model answers behind the
-//! HTTP stand-in, in the fault simulation and in the policy comparison. Every parameter and the
-//! source of its default is listed in `docs/ENGINE-MODEL.md`.
+//! [`Engine`] is a deterministic state machine: callers pass in the time, it does no I/O, and its
+//! random choices (lost cache events) come from a seeded generator. The HTTP stand-in, the fault
+//! simulation and the policy comparison use the same model. `docs/ENGINE-MODEL.md` lists all
+//! parameters with the sources of their defaults.
 
 pub mod answer;
 mod batch;
--- a/crates/engine-model/src/parameters.rs
+++ b/crates/engine-model/src/parameters.rs
@@ -2,38 +2,37 @@
 
 use std::time::Duration;
 
-/// Speed, memory and limits of one engine. Defaults and their sources: `docs/ENGINE-MODEL.md`.
+/// Speed, memory and limits of one engine. `docs/ENGINE-MODEL.md` has the sources of the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineParameters {
-    /// Time of a step that does no work: weights are read once per step.
+    /// Base duration of a step, for reading the weights.
     pub step_base: Duration,
-    /// Added to a step for each sequence that decodes in it.
+    /// Additional duration of a step per decoding sequence.
     pub step_per_sequence: Duration,
-    /// Added to a step for each token of context that its decoding sequences attend to, in
-    /// nanoseconds.
+    /// Additional duration of a step per context token of its decoding sequences, in nanoseconds.
     pub step_nanos_per_context_token: u64,
-    /// Added to a step for each prompt token prefilled in it, in nanoseconds.
+    /// Additional duration of a step per prefilled token, in nanoseconds.
     pub step_nanos_per_prefill_token: u64,
-    /// Most sequences in the batch.
+    /// Maximum number of sequences in the batch.
     pub max_batch: usize,
-    /// Most tokens in one step: one per decoding sequence, the rest for chunks of prefill.
+    /// Token budget of a step: one token per decoding sequence, the rest for chunked prefill.
     pub step_tokens: u64,
-    /// Prefix cache and working memory, in blocks of `TOKENS_PER_BLOCK` tokens.
+    /// Size of prefix cache and working memory, in blocks of `TOKENS_PER_BLOCK` tokens.
     pub cache_blocks: usize,
-    /// Most requests waiting; a further one is rejected as not run.
+    /// Maximum number of waiting requests; further ones are rejected.
     pub max_waiting: usize,
-    /// How much smaller the priority of a waiting request must be than that of a running one to
-    /// displace it from a full batch.
+    /// Minimum difference in priority at which a waiting request preempts a running one in a full
+    /// batch.
     pub preemption_gap: i64,
-    /// Tokens in one streamed chunk.
+    /// Number of tokens per streamed chunk.
     pub tokens_per_chunk: u64,
-    /// Time to move one block to or from another engine.
+    /// Time to import one block from another engine.
     pub transfer_per_block: Duration,
-    /// Ended requests whose answers can still be resumed.
+    /// Number of completed requests whose answers can be resumed.
     pub remembered_requests: usize,
-    /// Bytes of one model's weights, for loading from the weight store.
+    /// Size of a model's weights, in bytes.
     pub model_bytes: u64,
-    /// Delay and loss of published events and reports.
+    /// Delay and loss of published reports and events.
     pub feed: FeedParameters,
 }
 
@@ -59,8 +58,8 @@
 }
 
 impl EngineParameters {
-    /// Duration of a step that decodes `sequences` over `context_tokens` and prefills
-    /// `prefill_tokens`.
+    /// Returns the duration of a step that decodes `sequences` sequences with `context_tokens` tokens
+    /// of context in total, and prefills `prefill_tokens` tokens.
     pub fn step_duration(
         &self,
         sequences: u64,
@@ -74,16 +73,16 @@
     }
 }
 
-/// How late and how incompletely an engine publishes its state.
+/// Delay and loss of an engine's published state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedParameters {
-    /// Age of the newest load report that can be read.
+    /// Delay until a load report becomes visible.
     pub load_lag: Duration,
-    /// Age of the newest cache event that can be read.
+    /// Delay until a cache event becomes visible.
     pub cache_lag: Duration,
-    /// Share of cache events that are lost, from 0 to 1. Their sequence numbers stay missing.
+    /// Fraction of cache events that are lost, from 0 to 1. Their sequence numbers are skipped.
     pub cache_loss: f64,
-    /// Cache events kept for readers.
+    /// Number of cache events kept for readers.
     pub retained_events: usize,
 }
 
--- a/crates/engine-model/src/request.rs
+++ b/crates/engine-model/src/request.rs
@@ -1,4 +1,4 @@
-//! What an engine is asked and what it answers.
+//! Requests to an engine and its results.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 
 use crate::answer;
 
-/// Names a request towards one engine; the caller chooses it and may resume or cancel by it.
+/// Id of a request at one engine. The caller chooses it, and uses it to resume or cancel the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
 impl RequestId {
-    /// Wraps a name.
+    /// Creates an id from a string.
     pub fn new(name: impl AsRef<str>) -> Self {
         Self(Arc::from(name.as_ref()))
     }
@@ -25,48 +25,48 @@
     }
 }
 
-/// A request to generate.
+/// A request to generate an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Names it.
+    /// Id of the request.
     pub id: RequestId,
-    /// The run that will own the blocks it leaves in the cache.
+    /// The run that owns the blocks which the request adds to the cache.
     pub run: RunId,
-    /// The model.
+    /// The model to use.
     pub model: ModelName,
-    /// Prompt and answer.
+    /// The prompt, with the source of its answer.
     pub work: Work,
-    /// Most tokens to generate.
+    /// Maximum number of tokens of the answer.
     pub max_output: Tokens,
-    /// Smaller goes first.
+    /// Priority; requests with smaller values run first.
     pub priority: i64,
-    /// Number of the first chunk of the answer.
+    /// Index of the first chunk of the answer.
     pub first_chunk: u32,
 }
 
-/// The prompt, and how its answer comes about.
+/// A prompt, as text or as sizes only.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// A prompt in words; the answer is a function of it.
+    /// A prompt as text; the answer is a deterministic function of it.
     Text {
         /// The rendered prompt.
         prompt: String,
-        /// The beginning of the answer, if it was generated before.
+        /// Start of the answer that was generated before, or empty.
         continue_text: String,
     },
-    /// Only sizes and block hashes; no text is made.
+    /// Token counts and block hashes; no text is generated.
     Counted {
-        /// Tokens in the prompt.
+        /// Number of tokens in the prompt.
         prompt: Tokens,
-        /// Tokens that will be generated.
+        /// Number of tokens to generate.
         output: Tokens,
-        /// Hashes of the full blocks of the prompt followed by the answer.
+        /// Hashes of the full blocks of prompt and answer.
         chain: Arc<[BlockHash]>,
     },
 }
 
 impl Work {
-    /// A prompt of these messages.
+    /// Renders messages as a text prompt.
     pub fn from_messages(messages: &[Message], continue_text: impl Into<String>) -> Self {
         Work::Text {
             prompt: render_prompt(messages),
@@ -94,13 +94,13 @@
     }
 }
 
-/// A request's work in tokens.
+/// The work of a request in tokens.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) prompt: u64,
     pub(crate) output: u64,
     pub(crate) chain: Arc<[BlockHash]>,
-    /// What is still to be generated, in text mode.
+    /// The text to generate; `None` without text.
     pub(crate) text: Option<String>,
 }
 
@@ -118,92 +118,92 @@
         }
     }
 
-    pub(crate) fn blocks_at_most(&self) -> usize {
+    pub(crate) fn max_blocks(&self) -> usize {
         let tokens = self.prompt + self.output;
         tokens.div_ceil(TOKENS_PER_BLOCK as u64) as usize
     }
 }
 
-/// Why a request was not taken. A rejected request was not run.
+/// The reason why a request was rejected. A rejected request is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
     /// The queue is full.
     QueueFull,
     /// The model is not loaded.
     ModelNotLoaded,
-    /// Prompt and answer do not fit into the engine's memory.
+    /// Prompt and answer exceed the engine's memory.
     TooLong,
-    /// The engine's role does not take work.
+    /// The engine is draining.
     NotServing,
-    /// A request of this id is open or remembered.
+    /// A request with this id is open, or its answer is retained.
     Duplicate,
 }
 
-/// A numbered piece of an answer.
+/// A numbered chunk of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedChunk {
-    /// Its number; the first is the request's `first_chunk`.
+    /// Index of the chunk, counted from the request's `first_chunk`.
     pub index: u32,
-    /// The text.
+    /// The generated text.
     pub text: String,
 }
 
-/// The end of a request.
+/// The completion of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Which request.
+    /// Id of the request.
     pub id: RequestId,
-    /// What it consumed. `cached` is what the cache held when the request first ran.
+    /// Consumed tokens. `cached` counts the prompt tokens that were cached at the first admission.
     pub usage: Usage,
-    /// Tokens prefilled for it, those repeated after a preemption included.
+    /// Number of tokens prefilled, including those repeated after preemptions.
     pub prefilled: Tokens,
-    /// Chunks sent in all, counted from the request's `first_chunk`.
+    /// Number of chunks sent, without those before the request's `first_chunk`.
     pub chunks: u32,
 }
 
-/// Something that the engine did.
+/// A result of [`Engine::advance`](crate::Engine::advance).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// The first token of a request was generated.
     FirstToken {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// A piece of an answer; only in text mode.
+    /// A chunk of an answer was generated; only for text requests.
     Chunk {
-        /// Of which request.
+        /// Id of the request.
         id: RequestId,
-        /// The piece.
+        /// The chunk.
         chunk: NumberedChunk,
     },
-    /// A request ended.
+    /// A request completed.
     Completed(Completion),
-    /// Imported blocks are in the cache.
+    /// An import completed; its blocks are cached.
     Imported {
-        /// Of which run.
+        /// The run of the blocks.
         run: RunId,
     },
     /// A fenced command took effect.
     CommandDone {
-        /// Its fencing token.
+        /// The command's fencing token.
         token: u64,
     },
 }
 
-/// The state of a request that is taken up again.
+/// The state of a resumed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resumed {
-    /// Chunks from the asked one on that exist already; later ones follow as [`Output::Chunk`].
+    /// Existing chunks from the requested one on; later ones follow as [`Output::Chunk`].
     pub chunks: Vec<NumberedChunk>,
-    /// Its completion, if it has ended.
+    /// The completion, if the request has completed.
     pub completion: Option<Completion>,
 }
 
-/// Blocks of a run on their way to another engine.
+/// Blocks of a run to transfer to another engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExportedBlocks {
-    /// Whose.
+    /// The run that owns the blocks.
     pub run: RunId,
-    /// From the start of the chain on.
+    /// Hashes of the blocks, from the start of the chain.
     pub blocks: Vec<BlockHash>,
 }
--- a/crates/engine-model/src/stream.rs
+++ b/crates/engine-model/src/stream.rs
@@ -1,4 +1,4 @@
-//! Chunks of answers that were sent, kept for resuming.
+//! Sent chunks of answers, kept so that clients can resume.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,7 +6,7 @@
 
 use crate::{Completion, NumberedChunk, RequestId, Resumed};
 
-/// The answer of one request as far as it was sent.
+/// The answer of one request, and its chunks sent so far.
 #[derive(Debug, Default)]
 struct Stream {
     text: String,
@@ -16,21 +16,21 @@
     completion: Option<Completion>,
 }
 
-/// Answers of open and of recently ended requests.
+/// Answers of open and recently completed requests.
 #[derive(Debug)]
 pub(crate) struct Streams {
     streams: BTreeMap<RequestId, Stream>,
-    ended: VecDeque<RequestId>,
-    remembered: usize,
+    completed: VecDeque<RequestId>,
+    max_completed: usize,
     tokens_per_chunk: u64,
 }
 
 impl Streams {
-    pub(crate) fn new(remembered: usize, tokens_per_chunk: u64) -> Self {
+    pub(crate) fn new(max_completed: usize, tokens_per_chunk: u64) -> Self {
         Self {
             streams: BTreeMap::new(),
-            ended: VecDeque::new(),
-            remembered,
+            completed: VecDeque::new(),
+            max_completed,
             tokens_per_chunk: tokens_per_chunk.max(1),
         }
     }
@@ -48,7 +48,8 @@
         self.streams.insert(id, stream);
     }
 
-    /// Chunks that are complete once `generated` tokens exist; the last may be short.
+    /// Returns the chunks that become complete with `generated` tokens. At the end of the answer, the
+    /// last chunk can be shorter.
     pub(crate) fn advance(
         &mut self,
         id: &RequestId,
@@ -69,15 +70,15 @@
         fresh
     }
 
-    /// Records the end; the oldest ended requests beyond the limit are forgotten.
+    /// Records the completion of a request, and drops the oldest completed ones beyond the limit.
     pub(crate) fn complete(&mut self, mut completion: Completion) -> Completion {
         if let Some(stream) = self.streams.get_mut(&completion.id) {
             completion.chunks = stream.chunks.len() as u32;
             stream.completion = Some(completion.clone());
-            self.ended.push_back(completion.id.clone());
+            self.completed.push_back(completion.id.clone());
         }
-        while self.ended.len() > self.remembered {
-            if let Some(oldest) = self.ended.pop_front() {
+        while self.completed.len() > self.max_completed {
+            if let Some(oldest) = self.completed.pop_front() {
                 self.streams.remove(&oldest);
             }
         }
@@ -86,7 +87,7 @@
 
     pub(crate) fn forget(&mut self, id: &RequestId) {
         self.streams.remove(id);
-        self.ended.retain(|ended| ended != id);
+        self.completed.retain(|ended| ended != id);
     }
 
     pub(crate) fn resume(&self, id: &RequestId, from_chunk: u32) -> Option<Resumed> {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -35,7 +35,7 @@
 pub struct MetricsSnapshot {
     /// Counters of the state machine.
     pub core: Counters,
-    /// Counters of the owned partitions, summed.
+    /// Sums of the counters of the partitions.
     pub execution: execution::Counters,
     /// Counters of the placement of calls on engines.
     pub placement: placement::Counters,
--- a/crates/platform-model/src/lib.rs
+++ b/crates/platform-model/src/lib.rs
@@ -1,8 +1,8 @@
 //! Models of the platform's log, tools, machine list and weight store, without I/O.
 //!
-//! Each model is a plain state machine: time and random numbers are passed in, and faults are
-//! fields that a test sets. The stand-ins serve these models over HTTP; a simulation can drive them
-//! on a virtual clock.
+//! Each model is a state machine: callers pass in time and random numbers, and tests set faults
+//! through fields. The stand-ins serve the models over HTTP; the simulation runs them on a virtual
+//! clock.
 
 pub mod log;
 pub mod machines;
--- a/crates/platform-model/src/log.rs
+++ b/crates/platform-model/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log service.
+//! Model of the append-only log service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,58 +8,59 @@
 use rand::{Rng, RngCore};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of records that a model holds unless told otherwise.
+/// Default capacity for records, in bytes.
 pub const DEFAULT_CAPACITY_BYTES: u64 = 1 << 30;
 
+/// Denominator of `lose_answers_per_mille`.
 const PER_MILLE: u16 = 1_000;
 
-/// Faults of the log. The default is none.
+/// Faults of the log. By default there are none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Nothing is answered, and nothing takes effect.
+    /// Requests get no answer and have no effect.
     pub down: bool,
-    /// Added to the time of every request, in milliseconds.
+    /// Additional latency of every request, in milliseconds.
     pub delay_ms: u64,
-    /// The next so many appends take effect, but are not answered.
+    /// Number of following appends that take effect but get no answer.
     pub lose_next_answers: u32,
-    /// Of a thousand appends, so many (at random) take effect, but are not answered.
+    /// Probability, per mille, that an append takes effect but gets no answer.
     pub lose_answers_per_mille: u16,
 }
 
 impl LogFaults {
-    /// What the faults add to the time of a request.
+    /// Returns the additional latency of a request.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(self.delay_ms)
     }
 }
 
-/// What becomes of an append.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It took effect, and the client learns so.
+    /// The record was appended, and the client receives the answer.
     Appended(Offset),
-    /// It took effect, but the client does not learn so.
+    /// The record was appended, but the client receives no answer.
     AnswerLost(Offset),
-    /// It had no effect, and the client gets no answer.
+    /// The append had no effect, and the client receives no answer.
     Down,
-    /// It had no effect: the model's capacity is used up.
+    /// The append was refused because it exceeds the capacity.
     Full,
 }
 
-/// What becomes of a read.
+/// The outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The records asked for.
+    /// The requested records.
     Records(ReadResponse),
-    /// The client gets no answer.
+    /// The client receives no answer.
     Down,
 }
 
-/// Streams of records, each record at a dense offset from 0.
+/// Streams of records; the offsets of a stream are consecutive and start at 0.
 #[derive(Clone, Debug)]
 pub struct LogModel {
-    /// Faults in force.
+    /// The active faults.
     pub faults: LogFaults,
     streams: BTreeMap<String, Vec<Vec<u8>>>,
     used_bytes: u64,
@@ -73,7 +74,8 @@
 }
 
 impl LogModel {
-    /// An empty log that refuses appends beyond `capacity_bytes` of records in all streams.
+    /// Creates an empty log that refuses appends once the records of all streams would exceed
+    /// `capacity_bytes`.
     pub fn with_capacity(capacity_bytes: u64) -> Self {
         Self {
             faults: LogFaults::default(),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Appends regardless of faults and capacity.
+    /// Appends a record, ignoring faults and capacity.
     pub fn append(&mut self, stream: &str, data: Vec<u8>) -> Offset {
         self.used_bytes += data.len() as u64;
         let records = self.streams.entry(stream.to_owned()).or_default();
@@ -91,31 +93,32 @@
         Offset(records.len() as u64 - 1)
     }
 
-    /// Reads regardless of faults: records from `from` on, as many as `max_bytes` allows but at
-    /// least one where there is one. A stream that was never written is empty.
+    /// Reads records from offset `from` on, ignoring faults. Returns records of at most `max_bytes` in
+    /// total, but at least one if there is one. An unknown stream is empty.
     pub fn read(&self, stream: &str, from: Offset, max_bytes: usize) -> ReadResponse {
         let records = self.streams.get(stream).map_or(&[][..], Vec::as_slice);
         let end = Offset(records.len() as u64);
         let first = usize::try_from(from.0.min(end.0)).unwrap_or(records.len());
         let mut room = max_bytes;
-        let mut given = Vec::new();
+        let mut selected = Vec::new();
         for (data, offset) in records[first..].iter().zip(from.0..) {
-            if data.len() > room && !given.is_empty() {
+            if data.len() > room && !selected.is_empty() {
                 break;
             }
             room = room.saturating_sub(data.len());
-            given.push(LogRecord {
+            selected.push(LogRecord {
                 offset: Offset(offset),
                 data: data.clone(),
             });
         }
         ReadResponse {
-            records: given,
+            records: selected,
             end,
         }
     }
 
-    /// Appends as the faults in force allow. `rng` decides where a fault is a probability.
+    /// Appends a record subject to the active faults and the capacity. `rng` decides faults that have a
+    /// probability.
     pub fn request_append(
         &mut self,
         stream: &str,
@@ -135,7 +138,7 @@
         AppendOutcome::Appended(offset)
     }
 
-    /// Reads as the faults in force allow.
+    /// Reads records subject to the active faults.
     pub fn request_read(&self, stream: &str, from: Offset, max_bytes: usize) -> ReadOutcome {
         if self.faults.down {
             return ReadOutcome::Down;
@@ -143,17 +146,17 @@
         ReadOutcome::Records(self.read(stream, from, max_bytes))
     }
 
-    /// The offset that the stream's next record will have.
+    /// Returns the offset of the next record of a stream.
     pub fn end(&self, stream: &str) -> Offset {
         Offset(self.streams.get(stream).map_or(0, Vec::len) as u64)
     }
 
-    /// Names of the streams written so far, in order.
+    /// Returns the names of all non-empty streams, in order.
     pub fn streams(&self) -> impl Iterator<Item = &str> {
         self.streams.keys().map(String::as_str)
     }
 
-    /// Bytes of records held.
+    /// Returns the total size of all records, in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.used_bytes
     }
--- a/crates/platform-model/src/machines.rs
+++ b/crates/platform-model/src/machines.rs
@@ -1,4 +1,4 @@
-//! The list of machines, seen with a lag.
+//! Model of the list of machines, whose changes become visible with a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use elderworks_platform_api::machines::MachineList;
 use elderworks_types::Timestamp;
 
-/// Most changes that wait to become visible; older ones are skipped over by newer ones.
+/// Maximum number of changes that are not visible yet; beyond it, the oldest is dropped.
 const MAX_PENDING: usize = 64;
 
 struct Pending {
@@ -14,7 +14,7 @@
     list: MachineList,
 }
 
-/// The truth and what readers see of it.
+/// The current list of machines and the list that readers see.
 pub struct MachinesModel {
     lag: Duration,
     visible: MachineList,
@@ -23,7 +23,8 @@
 }
 
 impl MachinesModel {
-    /// A list that is visible at once; later changes become visible after `lag`.
+    /// Creates a model whose initial list is visible immediately. Later changes become visible after
+    /// `lag`.
     pub fn new(lag: Duration, list: MachineList) -> Self {
         let version = 1;
         Self {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Replaces the list. The model numbers versions itself.
+    /// Replaces the list. The version of `list` is ignored; the model assigns the next one.
     pub fn replace(&mut self, now: Timestamp, list: MachineList) {
         self.version += 1;
         if self.pending.len() == MAX_PENDING {
@@ -49,14 +50,14 @@
         });
     }
 
-    /// The truth, whether visible yet or not.
+    /// Returns the current list, which may not be visible yet.
     pub fn current(&self) -> &MachineList {
         self.pending
             .back()
             .map_or(&self.visible, |pending| &pending.list)
     }
 
-    /// The list as a reader sees it.
+    /// Returns the list that is visible at `now`.
     pub fn read(&mut self, now: Timestamp) -> &MachineList {
         while let Some(pending) = self
             .pending
--- a/crates/platform-model/src/tool.rs
+++ b/crates/platform-model/src/tool.rs
@@ -1,4 +1,4 @@
-//! A tool service that records every execution.
+//! Model of a tool service that records all executions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,19 +9,20 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
+/// Denominator of `lose_answers_per_mille`.
 const PER_MILLE: u16 = 1_000;
 
-/// How a tool behaves when nothing is wrong.
+/// Settings of a tool without faults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToolSettings {
-    /// Whether a repeated key gives the first result. A tool that keeps no keys runs every request
-    /// and answers every question after an invocation by "unknown".
+    /// Whether the tool remembers idempotency keys and returns the first result for a repeated key. If
+    /// not, it runs every request and reports the status of every invocation as unknown.
     pub keeps_keys: bool,
-    /// Time of one execution.
+    /// Duration of one execution.
     pub latency: Duration,
-    /// Most executions under way at once; more are rejected as not run.
+    /// Maximum number of concurrent executions; further invocations are rejected.
     pub max_running: usize,
-    /// Most ended executions remembered; the oldest are forgotten first.
+    /// Maximum number of completed executions kept; the oldest are dropped first.
     pub max_remembered: usize,
 }
 
@@ -36,71 +37,71 @@
     }
 }
 
-/// Faults of a tool. The default is none.
+/// Faults of a tool. By default there are none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ToolFaults {
-    /// Nothing is answered, and nothing is run.
+    /// Requests get no answer and are not run.
     pub down: bool,
-    /// Executions that start now never end.
+    /// New executions never complete.
     pub hang: bool,
-    /// Executions that start now end in failure.
+    /// New executions fail.
     pub fail: bool,
-    /// New invocations are rejected as not run.
+    /// New invocations are rejected without running.
     pub busy: bool,
-    /// The next so many invocations run, but are not answered.
+    /// Number of following invocations that run but get no answer.
     pub lose_next_answers: u32,
-    /// Of a thousand invocations, so many (at random) run, but are not answered.
+    /// Probability, per mille, that an invocation runs but gets no answer.
     pub lose_answers_per_mille: u16,
 }
 
-/// Names one execution, from 1 in order of start.
+/// Id of an execution. Ids start at 1 and increase in order of start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ExecutionId(pub u64);
 
-/// How an execution ended.
+/// The outcome of an execution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionOutcome {
-    /// With a result.
+    /// The execution completed with a result.
     Completed(Value),
-    /// With an error.
+    /// The execution failed with an error message.
     Failed(String),
 }
 
-/// One execution, as a checker sees it.
+/// A recorded execution, for use by checkers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// Its place in order of start.
+    /// Id of the execution.
     pub id: ExecutionId,
-    /// The tool asked for.
+    /// The invoked tool.
     pub tool: ToolName,
-    /// The key of the request that started it.
+    /// Idempotency key of the request that started the execution.
     pub key: String,
-    /// Its arguments.
+    /// Arguments of the invocation.
     pub arguments: Value,
-    /// When it started.
+    /// Start time.
     pub started: Timestamp,
-    /// How it ended; `None` while it runs or hangs.
+    /// The outcome; `None` while the execution runs or hangs.
     pub outcome: Option<ExecutionOutcome>,
 }
 
-/// What becomes of an invocation.
+/// The response of a tool to an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invocation {
-    /// It runs; poll for its end.
+    /// A new execution started; poll for its outcome.
     Started(ExecutionId),
-    /// An execution of the same key runs or has run; poll for its end.
+    /// An execution with the same key exists already; poll for its outcome.
     Joined(ExecutionId),
-    /// It was not run.
+    /// The invocation was rejected without running.
     Rejected,
-    /// It was not run, and the client gets no answer.
+    /// The invocation was not run, and the client receives no answer.
     Down,
 }
 
 impl Invocation {
-    /// The execution that will answer, if any.
+    /// Returns the execution whose outcome answers the invocation, if there is one.
     pub fn execution(self) -> Option<ExecutionId> {
         match self {
             Invocation::Started(id) | Invocation::Joined(id) => Some(id),
@@ -110,25 +111,25 @@
 }
 
 struct Running {
-    /// `None` for one that hangs.
+    /// Completion time; `None` if the execution hangs.
     due: Option<Timestamp>,
     outcome: ExecutionOutcome,
 }
 
-/// One tool service; may host tools of several names.
+/// A tool service, which can host several tools.
 pub struct ToolModel {
-    /// Faults in force.
+    /// The active faults.
     pub faults: ToolFaults,
     settings: ToolSettings,
     started: u64,
     executions: BTreeMap<ExecutionId, Execution>,
     running: BTreeMap<ExecutionId, Running>,
-    ended: VecDeque<ExecutionId>,
+    completed: VecDeque<ExecutionId>,
     by_key: BTreeMap<String, ExecutionId>,
 }
 
 impl ToolModel {
-    /// A tool that has run nothing.
+    /// Creates a tool service without executions.
     pub fn new(settings: ToolSettings) -> Self {
         Self {
             faults: ToolFaults::default(),
@@ -136,12 +137,12 @@
             started: 0,
             executions: BTreeMap::new(),
             running: BTreeMap::new(),
-            ended: VecDeque::new(),
+            completed: VecDeque::new(),
             by_key: BTreeMap::new(),
         }
     }
 
-    /// Takes an invocation.
+    /// Handles an invocation.
     pub fn invoke(
         &mut self,
         now: Timestamp,
@@ -153,7 +154,7 @@
         if self.faults.down {
             return Invocation::Down;
         }
-        if let Some(id) = self.known(key) {
+        if let Some(id) = self.find_by_key(key) {
             return Invocation::Joined(id);
         }
         if self.faults.busy || self.running.len() >= self.settings.max_running {
@@ -162,8 +163,8 @@
         Invocation::Started(self.start(now, tool, key, arguments))
     }
 
-    /// Whether the answer of the invocation that was just taken is lost on its way. `rng` decides
-    /// where the fault is a probability.
+    /// Returns whether the answer to the current invocation is lost. `rng` decides faults that have a
+    /// probability. Must be called once per invocation, because it counts down `lose_next_answers`.
     pub fn loses_answer(&mut self, rng: &mut dyn RngCore) -> bool {
         if self.faults.lose_next_answers > 0 {
             self.faults.lose_next_answers -= 1;
@@ -173,14 +174,14 @@
         per_mille > 0 && rng.random_range(0..PER_MILLE) < per_mille
     }
 
-    /// How an execution has ended by `now`; `None` while it runs or hangs, or where it is not known
-    /// (any more).
+    /// Returns the outcome of an execution at `now`. Returns `None` while it runs or hangs, and for an
+    /// execution that is unknown or was dropped.
     pub fn poll(&mut self, now: Timestamp, id: ExecutionId) -> Option<&ExecutionOutcome> {
         self.advance(now);
         self.executions.get(&id)?.outcome.as_ref()
     }
 
-    /// When the next execution ends.
+    /// Returns the time at which the next execution completes.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.running
             .values()
@@ -188,15 +189,18 @@
             .min()
     }
 
-    /// When this execution ends, if it runs and does not hang.
+    /// Returns the time at which an execution completes, if it runs and does not hang.
     pub fn due(&self, id: ExecutionId) -> Option<Timestamp> {
         self.running.get(&id)?.due
     }
 
-    /// Answers a question after an invocation.
+    /// Returns the status of the invocation with an idempotency key.
     pub fn status(&mut self, now: Timestamp, key: &str) -> InvocationStatus {
         self.advance(now);
-        let Some(execution) = self.known(key).and_then(|id| self.executions.get(&id)) else {
+        let Some(execution) = self
+            .find_by_key(key)
+            .and_then(|id| self.executions.get(&id))
+        else {
             return InvocationStatus::Unknown;
         };
         match &execution.outcome {
@@ -210,17 +214,17 @@
         }
     }
 
-    /// Every execution remembered, in order of start.
+    /// Returns all recorded executions in order of start.
     pub fn executions(&self) -> impl Iterator<Item = &Execution> {
         self.executions.values()
     }
 
-    /// Executions started in all, remembered or not.
+    /// Returns the number of executions ever started, including dropped ones.
     pub fn started_count(&self) -> u64 {
         self.started
     }
 
-    fn known(&self, key: &str) -> Option<ExecutionId> {
+    fn find_by_key(&self, key: &str) -> Option<ExecutionId> {
         if !self.settings.keeps_keys {
             return None;
         }
@@ -256,7 +260,7 @@
         id
     }
 
-    /// Ends what is due.
+    /// Completes the executions that are due by `now`.
     fn advance(&mut self, now: Timestamp) {
         let due = |running: &Running| running.due.is_some_and(|due| due <= now);
         let ending: Vec<ExecutionId> = self
@@ -266,26 +270,26 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ending {
-            self.end(id);
+            self.complete(id);
         }
     }
 
-    fn end(&mut self, id: ExecutionId) {
+    fn complete(&mut self, id: ExecutionId) {
         let Some(running) = self.running.remove(&id) else {
             return;
         };
         if let Some(execution) = self.executions.get_mut(&id) {
             execution.outcome = Some(running.outcome);
         }
-        self.ended.push_back(id);
-        if self.ended.len() > self.settings.max_remembered {
-            self.forget_oldest();
+        self.completed.push_back(id);
+        if self.completed.len() > self.settings.max_remembered {
+            self.drop_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(execution) = self
-            .ended
+            .completed
             .pop_front()
             .and_then(|id| self.executions.remove(&id))
         else {
@@ -297,8 +301,8 @@
     }
 }
 
-/// What a tool returns: a function of its name and arguments alone, so that repeated executions
-/// agree.
+/// Returns the result of a tool. It depends only on the tool's name and arguments, so that repeated
+/// executions have the same result.
 pub fn result_of(tool: &ToolName, arguments: &Value) -> Value {
     json!({ "tool": tool, "arguments": arguments, "accepted": true })
 }
--- a/crates/platform-model/src/weights.rs
+++ b/crates/platform-model/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, rate limited by a token bucket.
+//! Model of the weight store, with a token bucket as rate limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use elderworks_platform_api::weights::WeightsResponse;
 use elderworks_types::{ModelName, Timestamp};
 
-/// Limits of the store.
+/// Rate limit of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsSettings {
-    /// Requests that may be made at once.
+    /// Maximum number of requests in a burst.
     pub burst: u32,
-    /// Time after which one more request may be made.
+    /// Interval at which one more request becomes available.
     pub interval: Duration,
 }
 
@@ -24,27 +24,27 @@
     }
 }
 
-/// What becomes of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WeightsOutcome {
-    /// The weights.
+    /// The requested weights.
     Found(WeightsResponse),
-    /// The store has no such model.
+    /// The store does not have the model.
     NotFound,
-    /// Too many requests; the next may be made after this time.
+    /// The rate limit is exceeded; the next request is possible after this duration.
     Limited(Duration),
 }
 
-/// Weights by model.
+/// A weight store with the weights of each model.
 pub struct WeightsModel {
     settings: WeightsSettings,
     weights: BTreeMap<ModelName, WeightsResponse>,
     available: u32,
-    refilled: Timestamp,
+    last_refill: Timestamp,
 }
 
 impl WeightsModel {
-    /// A store of these weights, with its whole burst available.
+    /// Creates a store of `weights` with a full token bucket.
     pub fn new(settings: WeightsSettings, weights: Vec<WeightsResponse>) -> Self {
         let available = settings.burst;
         let by_model = |weights: WeightsResponse| (weights.model.clone(), weights);
@@ -52,15 +52,15 @@
             settings,
             weights: weights.into_iter().map(by_model).collect(),
             available,
-            refilled: Timestamp::default(),
+            last_refill: Timestamp::default(),
         }
     }
 
-    /// Takes a request. One for a model that does not exist counts as well.
+    /// Handles a request. Requests for unknown models also count towards the rate limit.
     pub fn request(&mut self, now: Timestamp, model: &ModelName) -> WeightsOutcome {
         self.refill(now);
         if self.available == 0 {
-            let next = self.refilled + self.settings.interval;
+            let next = self.last_refill + self.settings.interval;
             return WeightsOutcome::Limited(next.since(now));
         }
         self.available -= 1;
@@ -72,14 +72,14 @@
 
     fn refill(&mut self, now: Timestamp) {
         let interval_micros = self.settings.interval.as_micros().max(1) as u64;
-        let earned = now.since(self.refilled).as_micros() as u64 / interval_micros;
+        let earned = now.since(self.last_refill).as_micros() as u64 / interval_micros;
         let room = u64::from(self.settings.burst - self.available);
         if earned >= room {
             self.available = self.settings.burst;
-            self.refilled = now.max(self.refilled);
+            self.last_refill = now.max(self.last_refill);
         } else {
             self.available += earned as u32;
-            self.refilled = Timestamp(self.refilled.0 + earned * interval_micros);
+            self.last_refill = Timestamp(self.last_refill.0 + earned * interval_micros);
         }
     }
 }
