--- a/crates/backend/tests/answers.rs
+++ b/crates/backend/tests/answers.rs
@@ -1,5 +1,4 @@
-//! How clients sort what a server does after it has taken a request: a table of answers, given byte
-//! for byte over a socket.
+//! Classification of responses and connection failures, with raw responses from a test server.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
@@ -11,11 +10,11 @@
 use elderworks_platform_api::ErrorCode;
 use elderworks_types::Offset;
 
-const GENEROUS: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const PAGE_BYTES: usize = 1 << 20;
 
-/// Answers the first request by these bytes and closes the connection; with `hang`, only once the
-/// client has closed it.
+/// Starts a server that answers the first request with `answer` and closes the connection. With
+/// `hang`, it waits for the client to close the connection first. Returns the server's URL.
 fn serve_once(answer: Vec<u8>, hang: bool) -> String {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -24,7 +23,7 @@
         read_head(&mut stream);
         stream.write_all(&answer).expect("the client reads");
         if hang {
-            // Ends with the client's side of the connection.
+            // Returns once the client closes the connection.
             let _ = stream.read(&mut [0]);
         }
     });
@@ -49,30 +48,32 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Sorted {
+enum Classified {
     Rejected(ErrorCode, Option<Duration>),
     Lost(LostReason),
     Errored(ErrorCode),
 }
 
-fn sorted(error: BackendError) -> Sorted {
+fn classify(error: BackendError) -> Classified {
     match error {
-        BackendError::NotSent { detail } => panic!("the server had the request: {detail}"),
+        BackendError::NotSent { detail } => {
+            panic!("not sent, although the server accepts connections: {detail}")
+        }
         BackendError::Rejected {
             code, retry_after, ..
-        } => Sorted::Rejected(code, retry_after),
-        BackendError::Lost { reason, .. } => Sorted::Lost(reason),
-        BackendError::Errored { code, .. } => Sorted::Errored(code),
+        } => Classified::Rejected(code, retry_after),
+        BackendError::Lost { reason, .. } => Classified::Lost(reason),
+        BackendError::Errored { code, .. } => Classified::Errored(code),
     }
 }
 
-/// An answer whose body has the length that its head says.
-fn whole(head: &str, body: &str) -> Vec<u8> {
+/// Returns a response whose `content-length` is correct.
+fn complete(head: &str, body: &str) -> Vec<u8> {
     with_length(head, body, body.len())
 }
 
-/// An answer whose connection closes before the end of its body.
-fn cut(head: &str, body: &str) -> Vec<u8> {
+/// Returns a response whose connection closes before the end of the body.
+fn truncated(head: &str, body: &str) -> Vec<u8> {
     with_length(head, body, body.len() + 1)
 }
 
@@ -86,17 +87,17 @@
 const UNAVAILABLE: &str = "503 Service Unavailable\r\nretry-after: 2";
 
 #[actix_rt::test]
-async fn a_right_answer_is_taken() {
-    let url = serve_once(whole("200 OK", PAGE), false);
-    assert_eq!(read(&url, GENEROUS).await, Ok(vec![b"one".to_vec()]));
+async fn a_valid_answer_is_accepted() {
+    let url = serve_once(complete("200 OK", PAGE), false);
+    assert_eq!(read(&url, TEST_TIMEOUT).await, Ok(vec![b"one".to_vec()]));
 }
 
 #[actix_rt::test]
-async fn other_answers_are_sorted_by_what_may_have_run() {
-    let broken = Sorted::Lost(LostReason::Broken);
-    let malformed = Sorted::Lost(LostReason::Malformed);
-    let errored = Sorted::Errored(ErrorCode::Other);
-    let rejected = Sorted::Rejected(ErrorCode::QueueFull, Some(Duration::from_secs(2)));
+async fn failures_are_classified_by_whether_the_request_may_have_run() {
+    let broken = Classified::Lost(LostReason::Broken);
+    let malformed = Classified::Lost(LostReason::Malformed);
+    let errored = Classified::Errored(ErrorCode::Other);
+    let rejected = Classified::Rejected(ErrorCode::QueueFull, Some(Duration::from_secs(2)));
     let chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\n{\"records\r\n";
     let redirect = "307 Temporary Redirect\r\nlocation: http://127.0.0.1:1/";
     let table = [
@@ -112,9 +113,9 @@
             b"220 mail ready\r\n\r\n".to_vec(),
             malformed,
         ),
-        ("cut before the body", cut("200 OK", ""), broken),
-        ("cut in the body", cut("200 OK", PAGE), broken),
-        // awc ends a body without an error where the connection does; what is left is no JSON.
+        ("cut before the body", truncated("200 OK", ""), broken),
+        ("cut in the body", truncated("200 OK", PAGE), broken),
+        // awc reports no error for a truncated chunked body, but the remaining JSON is invalid.
         ("cut between chunks", chunked.into(), malformed),
         (
             "beyond the limit",
@@ -126,36 +127,40 @@
             b"HTTP/1.1 204 No Content\r\n\r\n".to_vec(),
             malformed,
         ),
-        ("not JSON", whole("200 OK", "well"), malformed),
-        ("other records", whole("200 OK", OTHER_PAGE), malformed),
-        ("a redirect", whole(redirect, ""), errored),
+        ("not JSON", complete("200 OK", "well"), malformed),
+        ("other records", complete("200 OK", OTHER_PAGE), malformed),
+        ("a redirect", complete(redirect, ""), errored),
         (
             "an error without a claim",
-            whole("502 Bad Gateway", "html"),
+            complete("502 Bad Gateway", "html"),
             errored,
         ),
-        ("a refusal", whole(UNAVAILABLE, REFUSAL), rejected),
-        ("a refusal cut short", cut(UNAVAILABLE, REFUSAL), broken),
+        ("a refusal", complete(UNAVAILABLE, REFUSAL), rejected),
+        (
+            "a refusal cut short",
+            truncated(UNAVAILABLE, REFUSAL),
+            broken,
+        ),
     ];
     for (name, answer, expected) in table {
         let url = serve_once(answer, false);
-        let error = read(&url, GENEROUS).await.expect_err(name);
-        assert_eq!(sorted(error), expected, "{name}");
+        let error = read(&url, TEST_TIMEOUT).await.expect_err(name);
+        assert_eq!(classify(error), expected, "{name}");
     }
 }
 
 #[actix_rt::test]
-async fn an_answer_that_stops_coming_times_out() {
-    for answer in [Vec::new(), cut("200 OK", "{")] {
+async fn an_incomplete_answer_times_out() {
+    for answer in [Vec::new(), truncated("200 OK", "{")] {
         let url = serve_once(answer, true);
         let error = read(&url, Duration::from_millis(100)).await;
-        let error = error.expect_err("no whole answer");
-        assert_eq!(sorted(error), Sorted::Lost(LostReason::TimedOut));
+        let error = error.expect_err("the answer is incomplete");
+        assert_eq!(classify(error), Classified::Lost(LostReason::TimedOut));
     }
 }
 
 #[actix_rt::test]
-async fn what_never_left_is_not_sent() {
+async fn requests_without_a_connection_are_not_sent() {
     let unused = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let refusing = format!("http://{}", unused.local_addr().expect("bound"));
     drop(unused);
@@ -167,7 +172,7 @@
         "",
     ];
     for url in table {
-        let error = read(url, GENEROUS).await.expect_err(url);
+        let error = read(url, TEST_TIMEOUT).await.expect_err(url);
         assert!(
             matches!(error, BackendError::NotSent { .. }),
             "{url}: {error:?}"
--- a/crates/backend/tests/decoders.rs
+++ b/crates/backend/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders of answers: right answers, answers cut short or altered, and arbitrary bytes.
+//! Tests of the decoders with valid, truncated, altered and arbitrary responses.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde::de::DeserializeOwned;
 
-const GENEROUS: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_CHUNK: u32 = 3;
 const TEXTS: [&str; 3] = ["Monday: ", "porridge, ", "крупа"];
 const USAGE: Usage = Usage {
@@ -78,25 +78,26 @@
     event(index, Delta::default(), Some(FinishReason::Stop))
 }
 
-fn whole_stream() -> String {
+fn complete_stream() -> String {
     text_events() + &end_event() + "data: [DONE]\n\n"
 }
 
-/// Decodes bytes that come in pieces of at most `piece` bytes.
+/// Decodes a stream that arrives in pieces of at most `piece` bytes.
 fn decode(bytes: &[u8], piece: usize) -> Vec<Result<AnswerItem, BackendError>> {
     let pieces: Vec<_> = bytes
         .chunks(piece.max(1))
         .map(|piece| Ok(Bytes::copy_from_slice(piece)))
         .collect();
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let items = decode_answer(stream::iter(pieces), FIRST_CHUNK, deadline);
     actix_rt::System::new().block_on(items.collect())
 }
 
-/// The text received; whether the answer ended whole; and the order of what came.
+/// Checks that chunk numbers are consecutive and that only the last item ends the stream. Returns
+/// the text, and whether the answer is complete.
 fn check(items: &[Result<AnswerItem, BackendError>]) -> (String, bool) {
     let mut text = String::new();
-    let (last, chunks) = items.split_last().expect("an end always comes");
+    let (last, chunks) = items.split_last().expect("a stream has a last item");
     for (item, expected) in chunks.iter().zip(FIRST_CHUNK..) {
         let Ok(AnswerItem::Chunk { index, text: piece }) = item else {
             panic!("{item:?} before the end");
@@ -108,9 +109,9 @@
 }
 
 #[test]
-fn a_whole_stream_decodes_in_pieces_of_any_size() {
+fn a_complete_stream_decodes_in_pieces_of_any_size() {
     for piece in [1, 2, 7, 64, 10_000] {
-        let items = decode(whole_stream().as_bytes(), piece);
+        let items = decode(complete_stream().as_bytes(), piece);
         assert_eq!(check(&items), (TEXTS.concat(), true));
         let finish = Finish {
             reason: FinishReason::Stop,
@@ -121,14 +122,14 @@
 }
 
 #[test]
-fn a_stream_cut_anywhere_is_never_taken_for_whole() {
-    let stream = whole_stream();
+fn a_truncated_stream_is_never_accepted_as_complete() {
+    let stream = complete_stream();
     let end = text_events().len() + end_event().len();
     for cut in 0..stream.len() {
         let items = decode(&stream.as_bytes()[..cut], 64);
-        let (text, whole) = check(&items);
+        let (text, is_complete) = check(&items);
         assert!(TEXTS.concat().starts_with(&text));
-        assert_eq!(whole, cut >= end, "cut at {cut}");
+        assert_eq!(is_complete, cut >= end, "cut at {cut}");
     }
 }
 
@@ -156,8 +157,8 @@
     let bytes = prop::collection::vec(any::<u8>(), 0..512);
     runner()
         .run(&(bytes, 1usize..64), |(bytes, piece)| {
-            let (_, whole) = check(&decode(&bytes, piece));
-            prop_assert!(!whole);
+            let (_, is_complete) = check(&decode(&bytes, piece));
+            prop_assert!(!is_complete);
             Ok(())
         })
         .unwrap();
@@ -168,7 +169,7 @@
     let alterations = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8);
     runner()
         .run(&alterations, |alterations| {
-            let mut bytes = whole_stream().into_bytes();
+            let mut bytes = complete_stream().into_bytes();
             for (index, byte) in alterations {
                 let index = index.index(bytes.len());
                 bytes[index] = byte;
@@ -179,29 +180,29 @@
         .unwrap();
 }
 
-fn survives<T: DeserializeOwned + Debug>(bytes: &[u8]) {
+fn decode_ignoring_errors<T: DeserializeOwned + Debug>(bytes: &[u8]) {
     let _ = decode::json_body::<T>(bytes);
 }
 
-/// Every body that the clients decode.
+/// Decodes `bytes` as each type of response body.
 fn decode_every_body(bytes: &[u8]) {
-    survives::<AppendResponse>(bytes);
-    survives::<ReadResponse>(bytes);
-    survives::<ChatChunk>(bytes);
-    survives::<ChatCompletion>(bytes);
-    survives::<EngineLoad>(bytes);
-    survives::<EngineState>(bytes);
-    survives::<CacheEventsResponse>(bytes);
-    survives::<HoldingsResponse>(bytes);
-    survives::<ReleaseResponse>(bytes);
-    survives::<KvExport>(bytes);
-    survives::<ImportResponse>(bytes);
-    survives::<CommandResponse>(bytes);
-    survives::<InvocationResponse>(bytes);
-    survives::<InvocationStatus>(bytes);
-    survives::<MachineList>(bytes);
-    survives::<WeightsResponse>(bytes);
-    survives::<ErrorBody>(bytes);
+    decode_ignoring_errors::<AppendResponse>(bytes);
+    decode_ignoring_errors::<ReadResponse>(bytes);
+    decode_ignoring_errors::<ChatChunk>(bytes);
+    decode_ignoring_errors::<ChatCompletion>(bytes);
+    decode_ignoring_errors::<EngineLoad>(bytes);
+    decode_ignoring_errors::<EngineState>(bytes);
+    decode_ignoring_errors::<CacheEventsResponse>(bytes);
+    decode_ignoring_errors::<HoldingsResponse>(bytes);
+    decode_ignoring_errors::<ReleaseResponse>(bytes);
+    decode_ignoring_errors::<KvExport>(bytes);
+    decode_ignoring_errors::<ImportResponse>(bytes);
+    decode_ignoring_errors::<CommandResponse>(bytes);
+    decode_ignoring_errors::<InvocationResponse>(bytes);
+    decode_ignoring_errors::<InvocationStatus>(bytes);
+    decode_ignoring_errors::<MachineList>(bytes);
+    decode_ignoring_errors::<WeightsResponse>(bytes);
+    decode_ignoring_errors::<ErrorBody>(bytes);
     decode::error_body(500, None, bytes);
     decode::retry_after(bytes);
 }
@@ -243,7 +244,7 @@
 }
 
 #[test]
-fn only_an_explicit_claim_counts_as_not_run() {
+fn only_an_explicit_statement_counts_as_not_run() {
     let table = [
         (
             r#"{"error":{"code":"queue_full","message":"m"},"run":false}"#,
@@ -296,7 +297,7 @@
 }
 
 #[test]
-fn any_name_survives_the_way_through_a_path() {
+fn stream_names_round_trip_through_paths() {
     runner()
         .run(&any::<String>(), |name| {
             let path = paths::records(&name);
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the engine model: answers, cache, memory, queue, feeds and commands.
+//! Tests of the engine model: answers, cache, memory, queue, published state and commands.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     }
 }
 
-fn counted_request(id: &str, run: u64, prompt: u64, output: u64, priority: i64) -> Request {
+fn synthetic_request(id: &str, run: u64, prompt: u64, output: u64, priority: i64) -> Request {
     let blocks = (prompt + output) / 16;
     let chain: Arc<[BlockHash]> = (0..blocks).map(|index| run << 32 | index).collect();
     Request {
@@ -106,16 +106,16 @@
 }
 
 #[test]
-fn history_is_found_in_the_cache_and_gone_after_release() {
+fn history_is_cached_until_its_run_is_released() {
     let mut engine = engine(EngineParameters::default());
-    let first = counted_request("a", 1, 1_600, 160, 0);
-    let next = counted_request("b", 1, 1_760, 16, 0);
-    let last = counted_request("c", 1, 1_760, 16, 0);
+    let first = synthetic_request("a", 1, 1_600, 160, 0);
+    let next = synthetic_request("b", 1, 1_760, 16, 0);
+    let last = synthetic_request("c", 1, 1_760, 16, 0);
     engine.submit(Timestamp(0), first).unwrap();
     run_until_idle(&mut engine);
     engine.submit(Timestamp(0), next).unwrap();
     let (now, outputs) = run_until_idle(&mut engine);
-    // The key and value of the last generated token were never computed.
+    // The key and value of the last generated token are not computed.
     assert_eq!(completions(&outputs)[0].usage.cached, Tokens(1_744));
     assert!(engine.release(now, RunId::root(1)) > 0);
     assert!(engine.holdings().is_empty());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn ended_requests_resume_from_any_chunk() {
+fn completed_requests_resume_from_any_chunk() {
     let mut engine = engine(EngineParameters::default());
     engine
         .submit(Timestamp(0), text_request("a", "weekly menu", "", 0))
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn rejections_say_why() {
+fn rejections_have_the_right_reason() {
     let parameters = EngineParameters {
         max_batch: 1,
         max_waiting: 1,
@@ -148,35 +148,35 @@
     let mut engine = engine(parameters);
     let submit = |engine: &mut Engine, request| engine.submit(Timestamp(0), request);
     assert_eq!(
-        submit(&mut engine, counted_request("a", 1, 64, 64, 0)),
+        submit(&mut engine, synthetic_request("a", 1, 64, 64, 0)),
         Ok(())
     );
     assert_eq!(
-        submit(&mut engine, counted_request("b", 2, 64, 64, 0)),
+        submit(&mut engine, synthetic_request("b", 2, 64, 64, 0)),
         Ok(())
     );
-    let full = submit(&mut engine, counted_request("c", 3, 64, 64, 0));
+    let full = submit(&mut engine, synthetic_request("c", 3, 64, 64, 0));
     assert_eq!(full, Err(Rejected::QueueFull));
-    let duplicate = submit(&mut engine, counted_request("a", 1, 64, 64, 0));
+    let duplicate = submit(&mut engine, synthetic_request("a", 1, 64, 64, 0));
     assert_eq!(duplicate, Err(Rejected::Duplicate));
-    let mut other = counted_request("d", 4, 64, 64, 0);
+    let mut other = synthetic_request("d", 4, 64, 64, 0);
     other.model = ModelName::new("absent");
     assert_eq!(submit(&mut engine, other), Err(Rejected::ModelNotLoaded));
 }
 
 #[test]
-fn urgent_requests_displace_others_which_still_finish() {
+fn preempted_requests_still_complete() {
     let parameters = EngineParameters {
         max_batch: 1,
         ..EngineParameters::default()
     };
     let mut engine = engine(parameters);
     engine
-        .submit(Timestamp(0), counted_request("slow", 1, 640, 400, 5))
+        .submit(Timestamp(0), synthetic_request("slow", 1, 640, 400, 5))
         .unwrap();
     engine.advance(Timestamp(200_000));
     engine
-        .submit(Timestamp(200_000), counted_request("fast", 2, 64, 8, 0))
+        .submit(Timestamp(200_000), synthetic_request("fast", 2, 64, 8, 0))
         .unwrap();
     let (_, outputs) = run_until_idle(&mut engine);
     let order: Vec<String> = completions(&outputs)
@@ -195,7 +195,7 @@
     };
     let mut engine = engine(parameters);
     for index in 0..20 {
-        let request = counted_request(&format!("r{index}"), index + 1, 480, 320, 0);
+        let request = synthetic_request(&format!("r{index}"), index + 1, 480, 320, 0);
         engine.submit(Timestamp(0), request).unwrap();
     }
     let (_, outputs) = run_until_idle(&mut engine);
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn cancelled_requests_leave_no_trace() {
+fn cancelled_requests_do_not_complete() {
     let mut engine = engine(EngineParameters::default());
     engine
-        .submit(Timestamp(0), counted_request("a", 1, 640, 64, 0))
+        .submit(Timestamp(0), synthetic_request("a", 1, 640, 64, 0))
         .unwrap();
     assert!(engine.cancel(Timestamp(1), &RequestId::new("a")));
     assert!(!engine.cancel(Timestamp(1), &RequestId::new("a")));
@@ -228,7 +228,7 @@
     };
     let mut engine = engine(parameters);
     engine
-        .submit(Timestamp(0), counted_request("a", 1, 640, 64, 0))
+        .submit(Timestamp(0), synthetic_request("a", 1, 640, 64, 0))
         .unwrap();
     let (end, _) = run_until_idle(&mut engine);
     assert!(
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn lost_events_leave_gaps_in_the_numbers() {
+fn lost_events_leave_gaps_in_sequence_numbers() {
     let parameters = EngineParameters {
         feed: FeedParameters {
             cache_lag: Duration::ZERO,
@@ -260,7 +260,7 @@
     };
     let mut engine = engine(parameters);
     engine
-        .submit(Timestamp(0), counted_request("a", 1, 640, 1_000, 0))
+        .submit(Timestamp(0), synthetic_request("a", 1, 640, 1_000, 0))
         .unwrap();
     let (end, _) = run_until_idle(&mut engine);
     let events = engine.cache_events(end, 0, 1_000);
@@ -270,10 +270,10 @@
 }
 
 #[test]
-fn imported_blocks_spare_the_prefill() {
+fn imported_blocks_are_not_prefilled() {
     let mut first = engine(EngineParameters::default());
     let mut second = engine(EngineParameters::default());
-    let request = counted_request("a", 1, 640, 64, 0);
+    let request = synthetic_request("a", 1, 640, 64, 0);
     let Work::Counted { chain, .. } = request.work.clone() else {
         panic!("counted");
     };
@@ -286,7 +286,7 @@
         run: RunId::root(1)
     }));
     second
-        .submit(done, counted_request("b", 1, 688, 16, 0))
+        .submit(done, synthetic_request("b", 1, 688, 16, 0))
         .unwrap();
     let (_, outputs) = run_until_idle(&mut second);
     assert_eq!(completions(&outputs)[0].usage.cached, Tokens(687));
@@ -321,7 +321,7 @@
     };
     engine.command(loaded_at, drain, &mut weights).unwrap();
     engine.advance(loaded_at);
-    let refused = engine.submit(loaded_at, counted_request("a", 1, 64, 64, 0));
+    let refused = engine.submit(loaded_at, synthetic_request("a", 1, 64, 64, 0));
     assert_eq!(refused, Err(Rejected::NotServing));
 }
 
@@ -334,19 +334,19 @@
     for (leased, kept) in [(true, true), (false, false)] {
         let mut engine = engine(parameters.clone());
         engine
-            .submit(Timestamp(0), counted_request("kept", 1, 800, 16, 0))
+            .submit(Timestamp(0), synthetic_request("kept", 1, 800, 16, 0))
             .unwrap();
         let (now, _) = run_until_idle(&mut engine);
         if leased {
             engine.retain(now, RunId::root(1), Duration::from_secs(600));
         }
         for run in 2..6 {
-            let request = counted_request(&format!("r{run}"), run, 800, 16, 0);
+            let request = synthetic_request(&format!("r{run}"), run, 800, 16, 0);
             engine.submit(now, request).unwrap();
             run_until_idle(&mut engine);
         }
         engine
-            .submit(now, counted_request("again", 1, 816, 16, 0))
+            .submit(now, synthetic_request("again", 1, 816, 16, 0))
             .unwrap();
         let (_, outputs) = run_until_idle(&mut engine);
         let cached = completions(&outputs)[0].usage.cached;
--- a/crates/node/tests/driver/bad_bytes.rs
+++ b/crates/node/tests/driver/bad_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that are no messages end their connection and nothing else.
+//! Malformed bytes must close only the connection that carries them.
 
 use actix_rt::net::{TcpStream, UdpSocket};
 use elderworks_protocol::sidecar::{NodeMessage, SidecarMessage};
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-use crate::support::{GENEROUS, Sidecar, StandIns, node};
+use crate::support::{Sidecar, StandIns, TEST_TIMEOUT, node};
 
 const CASES: usize = 200;
 
@@ -27,25 +27,25 @@
         .collect()
 }
 
-/// A frame around these bytes, so that they reach the decoder.
+/// Returns a frame that contains `bytes`, so that they reach the message decoder.
 fn framed(bytes: &[u8]) -> Vec<u8> {
     let length = u32::try_from(bytes.len()).expect("short");
     [&length.to_le_bytes(), bytes].concat()
 }
 
 #[actix_rt::test]
-async fn arbitrary_bytes_leave_the_node_up() {
+async fn node_survives_arbitrary_bytes() {
     let stand_ins = StandIns::start();
     let node = node("node-1", &stand_ins, Vec::new()).await;
     let datagrams = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
     for bytes in arbitrary_bytes() {
         for stream_bytes in [bytes.clone(), framed(&bytes)] {
             let mut stream = TcpStream::connect(node.address).await.expect("it connects");
-            // The node may hang up in the middle.
+            // The node may close the connection before all bytes are sent.
             let _ = stream.write_all(&stream_bytes).await;
             let _ = stream.shutdown().await;
             let mut answer = Vec::new();
-            let end = timeout(GENEROUS, stream.read_to_end(&mut answer)).await;
+            let end = timeout(TEST_TIMEOUT, stream.read_to_end(&mut answer)).await;
             assert!(end.is_ok(), "the node closes the connection");
         }
         let sent = datagrams.send_to(&bytes, node.gossip_address).await;
--- a/crates/node/tests/driver/main.rs
+++ b/crates/node/tests/driver/main.rs
@@ -1,4 +1,4 @@
-//! The node process end to end: real sockets and HTTP, stand-ins on free ports.
+//! End-to-end tests of the node process with real sockets and HTTP, and stand-ins of the platform.
 
 mod bad_bytes;
 mod runs;
--- a/crates/node/tests/driver/runs.rs
+++ b/crates/node/tests/driver/runs.rs
@@ -1,4 +1,4 @@
-//! Runs through one node.
+//! Runs and drains of nodes, and the admin endpoints.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use futures_util::future::{join, join_all};
 
 use crate::support::{
-    GENEROUS, Sidecar, StandIns, apply_resources, call_anywhere, model_call, node, tenant,
+    Sidecar, StandIns, TEST_TIMEOUT, apply_resources, call_anywhere, model_call, node, tenant,
     tool_call,
 };
 
@@ -46,7 +46,7 @@
         view: Some(view), ..
     } = sidecar.receive().await
     else {
-        panic!("the run can be read");
+        panic!("the run cannot be read");
     };
     assert_eq!(view.calls.len(), 2);
     assert_eq!(view.spent.0, answer.cost.0 + result.cost.0);
@@ -88,11 +88,14 @@
             .await;
         match sidecar.receive().await {
             NodeMessage::RunView { view, .. } => {
-                let view = view.expect("the run has moved whole");
+                let view = view.expect("the new owner knows the run");
                 assert_eq!(view.calls.len(), 1);
                 break;
             }
-            other => assert!(since.elapsed() < GENEROUS, "not taken over: {other:?}"),
+            other => assert!(
+                since.elapsed() < TEST_TIMEOUT,
+                "no takeover in time: {other:?}"
+            ),
         }
     }
     let (_, after) = sidecar.call(run, model_call(2, 2)).await;
@@ -100,7 +103,7 @@
 }
 
 #[actix_rt::test]
-async fn a_drain_under_load_cuts_off_no_call() {
+async fn a_drain_under_load_interrupts_no_call() {
     const RUNS: u64 = 24;
     let stand_ins = StandIns::start();
     let first = node("node-1", &stand_ins, Vec::new()).await;
@@ -118,7 +121,7 @@
     let (answers, ()) = join(join_all(calls), first.drain()).await;
     for (text, outcome) in answers {
         let Outcome::Completed(answer) = outcome else {
-            panic!("a call was cut off: {outcome:?}");
+            panic!("the call did not complete: {outcome:?}");
         };
         assert_eq!(text, answer.content);
         assert!(!text.is_empty());
@@ -129,7 +132,7 @@
 async fn health_readiness_and_metrics_are_served() {
     let stand_ins = StandIns::start();
     let node = node("node-1", &stand_ins, Vec::new()).await;
-    let client = awc::Client::builder().timeout(GENEROUS).finish();
+    let client = awc::Client::builder().timeout(TEST_TIMEOUT).finish();
     let cases = [
         ("/healthz", StatusCode::OK, "ok"),
         ("/readyz", StatusCode::OK, "ready"),
--- a/crates/node/tests/driver/support.rs
+++ b/crates/node/tests/driver/support.rs
@@ -1,4 +1,4 @@
-//! A node on free ports with stand-ins around it, and a sidecar's end of a connection.
+//! Test nodes on free ports, stand-ins of the platform, and a sidecar client.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -27,8 +27,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Far longer than anything here takes.
-pub const GENEROUS: Duration = Duration::from_secs(60);
+/// Timeout of every wait, far above the normal duration.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const MODEL: &str = "clerk";
 const TOOL: &str = "cadastre";
@@ -46,7 +46,7 @@
     listen(loopback()).expect("loopback has a free port")
 }
 
-/// Log, engine and tool.
+/// Stand-ins of the log, an engine and a tool service.
 pub struct StandIns {
     pub log: ServerHandle,
     pub engine: ServerHandle,
@@ -110,7 +110,7 @@
     }
 }
 
-/// A node that uses these stand-ins, ready to serve.
+/// Starts a node that uses `stand_ins`, and waits until it is ready.
 pub async fn node(name: &str, stand_ins: &StandIns, seeds: Vec<SocketAddr>) -> NodeHandle {
     let settings = NodeProcessSettings {
         name: NodeId::new(name),
@@ -128,12 +128,12 @@
         logging: LoggingSettings::default(),
     };
     let node = start(&settings).await.expect("the node starts");
-    let ready = timeout(GENEROUS, node.ready()).await;
+    let ready = timeout(TEST_TIMEOUT, node.ready()).await;
     assert_eq!(ready, Ok(true), "the node becomes ready");
     node
 }
 
-/// Puts the resources that the runs of these tests need.
+/// Creates the resources that the runs of these tests need.
 pub async fn apply_resources(node: &NodeHandle, stand_ins: &StandIns) {
     for resource in stand_ins.resources() {
         let change = OperatorRequest::Change(ControlBody::Put {
@@ -141,7 +141,7 @@
             expected: None,
         });
         let reply = node.operator().ask(change).expect("the node takes it");
-        let reply = timeout(GENEROUS, reply).await.expect("a reply in time");
+        let reply = timeout(TEST_TIMEOUT, reply).await.expect("a reply in time");
         assert!(
             matches!(reply, Ok(OperatorReply::Changed(Ok(_)))),
             "{reply:?}"
@@ -149,7 +149,7 @@
     }
 }
 
-/// A sidecar's end of a connection.
+/// A sidecar's connection to a node.
 pub struct Sidecar {
     stream: TcpStream,
     buffer: BytesMut,
@@ -186,9 +186,9 @@
         message.expect("the node is up")
     }
 
-    /// The next message; `None` once the node has hung up.
+    /// Returns the next message, or `None` once the node has closed the connection.
     async fn try_receive(&mut self) -> Option<NodeMessage> {
-        let receiving = timeout(GENEROUS, self.receive_unbounded()).await;
+        let receiving = timeout(TEST_TIMEOUT, self.receive_unbounded()).await;
         receiving.expect("a message in time")
     }
 
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Takes the chunks of a call until its outcome, or until this node has nothing more to say.
+    /// Collects the chunks of a call until its outcome. Returns `None` if the node closes the
+    /// connection or refers to another node.
     async fn follow(&mut self, run: RunId, delivered: &mut Delivered) -> Option<Outcome> {
         loop {
             match self.try_receive().await? {
@@ -213,7 +214,7 @@
                     assert_eq!(chunk.call.run, run);
                     assert_eq!(
                         chunk.index, delivered.chunks,
-                        "no chunk twice, none missing"
+                        "chunks have no gaps or repeats"
                     );
                     delivered.attempt = Some(chunk.attempt);
                     delivered.chunks += 1;
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Starts a run, as often as it is turned away.
+    /// Starts a run, retrying while the node does not own it.
     pub async fn start_run(&mut self, run: RunId) {
         let spec = RunSpec {
             id: run,
@@ -244,14 +245,14 @@
             match self.receive().await {
                 NodeMessage::RunStarted { run: started } => return assert_eq!(started, run),
                 NodeMessage::NotOwner { .. } => {
-                    assert!(since.elapsed() < GENEROUS, "no node owns the run");
+                    assert!(since.elapsed() < TEST_TIMEOUT, "no node owns the run");
                 }
                 other => panic!("the run was not started: {other:?}"),
             }
         }
     }
 
-    /// Makes a call and gathers its whole answer: its chunks joined, and its outcome.
+    /// Submits a call, and returns its joined chunks and its outcome.
     pub async fn call(&mut self, run: RunId, spec: CallSpec) -> (String, Outcome) {
         let call = CallId {
             run,
@@ -284,8 +285,8 @@
     }
 }
 
-/// Makes one call as a sidecar does: at each node in turn for as long as it is sent elsewhere, and
-/// each time from the next chunk on. Returns the joined chunks and the outcome.
+/// Makes a call as a sidecar does: tries the nodes in turn until one reports the outcome, resuming
+/// each time at the next chunk. Returns the joined chunks and the outcome.
 pub async fn call_anywhere(
     nodes: [SocketAddr; 2],
     run: RunId,
@@ -294,7 +295,7 @@
     let since = Instant::now();
     let mut delivered = Delivered::default();
     for node in nodes.into_iter().cycle() {
-        assert!(since.elapsed() < GENEROUS, "no node took the call");
+        assert!(since.elapsed() < TEST_TIMEOUT, "no node accepted the call");
         let Ok(mut sidecar) = Sidecar::connect_to(node).await else {
             continue;
         };
@@ -306,7 +307,7 @@
             return (delivered.text, outcome);
         }
     }
-    unreachable!("the nodes repeat for ever")
+    unreachable!("the iterator over nodes is infinite")
 }
 
 fn call_spec(number: u32, request: CallRequest, repeatable: bool) -> CallSpec {
--- a/crates/node/tests/operator_api.rs
+++ b/crates/node/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface against a node that is only a control store.
+//! Tests of the operators' HTTP interface with a fake node that has only a control store.
 
 mod operator_support;
 
@@ -11,7 +11,7 @@
 use operator_support::{LogState, MAX_BODY_BYTES, OTHER_RUN, OWN_RUN, TOKEN, TestServer};
 use serde_json::{Value, json};
 
-/// One request; `If-Match` where a revision is given.
+/// Sends a request, with `If-Match` if a revision is given. Returns status and body.
 async fn send(
     server: &TestServer,
     method: &str,
@@ -27,7 +27,7 @@
         request = request.insert_header(("if-match", format!("\"{revision}\"")));
     }
     let mut response = request.send_body(body).await.expect("the server answers");
-    let body = response.body().await.expect("the body is whole");
+    let body = response.body().await.expect("the body is complete");
     (response.status(), body.to_vec())
 }
 
@@ -56,7 +56,7 @@
 }
 
 fn error(body: &[u8]) -> ApiError {
-    serde_json::from_slice(body).expect("every error has the one shape")
+    serde_json::from_slice(body).expect("errors have the documented format")
 }
 
 fn revision(body: &[u8]) -> u64 {
@@ -113,20 +113,20 @@
 }
 
 #[actix_rt::test]
-async fn bad_requests_get_typed_errors() {
+async fn invalid_requests_get_typed_errors() {
     struct Case {
         method: &'static str,
         path: &'static str,
         body: Vec<u8>,
         code: ErrorCode,
-        names: Option<&'static str>,
+        error_path: Option<&'static str>,
     }
-    let case = |method, path, body: &[u8], code, names| Case {
+    let case = |method, path, body: &[u8], code, error_path| Case {
         method,
         path,
         body: body.to_vec(),
         code,
-        names,
+        error_path,
     };
     let lublin = "/apis/v1/budgets/lublin";
     let other_name = budget("other", 1).to_string();
@@ -204,7 +204,7 @@
         assert_eq!(error.code, case.code, "{request} gives {error:?}");
         assert_eq!(
             error.path.as_deref(),
-            case.names,
+            case.error_path,
             "{request} gives {error:?}"
         );
         assert_eq!(error.run, Some(false), "{request} gives {error:?}");
@@ -215,7 +215,7 @@
 }
 
 #[actix_rt::test]
-async fn wrong_tokens_are_turned_away() {
+async fn invalid_tokens_are_refused() {
     let server = TestServer::start();
     let url = format!("{}/apis/v1/budgets", server.url);
     for token in [None, Some("operators"), Some("operators-onlz"), Some("")] {
@@ -224,7 +224,7 @@
             request = request.bearer_auth(token);
         }
         let mut response = request.send().await.expect("the server answers");
-        let body = response.body().await.expect("the body is whole");
+        let body = response.body().await.expect("the body is complete");
         assert_eq!(response.status(), StatusCode::UNAUTHORIZED, "{token:?}");
         assert_eq!(error(&body).code, ErrorCode::Unauthorized);
     }
@@ -232,7 +232,7 @@
 }
 
 #[actix_rt::test]
-async fn log_outage_is_told_apart_from_an_unknown_outcome() {
+async fn log_outage_is_distinguished_from_an_unknown_outcome() {
     let server = TestServer::with_reply_timeout(Duration::from_millis(300));
     server.set_log(LogState::Silent).await;
     let (status, body) = put_budget(&server, "lublin", 1, None).await;
@@ -254,7 +254,7 @@
     server.stop().await;
 }
 
-/// Reads `count` lines of a watch, passing over empty ones.
+/// Reads at least `count` lines of a watch, skipping empty ones.
 async fn watch_lines(server: &TestServer, path: &str, count: usize) -> Vec<WatchLine> {
     let mut response = awc::Client::default()
         .get(format!("{}{path}", server.url))
@@ -273,13 +273,13 @@
         if lines.len() >= count {
             return lines;
         }
-        let piece = response.next().await.expect("the watch goes on");
+        let piece = response.next().await.expect("the watch stays open");
         text.extend_from_slice(&piece.expect("the watch is readable"));
     }
 }
 
 #[actix_rt::test]
-async fn watch_resumes_where_it_broke_off() {
+async fn watch_resumes_after_the_last_seen_revision() {
     let server = TestServer::start();
     for limit in 1..=6 {
         put_budget(&server, "lublin", limit, None).await;
@@ -322,7 +322,7 @@
 }
 
 #[actix_rt::test]
-async fn watch_from_a_forgotten_revision_has_to_list_anew() {
+async fn watch_from_a_discarded_revision_is_refused() {
     let server = TestServer::start();
     for limit in 1..=(elderworks_control::changes::MAX_RETAINED_CHANGES as u64 + 2) {
         put_budget(&server, "lublin", limit, None).await;
--- a/crates/node/tests/operator_support/mod.rs
+++ b/crates/node/tests/operator_support/mod.rs
@@ -1,4 +1,4 @@
-//! The operator interface on a loopback port, over a node that is only a control store.
+//! The operators' interface on a loopback port, with a fake node that has only a control store.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -22,10 +22,10 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// The token that the interface asks for.
+/// The operator token.
 pub const TOKEN: &str = "operators-only";
 
-/// Largest body that the interface takes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// The run that the fake node owns.
@@ -34,24 +34,24 @@
 /// A run that another node owns.
 pub const OTHER_RUN: RunId = RunId::root(2);
 
-/// How the fake node treats changes.
+/// State of the fake node's log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum LogState {
-    /// Appends are read back at once.
+    /// Appended records are read back immediately.
     Up,
-    /// Appends are lost in silence.
+    /// Appends are lost without an error.
     Silent,
-    /// The log is known not to answer.
+    /// The node knows that the log is unreachable.
     Down,
 }
 
-/// What the fake node is told: by the interface, or by the test itself.
+/// An input of the fake node, from the interface or from the test.
 enum Input {
     Command(OperatorCommand),
     SetLog(LogState, oneshot::Sender<()>),
 }
 
-/// A control store with a log of its own.
+/// A node that has only a control store, with an in-memory log.
 struct FakeNode {
     control: Control,
     writer: Writer,
@@ -108,22 +108,22 @@
                 Effect::Reply { request, result } => {
                     self.bridge.reply(request, OperatorReply::Changed(result));
                 }
-                Effect::Changed(change) => self.tell_watchers(&change),
+                Effect::Changed(change) => self.notify_watchers(&change),
             }
         }
     }
 
-    fn tell_watchers(&mut self, change: &Change) {
+    fn notify_watchers(&mut self, change: &Change) {
         for watch in self.watches.subscribers_of(change) {
             self.bridge.change(watch, change.clone());
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Command(command) => {
                 if let NodeEvent::Operator { request, question } = self.bridge.accept(command) {
-                    self.ask(request, question);
+                    self.handle_request(request, question);
                 }
             }
             Input::SetLog(state, done) => {
@@ -134,10 +134,10 @@
         }
     }
 
-    fn ask(&mut self, request: RequestId, question: OperatorRequest) {
+    fn handle_request(&mut self, request: RequestId, question: OperatorRequest) {
         match question {
             OperatorRequest::Change(body) => self.handle(Event::Propose { request, body }),
-            OperatorRequest::Watch { kind, after } => self.begin_watch(request, kind, after),
+            OperatorRequest::Watch { kind, after } => self.start_watch(request, kind, after),
             question => {
                 let reply = self.answer(question);
                 self.bridge.reply(request, reply);
@@ -145,10 +145,11 @@
         }
     }
 
-    fn begin_watch(&mut self, request: RequestId, kind: Option<Kind>, after: Offset) {
+    fn start_watch(&mut self, request: RequestId, kind: Option<Kind>, after: Offset) {
         let missed = self.watches.subscribe(&self.control, request, kind, after);
-        let begun = missed.as_ref().map(|_| ()).map_err(|error| *error);
-        self.bridge.reply(request, OperatorReply::Watching(begun));
+        let started_watch = missed.as_ref().map(|_| ()).map_err(|error| *error);
+        self.bridge
+            .reply(request, OperatorReply::Watching(started_watch));
         for change in missed.into_iter().flatten() {
             self.bridge.change(request, change);
         }
@@ -214,7 +215,7 @@
     }
 }
 
-/// Runs a fake node until the interface and the test are gone.
+/// Starts a fake node that runs until the interface or the test is gone.
 fn start_fake_node(mut commands: mpsc::Receiver<OperatorCommand>) -> mpsc::UnboundedSender<Input> {
     let (inputs, mut receiver) = mpsc::unbounded_channel();
     actix_rt::spawn(async move {
@@ -225,7 +226,7 @@
                 input = receiver.recv() => input,
             };
             match input {
-                Some(input) => node.take(input),
+                Some(input) => node.handle_input(input),
                 None => return,
             }
         }
@@ -241,12 +242,12 @@
 }
 
 impl TestServer {
-    /// Starts a fake node and the interface before it.
+    /// Starts a fake node and its operators' interface.
     pub fn start() -> Self {
         Self::with_reply_timeout(Duration::from_secs(30))
     }
 
-    /// Starts with another bound on the wait for the node's reply.
+    /// Starts both with a given timeout of the node's replies.
     pub fn with_reply_timeout(reply_timeout: Duration) -> Self {
         let (handle, commands) = operator_channel();
         let inputs = start_fake_node(commands);
@@ -271,7 +272,7 @@
                     })
                     .tcp()
             })
-            .expect("the socket can be listened on")
+            .expect("the server can use the socket")
             .run();
         let handle = server.handle();
         actix_rt::spawn(server);
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Changes how the log behaves.
+    /// Sets the state of the fake node's log.
     pub async fn set_log(&self, state: LogState) {
         let (done, answer) = oneshot::channel();
         let sent = self.inputs.send(Input::SetLog(state, done));
--- a/crates/platform-model/tests/lists.rs
+++ b/crates/platform-model/tests/lists.rs
@@ -1,4 +1,4 @@
-//! The machine list's lag and the weight store's limit.
+//! Tests of the machine list's delay and the weight store's rate limit.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn many_changes_keep_the_newest() {
+fn the_newest_of_many_pending_changes_becomes_visible() {
     let mut machines = MachinesModel::new(LAG, list_of(MachineState::Live));
     for _ in 0..1_000 {
         machines.replace(START, MachineList::default());
--- a/crates/platform-model/tests/log.rs
+++ b/crates/platform-model/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log model: dense offsets, bounded reads, and what each fault does.
+//! Tests of the log model: consecutive offsets, limited reads and faults.
 
 use elderworks_platform_model::{AppendOutcome, LogFaults, LogModel, ReadOutcome};
 use elderworks_types::Offset;
@@ -60,7 +60,7 @@
     assert!(log.read("never", Offset(u64::MAX), 100).records.is_empty());
 }
 
-struct FaultRow {
+struct FaultCase {
     name: &'static str,
     faults: LogFaults,
     expected: AppendOutcome,
@@ -71,14 +71,14 @@
 #[test]
 fn faults() {
     let table = [
-        FaultRow {
+        FaultCase {
             name: "none",
             faults: LogFaults::default(),
             expected: AppendOutcome::Appended(Offset(0)),
             end_after: 1,
             readable: true,
         },
-        FaultRow {
+        FaultCase {
             name: "down",
             faults: LogFaults {
                 down: true,
@@ -88,7 +88,7 @@
             end_after: 0,
             readable: false,
         },
-        FaultRow {
+        FaultCase {
             name: "next answer lost",
             faults: LogFaults {
                 lose_next_answers: 1,
@@ -98,7 +98,7 @@
             end_after: 1,
             readable: true,
         },
-        FaultRow {
+        FaultCase {
             name: "every answer lost",
             faults: LogFaults {
                 lose_answers_per_mille: 1_000,
--- a/crates/platform-model/tests/tool.rs
+++ b/crates/platform-model/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool model: what runs, what is recorded, and what each fault does.
+//! Tests of the tool model: executions, idempotency keys, faults and limits.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_execution_ends_after_its_latency() {
+fn an_execution_completes_after_its_latency() {
     let mut tool = ToolModel::new(settings());
     let invocation = tool.invoke(START, &tool_name(), "key", json!({"tray": 1}));
     let id = ExecutionId(1);
@@ -56,7 +56,7 @@
     }
 }
 
-struct FaultRow {
+struct FaultCase {
     name: &'static str,
     faults: ToolFaults,
     expected: Invocation,
@@ -68,7 +68,7 @@
 fn faults() {
     let id = ExecutionId(1);
     let table = [
-        FaultRow {
+        FaultCase {
             name: "down",
             faults: ToolFaults {
                 down: true,
@@ -78,7 +78,7 @@
             status_later: InvocationStatus::Unknown,
             runs: 0,
         },
-        FaultRow {
+        FaultCase {
             name: "busy",
             faults: ToolFaults {
                 busy: true,
@@ -88,7 +88,7 @@
             status_later: InvocationStatus::Unknown,
             runs: 0,
         },
-        FaultRow {
+        FaultCase {
             name: "hang",
             faults: ToolFaults {
                 hang: true,
@@ -98,7 +98,7 @@
             status_later: InvocationStatus::Running,
             runs: 1,
         },
-        FaultRow {
+        FaultCase {
             name: "fail",
             faults: ToolFaults {
                 fail: true,
