--- a/crates/engine-model/src/answer.rs
+++ b/crates/engine-model/src/answer.rs
@@ -48,9 +48,9 @@
     text
 }
 
-/// Returns the rest of `whole` after the first `continue_text.len()` bytes.
-pub fn continuation(whole: &str, continue_text: &str) -> String {
-    whole
+/// Returns the rest of `full_answer` after the first `continue_text.len()` bytes.
+pub fn continuation(full_answer: &str, continue_text: &str) -> String {
+    full_answer
         .get(continue_text.len()..)
         .unwrap_or_default()
         .to_owned()
--- a/crates/engine-model/src/batch.rs
+++ b/crates/engine-model/src/batch.rs
@@ -23,12 +23,15 @@
     pub(crate) plan: Plan,
     /// Full blocks that the sequence references in the cache, from the start of the chain.
     held: Vec<BlockHash>,
+    /// Whether the sequence has reserved a partly filled block.
     has_partial: bool,
     /// Number of tokens whose keys and values are in memory.
     computed: u64,
+    /// Number of generated tokens.
     pub(crate) generated: u64,
     /// Number of prompt tokens found in the cache at the first admission to the batch.
     pub(crate) cached: Option<u64>,
+    /// Number of prefilled tokens, including those repeated after preemptions.
     pub(crate) prefilled: u64,
 }
 
@@ -65,14 +68,17 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Progress {
     pub(crate) rank: Rank,
-    pub(crate) first: bool,
-    pub(crate) ended: bool,
+    /// Whether the step generated the first token.
+    pub(crate) is_first_token: bool,
+    /// Whether the answer is complete.
+    pub(crate) is_complete: bool,
 }
 
 /// The step in progress.
 #[derive(Debug)]
 struct Step {
-    ends: Timestamp,
+    ends_at: Timestamp,
+    /// Number of tokens to compute for each sequence.
     work: Vec<(Rank, u64)>,
 }
 
@@ -87,9 +93,10 @@
 
 impl Batch {
     pub(crate) fn step_ends(&self) -> Option<Timestamp> {
-        self.step.as_ref().map(|step| step.ends)
+        self.step.as_ref().map(|step| step.ends_at)
     }
 
+    /// Returns the number of tokens that all sequences still have to compute.
     pub(crate) fn prefill_backlog(&self) -> u64 {
         let waiting = self.waiting.values().map(Sequence::missing).sum::<u64>();
         let running = self.running.values().map(Sequence::missing).sum::<u64>();
@@ -112,7 +119,7 @@
         }
         let (work, duration) = self.plan_step(parameters);
         self.step = Some(Step {
-            ends: now + duration,
+            ends_at: now + duration,
             work,
         });
     }
@@ -123,7 +130,7 @@
         now: Timestamp,
         cache: &mut PrefixCache,
     ) -> Vec<Progress> {
-        let Some(step) = self.step.take_if(|step| step.ends <= now) else {
+        let Some(step) = self.step.take_if(|step| step.ends_at <= now) else {
             return Vec::new();
         };
         let mut progress = Vec::new();
@@ -161,8 +168,8 @@
             }
             let blocks = sequence.sequence_tokens().div_ceil(BLOCK_TOKENS) as usize;
             let full = (sequence.sequence_tokens() / BLOCK_TOKENS) as usize;
-            let matched =
-                cache.matched(&sequence.plan.chain[..full.min(sequence.plan.chain.len())]);
+            let matched = cache
+                .cached_prefix_len(&sequence.plan.chain[..full.min(sequence.plan.chain.len())]);
             // Matched blocks can be evictable and count as available then, so `blocks` includes them.
             if !self.running.is_empty() && cache.available() <= blocks {
                 return;
@@ -176,6 +183,7 @@
         }
     }
 
+    /// Returns whether a sequence with this rank may preempt the last-ranked running one.
     fn can_preempt(&self, rank: Rank, gap: i64) -> bool {
         let worst = self.running.last_key_value();
         worst.is_some_and(|(worst, _)| rank.0.saturating_add(gap) <= worst.0)
@@ -195,6 +203,7 @@
         }
     }
 
+    /// Plans a step: one token for each decoding sequence, and prefill within the rest of the budget.
     fn plan_step(&self, parameters: &EngineParameters) -> (Vec<(Rank, u64)>, Duration) {
         let mut work = Vec::with_capacity(self.running.len());
         let mut decoding = 0;
@@ -245,6 +254,7 @@
         }
     }
 
+    /// Generates one token for a sequence whose tokens are all computed.
     fn generate(&mut self, rank: Rank) -> Option<Progress> {
         let sequence = self.running.get_mut(&rank)?;
         if sequence.missing() > 0 {
@@ -253,8 +263,8 @@
         sequence.generated += 1;
         Some(Progress {
             rank,
-            first: sequence.generated == 1,
-            ended: sequence.generated >= sequence.plan.output,
+            is_first_token: sequence.generated == 1,
+            is_complete: sequence.generated >= sequence.plan.output,
         })
     }
 }
@@ -295,6 +305,7 @@
     true
 }
 
+/// Releases all memory of a sequence. Its full blocks stay cached.
 fn release_blocks(now: Timestamp, sequence: &mut Sequence, cache: &mut PrefixCache) {
     cache.release_references(now, &sequence.held);
     sequence.held.clear();
--- a/crates/engine-model/src/cache.rs
+++ b/crates/engine-model/src/cache.rs
@@ -106,7 +106,8 @@
         self.capacity.saturating_sub(self.used()) + self.evictable.len()
     }
 
-    pub(crate) fn matched(&self, chain: &[BlockHash]) -> usize {
+    /// Returns the number of leading blocks of a chain that are cached.
+    pub(crate) fn cached_prefix_len(&self, chain: &[BlockHash]) -> usize {
         chain
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
--- a/crates/engine-model/src/engine.rs
+++ b/crates/engine-model/src/engine.rs
@@ -29,6 +29,7 @@
     ranks: BTreeMap<RequestId, Rank>,
     next_arrival: u64,
     control: ControlState,
+    /// Imports in progress, with their completion times.
     imports: Vec<(Timestamp, ExportedBlocks)>,
     feed: Feed,
 }
@@ -103,7 +104,7 @@
             return false;
         };
         self.batch.remove(now, rank, &mut self.cache);
-        self.streams.forget(id);
+        self.streams.remove(id);
         true
     }
 
@@ -173,7 +174,7 @@
         run: RunId,
         chain: &[elderworks_types::text::BlockHash],
     ) -> ExportedBlocks {
-        let matched = self.cache.matched(chain);
+        let matched = self.cache.cached_prefix_len(chain);
         ExportedBlocks {
             run,
             blocks: chain[..matched].to_vec(),
@@ -249,19 +250,19 @@
             return;
         };
         let id = sequence.id.clone();
-        if progress.first {
+        if progress.is_first_token {
             outputs.push(Output::FirstToken { id: id.clone() });
         }
         for chunk in self
             .streams
-            .advance(&id, sequence.generated, progress.ended)
+            .advance(&id, sequence.generated, progress.is_complete)
         {
             outputs.push(Output::Chunk {
                 id: id.clone(),
                 chunk,
             });
         }
-        if progress.ended {
+        if progress.is_complete {
             outputs.extend(self.complete(now, progress.rank).map(Output::Completed));
         }
     }
@@ -285,7 +286,7 @@
     fn publish(&mut self, now: Timestamp) {
         let changes = self.cache.take_changes();
         self.feed.publish(now, changes);
-        self.feed.sample(LoadReport {
+        self.feed.record_load(LoadReport {
             measured: now,
             running: self.batch.running.len() as u32,
             waiting: self.batch.waiting.len() as u32,
--- a/crates/engine-model/src/feed.rs
+++ b/crates/engine-model/src/feed.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Publishes cache changes as events.
     pub(crate) fn publish(&mut self, now: Timestamp, changes: PendingChanges) {
         if !changes.stored.is_empty() {
             self.publish_one(now, CacheChange::Stored(changes.stored));
@@ -107,7 +108,8 @@
             .collect()
     }
 
-    pub(crate) fn sample(&mut self, report: LoadReport) {
+    /// Records the load at one time, replacing an earlier record of the same time.
+    pub(crate) fn record_load(&mut self, report: LoadReport) {
         if let Some(last) = self.samples.back_mut()
             && last.measured == report.measured
         {
--- a/crates/engine-model/src/request.rs
+++ b/crates/engine-model/src/request.rs
@@ -97,8 +97,11 @@
 /// The work of a request in tokens.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
+    /// Number of prompt tokens.
     pub(crate) prompt: u64,
+    /// Number of tokens to generate.
     pub(crate) output: u64,
+    /// Hashes of the full blocks of prompt and answer.
     pub(crate) chain: Arc<[BlockHash]>,
     /// The text to generate; `None` without text.
     pub(crate) text: Option<String>,
@@ -106,9 +109,9 @@
 
 impl Plan {
     fn of_text(prompt: &str, continue_text: &str, max_output: Tokens) -> Self {
-        let whole = answer::answer_text(prompt, max_output);
-        let rest = answer::continuation(&whole, continue_text);
-        let sequence = answer::rendered_sequence(prompt, &whole);
+        let full_answer = answer::answer_text(prompt, max_output);
+        let rest = answer::continuation(&full_answer, continue_text);
+        let sequence = answer::rendered_sequence(prompt, &full_answer);
         let prompt_bytes = sequence.len() - rest.len();
         Self {
             prompt: answer::tokens_of(prompt_bytes).max(1),
@@ -118,6 +121,7 @@
         }
     }
 
+    /// Returns the number of blocks that prompt and answer need at most.
     pub(crate) fn max_blocks(&self) -> usize {
         let tokens = self.prompt + self.output;
         tokens.div_ceil(TOKENS_PER_BLOCK as u64) as usize
--- a/crates/engine-model/src/stream.rs
+++ b/crates/engine-model/src/stream.rs
@@ -54,7 +54,7 @@
         &mut self,
         id: &RequestId,
         generated: u64,
-        ended: bool,
+        is_complete: bool,
     ) -> Vec<NumberedChunk> {
         let Some(stream) = self.streams.get_mut(id) else {
             return Vec::new();
@@ -62,7 +62,7 @@
         let mut fresh = Vec::new();
         while stream.sent_tokens < generated {
             let step = self.tokens_per_chunk.min(generated - stream.sent_tokens);
-            if step < self.tokens_per_chunk && !ended {
+            if step < self.tokens_per_chunk && !is_complete {
                 break;
             }
             fresh.push(stream.next_chunk(step));
@@ -85,9 +85,10 @@
         completion
     }
 
-    pub(crate) fn forget(&mut self, id: &RequestId) {
+    /// Removes the answer of a request.
+    pub(crate) fn remove(&mut self, id: &RequestId) {
         self.streams.remove(id);
-        self.completed.retain(|ended| ended != id);
+        self.completed.retain(|completed| completed != id);
     }
 
     pub(crate) fn resume(&self, id: &RequestId, from_chunk: u32) -> Option<Resumed> {
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -89,19 +89,19 @@
 
 #[test]
 fn continuations_complete_the_same_answer() {
-    let whole = {
+    let full_answer = {
         let mut engine = engine(EngineParameters::default());
         engine
             .submit(Timestamp(0), text_request("a", "draft the boundary", "", 0))
             .unwrap();
         answer(&run_until_idle(&mut engine).1)
     };
-    for kept in [0, 32, 64, whole.len()] {
+    for kept in [0, 32, 64, full_answer.len()] {
         let mut engine = engine(EngineParameters::default());
-        let request = text_request("b", "draft the boundary", &whole[..kept], 3);
+        let request = text_request("b", "draft the boundary", &full_answer[..kept], 3);
         engine.submit(Timestamp(0), request).unwrap();
         let rest = answer(&run_until_idle(&mut engine).1);
-        assert_eq!(format!("{}{rest}", &whole[..kept]), whole);
+        assert_eq!(format!("{}{rest}", &full_answer[..kept]), full_answer);
     }
 }
 
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -71,8 +71,8 @@
 
     async fn metrics(&self) -> Response<BoxBody> {
         let (reply, answer) = oneshot::channel();
-        let asked = self.inputs.send(Input::Metrics { reply }).await;
-        match (asked, answer.await) {
+        let sent = self.inputs.send(Input::Metrics { reply }).await;
+        match (sent, answer.await) {
             (Ok(()), Ok(snapshot)) => text(StatusCode::OK, snapshot.encode()),
             _ => text(StatusCode::SERVICE_UNAVAILABLE, "stopped\n".to_owned()),
         }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -33,6 +33,7 @@
     format!("{}#{}", ticket.call, ticket.attempt)
 }
 
+/// An attempt whose answer is being read.
 struct Running {
     task: JoinHandle<()>,
     /// URL at which to cancel the attempt; `None` for a tool.
@@ -65,6 +66,7 @@
             .retain(|_, running| !running.task.is_finished());
     }
 
+    /// Starts a generation attempt at an engine.
     pub(crate) fn generate(&mut self, generate: Generate) {
         let ticket = generate.ticket;
         let client = engine_client(&self.http, &generate.url);
@@ -83,6 +85,7 @@
         self.start(ticket, Some(generate.url), task);
     }
 
+    /// Resumes reading an attempt at chunk `from_chunk`.
     pub(crate) fn resume(&mut self, ticket: Ticket, url: String, from_chunk: u32) {
         let client = engine_client(&self.http, &url);
         let answer = client.resume(&request_id(ticket), from_chunk, RESUME_TIMEOUT);
@@ -102,7 +105,7 @@
         self.start(ticket, None, task);
     }
 
-    /// Stops reading, and tells the engine to stop.
+    /// Stops reading an attempt's answer and, for an engine, cancels the attempt there.
     pub(crate) fn cancel(&mut self, ticket: Ticket) {
         let Some(running) = self.running.remove(&ticket) else {
             return;
@@ -111,7 +114,7 @@
         if let Some(url) = running.engine_url {
             let cancelling = engine_client(&self.http, &url).cancel(&request_id(ticket));
             actix_rt::spawn(async move {
-                // A failed cancellation is harmless: the engine stops once the answer is not read.
+                // A failure is harmless: an engine cancels a request whose answer is not read.
                 let _ = cancelling.await;
             });
         }
--- a/crates/node/src/engine_polls.rs
+++ b/crates/node/src/engine_polls.rs
@@ -25,6 +25,7 @@
     polls: BTreeMap<EngineId, WatchedEngine>,
 }
 
+/// The polling task of an engine, and the channel that sets its pace.
 struct WatchedEngine {
     task: JoinHandle<()>,
     pace: watch::Sender<EnginePace>,
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Starts polling an engine, replacing an earlier polling task.
     pub(crate) fn watch(&mut self, engine: EngineId, url: &str) {
         let (pace, pace_changes) = watch::channel(EnginePace::Resting);
         let poll = EnginePoll {
@@ -58,12 +60,14 @@
         }
     }
 
+    /// Changes the pace at which an engine is polled.
     pub(crate) fn pace(&self, engine: &EngineId, pace: EnginePace) {
         if let Some(watched) = self.polls.get(engine) {
             watched.pace.send_replace(pace);
         }
     }
 
+    /// Stops polling an engine.
     pub(crate) fn forget(&mut self, engine: &EngineId) {
         if let Some(watched) = self.polls.remove(engine) {
             watched.task.abort();
@@ -71,13 +75,17 @@
     }
 }
 
+/// State of an engine's polling task.
 struct EnginePoll {
     engine: EngineId,
     client: HttpEngineClient,
     inputs: InputSender,
     clock: Clock,
+    /// Time of the last successful poll.
     last_answer: Instant,
+    /// Instance number that the engine last reported; a restart changes it.
     instance: Option<u64>,
+    /// Sequence number of the last received cache event.
     last_event: u64,
     pace: watch::Receiver<EnginePace>,
 }
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -90,11 +90,11 @@
     }
     let reading = read_messages(reader, connection, &inputs);
     let writing = write_messages(writer, queue);
-    let ended = tokio::select! {
-        ended = reading => ended,
+    let result = tokio::select! {
+        result = reading => result,
         () = writing => Ok(()),
     };
-    if ended.is_err() {
+    if result.is_err() {
         counters.add(|counters| &mut counters.malformed_streams);
     }
     let _ = inputs
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -52,7 +52,7 @@
 }
 
 /// A counter or gauge with its metric name and help text.
-struct NamedCounter {
+struct NamedValue {
     name: &'static str,
     help: &'static str,
     value: u64,
@@ -60,7 +60,7 @@
 
 macro_rules! counter_table {
     ($counters:expr, { $($field:ident => $help:literal),+ $(,)? }) => {
-        vec![$(NamedCounter {
+        vec![$(NamedValue {
             name: concat!("elderworks_node_", stringify!($field)),
             help: $help,
             value: $counters.$field,
@@ -79,7 +79,7 @@
         text
     }
 
-    fn core_counters(&self) -> Vec<NamedCounter> {
+    fn core_counters(&self) -> Vec<NamedValue> {
         counter_table!(self.core, {
             sidecar_requests => "Requests received from sidecars",
             not_owner => "Requests answered with a pointer to another node",
@@ -102,7 +102,7 @@
         })
     }
 
-    fn execution_counters(&self) -> Vec<NamedCounter> {
+    fn execution_counters(&self) -> Vec<NamedValue> {
         counter_table!(self.execution, {
             records_accepted => "Journal records that counted",
             records_fenced => "Journal records of writers that did not own the partition",
@@ -126,7 +126,7 @@
         })
     }
 
-    fn placement_counters(&self) -> Vec<NamedCounter> {
+    fn placement_counters(&self) -> Vec<NamedValue> {
         counter_table!(self.placement, {
             dispatched => "Calls sent to an engine",
             moved => "Calls sent to another engine than their run's last one",
@@ -139,7 +139,7 @@
         })
     }
 
-    fn driver_counters(&self) -> Vec<NamedCounter> {
+    fn driver_counters(&self) -> Vec<NamedValue> {
         counter_table!(self.driver, {
             connections_accepted => "Connections accepted from sidecars and peers",
             connections_refused => "Connections refused because too many were open",
@@ -152,8 +152,8 @@
         })
     }
 
-    fn gauges(&self) -> Vec<NamedCounter> {
-        let gauge = |name, help, value| NamedCounter { name, help, value };
+    fn gauges(&self) -> Vec<NamedValue> {
+        let gauge = |name, help, value| NamedValue { name, help, value };
         vec![
             gauge(
                 "elderworks_node_owned_partitions",
--- a/crates/node/src/operator/body.rs
+++ b/crates/node/src/operator/body.rs
@@ -37,18 +37,18 @@
     limit: usize,
 ) -> Result<Bytes, ApiError> {
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|error| {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|error| {
             ApiError::new(
                 ErrorCode::Malformed,
                 format!("cannot read the request body: {error}"),
             )
         })?;
-        if body.len() + piece.len() > limit {
+        if body.len() + chunk.len() > limit {
             let message = format!("the request body exceeds {limit} bytes");
             return Err(ApiError::new(ErrorCode::BodyTooLarge, message));
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
--- a/crates/node/src/operator/respond.rs
+++ b/crates/node/src/operator/respond.rs
@@ -36,7 +36,7 @@
     pub reply_timeout: Duration,
 }
 
-type Answer = Result<Response<BoxBody>, ApiError>;
+type ResponseResult = Result<Response<BoxBody>, ApiError>;
 
 /// Handles one request whose path is below `/apis`.
 pub async fn respond(context: &OperatorContext, request: Request) -> Response<BoxBody> {
@@ -47,7 +47,7 @@
 }
 
 impl OperatorContext {
-    async fn route(&self, mut request: Request) -> Answer {
+    async fn route(&self, mut request: Request) -> ResponseResult {
         self.check_token(&request)?;
         let target = parse_path(request.path())?;
         let query = parse_query(request.uri().query())?;
@@ -90,7 +90,7 @@
         Err(ApiError::new(ErrorCode::Unauthorized, message))
     }
 
-    async fn list(&self, collection: Collection, query: Query) -> Answer {
+    async fn list(&self, collection: Collection, query: Query) -> ResponseResult {
         if query.watch {
             return self.watch_collection(collection, None, query).await;
         }
@@ -128,7 +128,7 @@
             .collect())
     }
 
-    async fn get(&self, collection: Collection, name: String, query: Query) -> Answer {
+    async fn get(&self, collection: Collection, name: String, query: Query) -> ResponseResult {
         if query.watch {
             return self.watch_collection(collection, Some(name), query).await;
         }
@@ -148,7 +148,13 @@
         Ok(json_response(StatusCode::OK, &document))
     }
 
-    async fn put(&self, kind: Kind, name: &str, header: Option<Offset>, body: &[u8]) -> Answer {
+    async fn put(
+        &self,
+        kind: Kind,
+        name: &str,
+        header: Option<Offset>,
+        body: &[u8],
+    ) -> ResponseResult {
         let Manifest { resource, expected } = from_json(body)?;
         check_same(
             "kind",
@@ -174,7 +180,7 @@
         }
     }
 
-    async fn delete(&self, kind: Kind, name: &str, expected: Option<Offset>) -> Answer {
+    async fn delete(&self, kind: Kind, name: &str, expected: Option<Offset>) -> ResponseResult {
         let change = ControlBody::Delete {
             kind,
             name: ResourceName::new(name),
@@ -189,7 +195,7 @@
         collection: Collection,
         name: Option<String>,
         query: Query,
-    ) -> Answer {
+    ) -> ResponseResult {
         match collection {
             Collection::Writable(kind) => self.watch(Some(kind), name, query).await,
             Collection::Runs | Collection::Nodes | Collection::Engines => {
@@ -199,7 +205,12 @@
         }
     }
 
-    async fn watch(&self, kind: Option<Kind>, name: Option<String>, query: Query) -> Answer {
+    async fn watch(
+        &self,
+        kind: Option<Kind>,
+        name: Option<String>,
+        query: Query,
+    ) -> ResponseResult {
         let after = match query.after {
             Some(after) => Offset(after),
             None => self.list_resources(kind.unwrap_or(Kind::Program)).await?.1,
--- a/crates/node/tests/driver/support.rs
+++ b/crates/node/tests/driver/support.rs
@@ -140,7 +140,7 @@
             resource,
             expected: None,
         });
-        let reply = node.operator().ask(change).expect("the node takes it");
+        let reply = node.operator().ask(change).expect("the node accepts it");
         let reply = timeout(TEST_TIMEOUT, reply).await.expect("a reply in time");
         assert!(
             matches!(reply, Ok(OperatorReply::Changed(Ok(_)))),
@@ -174,7 +174,7 @@
 
     pub async fn send(&mut self, message: SidecarMessage) {
         let written = self.write(&ToNode::Sidecar(message)).await;
-        written.expect("the node takes it");
+        written.expect("the node accepts it");
     }
 
     async fn write(&mut self, message: &ToNode) -> std::io::Result<()> {
--- a/crates/platform-model/src/log.rs
+++ b/crates/platform-model/src/log.rs
@@ -99,13 +99,13 @@
         let records = self.streams.get(stream).map_or(&[][..], Vec::as_slice);
         let end = Offset(records.len() as u64);
         let first = usize::try_from(from.0.min(end.0)).unwrap_or(records.len());
-        let mut room = max_bytes;
+        let mut remaining_bytes = max_bytes;
         let mut selected = Vec::new();
         for (data, offset) in records[first..].iter().zip(from.0..) {
-            if data.len() > room && !selected.is_empty() {
+            if data.len() > remaining_bytes && !selected.is_empty() {
                 break;
             }
-            room = room.saturating_sub(data.len());
+            remaining_bytes = remaining_bytes.saturating_sub(data.len());
             selected.push(LogRecord {
                 offset: Offset(offset),
                 data: data.clone(),
--- a/crates/platform-model/src/weights.rs
+++ b/crates/platform-model/src/weights.rs
@@ -73,8 +73,8 @@
     fn refill(&mut self, now: Timestamp) {
         let interval_micros = self.settings.interval.as_micros().max(1) as u64;
         let earned = now.since(self.last_refill).as_micros() as u64 / interval_micros;
-        let room = u64::from(self.settings.burst - self.available);
-        if earned >= room {
+        let missing = u64::from(self.settings.burst - self.available);
+        if earned >= missing {
             self.available = self.settings.burst;
             self.last_refill = now.max(self.last_refill);
         } else {
--- a/crates/platform-model/tests/tool.rs
+++ b/crates/platform-model/tests/tool.rs
@@ -51,8 +51,8 @@
         tool.invoke(START, &tool_name(), "key", json!(1));
         tool.invoke(START + LATENCY, &tool_name(), "key", json!(1));
         assert_eq!(tool.executions().count(), runs);
-        let known = tool.status(START + LATENCY, "key") != InvocationStatus::Unknown;
-        assert_eq!(known, keeps_keys);
+        let is_known = tool.status(START + LATENCY, "key") != InvocationStatus::Unknown;
+        assert_eq!(is_known, keeps_keys);
     }
 }
 
