--- a/crates/sidecar-core/src/backoff.rs
+++ b/crates/sidecar-core/src/backoff.rs
@@ -7,11 +7,13 @@
 /// Delay after the first failure.
 pub const INITIAL_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest delay.
+/// Upper limit of the delay.
 pub const MAX_DELAY: Duration = Duration::from_secs(1);
 
-/// Delay after `failures` failures in a row: doubled each time, then shortened at random by up to
-/// a half so that many sidecars do not return together.
+/// Returns the delay before the next attempt after `failures` consecutive failures.
+///
+/// The delay doubles with each failure and is then shortened at random by up to half, so that
+/// sidecars don't retry in lockstep.
 pub fn delay(failures: u32, random: &mut impl Rng) -> Duration {
     let doublings = failures.saturating_sub(1).min(16);
     let full = INITIAL_DELAY.saturating_mul(1 << doublings).min(MAX_DELAY);
--- a/crates/sidecar-core/src/copies.rs
+++ b/crates/sidecar-core/src/copies.rs
@@ -1,44 +1,44 @@
-//! Copies of one request that a node has been sent and has not answered.
+//! Tracking of the copies of a request that were sent to a node and not yet answered.
 //!
-//! A connection keeps its messages in order and a node answers each copy that it does not take, so
-//! once every copy was refused, none was taken. A copy that can no longer be answered leaves that
-//! open.
+//! Connections preserve message order and a node answers every copy that it rejects. Once all
+//! copies have been rejected, the request is therefore known not to have been accepted. If a copy
+//! can no longer be answered, whether it was accepted remains unknown.
 
 use std::net::SocketAddr;
 
-/// Unanswered copies of a request, all with one node.
+/// The unanswered copies of a request, all sent to the same node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Copies {
+pub struct UnansweredCopies {
     node: Option<SocketAddr>,
     unanswered: u32,
 }
 
-impl Copies {
-    /// Whether any is with the node at `address`.
-    pub fn are_with(&self, address: SocketAddr) -> bool {
+impl UnansweredCopies {
+    /// Returns whether the node at `address` still has to answer a copy.
+    pub fn has_unanswered_at(&self, address: SocketAddr) -> bool {
         self.unanswered > 0 && self.node == Some(address)
     }
 
-    /// Whether none is left without an answer.
-    pub fn are_answered(&self) -> bool {
+    /// Returns whether every copy has been answered.
+    pub fn all_answered(&self) -> bool {
         self.unanswered == 0
     }
 
-    /// Notes a copy sent to `node`. Tells whether copies at another node are left behind, which
-    /// may still be taken there.
-    pub fn note_sent(&mut self, node: SocketAddr) -> bool {
-        let leaves_some = self.unanswered > 0 && !self.are_with(node);
-        if leaves_some {
+    /// Records a copy sent to `node`. Returns whether this abandons unanswered copies at another
+    /// node, which that node may still accept.
+    pub fn record_sent(&mut self, node: SocketAddr) -> bool {
+        let abandons_copies = self.unanswered > 0 && !self.has_unanswered_at(node);
+        if abandons_copies {
             self.unanswered = 0;
         }
         self.node = Some(node);
         self.unanswered += 1;
-        leaves_some
+        abandons_copies
     }
 
-    /// Notes that `node` has answered a copy and not taken it.
-    pub fn note_answer(&mut self, node: SocketAddr) {
-        if self.are_with(node) {
+    /// Records that `node` has rejected a copy.
+    pub fn record_answer(&mut self, node: SocketAddr) {
+        if self.has_unanswered_at(node) {
             self.unanswered -= 1;
         }
     }
--- a/crates/sidecar-core/src/core.rs
+++ b/crates/sidecar-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The state machine: callers' events, connections and time.
+//! The state machine's entry points: callers' requests, connections and ticks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::copies::Copies;
+use crate::copies::UnansweredCopies;
 use crate::delivery::Delivery;
 use crate::directory::Directory;
 use crate::effect::{CallerReply, Effect};
@@ -19,44 +19,46 @@
 use crate::finished::FinishedCalls;
 use crate::links::Links;
 use crate::open_requests::OpenRequests;
-use crate::request::{Body, OpenCall, OpenRequest, Position, RequestKey, without_deadline};
+use crate::request::{
+    OpenCall, OpenRequest, Operation, RequestKey, RequestState, without_deadline,
+};
 
-/// How often a driver sends [`Event::Tick`].
+/// Interval at which the driver sends [`Event::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When a refused caller may come back: the sidecar is full, or no node was reached.
+/// Delay after which a caller may retry when the sidecar is full or no node was reachable.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long past a call's deadline its node has to say what became of it.
+/// Time after a request's deadline for which its node may still report the outcome.
 pub const DEADLINE_GRACE: Duration = Duration::from_secs(5);
 
-/// Silence of a call's node after which another is asked whether it still owns the partition.
-pub const PROBE_AFTER: Duration = Duration::from_secs(5);
+/// Silence of a call's node after which another node is asked for the partition's owner.
+pub const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence of a call's node after which the call is submitted to it again.
-pub const RESUBMIT_CALL_AFTER: Duration = Duration::from_secs(60);
+/// Silence of a call's node after which the call is resubmitted to it.
+pub const RESUBMIT_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Silence of a node after which any other request is sent again, and another node asked who owns
-/// the partition.
-pub const RESEND_AFTER: Duration = Duration::from_secs(2);
+/// Silence of a node after which a request other than a call is resent, and another node is asked
+/// for the partition's owner.
+pub const RESEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a sidecar is given at its start.
+/// Settings of a sidecar.
 #[derive(Clone, Debug)]
 pub struct SidecarSettings {
-    /// Addresses of some nodes.
+    /// Addresses of the nodes to connect to initially; others are discovered.
     pub nodes: Vec<SocketAddr>,
-    /// Seed of its random choices; also its name on connections.
+    /// Seed of the random number generator; also identifies the sidecar to nodes.
     pub seed: u64,
-    /// Most requests open at once; more are refused.
+    /// Maximum number of open requests; further ones are refused.
     pub max_open_calls: usize,
-    /// Longest time that a call without a deadline is kept open.
+    /// Maximum time that a call may stay open, also if its deadline is later.
     pub call_timeout: Duration,
-    /// How long a request may wait for a node to take it before it is refused as not run.
+    /// Maximum time to wait for a node to accept a request before refusing it as not run.
     pub hand_over_timeout: Duration,
 }
 
 impl SidecarSettings {
-    /// Ordinary limits.
+    /// Returns settings with the default limits.
     pub fn new(nodes: Vec<SocketAddr>, seed: u64) -> Self {
         Self {
             nodes,
@@ -68,7 +70,7 @@
     }
 }
 
-/// One sidecar.
+/// The state machine of one sidecar.
 pub struct SidecarCore {
     pub(crate) settings: SidecarSettings,
     pub(crate) links: Links,
@@ -76,12 +78,12 @@
     pub(crate) open: OpenRequests,
     pub(crate) finished: FinishedCalls,
     pub(crate) random: ChaCha8Rng,
-    submissions: u64,
+    last_submission: u64,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl SidecarCore {
-    /// A sidecar without open calls.
+    /// Creates a sidecar without connections or open requests.
     pub fn new(settings: SidecarSettings) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
@@ -90,14 +92,14 @@
             directory: Directory::default(),
             open: OpenRequests::default(),
             finished: FinishedCalls::default(),
-            submissions: 0,
+            last_submission: 0,
             effects: Vec::new(),
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the resulting effects in the order of their execution.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
-        let may_free_requests = !matches!(event, Event::CallerGone { .. });
+        let may_make_requests_due = !matches!(event, Event::CallerGone { .. });
         match event {
             Event::StartRun { request, spec } => self.start_run(now, request, spec),
             Event::Call {
@@ -110,45 +112,45 @@
                 request,
                 tenant,
                 run,
-            } => self.open_other(now, request, run, Body::ReadRun { tenant }),
+            } => self.open_other(now, request, run, Operation::ReadRun { tenant }),
             Event::EndRun {
                 request,
                 tenant,
                 run,
-            } => self.open_other(now, request, run, Body::EndRun { tenant }),
-            Event::CallerGone { request } => self.caller_gone(request),
-            Event::Connected { address } => self.links.connected(address),
-            Event::Disconnected { address } => self.disconnected(now, address),
-            Event::Received { address, message } => self.received(now, address, message),
-            Event::Tick => self.tick(now),
+            } => self.open_other(now, request, run, Operation::EndRun { tenant }),
+            Event::CallerGone { request } => self.handle_caller_disconnect(request),
+            Event::Connected { address } => self.links.set_connected(address),
+            Event::Disconnected { address } => self.handle_disconnect(now, address),
+            Event::Received { address, message } => self.handle_message(now, address, message),
+            Event::Tick => self.handle_tick(now),
         }
-        if may_free_requests {
+        if may_make_requests_due {
             self.send_due(now);
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Number of requests open.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Number of nodes connected to.
+    /// Returns the number of connected nodes.
     pub fn ready_nodes(&self) -> usize {
         self.links.ready_count()
     }
 
     fn start_run(&mut self, now: Timestamp, request: RequestId, spec: RunSpec) {
-        self.open_other(now, request, spec.id, Body::StartRun(spec));
+        self.open_other(now, request, spec.id, Operation::StartRun(spec));
     }
 
-    fn open_other(&mut self, now: Timestamp, request: RequestId, run: RunId, body: Body) {
+    fn open_other(&mut self, now: Timestamp, request: RequestId, run: RunId, operation: Operation) {
         if self.is_full() {
-            let reply = match body {
-                Body::StartRun(_) => CallerReply::RunRefused {
+            let reply = match operation {
+                Operation::StartRun(_) => CallerReply::RunRefused {
                     refusal: refusal(RefusalReason::Overloaded),
                 },
-                _ => CallerReply::Unreachable,
+                _ => CallerReply::NoAnswerFromNode,
             };
             return self.reply(request, reply);
         }
@@ -157,7 +159,7 @@
             now,
             RequestKey::Other(request),
             run,
-            body,
+            operation,
             deadline,
             deadline,
         );
@@ -184,11 +186,11 @@
         if self.is_full() {
             return self.refuse_call(request, RefusalReason::Overloaded);
         }
-        let give_up_at = match spec.deadline {
+        let answer_deadline = match spec.deadline {
             Some(deadline) => deadline.min(now + self.settings.call_timeout),
             None => now + self.settings.call_timeout,
         };
-        let hand_over_by = give_up_at.min(now + self.settings.hand_over_timeout);
+        let hand_over_deadline = answer_deadline.min(now + self.settings.hand_over_timeout);
         let call = OpenCall {
             tenant,
             spec,
@@ -197,21 +199,30 @@
             listeners: vec![request],
         };
         let key = RequestKey::Call(id);
-        let body = Body::Call(Box::new(call));
-        self.insert(now, key, run, body, hand_over_by, give_up_at);
+        let operation = Operation::Call(Box::new(call));
+        self.insert(
+            now,
+            key,
+            run,
+            operation,
+            hand_over_deadline,
+            answer_deadline,
+        );
     }
 
     fn next_submission(&mut self) -> SubmissionId {
-        self.submissions += 1;
+        self.last_submission += 1;
         SubmissionId {
             sidecar: self.settings.seed,
-            number: self.submissions,
+            number: self.last_submission,
         }
     }
 
-    /// A caller asks for the answer of a call that is open already.
+    /// Adds a caller to a call that is already open, after checking that it requests the same call.
     fn join_call(&mut self, request: RequestId, id: CallId, tenant: &TenantId, spec: &CallSpec) {
-        let call = self.open_call(id).expect("the call was just found open");
+        let call = self
+            .open_call(id)
+            .expect("the caller has checked that the call is open");
         if call.tenant != *tenant {
             return self.refuse_call(request, RefusalReason::RunNotFound);
         }
@@ -226,8 +237,8 @@
     }
 
     pub(crate) fn open_call(&mut self, id: CallId) -> Option<&mut OpenCall> {
-        match &mut self.open.get_mut(&RequestKey::Call(id))?.body {
-            Body::Call(call) => Some(call),
+        match &mut self.open.get_mut(&RequestKey::Call(id))?.operation {
+            Operation::Call(call) => Some(call),
             _ => None,
         }
     }
@@ -241,57 +252,57 @@
         now: Timestamp,
         key: RequestKey,
         run: RunId,
-        body: Body,
-        hand_over_by: Timestamp,
-        give_up_at: Timestamp,
+        operation: Operation,
+        hand_over_deadline: Timestamp,
+        answer_deadline: Timestamp,
     ) {
         let request = OpenRequest {
             run,
-            body,
-            position: Position::Waiting { retry_at: now },
-            maybe_taken: false,
-            copies: Copies::default(),
+            operation,
+            state: RequestState::Waiting { retry_at: now },
+            possibly_accepted: false,
+            copies: UnansweredCopies::default(),
             failures: 0,
-            hand_over_by,
-            give_up_at,
+            hand_over_deadline,
+            answer_deadline,
         };
         self.open.insert(key, request);
     }
 
-    fn caller_gone(&mut self, request: RequestId) {
+    fn handle_caller_disconnect(&mut self, request: RequestId) {
         let joined = self.open.matching(
-            |open| matches!(&open.body, Body::Call(call) if call.listeners.contains(&request)),
+            |open| matches!(&open.operation, Operation::Call(call) if call.listeners.contains(&request)),
         );
         for key in joined {
             if let Some(open) = self.open.get_mut(&key)
-                && let Body::Call(call) = &mut open.body
+                && let Operation::Call(call) = &mut open.operation
             {
                 call.listeners.retain(|listener| *listener != request);
             }
         }
     }
 
-    fn disconnected(&mut self, now: Timestamp, address: SocketAddr) {
-        self.links.disconnected(now, address, &mut self.random);
+    fn handle_disconnect(&mut self, now: Timestamp, address: SocketAddr) {
+        self.links.set_disconnected(now, address, &mut self.random);
         self.directory.forget_node(address);
-        let concerned = self
-            .open
-            .matching(|request| request.is_with(address) || request.copies.are_with(address));
-        for key in concerned {
+        let affected = self.open.matching(|request| {
+            request.is_sent_to(address) || request.copies.has_unanswered_at(address)
+        });
+        for key in affected {
             let Some(request) = self.open.get_mut(&key) else {
                 continue;
             };
-            if request.is_with(address) {
-                request.recall(now);
+            if request.is_sent_to(address) {
+                request.requeue(now);
             } else {
-                request.leave_copies();
+                request.abandon_copies();
             }
         }
     }
 
-    fn tick(&mut self, now: Timestamp) {
+    fn handle_tick(&mut self, now: Timestamp) {
         self.connect_to_known_nodes(now);
-        self.give_up_overdue(now);
+        self.expire_overdue(now);
         self.probe_silent(now);
     }
 
@@ -302,32 +313,34 @@
         }
     }
 
-    fn give_up_overdue(&mut self, now: Timestamp) {
+    fn expire_overdue(&mut self, now: Timestamp) {
         for key in self.open.overdue(now) {
-            self.give_up(key);
+            self.expire(key);
         }
     }
 
-    fn give_up(&mut self, key: RequestKey) {
+    fn expire(&mut self, key: RequestKey) {
         let Some(request) = self.open.get(&key) else {
             return;
         };
-        let not_taken = request.surely_not_taken();
-        match (key, &request.body) {
-            (RequestKey::Call(id), Body::Call(call)) => {
-                if not_taken {
+        let not_accepted = request.is_known_not_accepted();
+        match (key, &request.operation) {
+            (RequestKey::Call(id), Operation::Call(call)) => {
+                if not_accepted {
                     let refusal = refusal(RefusalReason::NoNodeReachable);
-                    return self.end_call(id, None, Outcome::Refused(refusal));
+                    return self.finish_call(id, None, Outcome::Refused(refusal));
                 }
-                let outcome = unresolved(call.spec.repeatable);
+                let outcome = unsettled_outcome(call.spec.repeatable);
                 self.abandon_call(id, outcome);
             }
-            (RequestKey::Other(request), Body::StartRun(_)) if not_taken => {
+            (RequestKey::Other(request), Operation::StartRun(_)) if not_accepted => {
                 let refusal = refusal(RefusalReason::NoNodeReachable);
-                self.end_other(request, CallerReply::RunRefused { refusal });
+                self.finish_other(request, CallerReply::RunRefused { refusal });
+            }
+            (RequestKey::Other(request), _) => {
+                self.finish_other(request, CallerReply::NoAnswerFromNode)
             }
-            (RequestKey::Other(request), _) => self.end_other(request, CallerReply::Unreachable),
-            (RequestKey::Call(_), _) => unreachable!("only calls are named by call ids"),
+            (RequestKey::Call(_), _) => unreachable!("only calls are keyed by call ids"),
         }
     }
 
@@ -359,14 +372,14 @@
     }
 }
 
-/// The outcome of a call that a node may have taken and of which nothing more was heard.
-pub(crate) fn unresolved(repeatable: bool) -> Outcome {
+/// Returns the outcome of a call that a node may have accepted without reporting its end.
+pub(crate) fn unsettled_outcome(repeatable: bool) -> Outcome {
     if !repeatable {
         return Outcome::Unknown(UnknownReason::OwnerLost);
     }
     Outcome::Failed(Failure {
         reason: FailureReason::AttemptsExhausted,
-        detail: "no node could say in time what became of the call".to_owned(),
+        detail: "no node reported the call's outcome in time".to_owned(),
         cost: elderworks_types::Credits::ZERO,
     })
 }
--- a/crates/sidecar-core/src/delivery.rs
+++ b/crates/sidecar-core/src/delivery.rs
@@ -1,45 +1,47 @@
-//! How much of one answer has been passed on to its callers.
+//! Assembly of an answer's text from the chunks of one or more attempts.
 
 use elderworks_protocol::sidecar::{Chunk, Delivered};
 use elderworks_types::Attempt;
 
-/// The passed-on part of an answer. Chunks are taken in order only; chunks of a later attempt
-/// either continue the text (their numbers go on) or repeat it from the start, in which case the
-/// repetition is compared with what was passed on and skipped.
+/// The part of an answer that has been delivered to callers.
+///
+/// Chunks are accepted only in order. A later attempt either continues the text at the next chunk
+/// index or starts over at index 0; in the latter case its text is compared with the delivered
+/// text, and only what exceeds it is delivered.
 #[derive(Debug, Default)]
 pub struct Delivery {
     attempt: Option<Attempt>,
     chunks: u32,
     text: String,
-    /// Bytes of `text` that the present attempt has produced or repeated.
-    repeated: usize,
-    /// Whether the present attempt says something else than `text`.
+    /// Length in bytes of the prefix of `text` that the current attempt has produced.
+    matched_bytes: usize,
+    /// Whether the current attempt's text differs from `text`.
     diverged: bool,
 }
 
-/// What remains to be passed on when the whole answer is known.
+/// What remains to be delivered once the full answer is known.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// The rest of the text, possibly empty.
+pub enum Remainder {
+    /// The undelivered rest of the text, possibly empty.
     Tail(String),
-    /// The answer does not begin with what was passed on.
-    Restarted,
+    /// The answer does not start with the delivered text.
+    Mismatch,
 }
 
 impl Delivery {
-    /// The text passed on so far.
+    /// Returns the text delivered so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Whether any chunk was ever taken, which shows that the call ran.
-    pub fn has_begun(&self) -> bool {
+    /// Returns whether any chunk was accepted, which proves that the call has run.
+    pub fn has_received_chunks(&self) -> bool {
         self.attempt.is_some()
     }
 
-    /// Takes a chunk; returns the text to be passed on, if it adds any.
+    /// Accepts a chunk and returns the text that it adds, if any.
     pub fn accept(&mut self, chunk: &Chunk) -> Option<String> {
-        if !self.enter(chunk) {
+        if !self.start_chunk(chunk) {
             return None;
         }
         self.attempt = Some(chunk.attempt);
@@ -50,8 +52,9 @@
         self.extend(&chunk.text)
     }
 
-    /// Whether the chunk is the next one, of this attempt or of a later one.
-    fn enter(&mut self, chunk: &Chunk) -> bool {
+    /// Returns whether the chunk is the next expected one, resetting the progress if a later attempt
+    /// starts over.
+    fn start_chunk(&mut self, chunk: &Chunk) -> bool {
         if self.attempt.is_some_and(|current| chunk.attempt < current) {
             return false;
         }
@@ -61,29 +64,29 @@
         let is_repetition = chunk.index == 0 && self.attempt != Some(chunk.attempt);
         if is_repetition {
             self.chunks = 0;
-            self.repeated = 0;
+            self.matched_bytes = 0;
             self.diverged = false;
         }
         is_repetition
     }
 
-    fn extend(&mut self, piece: &str) -> Option<String> {
-        let known = &self.text[self.repeated..];
-        if known.starts_with(piece) {
-            self.repeated += piece.len();
+    fn extend(&mut self, chunk_text: &str) -> Option<String> {
+        let known = &self.text[self.matched_bytes..];
+        if known.starts_with(chunk_text) {
+            self.matched_bytes += chunk_text.len();
             return None;
         }
-        let Some(added) = piece.strip_prefix(known) else {
+        let Some(added) = chunk_text.strip_prefix(known) else {
             self.diverged = true;
             return None;
         };
         let added = added.to_owned();
         self.text.push_str(&added);
-        self.repeated = self.text.len();
+        self.matched_bytes = self.text.len();
         Some(added)
     }
 
-    /// What a node is told of the progress, so that it can go on from there.
+    /// Returns the progress to report to a node, from which it can resume the answer.
     pub fn progress(&self) -> Delivered {
         if self.diverged {
             return Delivered::default();
@@ -91,15 +94,15 @@
         Delivered {
             attempt: self.attempt,
             chunks: self.chunks,
-            text: self.text[..self.repeated].to_owned(),
+            text: self.text[..self.matched_bytes].to_owned(),
         }
     }
 
-    /// What is left to pass on of the whole answer.
-    pub fn ending(&self, content: &str) -> Ending {
+    /// Returns what remains to be delivered of the full answer `content`.
+    pub fn remainder(&self, content: &str) -> Remainder {
         match content.strip_prefix(self.text.as_str()) {
-            Some(tail) => Ending::Tail(tail.to_owned()),
-            None => Ending::Restarted,
+            Some(tail) => Remainder::Tail(tail.to_owned()),
+            None => Remainder::Mismatch,
         }
     }
 }
--- a/crates/sidecar-core/src/directory.rs
+++ b/crates/sidecar-core/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which node owns which partition, as far as this sidecar has been told.
+//! Cache of the nodes that own partitions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,35 +9,35 @@
 
 use crate::backoff;
 
-/// How long an asked node has to say who owns a partition before another is asked.
+/// Time that a node has to report a partition's owner before another node is asked.
 pub const LOCATE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
-struct Search {
-    next_question: Timestamp,
+struct Lookup {
+    next_lookup: Timestamp,
     failures: u32,
 }
 
-/// Owners of partitions and searches for them.
+/// Known owners of partitions, and the lookups of unknown ones.
 #[derive(Debug, Default)]
 pub struct Directory {
     partition_count: Option<u32>,
     owners: BTreeMap<PartitionId, SocketAddr>,
-    searches: BTreeMap<PartitionId, Search>,
+    lookups: BTreeMap<PartitionId, Lookup>,
 }
 
-/// Where a run's requests go.
+/// The destination of a run's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To this node.
+    /// The node that owns the run's partition.
     Owner(SocketAddr),
-    /// Somebody has to be asked about this partition first.
+    /// No owner is known; it has to be looked up for this partition first.
     Unknown(PartitionId),
 }
 
 impl Directory {
-    /// Where requests of `run` go. Before the number of partitions is known, any partition can be
-    /// asked about, since every answer tells it.
+    /// Returns the destination of requests for `run`. Until the number of partitions is known, this
+    /// is a lookup of partition 0, since every answer to a lookup reports the number.
     pub fn route(&self, run: RunId) -> Route {
         let Some(partition) = self.partition(run) else {
             return Route::Unknown(PartitionId(0));
@@ -48,23 +48,23 @@
         }
     }
 
-    /// The run's partition, once their number is known.
+    /// Returns the run's partition, or `None` until the number of partitions is known.
     pub fn partition(&self, run: RunId) -> Option<PartitionId> {
         self.partition_count.map(|count| run.partition(count))
     }
 
-    /// Whether the partition's owner should be asked for now; if so, the question counts as asked.
-    pub fn begin_question(&mut self, now: Timestamp, partition: PartitionId) -> bool {
-        let search = self.searches.entry(partition).or_default();
-        if now < search.next_question {
+    /// Returns whether a lookup of the partition's owner may be sent now, and if so records it.
+    pub fn try_start_lookup(&mut self, now: Timestamp, partition: PartitionId) -> bool {
+        let lookup = self.lookups.entry(partition).or_default();
+        if now < lookup.next_lookup {
             return false;
         }
-        search.next_question = now + LOCATE_TIMEOUT;
+        lookup.next_lookup = now + LOCATE_TIMEOUT;
         true
     }
 
-    /// Takes a node's answer.
-    pub fn located(
+    /// Handles a node's answer to a lookup.
+    pub fn handle_located(
         &mut self,
         now: Timestamp,
         partition: PartitionId,
@@ -78,30 +78,30 @@
         }
         match owner {
             Some(owner) => self.set_owner(partition, owner),
-            None => self.search_failed(now, partition, random),
+            None => self.lookup_failed(now, partition, random),
         }
     }
 
-    /// Notes a partition's owner.
+    /// Records a partition's owner and ends its lookup.
     pub fn set_owner(&mut self, partition: PartitionId, owner: SocketAddr) {
         self.owners.insert(partition, owner);
-        self.searches.remove(&partition);
+        self.lookups.remove(&partition);
     }
 
-    /// Forgets an owner that turned out wrong or unreachable; the next question waits a little.
+    /// Removes an owner that proved wrong or unreachable; the next lookup is delayed by a backoff.
     pub fn forget_owner(&mut self, now: Timestamp, partition: PartitionId, random: &mut impl Rng) {
         self.owners.remove(&partition);
-        self.search_failed(now, partition, random);
+        self.lookup_failed(now, partition, random);
     }
 
-    /// Forgets everything that a node owned, because it is gone or leaving.
+    /// Removes all partitions of a node that is draining or disconnected.
     pub fn forget_node(&mut self, address: SocketAddr) {
         self.owners.retain(|_, owner| *owner != address);
     }
 
-    fn search_failed(&mut self, now: Timestamp, partition: PartitionId, random: &mut impl Rng) {
-        let search = self.searches.entry(partition).or_default();
-        search.failures += 1;
-        search.next_question = now + backoff::delay(search.failures, random);
+    fn lookup_failed(&mut self, now: Timestamp, partition: PartitionId, random: &mut impl Rng) {
+        let lookup = self.lookups.entry(partition).or_default();
+        lookup.failures += 1;
+        lookup.next_lookup = now + backoff::delay(lookup.failures, random);
     }
 }
--- a/crates/sidecar-core/src/due_queue.rs
+++ b/crates/sidecar-core/src/due_queue.rs
@@ -1,4 +1,4 @@
-//! Requests in order of the time at which something is due.
+//! A queue of request keys ordered by due time.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,17 @@
 
 use crate::request::RequestKey;
 
-/// Requests by due time. It does not keep the time of a request a second time: whoever moves a
-/// request names the time under which it was entered.
+/// A set of requests ordered by due time.
+///
+/// There is no index from requests to their times; callers pass a request's current time to
+/// reschedule it.
 #[derive(Debug, Default)]
 pub struct DueQueue {
     entries: BTreeSet<(Timestamp, RequestKey)>,
 }
 
 impl DueQueue {
-    /// Moves a request from one due time to another; `None` stands for not being in the queue.
+    /// Moves a request from one due time to another; `None` means that it is not in the queue.
     pub fn reschedule(&mut self, key: RequestKey, from: Option<Timestamp>, to: Option<Timestamp>) {
         if from == to {
             return;
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The requests due at `now`, in order of their keys. Costs nothing for those due later.
+    /// Returns the requests due at `now` in key order, without visiting those due later.
     pub fn due(&self, now: Timestamp) -> Vec<RequestKey> {
         let mut due: Vec<RequestKey> = self
             .entries
--- a/crates/sidecar-core/src/effect.rs
+++ b/crates/sidecar-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a sidecar asks of its driver.
+//! Outputs of the state machine, executed by its driver.
 
 use std::net::SocketAddr;
 
@@ -10,51 +10,52 @@
 /// An output of [`crate::SidecarCore::handle`].
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Connect to a node; answered by `Connected` or `Disconnected`.
+    /// Connects to a node. The driver reports the result as `Event::Connected` or
+    /// `Event::Disconnected`.
     Connect {
-        /// Its address.
+        /// The node's address.
         address: SocketAddr,
     },
-    /// Send on a ready connection.
+    /// Sends a message on a ready connection.
     Send {
         /// The node's address.
         address: SocketAddr,
         /// The message.
         message: SidecarMessage,
     },
-    /// Reply to a caller.
+    /// Replies to a caller.
     Reply {
-        /// Which request.
+        /// The request being answered.
         request: RequestId,
         /// The reply.
         reply: CallerReply,
     },
 }
 
-/// A reply to a caller. A call gets any number of chunks and then one end.
+/// A reply to a caller. A call receives any number of chunks and restarts, then one `CallEnded`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerReply {
-    /// The run is started.
+    /// The run was started.
     RunStarted {
-        /// Which.
+        /// The id of the run.
         run: RunId,
     },
     /// The run was not started.
     RunRefused {
-        /// Why, and when to come back.
+        /// The reason, and when to retry.
         refusal: Refusal,
     },
-    /// The next piece of the answer; the pieces of one request join to the whole.
+    /// The next chunk of the answer; the concatenated chunks form the full answer.
     Chunk {
         /// The text.
         text: String,
     },
-    /// The answer was made anew and does not begin with the pieces passed on so far: they are
-    /// void, and the pieces that follow join to the whole.
+    /// The call was run again and its answer does not start with the chunks delivered so far. They
+    /// must be discarded; the following chunks form the full answer.
     Restarted,
-    /// The call's one outcome.
+    /// The call has ended; the last reply to it.
     CallEnded {
-        /// The attempt it is of, if one was made.
+        /// The attempt that produced the outcome, if any.
         attempt: Option<Attempt>,
         /// The outcome.
         outcome: Outcome,
@@ -66,10 +67,10 @@
     },
     /// The run has ended.
     RunEnded {
-        /// How.
+        /// The phase in which it ended.
         phase: RunPhase,
     },
-    /// No node answered in time; whether the run was started, read or ended is not known. The
-    /// request may be repeated.
-    Unreachable,
+    /// No node settled the request in time, or the sidecar was too full to send it. Whether it took
+    /// effect is unknown; it may be repeated.
+    NoAnswerFromNode,
 }
--- a/crates/sidecar-core/src/event.rs
+++ b/crates/sidecar-core/src/event.rs
@@ -1,11 +1,11 @@
-//! What a sidecar is told.
+//! Inputs of the state machine.
 
 use std::net::SocketAddr;
 
 use elderworks_protocol::sidecar::NodeMessage;
 use elderworks_types::{CallSpec, RunId, RunSpec, TenantId};
 
-/// Matches a caller's request to its replies.
+/// Identifies a caller's request in its replies.
 pub type RequestId = u64;
 
 /// An input of [`crate::SidecarCore::handle`].
@@ -13,16 +13,16 @@
 pub enum Event {
     /// A caller starts a run.
     StartRun {
-        /// Matches the reply.
+        /// Id for the reply.
         request: RequestId,
-        /// What to start.
+        /// The run to start.
         spec: RunSpec,
     },
     /// A caller makes a call.
     Call {
-        /// Matches the replies.
+        /// Id for the replies.
         request: RequestId,
-        /// On whose behalf.
+        /// Tenant of the caller.
         tenant: TenantId,
         /// The run.
         run: RunId,
@@ -31,25 +31,25 @@
     },
     /// A caller reads a run.
     ReadRun {
-        /// Matches the reply.
+        /// Id for the reply.
         request: RequestId,
-        /// On whose behalf.
+        /// Tenant of the caller.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
     /// A caller ends a run.
     EndRun {
-        /// Matches the reply.
+        /// Id for the reply.
         request: RequestId,
-        /// On whose behalf.
+        /// Tenant of the caller.
         tenant: TenantId,
         /// The run.
         run: RunId,
     },
-    /// The caller hung up; its request goes on, and asking again returns the same answer.
+    /// The caller disconnected. Its request stays open, and a repeated request gets the same answer.
     CallerGone {
-        /// Which.
+        /// The request whose caller disconnected.
         request: RequestId,
     },
     /// A connection to a node is ready.
@@ -57,7 +57,7 @@
         /// The node's address.
         address: SocketAddr,
     },
-    /// A connection could not be made, or broke.
+    /// A connection attempt failed or a connection was lost.
     Disconnected {
         /// The node's address.
         address: SocketAddr,
@@ -69,6 +69,6 @@
         /// The message.
         message: NodeMessage,
     },
-    /// Time passed; sent every [`crate::core::TICK_INTERVAL`].
+    /// Periodic tick, sent every [`crate::core::TICK_INTERVAL`].
     Tick,
 }
--- a/crates/sidecar-core/src/finished.rs
+++ b/crates/sidecar-core/src/finished.rs
@@ -1,4 +1,4 @@
-//! Calls that ended a short time ago.
+//! Recently ended calls.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
@@ -7,27 +7,28 @@
 
 use crate::request::without_deadline;
 
-/// Most ended calls remembered.
-pub const REMEMBERED_CALLS: usize = 4096;
+/// Maximum number of ended calls kept.
+pub const MAX_FINISHED_CALLS: usize = 4096;
 
-/// Ended calls by id, with a digest of what they asked for. While a call is remembered, its number
-/// cannot be used for something else, so a repeated end of the old call is never taken for the end
-/// of a new one.
+/// Recently ended calls by id, with a digest of their spec.
+///
+/// While a call is kept, its number can't be reused for a different call. A duplicate end message
+/// for the old call is thus never attributed to a new one.
 #[derive(Debug, Default)]
 pub struct FinishedCalls {
     digests: BTreeMap<CallId, u64>,
     order: VecDeque<CallId>,
-    /// Those of them that were given up, their fate unknown.
+    /// The calls that were abandoned with an unknown outcome.
     abandoned: BTreeSet<CallId>,
 }
 
 impl FinishedCalls {
-    /// Notes an ended call.
-    pub fn remember(&mut self, call: CallId, spec: &CallSpec) {
+    /// Records an ended call, evicting the oldest one if there are too many.
+    pub fn record(&mut self, call: CallId, spec: &CallSpec) {
         if self.digests.insert(call, digest(spec)).is_none() {
             self.order.push_back(call);
         }
-        if self.order.len() > REMEMBERED_CALLS
+        if self.order.len() > MAX_FINISHED_CALLS
             && let Some(oldest) = self.order.pop_front()
         {
             self.digests.remove(&oldest);
@@ -35,14 +36,14 @@
         }
     }
 
-    /// Notes that an ended call was given up.
-    pub fn abandon(&mut self, call: CallId) {
+    /// Marks an ended call as abandoned.
+    pub fn mark_abandoned(&mut self, call: CallId) {
         if self.digests.contains_key(&call) {
             self.abandoned.insert(call);
         }
     }
 
-    /// How many calls directly before this one were given up.
+    /// Returns the number of calls immediately preceding `call` in its run that were abandoned.
     pub fn abandoned_before(&self, call: CallId) -> u32 {
         let earlier = (1..call.number.0).rev().map(|number| CallId {
             run: call.run,
@@ -53,7 +54,7 @@
             .count() as u32
     }
 
-    /// Whether the call's number was used for something else.
+    /// Returns whether the call's number was used with a different spec.
     pub fn conflicts(&self, call: CallId, spec: &CallSpec) -> bool {
         self.digests
             .get(&call)
--- a/crates/sidecar-core/src/lib.rs
+++ b/crates/sidecar-core/src/lib.rs
@@ -1,7 +1,9 @@
-//! The sidecar as a deterministic state machine: open calls, resume, whole answers.
+//! The sidecar's logic as a deterministic state machine without I/O.
 //!
-//! The driver in `elderworks-sidecar` turns callers' HTTP requests and connections to nodes into
-//! [`Event`]s and carries out [`Effect`]s; the simulator does the same on a virtual clock.
+//! It locates the node that owns each run, forwards callers' requests to it, retries them when
+//! nodes fail, and delivers every answer as one gapless text. The driver in `elderworks-sidecar`
+//! turns HTTP requests and node messages into [`Event`]s and executes the resulting [`Effect`]s;
+//! the simulator does the same on a virtual clock.
 
 pub mod backoff;
 pub mod copies;
--- a/crates/sidecar-core/src/links.rs
+++ b/crates/sidecar-core/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes.
+//! State of the connections to nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,21 +28,21 @@
     cursor: usize,
 }
 
-/// What can be done with a node right now.
+/// Whether a node can be reached now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkStatus {
-    /// Messages can be sent.
+    /// Connected; messages can be sent.
     Ready,
-    /// A connection is being made.
+    /// A connection attempt is in progress.
     Connecting,
-    /// A connection should be begun.
+    /// Not connected; a connection may be attempted.
     MayConnect,
-    /// The last connection failed a short time ago.
+    /// Not connected; waiting for the backoff after a failure to pass.
     Down,
 }
 
 impl Links {
-    /// The state of one connection.
+    /// Returns the status of the connection to `address`.
     pub fn status(&self, now: Timestamp, address: SocketAddr) -> LinkStatus {
         match self.links.get(&address).map(|link| link.state) {
             None => LinkStatus::MayConnect,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Notes that a connection is being made.
-    pub fn connecting(&mut self, address: SocketAddr) {
+    /// Records that a connection attempt has started.
+    pub fn set_connecting(&mut self, address: SocketAddr) {
         let link = self.links.entry(address).or_insert(Link {
             state: LinkState::Connecting,
             failures: 0,
@@ -62,8 +62,8 @@
         link.state = LinkState::Connecting;
     }
 
-    /// Notes that a connection is ready.
-    pub fn connected(&mut self, address: SocketAddr) {
+    /// Records that a connection is ready and resets its backoff.
+    pub fn set_connected(&mut self, address: SocketAddr) {
         let link = Link {
             state: LinkState::Ready,
             failures: 0,
@@ -71,27 +71,27 @@
         self.links.insert(address, link);
     }
 
-    /// Notes that a connection failed or broke.
-    pub fn disconnected(&mut self, now: Timestamp, address: SocketAddr, random: &mut impl Rng) {
+    /// Records that a connection attempt failed or a connection was lost.
+    pub fn set_disconnected(&mut self, now: Timestamp, address: SocketAddr, random: &mut impl Rng) {
         let failures = self.links.get(&address).map_or(0, |link| link.failures) + 1;
         let retry_at = now + backoff::delay(failures, random);
         let state = LinkState::Down { retry_at };
         self.links.insert(address, Link { state, failures });
     }
 
-    /// Forgets nodes that are down and not among `keep`, so that replaced machines do not pile up.
+    /// Removes nodes that are down and not in `keep`, so that replaced nodes don't accumulate.
     pub fn forget_down_except(&mut self, keep: &[SocketAddr]) {
         self.links.retain(|address, link| {
             !matches!(link.state, LinkState::Down { .. }) || keep.contains(address)
         });
     }
 
-    /// Number of ready connections.
+    /// Returns the number of ready connections.
     pub fn ready_count(&self) -> usize {
         self.ready().count()
     }
 
-    /// A ready connection, a different one each time, if possible not `avoided`.
+    /// Returns a ready connection in round-robin order, other than `avoided` if possible.
     pub fn next_ready(&mut self, avoided: Option<SocketAddr>) -> Option<SocketAddr> {
         let ready: Vec<SocketAddr> = self.ready().collect();
         let others: Vec<SocketAddr> = ready
--- a/crates/sidecar-core/src/messages.rs
+++ b/crates/sidecar-core/src/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes say.
+//! Handling of messages from nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,24 +9,29 @@
 use elderworks_types::{Attempt, CallId, CallNumber, Outcome, Refusal, RunId, RunPhase, Timestamp};
 
 use crate::backoff;
-use crate::core::{PROBE_AFTER, SidecarCore, unresolved};
-use crate::delivery::Ending;
+use crate::core::{PROBE_TIMEOUT, SidecarCore, unsettled_outcome};
+use crate::delivery::Remainder;
 use crate::directory::Route;
 use crate::effect::CallerReply;
 use crate::event::RequestId;
-use crate::request::{Body, OpenRequest, Position, RequestKey};
+use crate::request::{OpenRequest, Operation, RequestKey, RequestState};
 
-/// What a node says of the end of a call.
+/// A node's report of a call's end.
 struct CallEnd {
     attempt: Option<Attempt>,
     digest: u64,
     outcome: Outcome,
-    /// The submission that no owner will run.
+    /// The submission that, according to the journal, no owner will ever run.
     barred: Option<SubmissionId>,
 }
 
 impl SidecarCore {
-    pub(crate) fn received(&mut self, now: Timestamp, from: SocketAddr, message: NodeMessage) {
+    pub(crate) fn handle_message(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        message: NodeMessage,
+    ) {
         match message {
             NodeMessage::Located {
                 partition,
@@ -36,19 +41,21 @@
                 let owner = owner.map(|owner| owner.address);
                 let random = &mut self.random;
                 self.directory
-                    .located(now, partition, owner, partition_count, random);
-                self.leave_former_owners(now);
+                    .handle_located(now, partition, owner, partition_count, random);
+                self.requeue_from_former_owners(now);
             }
             NodeMessage::NotOwner { run, number, owner } => {
-                self.not_owner(now, from, run, number, owner);
+                self.handle_not_owner(now, from, run, number, owner);
             }
-            NodeMessage::CallMoved { call } => self.call_moved(now, from, call),
+            NodeMessage::CallMoved { call } => self.handle_call_moved(now, from, call),
             NodeMessage::RunStarted { run } => {
                 let reply = CallerReply::RunStarted { run };
-                self.end_matching(reply, |request| is_start(request, run));
+                self.finish_matching(reply, |request| is_start(request, run));
+            }
+            NodeMessage::RunRefused { run, refusal } => {
+                self.handle_run_refused(now, from, run, &refusal)
             }
-            NodeMessage::RunRefused { run, refusal } => self.run_refused(now, from, run, &refusal),
-            NodeMessage::Chunk(chunk) => self.chunk(now, &chunk),
+            NodeMessage::Chunk(chunk) => self.handle_chunk(now, &chunk),
             NodeMessage::CallEnded {
                 call,
                 attempt,
@@ -63,44 +70,47 @@
                     outcome,
                     barred,
                 };
-                self.call_ended(now, from, call, end);
+                self.handle_call_ended(now, from, call, end);
             }
-            NodeMessage::RunView { query, view } => self.run_view(query, view),
-            NodeMessage::RunEnded { run, phase } => self.run_ended(run, phase),
+            NodeMessage::RunView { query, view } => self.handle_run_view(query, view),
+            NodeMessage::RunEnded { run, phase } => self.handle_run_ended(run, phase),
             NodeMessage::Draining => self.directory.forget_node(from),
         }
     }
 
-    /// Takes back requests from silent nodes that, as is now known, are no longer the owner.
-    fn leave_former_owners(&mut self, now: Timestamp) {
+    /// Requeues requests that were sent to silent nodes which no longer own their partition.
+    fn requeue_from_former_owners(&mut self, now: Timestamp) {
         for key in self.open.silent(now) {
             let Some(request) = self.open.get_mut(&key) else {
                 continue;
             };
-            let Position::Sent { to, heard, .. } = request.position else {
+            let RequestState::Sent {
+                to, last_activity, ..
+            } = request.state
+            else {
                 continue;
             };
-            let is_silent = now.since(heard) >= PROBE_AFTER;
+            let is_silent = now.since(last_activity) >= PROBE_TIMEOUT;
             let has_moved = match self.directory.route(request.run) {
                 Route::Owner(owner) => owner != to,
                 Route::Unknown(_) => false,
             };
             if is_silent && has_moved {
-                request.recall(now);
+                request.requeue(now);
             }
         }
     }
 
-    /// The node had taken the call and then lost its partition.
-    fn call_moved(&mut self, now: Timestamp, from: SocketAddr, call: CallId) {
+    /// Handles the report that a node accepted the call and then lost its partition.
+    fn handle_call_moved(&mut self, now: Timestamp, from: SocketAddr, call: CallId) {
         let request = self.open.get_mut(&RequestKey::Call(call));
-        if let Some(request) = request.filter(|request| request.is_with(from)) {
-            request.maybe_taken = true;
+        if let Some(request) = request.filter(|request| request.is_sent_to(from)) {
+            request.possibly_accepted = true;
         }
-        self.not_owner(now, from, call.run, Some(call.number), None);
+        self.handle_not_owner(now, from, call.run, Some(call.number), None);
     }
 
-    fn not_owner(
+    fn handle_not_owner(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -108,82 +118,93 @@
         number: Option<CallNumber>,
         owner: Option<NodeAddress>,
     ) {
-        let meant = match number {
+        let keys = match number {
             Some(number) => vec![RequestKey::Call(CallId { run, number })],
-            None => self.open.matching_others(|request| request.run == run),
+            None => self
+                .open
+                .matching_other_requests(|request| request.run == run),
         };
-        for key in meant {
+        for key in keys {
             let Some(request) = self.open.get_mut(&key) else {
                 continue;
             };
-            request.copies.note_answer(from);
-            if !request.is_with(from) {
+            request.copies.record_answer(from);
+            if !request.is_sent_to(from) {
                 continue;
             }
-            // A node that already produced part of the answer had taken the call.
-            let had_begun = matches!(&request.body, Body::Call(call) if call.delivery.has_begun());
-            request.maybe_taken |= had_begun;
+            // A node that produced part of the answer had accepted the call.
+            let had_started = matches!(&request.operation, Operation::Call(call) if call.delivery.has_received_chunks());
+            request.possibly_accepted |= had_started;
             request.failures += 1;
             let delay = backoff::delay(request.failures, &mut self.random);
             let retry_at = now + delay;
-            request.position = Position::Waiting { retry_at };
+            request.state = RequestState::Waiting { retry_at };
         }
-        self.relocate(now, run);
-        let better = owner.filter(|owner| owner.address != from);
-        if let (Some(owner), Some(partition)) = (better, self.directory.partition(run)) {
+        self.forget_run_owner(now, run);
+        let new_owner = owner.filter(|owner| owner.address != from);
+        if let (Some(owner), Some(partition)) = (new_owner, self.directory.partition(run)) {
             self.directory.set_owner(partition, owner.address);
         }
     }
 
-    fn run_refused(&mut self, now: Timestamp, from: SocketAddr, run: RunId, refusal: &Refusal) {
-        for key in self.open.matching_others(|request| is_start(request, run)) {
+    fn handle_run_refused(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        run: RunId,
+        refusal: &Refusal,
+    ) {
+        for key in self
+            .open
+            .matching_other_requests(|request| is_start(request, run))
+        {
             let (Some(request), RequestKey::Other(id)) = (self.open.get_mut(&key), key) else {
                 continue;
             };
-            request.copies.note_answer(from);
-            if !request.is_with(from) {
+            request.copies.record_answer(from);
+            if !request.is_sent_to(from) {
                 continue;
             }
-            match refused_start(request, refusal) {
-                RefusedStart::NotTaken => {
+            match classify_start_refusal(request, refusal) {
+                StartRefusal::NotStarted => {
                     let refusal = refusal.clone();
-                    self.end_other(id, CallerReply::RunRefused { refusal });
+                    self.finish_other(id, CallerReply::RunRefused { refusal });
                 }
-                RefusedStart::Open => self.end_other(id, CallerReply::Unreachable),
-                RefusedStart::AwaitsCopies => {
-                    request.position = Position::Sent {
+                StartRefusal::Unsettled => self.finish_other(id, CallerReply::NoAnswerFromNode),
+                StartRefusal::CopiesOutstanding => {
+                    request.state = RequestState::Sent {
                         to: from,
-                        heard: now,
+                        last_activity: now,
                     };
                 }
             }
         }
     }
 
-    fn run_ended(&mut self, run: RunId, phase: RunPhase) {
+    fn handle_run_ended(&mut self, run: RunId, phase: RunPhase) {
         let reply = CallerReply::RunEnded { phase };
-        self.end_matching(reply, |request| {
-            request.run == run && matches!(request.body, Body::EndRun { .. })
+        self.finish_matching(reply, |request| {
+            request.run == run && matches!(request.operation, Operation::EndRun { .. })
         });
     }
 
-    fn run_view(&mut self, query: u64, view: Option<Box<RunView>>) {
+    fn handle_run_view(&mut self, query: u64, view: Option<Box<RunView>>) {
         let open = self.open.get(&RequestKey::Other(query));
-        let is_read = open.is_some_and(|open| matches!(open.body, Body::ReadRun { .. }));
+        let is_read = open.is_some_and(|open| matches!(open.operation, Operation::ReadRun { .. }));
         if is_read {
-            self.end_other(query, CallerReply::RunView { view });
+            self.finish_other(query, CallerReply::RunView { view });
         }
     }
 
-    fn chunk(&mut self, now: Timestamp, chunk: &Chunk) {
+    fn handle_chunk(&mut self, now: Timestamp, chunk: &Chunk) {
         let key = RequestKey::Call(chunk.call);
         let Some(request) = self.open.get_mut(&key) else {
             return;
         };
-        if let Position::Sent { heard, .. } = &mut request.position {
-            *heard = now;
+        if let RequestState::Sent { last_activity, .. } = &mut request.state {
+            *last_activity = now;
         }
-        let Body::Call(call) = &mut request.body else {
+        let Operation::Call(call) = &mut request.operation else {
             return;
         };
         let Some(text) = call.delivery.accept(chunk) else {
@@ -194,7 +215,7 @@
         }
     }
 
-    fn call_ended(&mut self, now: Timestamp, from: SocketAddr, call: CallId, end: CallEnd) {
+    fn handle_call_ended(&mut self, now: Timestamp, from: SocketAddr, call: CallId, end: CallEnd) {
         let CallEnd {
             attempt,
             digest,
@@ -207,33 +228,34 @@
         match &outcome {
             Outcome::Completed(answer) => {
                 if answer_digest(&answer.content) != digest {
-                    return request.recall(now);
+                    return request.requeue(now);
                 }
                 let content = answer.content.clone();
-                self.pass_on_rest(call, &content);
+                self.forward_remainder(call, &content);
             }
             Outcome::Refused(refusal) => {
-                if !request.is_with(from) {
+                if !request.is_sent_to(from) {
                     return;
                 }
-                if !is_surely_not_run(request, barred) {
+                if !is_known_not_run(request, barred) {
                     let refusal = refusal.clone();
-                    return self.doubtful_refusal(now, from, call, &refusal);
+                    return self.handle_unsettled_refusal(now, from, call, &refusal);
                 }
             }
             Outcome::Failed(_) | Outcome::Unknown(_) => {
-                if !request.is_with(from) {
+                if !request.is_sent_to(from) {
                     return;
                 }
             }
         }
         self.send(from, SidecarMessage::Acknowledge { call });
-        self.end_call(call, attempt, outcome);
+        self.finish_call(call, attempt, outcome);
     }
 
-    /// A node refuses a call that another may have taken: the refusal only speaks for that node.
-    /// Asked again while waiting can help, resolved as not known otherwise.
-    fn doubtful_refusal(
+    /// Handles a refusal of a call that another node may have accepted, which therefore doesn't
+    /// prove that the call was not run. Retries after a transient refusal; otherwise ends the call
+    /// with an unsettled outcome.
+    fn handle_unsettled_refusal(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -248,36 +270,36 @@
             let delay = backoff::delay(request.failures, &mut self.random);
             let wait = refusal.retry_after.unwrap_or(Duration::ZERO).max(delay);
             let retry_at = now + wait;
-            request.position = Position::Waiting { retry_at };
+            request.state = RequestState::Waiting { retry_at };
             return;
         }
-        let Body::Call(open) = &request.body else {
+        let Operation::Call(open) = &request.operation else {
             return;
         };
-        let outcome = unresolved(open.spec.repeatable);
+        let outcome = unsettled_outcome(open.spec.repeatable);
         self.send(from, SidecarMessage::Acknowledge { call });
         self.abandon_call(call, outcome);
     }
 
-    /// Ends a call of which nobody could say what became of it.
+    /// Ends a call whose fate is unknown.
     pub(crate) fn abandon_call(&mut self, id: CallId, outcome: Outcome) {
-        self.end_call(id, None, outcome);
-        self.finished.abandon(id);
+        self.finish_call(id, None, outcome);
+        self.finished.mark_abandoned(id);
     }
 
-    fn pass_on_rest(&mut self, id: CallId, content: &str) {
+    fn forward_remainder(&mut self, id: CallId, content: &str) {
         let Some(call) = self.open_call(id) else {
             return;
         };
-        let ending = call.delivery.ending(content);
+        let remainder = call.delivery.remainder(content);
         for listener in call.listeners.clone() {
-            match &ending {
-                Ending::Tail(tail) if tail.is_empty() => {}
-                Ending::Tail(tail) => {
+            match &remainder {
+                Remainder::Tail(tail) if tail.is_empty() => {}
+                Remainder::Tail(tail) => {
                     let text = tail.clone();
                     self.reply(listener, CallerReply::Chunk { text });
                 }
-                Ending::Restarted => {
+                Remainder::Mismatch => {
                     self.reply(listener, CallerReply::Restarted);
                     let text = content.to_owned();
                     self.reply(listener, CallerReply::Chunk { text });
@@ -286,15 +308,15 @@
         }
     }
 
-    pub(crate) fn end_call(&mut self, id: CallId, attempt: Option<Attempt>, outcome: Outcome) {
+    pub(crate) fn finish_call(&mut self, id: CallId, attempt: Option<Attempt>, outcome: Outcome) {
         let Some(request) = self.open.remove(&RequestKey::Call(id)) else {
             return;
         };
-        let Body::Call(call) = request.body else {
+        let Operation::Call(call) = request.operation else {
             return;
         };
         if !matches!(outcome, Outcome::Refused(_)) {
-            self.finished.remember(id, &call.spec);
+            self.finished.record(id, &call.spec);
         }
         for listener in call.listeners {
             let reply = CallerReply::CallEnded {
@@ -305,54 +327,54 @@
         }
     }
 
-    pub(crate) fn end_other(&mut self, request: RequestId, reply: CallerReply) {
+    pub(crate) fn finish_other(&mut self, request: RequestId, reply: CallerReply) {
         self.open.remove(&RequestKey::Other(request));
         self.reply(request, reply);
     }
 
-    fn end_matching(&mut self, reply: CallerReply, is_meant: impl Fn(&OpenRequest) -> bool) {
-        for key in self.open.matching_others(is_meant) {
+    fn finish_matching(&mut self, reply: CallerReply, predicate: impl Fn(&OpenRequest) -> bool) {
+        for key in self.open.matching_other_requests(predicate) {
             if let RequestKey::Other(request) = key {
-                self.end_other(request, reply.clone());
+                self.finish_other(request, reply.clone());
             }
         }
     }
 }
 
-/// What a node's refusal says of a run's start.
-enum RefusedStart {
-    /// No node has taken it.
-    NotTaken,
-    /// Its node owes an answer to another copy, which it may take.
-    AwaitsCopies,
-    /// Another copy may have been taken.
-    Open,
+/// What a node's refusal implies for a run's start.
+enum StartRefusal {
+    /// No node has started the run.
+    NotStarted,
+    /// The node has yet to answer another copy, which it may accept.
+    CopiesOutstanding,
+    /// Another copy may have been accepted.
+    Unsettled,
 }
 
-fn refused_start(request: &OpenRequest, refusal: &Refusal) -> RefusedStart {
-    if request.maybe_taken {
-        return RefusedStart::Open;
+fn classify_start_refusal(request: &OpenRequest, refusal: &Refusal) -> StartRefusal {
+    if request.possibly_accepted {
+        return StartRefusal::Unsettled;
     }
-    if request.copies.are_answered() {
-        return RefusedStart::NotTaken;
+    if request.copies.all_answered() {
+        return StartRefusal::NotStarted;
     }
-    // A refusal for good may be one answer to several copies that the node had taken together.
+    // A permanent refusal may be the single answer to several copies that the node had merged.
     match refusal.reason.is_transient() {
-        true => RefusedStart::AwaitsCopies,
-        false => RefusedStart::Open,
+        true => StartRefusal::CopiesOutstanding,
+        false => StartRefusal::Unsettled,
     }
 }
 
 fn is_start(request: &OpenRequest, run: RunId) -> bool {
-    request.run == run && matches!(request.body, Body::StartRun(_))
+    request.run == run && matches!(request.operation, Operation::StartRun(_))
 }
 
-/// Whether a refusal means that the call was not run: no other node can have taken it, or the
-/// journal bars every copy of this submission (`barred`).
-fn is_surely_not_run(request: &OpenRequest, barred: Option<SubmissionId>) -> bool {
-    let Body::Call(call) = &request.body else {
+/// Returns whether a refusal proves that the call was not run: either no other node can have
+/// accepted it, or the journal bars every copy of this submission (`barred`).
+fn is_known_not_run(request: &OpenRequest, barred: Option<SubmissionId>) -> bool {
+    let Operation::Call(call) = &request.operation else {
         return false;
     };
     let is_barred = barred == Some(call.submission);
-    (is_barred || !request.maybe_taken) && !call.delivery.has_begun()
+    (is_barred || !request.possibly_accepted) && !call.delivery.has_received_chunks()
 }
--- a/crates/sidecar-core/src/open_requests.rs
+++ b/crates/sidecar-core/src/open_requests.rs
@@ -1,30 +1,32 @@
-//! The open requests, and when each of them needs attention.
+//! The open requests, indexed by the times at which they need action.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use elderworks_types::Timestamp;
 
-use crate::core::{DEADLINE_GRACE, PROBE_AFTER, RESEND_AFTER, RESUBMIT_CALL_AFTER};
+use crate::core::{DEADLINE_GRACE, PROBE_TIMEOUT, RESEND_TIMEOUT, RESUBMIT_CALL_TIMEOUT};
 use crate::due_queue::DueQueue;
-use crate::request::{Body, OpenRequest, Position, RequestKey};
+use crate::request::{OpenRequest, Operation, RequestKey, RequestState};
 
-/// When one request needs attention.
+/// Times at which one request needs action.
 #[derive(Clone, Copy, Debug, Default)]
 struct DueTimes {
-    /// When it is to be sent, if it waits here.
+    /// Time to send it, if it is waiting.
     send: Option<Timestamp>,
-    /// When its node counts as silent, if it is with one.
+    /// Time at which its node counts as silent, if it was sent.
     silence: Option<Timestamp>,
-    /// When it is given up.
+    /// Time at which it is abandoned.
     expiry: Option<Timestamp>,
 }
 
 impl DueTimes {
     fn of(request: &OpenRequest) -> Self {
-        let (send, silence) = match request.position {
-            Position::Waiting { retry_at } => (Some(retry_at), None),
-            Position::Sent { heard, .. } => (None, Some(heard + shortest_silence(request))),
+        let (send, silence) = match request.state {
+            RequestState::Waiting { retry_at } => (Some(retry_at), None),
+            RequestState::Sent { last_activity, .. } => {
+                (None, Some(last_activity + silence_limit(request)))
+            }
         };
         Self {
             send,
@@ -37,12 +39,14 @@
 #[derive(Debug)]
 struct Entry {
     request: OpenRequest,
-    /// The times under which it is in the queues.
+    /// The times under which the queues hold it.
     scheduled: DueTimes,
 }
 
-/// All open requests. A request that was inserted or borrowed mutably is scheduled anew before the
-/// queues are next read, so that no change of a request can miss them.
+/// All open requests, with queues of those that need action.
+///
+/// Inserting or mutably borrowing a request marks it as changed. Changed requests are rescheduled
+/// before the queues are next read, so the queues always reflect the requests' current state.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequests {
     entries: BTreeMap<RequestKey, Entry>,
@@ -81,45 +85,46 @@
 
     pub(crate) fn remove(&mut self, key: &RequestKey) -> Option<OpenRequest> {
         let entry = self.entries.remove(key)?;
-        self.move_in_queues(*key, entry.scheduled, DueTimes::default());
+        self.update_queues(*key, entry.scheduled, DueTimes::default());
         Some(entry.request)
     }
 
-    /// The keys of the requests that `is_meant` holds for, found by walking all of them.
-    pub(crate) fn matching(&self, is_meant: impl Fn(&OpenRequest) -> bool) -> Vec<RequestKey> {
+    /// Returns the keys of all requests that match `predicate`, by a scan of every request.
+    pub(crate) fn matching(&self, predicate: impl Fn(&OpenRequest) -> bool) -> Vec<RequestKey> {
         self.entries
             .iter()
-            .filter(|(_, entry)| is_meant(&entry.request))
+            .filter(|(_, entry)| predicate(&entry.request))
             .map(|(key, _)| *key)
             .collect()
     }
 
-    /// The same among the requests that are not calls, without walking the calls.
-    pub(crate) fn matching_others(
+    /// Returns the keys of the requests other than calls that match `predicate`, without scanning
+    /// calls.
+    pub(crate) fn matching_other_requests(
         &self,
-        is_meant: impl Fn(&OpenRequest) -> bool,
+        predicate: impl Fn(&OpenRequest) -> bool,
     ) -> Vec<RequestKey> {
         self.entries
             .range(RequestKey::Other(0)..)
-            .filter(|(_, entry)| is_meant(&entry.request))
+            .filter(|(_, entry)| predicate(&entry.request))
             .map(|(key, _)| *key)
             .collect()
     }
 
-    /// Requests to be sent at `now`, in order of their keys.
+    /// Returns the requests to be sent at `now`, in key order.
     pub(crate) fn due_to_send(&mut self, now: Timestamp) -> Vec<RequestKey> {
         self.schedule_changed();
         self.to_send.due(now)
     }
 
-    /// Requests whose node has said nothing about them for [`PROBE_AFTER`] or, if that is shorter,
-    /// the time after which they are sent again; in order of their keys.
+    /// Returns the requests whose node has been silent for their probe or resend timeout, whichever
+    /// is shorter, in key order.
     pub(crate) fn silent(&mut self, now: Timestamp) -> Vec<RequestKey> {
         self.schedule_changed();
         self.silent.due(now)
     }
 
-    /// Requests to be given up at `now`, in order of their keys.
+    /// Returns the requests to be abandoned at `now`, in key order.
     pub(crate) fn overdue(&mut self, now: Timestamp) -> Vec<RequestKey> {
         self.schedule_changed();
         self.overdue.due(now)
@@ -132,41 +137,43 @@
             };
             let times = DueTimes::of(&entry.request);
             let before = std::mem::replace(&mut entry.scheduled, times);
-            self.move_in_queues(key, before, times);
+            self.update_queues(key, before, times);
         }
     }
 
-    fn move_in_queues(&mut self, key: RequestKey, from: DueTimes, to: DueTimes) {
+    fn update_queues(&mut self, key: RequestKey, from: DueTimes, to: DueTimes) {
         self.to_send.reschedule(key, from.send, to.send);
         self.silent.reschedule(key, from.silence, to.silence);
         self.overdue.reschedule(key, from.expiry, to.expiry);
     }
 }
 
-/// Silence of a node after which the request is sent to it again.
-pub(crate) fn resend_after(request: &OpenRequest) -> Duration {
-    match request.body {
-        Body::Call(_) => RESUBMIT_CALL_AFTER,
-        _ => RESEND_AFTER,
+/// Returns how long a node may be silent before the request is sent to it again.
+pub(crate) fn resend_timeout(request: &OpenRequest) -> Duration {
+    match request.operation {
+        Operation::Call(_) => RESUBMIT_CALL_TIMEOUT,
+        _ => RESEND_TIMEOUT,
     }
 }
 
-/// Silence of a node after which another one is asked for the owner. Where sending again begins a
-/// new silence before a call's limit, the owner is asked for at each resend.
-pub(crate) fn probe_after(request: &OpenRequest) -> Duration {
-    match request.body {
-        Body::Call(_) => PROBE_AFTER,
-        _ => RESEND_AFTER,
+/// Returns how long a node may be silent before another node is asked for the partition's owner.
+///
+/// For requests other than calls this equals the resend timeout: each resend restarts the silence,
+/// which would otherwise never reach [`PROBE_TIMEOUT`].
+pub(crate) fn probe_timeout(request: &OpenRequest) -> Duration {
+    match request.operation {
+        Operation::Call(_) => PROBE_TIMEOUT,
+        _ => RESEND_TIMEOUT,
     }
 }
 
-fn shortest_silence(request: &OpenRequest) -> Duration {
-    resend_after(request).min(probe_after(request))
+fn silence_limit(request: &OpenRequest) -> Duration {
+    resend_timeout(request).min(probe_timeout(request))
 }
 
 fn expiry(request: &OpenRequest) -> Timestamp {
-    if request.surely_not_taken() {
-        return request.hand_over_by;
+    if request.is_known_not_accepted() {
+        return request.hand_over_deadline;
     }
-    request.give_up_at + DEADLINE_GRACE
+    request.answer_deadline + DEADLINE_GRACE
 }
--- a/crates/sidecar-core/src/request.rs
+++ b/crates/sidecar-core/src/request.rs
@@ -1,38 +1,38 @@
-//! One open request and where it stands.
+//! An open request and its delivery state.
 
 use std::net::SocketAddr;
 
 use elderworks_protocol::sidecar::{SidecarMessage, SubmissionId, SubmissionTag};
 use elderworks_types::{CallId, CallSpec, RunId, RunSpec, TenantId, Timestamp};
 
-use crate::copies::Copies;
+use crate::copies::UnansweredCopies;
 use crate::delivery::Delivery;
 use crate::event::RequestId;
 
-/// Names an open request. Calls are named by their call id, which is what answers carry.
+/// Key of an open request. Calls are keyed by call id because nodes' answers carry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKey {
     /// A call.
     Call(CallId),
-    /// Anything else.
+    /// Starting, reading or ending a run.
     Other(RequestId),
 }
 
-/// What was asked.
+/// The operation that a caller requested.
 #[derive(Debug)]
-pub enum Body {
-    /// Make a call.
+pub enum Operation {
+    /// Makes a call.
     Call(Box<OpenCall>),
-    /// Start a run.
+    /// Starts a run.
     StartRun(RunSpec),
-    /// Read a run.
+    /// Reads a run.
     ReadRun {
-        /// On whose behalf.
+        /// Tenant of the caller.
         tenant: TenantId,
     },
-    /// End a run.
+    /// Ends a run.
     EndRun {
-        /// On whose behalf.
+        /// Tenant of the caller.
         tenant: TenantId,
     },
 }
@@ -40,103 +40,106 @@
 /// An open call.
 #[derive(Debug)]
 pub struct OpenCall {
-    /// On whose behalf.
+    /// Tenant of the caller.
     pub tenant: TenantId,
-    /// The call.
+    /// What the caller asked for.
     pub spec: CallSpec,
-    /// Names this submission to the nodes.
+    /// Identifies this submission, and every copy of it, to the nodes.
     pub submission: SubmissionId,
-    /// What was passed on of its answer.
+    /// The part of the answer already delivered to callers.
     pub delivery: Delivery,
-    /// The callers that wait for it.
+    /// Requests of the callers that receive the answer.
     pub listeners: Vec<RequestId>,
 }
 
-/// Where the request is.
+/// Whether a request is waiting to be sent or awaiting a node's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Position {
-    /// Here, until it is sent at `retry_at` or later.
+pub enum RequestState {
+    /// Not sent, or to be sent again.
     Waiting {
-        /// Earliest time to send it.
+        /// Earliest time of the next attempt.
         retry_at: Timestamp,
     },
-    /// With a node.
+    /// Sent to a node that has not answered yet.
     Sent {
         /// The node.
         to: SocketAddr,
-        /// When it was sent, or last heard of.
-        heard: Timestamp,
+        /// Time at which it was sent or the node's last message about it was received.
+        last_activity: Timestamp,
     },
 }
 
 /// One open request.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// The run that it is about.
+    /// The run that it concerns.
     pub run: RunId,
-    /// What was asked.
-    pub body: Body,
-    /// Where it is.
-    pub position: Position,
-    /// Whether a node that was given the request went silent, so that it may have been taken.
-    pub maybe_taken: bool,
-    /// Copies of a run's start that were not answered; other requests are not counted.
-    pub copies: Copies,
-    /// Failures in a row.
+    /// The requested operation.
+    pub operation: Operation,
+    /// The delivery state.
+    pub state: RequestState,
+    /// Whether a node to which it was sent may have accepted it without confirming that.
+    pub possibly_accepted: bool,
+    /// Unanswered copies; counted only for [`Operation::StartRun`].
+    pub copies: UnansweredCopies,
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// When it is refused unless a node has it by then.
-    pub hand_over_by: Timestamp,
-    /// When it is given up in any case.
-    pub give_up_at: Timestamp,
+    /// Time at which it is refused if no node can have accepted it.
+    pub hand_over_deadline: Timestamp,
+    /// Time by which an answer is due; the request is abandoned a grace period later.
+    pub answer_deadline: Timestamp,
 }
 
 impl OpenRequest {
-    /// Whether it is with the node at `address`.
-    pub fn is_with(&self, address: SocketAddr) -> bool {
-        matches!(self.position, Position::Sent { to, .. } if to == address)
+    /// Returns whether the node at `address` is to answer it.
+    pub fn is_sent_to(&self, address: SocketAddr) -> bool {
+        matches!(self.state, RequestState::Sent { to, .. } if to == address)
     }
 
-    /// Whether no node can have taken it.
-    pub fn surely_not_taken(&self) -> bool {
-        let is_here = matches!(self.position, Position::Waiting { .. });
-        is_here && !self.maybe_taken && self.copies.are_answered()
+    /// Returns whether no node can have accepted it.
+    pub fn is_known_not_accepted(&self) -> bool {
+        let is_waiting = matches!(self.state, RequestState::Waiting { .. });
+        is_waiting && !self.possibly_accepted && self.copies.all_answered()
     }
 
-    /// Takes it back from a node that may have taken it.
-    pub fn recall(&mut self, now: Timestamp) {
-        self.leave_copies();
-        self.position = Position::Waiting { retry_at: now };
+    /// Queues it for sending after a node may have accepted it.
+    pub fn requeue(&mut self, now: Timestamp) {
+        self.abandon_copies();
+        self.state = RequestState::Waiting { retry_at: now };
     }
 
-    /// Gives up the answers to copies that were sent.
-    pub fn leave_copies(&mut self) {
-        self.maybe_taken = true;
-        self.copies = Copies::default();
+    /// Stops counting on answers to the copies sent so far, any of which may have been accepted.
+    pub fn abandon_copies(&mut self) {
+        self.possibly_accepted = true;
+        self.copies = UnansweredCopies::default();
     }
 
-    /// Has the request sent again: its node is silent. Copies of a start stay counted, since the
-    /// node will answer each of them.
-    pub fn send_again(&mut self, now: Timestamp) {
-        match self.body {
-            Body::StartRun(_) => self.position = Position::Waiting { retry_at: now },
-            _ => self.recall(now),
+    /// Queues it for sending to its silent node again. Copies of a run's start stay counted, since
+    /// the node answers each of them.
+    pub fn resend(&mut self, now: Timestamp) {
+        match self.operation {
+            Operation::StartRun(_) => self.state = RequestState::Waiting { retry_at: now },
+            _ => self.requeue(now),
         }
     }
 
-    /// Notes that it was sent.
-    pub fn note_sent(&mut self, now: Timestamp, to: SocketAddr) {
-        self.position = Position::Sent { to, heard: now };
-        if let Body::StartRun(_) = self.body {
-            self.maybe_taken |= self.copies.note_sent(to);
+    /// Records that it was sent to the node at `to`.
+    pub fn record_sent(&mut self, now: Timestamp, to: SocketAddr) {
+        self.state = RequestState::Sent {
+            to,
+            last_activity: now,
+        };
+        if let Operation::StartRun(_) = self.operation {
+            self.possibly_accepted |= self.copies.record_sent(to);
         }
     }
 
-    /// The message that carries it; `abandoned_before` is how many calls directly before it were
-    /// given up.
+    /// Returns the message that submits it to a node. `abandoned_before` is the number of calls
+    /// immediately preceding it that were abandoned.
     pub fn message(&self, key: RequestKey, abandoned_before: u32) -> SidecarMessage {
         let run = self.run;
-        match &self.body {
-            Body::Call(call) => SidecarMessage::SubmitCall {
+        match &self.operation {
+            Operation::Call(call) => SidecarMessage::SubmitCall {
                 tenant: call.tenant.clone(),
                 run,
                 spec: call.spec.clone(),
@@ -144,16 +147,16 @@
                 abandoned_before,
                 submission: SubmissionTag {
                     id: call.submission,
-                    resubmitted: self.maybe_taken,
+                    resubmitted: self.possibly_accepted,
                 },
             },
-            Body::StartRun(spec) => SidecarMessage::StartRun { spec: spec.clone() },
-            Body::ReadRun { tenant } => SidecarMessage::ReadRun {
+            Operation::StartRun(spec) => SidecarMessage::StartRun { spec: spec.clone() },
+            Operation::ReadRun { tenant } => SidecarMessage::ReadRun {
                 query: key.query(),
                 tenant: tenant.clone(),
                 run,
             },
-            Body::EndRun { tenant } => SidecarMessage::EndRun {
+            Operation::EndRun { tenant } => SidecarMessage::EndRun {
                 tenant: tenant.clone(),
                 run,
             },
@@ -161,7 +164,7 @@
     }
 }
 
-/// What a call asks for, whenever it should be done: a repeated request may name another deadline.
+/// Returns the spec without its deadline, which a repeated request may change.
 pub(crate) fn without_deadline(spec: &CallSpec) -> CallSpec {
     CallSpec {
         deadline: None,
--- a/crates/sidecar-core/src/sending.rs
+++ b/crates/sidecar-core/src/sending.rs
@@ -1,4 +1,4 @@
-//! Finding the node for each request and sending it there.
+//! Routing of requests to nodes: connecting, locating owners, sending and resending.
 
 use std::net::SocketAddr;
 
@@ -9,42 +9,42 @@
 use crate::directory::Route;
 use crate::effect::Effect;
 use crate::links::LinkStatus;
-use crate::open_requests::{probe_after, resend_after};
-use crate::request::{Position, RequestKey};
+use crate::open_requests::{probe_timeout, resend_timeout};
+use crate::request::{RequestKey, RequestState};
 
 impl SidecarCore {
     pub(crate) fn connect(&mut self, now: Timestamp, address: SocketAddr) {
         if self.links.status(now, address) == LinkStatus::MayConnect {
-            self.links.connecting(address);
+            self.links.set_connecting(address);
             self.effects.push(Effect::Connect { address });
         }
     }
 
-    /// Asks about the owner of requests whose node is silent, and sends again what got no answer.
+    /// Looks up the owners of requests whose node is silent, and queues overdue ones to be resent.
     pub(crate) fn probe_silent(&mut self, now: Timestamp) {
-        let mut questions: Vec<(PartitionId, SocketAddr)> = Vec::new();
+        let mut lookups: Vec<(PartitionId, SocketAddr)> = Vec::new();
         for key in self.open.silent(now) {
             let Some(request) = self.open.get_mut(&key) else {
                 continue;
             };
-            let Position::Sent { to, heard } = request.position else {
+            let RequestState::Sent { to, last_activity } = request.state else {
                 continue;
             };
-            let silence = now.since(heard);
-            let ask_for_owner = silence >= probe_after(request);
-            if silence >= resend_after(request) {
-                request.send_again(now);
+            let silence = now.since(last_activity);
+            let should_locate = silence >= probe_timeout(request);
+            if silence >= resend_timeout(request) {
+                request.resend(now);
             }
-            if ask_for_owner && let Some(partition) = self.directory.partition(request.run) {
-                questions.push((partition, to));
+            if should_locate && let Some(partition) = self.directory.partition(request.run) {
+                lookups.push((partition, to));
             }
         }
-        for (partition, silent) in questions {
+        for (partition, silent) in lookups {
             self.locate(now, partition, Some(silent));
         }
     }
 
-    /// Sends every request that is due and whose node is connected.
+    /// Sends every due request whose node is connected; starts connections and lookups for others.
     pub(crate) fn send_due(&mut self, now: Timestamp) {
         for key in self.open.due_to_send(now) {
             self.try_send(now, key);
@@ -64,7 +64,7 @@
             LinkStatus::Ready => self.send_request(now, key, owner),
             LinkStatus::Connecting => {}
             LinkStatus::MayConnect => self.connect(now, owner),
-            LinkStatus::Down => self.relocate(now, run),
+            LinkStatus::Down => self.forget_run_owner(now, run),
         }
     }
 
@@ -76,12 +76,12 @@
         let Some(request) = self.open.get_mut(&key) else {
             return;
         };
-        request.note_sent(now, to);
+        request.record_sent(now, to);
         let message = request.message(key, abandoned_before);
         self.send(to, message);
     }
 
-    pub(crate) fn relocate(&mut self, now: Timestamp, run: RunId) {
+    pub(crate) fn forget_run_owner(&mut self, now: Timestamp, run: RunId) {
         if let Some(partition) = self.directory.partition(run) {
             self.directory
                 .forget_owner(now, partition, &mut self.random);
@@ -89,7 +89,7 @@
     }
 
     fn locate(&mut self, now: Timestamp, partition: PartitionId, avoided: Option<SocketAddr>) {
-        if self.links.ready_count() == 0 || !self.directory.begin_question(now, partition) {
+        if self.links.ready_count() == 0 || !self.directory.try_start_lookup(now, partition) {
             return;
         }
         if let Some(address) = self.links.next_ready(avoided) {
--- a/crates/sidecar-core/tests/core/bench.rs
+++ b/crates/sidecar-core/tests/core/bench.rs
@@ -100,11 +100,11 @@
 impl Bench {
     /// A sidecar that knows both nodes and is connected to neither.
     pub fn new() -> Self {
-        Self::with(|_| {})
+        Self::with_settings(|_| {})
     }
 
     /// The same with changed settings.
-    pub fn with(change: impl FnOnce(&mut SidecarSettings)) -> Self {
+    pub fn with_settings(change: impl FnOnce(&mut SidecarSettings)) -> Self {
         let mut settings = SidecarSettings::new(vec![node_a(), node_b()], 1);
         change(&mut settings);
         Self {
@@ -117,17 +117,17 @@
     }
 
     /// A sidecar that is connected to both nodes and knows that `owner` owns the run.
-    pub fn located(owner: SocketAddr) -> Self {
+    pub fn with_owner(owner: SocketAddr) -> Self {
         let mut bench = Self::new();
         bench.event(Event::Tick);
         bench.event(Event::Connected { address: node_a() });
         bench.event(Event::Connected { address: node_b() });
-        bench.say_located(node_a(), owner);
+        bench.report_owner(node_a(), owner);
         bench
     }
 
     /// `from` says that `owner` owns the run.
-    pub fn say_located(&mut self, from: SocketAddr, owner: SocketAddr) {
+    pub fn report_owner(&mut self, from: SocketAddr, owner: SocketAddr) {
         let owner = NodeAddress {
             node: NodeId::new("owner"),
             address: owner,
@@ -169,7 +169,7 @@
     }
 
     /// Lets time pass, with its ticks.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + TICK_INTERVAL;
--- a/crates/sidecar-core/tests/core/calls.rs
+++ b/crates/sidecar-core/tests/core/calls.rs
@@ -40,7 +40,7 @@
         SidecarMessage::Locate { partition } if partition == FIRST_PARTITION
     ));
     bench.event(Event::Connected { address: node_b() });
-    bench.say_located(node_a(), node_b());
+    bench.report_owner(node_a(), node_b());
     assert_eq!(bench.submissions(), [node_b()]);
     bench.receive(node_b(), chunk(1, 0, "who"));
     bench.receive(node_b(), ended(completed("whole")));
@@ -87,7 +87,7 @@
         ("nothing but the end", &[]),
     ];
     for (name, steps) in cases {
-        let mut bench = Bench::located(node_a());
+        let mut bench = Bench::with_owner(node_a());
         bench.call(1, call_spec(true, None));
         for (attempt, index, text) in *steps {
             bench.receive(node_a(), chunk(*attempt, *index, text));
@@ -100,7 +100,7 @@
 
 #[test]
 fn what_follows_a_restart_is_announced() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.receive(node_a(), chunk(1, 0, "other"));
     bench.receive(node_a(), ended(completed("answer")));
@@ -109,7 +109,7 @@
 
 #[test]
 fn answers_of_other_calls_are_ignored() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     let mut crossed = ended(completed("not yours"));
     if let NodeMessage::CallEnded { call, .. } = &mut crossed {
@@ -121,7 +121,7 @@
 
 #[test]
 fn an_end_that_does_not_match_its_digest_is_asked_for_again() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     let mut broken = ended(completed("abc"));
     if let NodeMessage::CallEnded { digest, .. } = &mut broken {
@@ -136,12 +136,12 @@
 
 #[test]
 fn after_a_break_the_new_owner_is_told_what_was_delivered() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.receive(node_a(), chunk(3, 0, "ab"));
     bench.event(Event::Disconnected { address: node_a() });
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
     assert_eq!(bench.submissions(), [node_a(), node_b()]);
     let (_, last) = bench.sent.last().expect("the second submission");
     let expected = Delivered {
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_hint_of_a_better_owner_is_followed() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     bench.receive(
         node_a(),
@@ -170,7 +170,7 @@
             }),
         },
     );
-    bench.pass(Duration::from_secs(1));
+    bench.advance(Duration::from_secs(1));
     assert_eq!(bench.submissions(), [node_a(), node_b()]);
     // The first node declined it, so the second one's refusal speaks for all.
     bench.receive(node_b(), ended(refused(RefusalReason::Overloaded)));
@@ -179,12 +179,12 @@
 
 #[test]
 fn a_call_that_moved_after_it_was_taken_is_not_refused_by_another_node() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     let call = call_id();
     bench.receive(node_a(), NodeMessage::CallMoved { call });
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
     assert_eq!(bench.submissions(), [node_a(), node_b()]);
     bench.receive(node_b(), ended(refused(RefusalReason::Overloaded)));
     assert!(bench.outcomes(1).is_empty());
@@ -195,7 +195,7 @@
     for repeatable in [true, false] {
         let mut bench = Bench::new();
         bench.call(1, call_spec(repeatable, None));
-        bench.pass(Duration::from_secs(31));
+        bench.advance(Duration::from_secs(31));
         let outcomes = bench.outcomes(1);
         assert_eq!(outcomes.len(), 1);
         assert_eq!(
@@ -216,15 +216,15 @@
     ];
     for repeatable in [true, false] {
         for reason in reasons {
-            let mut bench = Bench::located(node_a());
+            let mut bench = Bench::with_owner(node_a());
             let deadline = bench.now + Duration::from_secs(20);
             bench.call(1, call_spec(repeatable, Some(deadline)));
             bench.event(Event::Disconnected { address: node_a() });
-            bench.pass(Duration::from_secs(1));
-            bench.say_located(node_b(), node_b());
+            bench.advance(Duration::from_secs(1));
+            bench.report_owner(node_b(), node_b());
             bench.receive(node_b(), ended(refused(reason)));
             bench.event(Event::Disconnected { address: node_b() });
-            bench.pass(Duration::from_secs(60));
+            bench.advance(Duration::from_secs(60));
             let outcomes = bench.outcomes(1);
             assert_eq!(outcomes.len(), 1, "{reason:?}");
             match &outcomes[0] {
@@ -240,7 +240,7 @@
 }
 
 /// The submissions of call 1 as the nodes were told of them.
-fn tags(bench: &Bench) -> Vec<SubmissionTag> {
+fn submission_tags(bench: &Bench) -> Vec<SubmissionTag> {
     let sent = bench.sent.iter();
     sent.filter_map(|(_, message)| match message {
         SidecarMessage::SubmitCall { submission, .. } => Some(*submission),
@@ -249,7 +249,7 @@
     .collect()
 }
 
-fn binding(outcome: Outcome, submission: Option<SubmissionId>) -> NodeMessage {
+fn ended_barring(outcome: Outcome, submission: Option<SubmissionId>) -> NodeMessage {
     let mut message = ended(outcome);
     if let NodeMessage::CallEnded { barred, .. } = &mut message {
         *barred = submission;
@@ -259,19 +259,19 @@
 
 #[test]
 fn copies_of_a_submission_are_told_apart_from_other_submissions() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.event(Event::Disconnected { address: node_a() });
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
-    let copies = tags(&bench);
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
+    let copies = submission_tags(&bench);
     let id = copies[0].id;
     let expected = [false, true].map(|resubmitted| SubmissionTag { id, resubmitted });
     assert_eq!(copies, expected);
-    let refusal = binding(refused(RefusalReason::RunBudgetExhausted), Some(id));
+    let refusal = ended_barring(refused(RefusalReason::RunBudgetExhausted), Some(id));
     bench.receive(node_b(), refusal);
     bench.call(2, call_spec(true, None));
-    let again = tags(&bench)[2];
+    let again = submission_tags(&bench)[2];
     assert!(!again.resubmitted);
     assert_ne!(again.id, id);
 }
@@ -287,34 +287,34 @@
         ("binds another submission", false, false, false),
         ("comes after a piece of the answer", true, true, false),
     ];
-    for (name, is_own, has_begun, is_believed) in cases {
+    for (name, is_own, has_begun, is_final) in cases {
         for repeatable in [true, false] {
-            let mut bench = Bench::located(node_a());
+            let mut bench = Bench::with_owner(node_a());
             bench.call(1, call_spec(repeatable, None));
             if has_begun {
                 bench.receive(node_a(), chunk(1, 0, "ab"));
             }
             bench.event(Event::Disconnected { address: node_a() });
-            bench.pass(Duration::from_secs(1));
-            bench.say_located(node_b(), node_b());
-            let own = tags(&bench)[0].id;
+            bench.advance(Duration::from_secs(1));
+            bench.report_owner(node_b(), node_b());
+            let own = submission_tags(&bench)[0].id;
             let submission = if is_own { own } else { other };
             let outcome = refused(RefusalReason::RunBudgetExhausted);
-            bench.receive(node_b(), binding(outcome.clone(), Some(submission)));
+            bench.receive(node_b(), ended_barring(outcome.clone(), Some(submission)));
             let outcomes = bench.outcomes(1);
             assert_eq!(outcomes.len(), 1, "{name}");
-            assert_eq!(outcomes[0] == outcome, is_believed, "{name}");
+            assert_eq!(outcomes[0] == outcome, is_final, "{name}");
         }
     }
 }
 
 #[test]
 fn the_next_call_says_that_the_one_before_was_given_up() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     bench.event(Event::Disconnected { address: node_a() });
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
     bench.receive(node_b(), ended(refused(RefusalReason::DeadlinePassed)));
     assert_eq!(bench.outcomes(1).len(), 1, "nobody could say");
     let mut second = call_spec(false, None);
@@ -332,10 +332,10 @@
 
 #[test]
 fn a_late_refusal_of_a_left_node_is_ignored() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
-    bench.pass(Duration::from_secs(6));
-    bench.say_located(node_b(), node_b());
+    bench.advance(Duration::from_secs(6));
+    bench.report_owner(node_b(), node_b());
     assert_eq!(bench.submissions(), [node_a(), node_b()]);
     bench.receive(node_a(), ended(refused(RefusalReason::Overloaded)));
     assert!(bench.outcomes(1).is_empty());
@@ -345,7 +345,7 @@
 
 #[test]
 fn a_full_sidecar_refuses_at_once() {
-    let mut bench = Bench::with(|settings| settings.max_open_calls = 1);
+    let mut bench = Bench::with_settings(|settings| settings.max_open_calls = 1);
     bench.call(1, call_spec(true, None));
     let mut second = call_spec(true, None);
     second.number = CallNumber(2);
@@ -356,7 +356,7 @@
 
 #[test]
 fn a_repeated_request_shares_the_answer_and_a_different_one_is_refused() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.receive(node_a(), chunk(1, 0, "ab"));
     bench.call(2, call_spec(true, Some(bench.now + Duration::from_secs(9))));
--- a/crates/sidecar-core/tests/core/delivery.rs
+++ b/crates/sidecar-core/tests/core/delivery.rs
@@ -2,7 +2,7 @@
 //! join to the whole.
 
 use elderworks_protocol::sidecar::Chunk;
-use elderworks_sidecar_core::delivery::{Delivery, Ending};
+use elderworks_sidecar_core::delivery::{Delivery, Remainder};
 use elderworks_types::Attempt;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -64,7 +64,7 @@
             prop_assert_eq!(delivery.text(), passed_on.as_str());
             prop_assert!(ANSWER.starts_with(&delivery.progress().text));
         }
-        let Ending::Tail(tail) = delivery.ending(ANSWER) else {
+        let Remainder::Tail(tail) = delivery.remainder(ANSWER) else {
             return Err(TestCaseError::fail("the beginning was not recognised"));
         };
         prop_assert_eq!(passed_on + &tail, ANSWER);
--- a/crates/sidecar-core/tests/core/runs.rs
+++ b/crates/sidecar-core/tests/core/runs.rs
@@ -29,11 +29,11 @@
 
 #[test]
 fn a_start_is_repeated_after_a_break_and_answered_once() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     start(&mut bench);
     bench.event(Event::Disconnected { address: node_a() });
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
     bench.receive(node_b(), NodeMessage::RunStarted { run: RUN });
     bench.receive(node_b(), NodeMessage::RunStarted { run: RUN });
     assert_eq!(bench.replies, [(1, CallerReply::RunStarted { run: RUN })]);
@@ -52,15 +52,15 @@
                 refusal: refusal.clone(),
             },
         ),
-        (true, CallerReply::Unreachable),
+        (true, CallerReply::NoAnswerFromNode),
     ] {
-        let mut bench = Bench::located(node_a());
+        let mut bench = Bench::with_owner(node_a());
         start(&mut bench);
         if is_broken {
             bench.event(Event::Disconnected { address: node_a() });
             bench.event(Event::Connected { address: node_a() });
-            bench.pass(Duration::from_secs(1));
-            bench.say_located(node_b(), node_a());
+            bench.advance(Duration::from_secs(1));
+            bench.report_owner(node_b(), node_a());
         }
         let refusal = refusal.clone();
         bench.receive(node_a(), NodeMessage::RunRefused { run: RUN, refusal });
@@ -83,27 +83,30 @@
         tenant,
         run: RUN,
     });
-    bench.pass(Duration::from_secs(31));
+    bench.advance(Duration::from_secs(31));
     assert!(matches!(
         &bench.replies[0],
         (1, CallerReply::RunRefused { refusal }) if refusal.reason == RefusalReason::NoNodeReachable
     ));
     assert_eq!(
         bench.replies[1..],
-        [(2, CallerReply::Unreachable), (3, CallerReply::Unreachable)]
+        [
+            (2, CallerReply::NoAnswerFromNode),
+            (3, CallerReply::NoAnswerFromNode)
+        ]
     );
 }
 
 #[test]
 fn a_silent_node_is_asked_again() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     let tenant = TenantId::new("office");
     bench.event(Event::EndRun {
         request: 3,
         tenant,
         run: RUN,
     });
-    bench.pass(Duration::from_secs(3));
+    bench.advance(Duration::from_secs(3));
     let ends = bench
         .sent
         .iter()
@@ -117,20 +120,20 @@
 /// A paused node keeps its connections, so that silence is all that a sidecar sees of it.
 #[test]
 fn a_request_leaves_a_silent_node_once_another_owns_its_partition() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     bench.event(Event::ReadRun {
         request: 3,
         tenant: TenantId::new("office"),
         run: RUN,
     });
     bench.sent.clear();
-    bench.pass(Duration::from_secs(10));
+    bench.advance(Duration::from_secs(10));
     let asks_for_owner = |(to, message): &(_, SidecarMessage)| {
         *to == node_b() && matches!(message, SidecarMessage::Locate { .. })
     };
     assert!(bench.sent.iter().any(asks_for_owner), "{:?}", bench.sent);
-    bench.say_located(node_b(), node_b());
-    bench.pass(Duration::from_secs(3));
+    bench.report_owner(node_b(), node_b());
+    bench.advance(Duration::from_secs(3));
     let is_read_there = |(to, message): &(_, SidecarMessage)| {
         *to == node_b() && matches!(message, SidecarMessage::ReadRun { .. })
     };
@@ -139,7 +142,7 @@
 
 #[test]
 fn a_view_reaches_only_the_request_that_asked_for_it() {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     for request in [5, 6] {
         bench.event(Event::ReadRun {
             request,
@@ -177,9 +180,9 @@
 
 /// A node that is busy for longer than the time after which a start is sent again.
 fn start_sent_twice() -> Bench {
-    let mut bench = Bench::located(node_a());
+    let mut bench = Bench::with_owner(node_a());
     start(&mut bench);
-    bench.pass(Duration::from_millis(2_100));
+    bench.advance(Duration::from_millis(2_100));
     assert_eq!(starts(&bench), 2);
     bench
 }
@@ -204,9 +207,9 @@
     };
     bench.receive(node_a(), elsewhere.clone());
     bench.receive(node_a(), elsewhere);
-    bench.pass(Duration::from_secs(1));
-    bench.say_located(node_b(), node_b());
-    bench.pass(Duration::from_secs(1));
+    bench.advance(Duration::from_secs(1));
+    bench.report_owner(node_b(), node_b());
+    bench.advance(Duration::from_secs(1));
     let refusal = log_unavailable();
     bench.receive(
         node_b(),
@@ -233,18 +236,18 @@
     refuse(&mut broken);
     broken.event(Event::Disconnected { address: node_a() });
     broken.event(Event::Connected { address: node_a() });
-    broken.pass(Duration::from_secs(1));
-    broken.say_located(node_b(), node_a());
+    broken.advance(Duration::from_secs(1));
+    broken.report_owner(node_b(), node_a());
     refuse(&mut broken);
-    assert_eq!(broken.replies, [(1, CallerReply::Unreachable)]);
+    assert_eq!(broken.replies, [(1, CallerReply::NoAnswerFromNode)]);
     // Another node owns the partition: the silent one may still take its copies.
     let mut moved = start_sent_twice();
-    moved.pass(Duration::from_secs(4));
-    moved.say_located(node_b(), node_b());
-    moved.pass(Duration::from_secs(3));
+    moved.advance(Duration::from_secs(4));
+    moved.report_owner(node_b(), node_b());
+    moved.advance(Duration::from_secs(3));
     let refusal = log_unavailable();
     moved.receive(node_b(), NodeMessage::RunRefused { run: RUN, refusal });
-    assert_eq!(moved.replies, [(1, CallerReply::Unreachable)]);
+    assert_eq!(moved.replies, [(1, CallerReply::NoAnswerFromNode)]);
 }
 
 #[test]
@@ -255,13 +258,13 @@
         retry_after: None,
     };
     bench.receive(node_a(), NodeMessage::RunRefused { run: RUN, refusal });
-    assert_eq!(bench.replies, [(1, CallerReply::Unreachable)]);
+    assert_eq!(bench.replies, [(1, CallerReply::NoAnswerFromNode)]);
 }
 
 #[test]
 fn a_copy_without_an_answer_is_waited_for_until_the_time_is_over() {
     let mut bench = start_sent_twice();
     refuse(&mut bench);
-    bench.pass(Duration::from_secs(40));
-    assert_eq!(bench.replies, [(1, CallerReply::Unreachable)]);
+    bench.advance(Duration::from_secs(40));
+    assert_eq!(bench.replies, [(1, CallerReply::NoAnswerFromNode)]);
 }
--- a/crates/sidecar/src/client/mod.rs
+++ b/crates/sidecar/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! A client of the callers' interface.
+//! A client of the callers' API.
 
 mod stream;
 
@@ -18,39 +18,39 @@
 };
 pub use stream::{AnswerEvent, AnswerReader};
 
-/// Longest wait for one answer.
+/// Maximum time to wait for a response.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Why a request has no answer.
+/// Error of a client request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
     /// The sidecar answered with an error.
     #[error("{}: {}", .0.code, .0.message)]
     Answered(ErrorFields),
-    /// The connection failed or broke; what was asked may have happened.
-    #[error("connection: {0}")]
+    /// The connection failed; the request may have taken effect.
+    #[error("connection failed: {0}")]
     Connection(String),
-    /// The answer is not of the documented form.
-    #[error("unreadable answer: {0}")]
+    /// The response could not be decoded.
+    #[error("cannot decode the response: {0}")]
     Unreadable(String),
-    /// A stream ended before the end of its answer.
-    #[error("the stream was cut off")]
-    CutOff,
+    /// A stream ended before the answer was complete.
+    #[error("the stream ended before the answer was complete")]
+    Truncated,
 }
 
 impl ClientError {
-    /// The sidecar's stable code, or a word for what happened on the way.
+    /// Returns the sidecar's error code, or a code for an error of the client itself.
     pub fn code(&self) -> &str {
         match self {
             ClientError::Answered(fields) => &fields.code,
             ClientError::Connection(_) => "connection",
             ClientError::Unreadable(_) => "unreadable",
-            ClientError::CutOff => "cut_off",
+            ClientError::Truncated => "cut_off",
         }
     }
 }
 
-/// A caller of one sidecar, on behalf of one tenant.
+/// A client of one sidecar, authenticated as one tenant.
 #[derive(Clone)]
 pub struct CallerClient {
     base_url: String,
@@ -59,7 +59,7 @@
 }
 
 impl CallerClient {
-    /// A caller of the sidecar at `base_url` (`http://IP:port`).
+    /// Creates a client of the sidecar at `base_url` (`http://IP:port`) with a bearer token.
     pub fn new(base_url: &str, token: &str) -> Self {
         Self {
             base_url: base_url.trim_end_matches('/').to_owned(),
@@ -68,19 +68,32 @@
         }
     }
 
-    /// Starts a run.
+    /// Starts a run and returns its id.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or was refused.
     pub async fn start_run(&self, body: &StartRunBody) -> Result<RunId, ClientError> {
         let started: StartedRun = self.send(Method::POST, "/v1/runs", Some(body)).await?;
         Ok(started.id)
     }
 
-    /// Makes a call and waits for its whole answer.
+    /// Makes a call and waits for the full answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or the call did not complete.
     pub async fn call(&self, run: RunId, body: &CallBody) -> Result<CompletedCall, ClientError> {
         let path = format!("/v1/runs/{run}/calls");
         self.send(Method::POST, &path, Some(body)).await
     }
 
-    /// Makes a call and hands on its answer piece by piece. `body` should ask for a stream.
+    /// Makes a call and passes each event of the streamed answer to `on_event`. `body.stream` must
+    /// be set.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or the call did not complete.
     pub async fn stream(
         &self,
         run: RunId,
@@ -94,25 +107,37 @@
         let mut reader = AnswerReader::default();
         while let Some(bytes) = response.next().await {
             let bytes = bytes.map_err(|error| ClientError::Connection(error.to_string()))?;
-            reader.take(&bytes, &mut on_event)?;
+            reader.feed(&bytes, &mut on_event)?;
         }
         reader.finish()
     }
 
     /// Reads a run.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or the run does not exist.
     pub async fn read_run(&self, run: RunId) -> Result<WireRun, ClientError> {
         let path = format!("/v1/runs/{run}");
         self.send(Method::GET, &path, None::<&()>).await
     }
 
-    /// Reads a run's history.
+    /// Reads a run's message history.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or the run does not exist.
     pub async fn history(&self, run: RunId) -> Result<Vec<Message>, ClientError> {
         let path = format!("/v1/runs/{run}/history");
         let history: WireHistory = self.send(Method::GET, &path, None::<&()>).await?;
         Ok(history.messages)
     }
 
-    /// Ends a run.
+    /// Ends a run and returns its final phase.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request failed or the run does not exist.
     pub async fn end_run(&self, run: RunId) -> Result<RunPhase, ClientError> {
         let path = format!("/v1/runs/{run}");
         let ended: EndedRun = self.send(Method::DELETE, &path, None::<&()>).await?;
@@ -136,7 +161,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<ClientResponse<impl Stream<Item = Piece> + Unpin>, ClientError> {
+    ) -> Result<ClientResponse<impl Stream<Item = PayloadResult> + Unpin>, ClientError> {
         let request = self
             .client
             .request(method, format!("{}{path}", self.base_url))
@@ -151,7 +176,7 @@
             return Ok(response);
         }
         let body = response.body().await.unwrap_or_default();
-        Err(error_of(&body))
+        Err(decode_error(&body))
     }
 }
 
@@ -159,13 +184,13 @@
     serde_json::to_vec(body).expect("requests are plain data")
 }
 
-type Piece = Result<Bytes, awc::error::PayloadError>;
+type PayloadResult = Result<Bytes, awc::error::PayloadError>;
 
 pub(crate) fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| ClientError::Unreadable(error.to_string()))
 }
 
-pub(crate) fn error_of(body: &[u8]) -> ClientError {
+pub(crate) fn decode_error(body: &[u8]) -> ClientError {
     match parse::<ErrorBody>(body) {
         Ok(body) => ClientError::Answered(body.error),
         Err(error) => error,
--- a/crates/sidecar/src/client/stream.rs
+++ b/crates/sidecar/src/client/stream.rs
@@ -1,20 +1,21 @@
-//! Reading a streamed answer.
+//! Decoder of streamed answers (server-sent events).
 
-use super::{ClientError, error_of, parse};
-use crate::wire::{CompletedCall, Piece};
+use super::{ClientError, decode_error, parse};
+use crate::wire::{AnswerChunk, CompletedCall};
 
+/// Separator of server-sent events.
 const END_OF_EVENT: &[u8] = b"\n\n";
 
-/// What a stream says before its end.
+/// An event of a streamed answer before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEvent<'a> {
-    /// The next piece of text.
+    /// The next part of the text.
     Piece(&'a str),
-    /// The pieces so far are void.
+    /// The answer starts over; the text received so far must be discarded.
     Restarted,
 }
 
-/// Turns the bytes of one response into events.
+/// An incremental decoder of one streamed response.
 #[derive(Debug, Default)]
 pub struct AnswerReader {
     buffer: Vec<u8>,
@@ -22,8 +23,12 @@
 }
 
 impl AnswerReader {
-    /// Takes the next bytes of the response.
-    pub fn take(
+    /// Processes the next bytes of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if an event can't be decoded or reports an error.
+    pub fn feed(
         &mut self,
         bytes: &[u8],
         on_event: &mut impl FnMut(AnswerEvent<'_>),
@@ -31,7 +36,7 @@
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.end_of_event() {
             let event: Vec<u8> = self.buffer.drain(..end).collect();
-            self.event(&String::from_utf8_lossy(&event), on_event)?;
+            self.handle_event(&String::from_utf8_lossy(&event), on_event)?;
         }
         Ok(())
     }
@@ -44,7 +49,7 @@
         Some(start + END_OF_EVENT.len())
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         event: &str,
         on_event: &mut impl FnMut(AnswerEvent<'_>),
@@ -53,19 +58,23 @@
         let data = field("data: ").unwrap_or_default().as_bytes();
         match field("event: ") {
             Some("chunk") => {
-                let piece: Piece = parse(data)?;
-                on_event(AnswerEvent::Piece(&piece.text));
+                let chunk: AnswerChunk = parse(data)?;
+                on_event(AnswerEvent::Piece(&chunk.text));
             }
             Some("restarted") => on_event(AnswerEvent::Restarted),
             Some("completed") => self.completed = Some(parse(data)?),
-            Some("error") => return Err(error_of(data)),
+            Some("error") => return Err(decode_error(data)),
             _ => {}
         }
         Ok(())
     }
 
-    /// The whole answer, once the response has ended.
+    /// Returns the full answer after the end of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response ended before the answer was complete.
     pub fn finish(self) -> Result<CompletedCall, ClientError> {
-        self.completed.ok_or(ClientError::CutOff)
+        self.completed.ok_or(ClientError::Truncated)
     }
 }
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection to a node, carrying framed messages.
+//! A TCP connection to a node that exchanges framed messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,66 +12,66 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// Longest time to wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Most messages waiting to be written; a node that takes in fewer is given up.
-const OUTBOX_MESSAGES: usize = 4096;
+/// Maximum number of messages waiting to be written; the connection is dropped beyond that.
+const OUTBOX_CAPACITY: usize = 4096;
 
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Names one connection, so that news of a former one to the same node is recognised.
+/// Identifies a connection, so that late reports of a previous one to the same node are ignored.
 pub type ConnectionId = u64;
 
-/// What a connection reports to the driver.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum ConnectionEvent {
-    /// It can be written to.
+    /// The connection is established.
     Ready,
     /// The node sent a message.
     Received(NodeMessage),
-    /// It could not be made, or is gone.
+    /// The connection could not be established, or was lost.
     Closed,
 }
 
-/// A report of one connection.
+/// A report from a connection to the driver.
 #[derive(Debug)]
 pub struct ConnectionReport {
-    /// The node.
+    /// The node's address.
     pub address: SocketAddr,
-    /// Which connection to it.
+    /// The connection that reports.
     pub connection: ConnectionId,
     /// What happened.
     pub event: ConnectionEvent,
 }
 
-/// The writing side of a connection. Dropping it closes the connection.
+/// The driver's handle to a connection. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct Connection {
-    /// Its name.
+    /// Id of the connection.
     pub id: ConnectionId,
-    /// Whether it was ever ready.
+    /// Whether the connection was established.
     pub was_ready: bool,
     outbox: mpsc::Sender<SidecarMessage>,
 }
 
 impl Connection {
-    /// Begins to connect; what happens is reported on `reports`.
+    /// Starts connecting to `address`. Every event of the connection is sent to `reports`.
     pub fn open(
         id: ConnectionId,
         address: SocketAddr,
         sidecar: u64,
         reports: mpsc::UnboundedSender<ConnectionReport>,
     ) -> Self {
-        let (outbox, messages) = mpsc::channel(OUTBOX_MESSAGES);
+        let (outbox, messages) = mpsc::channel(OUTBOX_CAPACITY);
         let reporter = Reporter {
             address,
             connection: id,
             reports,
         };
         actix_rt::spawn(async move {
-            // Why a connection ended does not matter: the core only needs to know that it did.
-            let _ = carry(address, sidecar, messages, &reporter).await;
+            // The core handles all connection errors alike, so the cause is not reported.
+            let _ = run_connection(address, sidecar, messages, &reporter).await;
             reporter.report(ConnectionEvent::Closed);
         });
         Self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Queues a message; `false` if the queue is full or the connection is gone.
+    /// Queues a message. Returns `false` if the queue is full or the connection is closed.
     #[must_use]
     pub fn send(&self, message: SidecarMessage) -> bool {
         self.outbox.try_send(message).is_ok()
@@ -101,12 +101,12 @@
             connection: self.connection,
             event,
         };
-        // The driver is gone only when the process stops.
+        // Sending fails only if the driver has stopped, when the process is shutting down.
         let _ = self.reports.send(report);
     }
 }
 
-async fn carry(
+async fn run_connection(
     address: SocketAddr,
     sidecar: u64,
     messages: mpsc::Receiver<SidecarMessage>,
@@ -138,7 +138,7 @@
     let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     while reader.read_buf(&mut buffer).await? > 0 {
         while let Some(message) = split_frame(&mut buffer).map_err(std::io::Error::other)? {
-            // What a node says to its peers is not for sidecars.
+            // Messages between nodes are not meant for sidecars.
             if let FromNode::Node(message) = message {
                 reporter.report(ConnectionEvent::Received(message));
             }
--- a/crates/sidecar/src/core_client.rs
+++ b/crates/sidecar/src/core_client.rs
@@ -1,4 +1,4 @@
-//! How HTTP handlers talk to the state machine.
+//! The interface of HTTP handlers to the driver and its state machine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,40 +8,40 @@
 use elderworks_types::{CallSpec, Refusal, RunId, RunPhase, RunSpec, TenantId};
 use tokio::sync::mpsc;
 
-/// What a handler hands to the driver.
+/// A command from a handler to the driver.
 #[derive(Debug)]
 pub enum Command {
-    /// A request and where its replies go.
+    /// Submits a request.
     Request {
-        /// Names the request.
+        /// Id of the request.
         request: RequestId,
-        /// The request.
+        /// The event that makes the request.
         event: Box<Event>,
-        /// Takes the replies.
+        /// Receives the replies.
         replies: mpsc::UnboundedSender<CallerReply>,
     },
-    /// The caller hung up.
-    Gone {
-        /// Its request.
+    /// The caller disconnected.
+    CallerDisconnected {
+        /// Id of its request.
         request: RequestId,
     },
 }
 
-/// No node answered in time; whether the request took effect is not known.
+/// Error that no node answered in time; whether the request took effect is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no node answered in time")]
-pub struct Unreachable;
+pub struct NoAnswerFromNode;
 
 /// Why a run was not started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// It was refused.
+    /// The run was refused.
     Refused(Refusal),
-    /// No node answered in time.
-    Unreachable,
+    /// No node answered in time; whether the run was started is unknown.
+    NoAnswerFromNode,
 }
 
-/// The state machine as seen by the HTTP handlers; cheap to clone, usable from any thread.
+/// A handle to the state machine for HTTP handlers; cheap to clone and usable from any thread.
 #[derive(Clone, Debug)]
 pub struct CoreClient {
     commands: mpsc::UnboundedSender<Command>,
@@ -49,7 +49,7 @@
 }
 
 impl CoreClient {
-    /// A client whose commands arrive at `commands`.
+    /// Creates a client that sends its commands to `commands`.
     pub fn new(commands: mpsc::UnboundedSender<Command>) -> Self {
         Self {
             commands,
@@ -58,16 +58,20 @@
     }
 
     /// Starts a run.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the run was refused or no node answered in time.
     pub async fn start_run(&self, spec: RunSpec) -> Result<RunId, StartError> {
         let mut replies = self.request(|request| Event::StartRun { request, spec });
         match replies.next().await {
             Some(CallerReply::RunStarted { run }) => Ok(run),
             Some(CallerReply::RunRefused { refusal }) => Err(StartError::Refused(refusal)),
-            _ => Err(StartError::Unreachable),
+            _ => Err(StartError::NoAnswerFromNode),
         }
     }
 
-    /// Makes a call; its replies follow.
+    /// Submits a call and returns the stream of its replies.
     pub fn call(&self, tenant: TenantId, run: RunId, spec: CallSpec) -> Replies {
         self.request(|request| Event::Call {
             request,
@@ -77,12 +81,16 @@
         })
     }
 
-    /// Reads a run; `None` if it does not exist for that tenant.
+    /// Reads a run; returns `None` if it does not exist for the tenant.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no node answered in time.
     pub async fn read_run(
         &self,
         tenant: TenantId,
         run: RunId,
-    ) -> Result<Option<Box<RunView>>, Unreachable> {
+    ) -> Result<Option<Box<RunView>>, NoAnswerFromNode> {
         let mut replies = self.request(|request| Event::ReadRun {
             request,
             tenant,
@@ -90,12 +98,20 @@
         });
         match replies.next().await {
             Some(CallerReply::RunView { view }) => Ok(view),
-            _ => Err(Unreachable),
+            _ => Err(NoAnswerFromNode),
         }
     }
 
-    /// Ends a run.
-    pub async fn end_run(&self, tenant: TenantId, run: RunId) -> Result<RunPhase, Unreachable> {
+    /// Ends a run and returns its final phase.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no node answered in time.
+    pub async fn end_run(
+        &self,
+        tenant: TenantId,
+        run: RunId,
+    ) -> Result<RunPhase, NoAnswerFromNode> {
         let mut replies = self.request(|request| Event::EndRun {
             request,
             tenant,
@@ -103,7 +119,7 @@
         });
         match replies.next().await {
             Some(CallerReply::RunEnded { phase }) => Ok(phase),
-            _ => Err(Unreachable),
+            _ => Err(NoAnswerFromNode),
         }
     }
 
@@ -115,7 +131,7 @@
             event: Box::new(event(request)),
             replies: sender,
         };
-        // Once the driver is gone, the dropped sender ends the replies.
+        // If the driver has stopped, the sender is dropped and the caller sees the end of its replies.
         let _ = self.commands.send(command);
         Replies {
             request,
@@ -125,7 +141,7 @@
     }
 }
 
-/// Replies to one request. Dropping them tells the state machine that the caller hung up.
+/// The replies to one request. Dropping them reports to the driver that the caller disconnected.
 #[derive(Debug)]
 pub struct Replies {
     request: RequestId,
@@ -134,7 +150,7 @@
 }
 
 impl Replies {
-    /// The next reply; `None` after the last one.
+    /// Returns the next reply, or `None` after the last one.
     pub async fn next(&mut self) -> Option<CallerReply> {
         self.replies.recv().await
     }
@@ -143,6 +159,6 @@
 impl Drop for Replies {
     fn drop(&mut self) {
         let request = self.request;
-        let _ = self.commands.send(Command::Gone { request });
+        let _ = self.commands.send(Command::CallerDisconnected { request });
     }
 }
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -1,4 +1,4 @@
-//! Moves events into the state machine and carries out its effects.
+//! Feeds events to the state machine and executes its effects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::core_client::Command;
 use crate::metrics::Metrics;
 
-/// The wall clock.
+/// Returns the wall-clock time.
 pub fn now() -> Timestamp {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -25,10 +25,10 @@
     Timestamp::default() + since_epoch
 }
 
-/// The driver's state.
+/// Owns the state machine and the connections to nodes.
 pub struct Driver {
     core: SidecarCore,
-    sidecar: u64,
+    sidecar_id: u64,
     commands: mpsc::UnboundedReceiver<Command>,
     reports: mpsc::UnboundedReceiver<ConnectionReport>,
     report_sender: mpsc::UnboundedSender<ConnectionReport>,
@@ -39,7 +39,7 @@
 }
 
 impl Driver {
-    /// A driver that is not running yet.
+    /// Creates a driver; [`Driver::run`] starts it.
     pub fn new(
         settings: SidecarSettings,
         commands: mpsc::UnboundedReceiver<Command>,
@@ -47,7 +47,7 @@
     ) -> Self {
         let (report_sender, reports) = mpsc::unbounded_channel();
         Self {
-            sidecar: settings.seed,
+            sidecar_id: settings.seed,
             core: SidecarCore::new(settings),
             commands,
             reports,
@@ -59,23 +59,23 @@
         }
     }
 
-    /// Runs until every client of it is gone.
+    /// Runs until every [`CoreClient`](crate::core_client::CoreClient) is dropped.
     pub async fn run(mut self) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                Some(report) = self.reports.recv() => self.report(report),
-                _ = ticks.tick() => self.event(Event::Tick),
+                Some(report) = self.reports.recv() => self.handle_report(report),
+                _ = ticks.tick() => self.handle_event(Event::Tick),
             }
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Request {
                 request,
@@ -83,17 +83,17 @@
                 replies,
             } => {
                 self.callers.insert(request, replies);
-                self.event(*event);
+                self.handle_event(*event);
             }
-            Command::Gone { request } => {
+            Command::CallerDisconnected { request } => {
                 if self.callers.remove(&request).is_some() {
-                    self.event(Event::CallerGone { request });
+                    self.handle_event(Event::CallerGone { request });
                 }
             }
         }
     }
 
-    fn report(&mut self, report: ConnectionReport) {
+    fn handle_report(&mut self, report: ConnectionReport) {
         let address = report.address;
         let connection = self.connections.get_mut(&address);
         let Some(connection) = connection.filter(|known| known.id == report.connection) else {
@@ -103,27 +103,29 @@
             ConnectionEvent::Ready => {
                 connection.was_ready = true;
                 log::info!(node:% = address; "connected to node");
-                self.event(Event::Connected { address });
+                self.handle_event(Event::Connected { address });
             }
-            ConnectionEvent::Received(message) => self.event(Event::Received { address, message }),
-            ConnectionEvent::Closed => self.closed(address),
+            ConnectionEvent::Received(message) => {
+                self.handle_event(Event::Received { address, message })
+            }
+            ConnectionEvent::Closed => self.handle_closed(address),
         }
     }
 
-    fn closed(&mut self, address: SocketAddr) {
+    fn handle_closed(&mut self, address: SocketAddr) {
         let Some(connection) = self.connections.remove(&address) else {
             return;
         };
         if connection.was_ready {
-            log::warn!(node:% = address; "lost the connection to node");
+            log::warn!(node:% = address; "connection to node lost");
         }
         self.metrics.connections_lost.inc();
-        self.event(Event::Disconnected { address });
+        self.handle_event(Event::Disconnected { address });
     }
 
-    /// Gives the core one event and carries out what it asks for. A connection that breaks while
-    /// doing so is one more event, handled after the present one's effects.
-    fn event(&mut self, event: Event) {
+    /// Passes an event to the core and executes the effects. A connection that fails while sending
+    /// is reported to the core as a further event, after all effects of this one.
+    fn handle_event(&mut self, event: Event) {
         let effects = self.core.handle(now(), event);
         let mut broken = Vec::new();
         for effect in effects {
@@ -140,14 +142,14 @@
         self.metrics
             .observe_core(self.core.open_requests(), self.core.ready_nodes());
         for address in broken {
-            self.closed(address);
+            self.handle_closed(address);
         }
     }
 
     fn connect(&mut self, address: SocketAddr) {
         self.next_connection += 1;
         let reports = self.report_sender.clone();
-        let connection = Connection::open(self.next_connection, address, self.sidecar, reports);
+        let connection = Connection::open(self.next_connection, address, self.sidecar_id, reports);
         self.connections.insert(address, connection);
     }
 
@@ -164,7 +166,7 @@
         }
         let is_last = !matches!(reply, CallerReply::Chunk { .. } | CallerReply::Restarted);
         if let Some(caller) = self.callers.get(&request) {
-            // A caller that hung up is removed by its own command.
+            // A caller that disconnected is removed by `Command::CallerDisconnected`.
             let _ = caller.send(reply);
         }
         if is_last {
--- a/crates/sidecar/src/http/auth.rs
+++ b/crates/sidecar/src/http/auth.rs
@@ -12,7 +12,7 @@
     settings: &SidecarProcessSettings,
     headers: &HeaderMap,
 ) -> Result<TenantId, ApiError> {
-    let shown = headers
+    let presented = headers
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
@@ -20,7 +20,7 @@
     settings
         .tenants
         .iter()
-        .find(|(_, token)| token.expose() == shown)
+        .find(|(_, token)| token.expose() == presented)
         .map(|(tenant, _)| tenant.clone())
         .ok_or_else(|| unauthorized("the bearer token is not known"))
 }
--- a/crates/sidecar/src/http/body.rs
+++ b/crates/sidecar/src/http/body.rs
@@ -14,14 +14,14 @@
 pub async fn json<T: DeserializeOwned>(request: &mut Request, limit: usize) -> Result<T, ApiError> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|error| malformed(error.to_string()))?;
-        if body.len() + piece.len() > limit {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|error| malformed(error.to_string()))?;
+        if body.len() + chunk.len() > limit {
             let message = format!("the body is larger than {limit} bytes");
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             return Err(ApiError::request(status, "body_too_large", message));
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     serde_json::from_slice(&body).map_err(|error| {
         if error.is_data() {
--- a/crates/sidecar/src/http/call_request.rs
+++ b/crates/sidecar/src/http/call_request.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to a numbered call and its outcome.
+//! From a caller's request to a with_number call and its outcome.
 
 use std::time::{Duration, Instant};
 
@@ -40,7 +40,7 @@
     pub number: CallNumber,
     app: App,
     replies: Replies,
-    first: Option<CallerReply>,
+    first_reply: Option<CallerReply>,
     started: Instant,
 }
 
@@ -49,14 +49,14 @@
     if app.known_runs.is_known(run, tenant) {
         return Ok(());
     }
-    learn_run(app, tenant, run).await
+    load_run(app, tenant, run).await
 }
 
-async fn learn_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
+async fn load_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
     let view = runs::view(app, tenant, run).await?;
     let highest = view.calls.iter().map(|call| call.spec.number).max();
     let next = highest.unwrap_or_default().next();
-    app.known_runs.learn(run, tenant, next);
+    app.known_runs.record(run, tenant, next);
     Ok(())
 }
 
@@ -68,26 +68,26 @@
     draft: CallDraft,
 ) -> Result<OpenCall, ApiError> {
     let started = Instant::now();
-    let is_numbered_here = draft.number.is_none();
+    let assigns_number = draft.number.is_none();
     let mut renumberings = 0;
     loop {
         let number = match draft.number {
             Some(number) => number,
             None => take_number(app, tenant, run).await?,
         };
-        let spec = draft.numbered(number);
+        let spec = draft.with_number(number);
         let mut replies = app.core.call(tenant.clone(), run, spec);
-        let first = replies.next().await;
-        let refusal = refusal_of(first.as_ref());
+        let first_reply = replies.next().await;
+        let refusal = refusal_of(first_reply.as_ref());
         match refusal {
-            None => app.known_runs.number_used(run, number),
-            Some(_) if is_numbered_here => app.known_runs.give_back(run, number),
+            None => app.known_runs.record_number(run, number),
+            Some(_) if assigns_number => app.known_runs.return_number(run, number),
             Some(_) => {}
         }
-        let may_renumber = is_numbered_here && renumberings < MAX_RENUMBERINGS;
+        let may_renumber = assigns_number && renumberings < MAX_RENUMBERINGS;
         if may_renumber && is_number_reused(refusal) {
             renumberings += 1;
-            learn_run(app, tenant, run).await?;
+            load_run(app, tenant, run).await?;
             continue;
         }
         return Ok(OpenCall {
@@ -95,7 +95,7 @@
             number,
             app: app.clone(),
             replies,
-            first,
+            first_reply,
             started,
         });
     }
@@ -106,14 +106,14 @@
     /// Messages that a prompt can begin with.
     pub history: Vec<Message>,
     /// The call of the same number or, without a number, of the same idempotency key.
-    pub earlier: Option<CallSpec>,
+    pub original: Option<CallSpec>,
 }
 
 impl RunContext {
-    /// How many messages of the history the earlier call's prompt began with. A repeated request
+    /// How many messages of the history the original call's prompt began with. A repeated request
     /// has to say the same, although the history has grown since.
-    pub fn earlier_prefix(&self) -> Option<u32> {
-        match &self.earlier.as_ref()?.request {
+    pub fn original_prefix(&self) -> Option<u32> {
+        match &self.original.as_ref()?.request {
             CallRequest::Model(model) => Some(model.history_prefix),
             CallRequest::Tool(_) => None,
         }
@@ -122,13 +122,16 @@
     /// The deadline to use. Callers give it from now, so a repeated request takes over the first
     /// one's.
     pub fn deadline(&self, given: Option<Timestamp>) -> Option<Timestamp> {
-        let earlier = self.earlier.as_ref().and_then(|earlier| earlier.deadline);
-        given.map(|given| earlier.unwrap_or(given))
+        let original = self
+            .original
+            .as_ref()
+            .and_then(|original| original.deadline);
+        given.map(|given| original.unwrap_or(given))
     }
 
     /// The number to use: the caller's own, or that of the call that the request repeats.
     pub fn number(&self, given: Option<CallNumber>) -> Option<CallNumber> {
-        given.or(self.earlier.as_ref().map(|earlier| earlier.number))
+        given.or(self.original.as_ref().map(|original| original.number))
     }
 }
 
@@ -141,14 +144,14 @@
     idempotency_key: Option<&str>,
 ) -> Result<RunContext, ApiError> {
     let view = runs::view(app, tenant, run).await?;
-    let is_earlier = |spec: &CallSpec| match number {
+    let is_original = |spec: &CallSpec| match number {
         Some(number) => spec.number == number,
         None => idempotency_key.is_some() && spec.idempotency_key.as_deref() == idempotency_key,
     };
     let mut specs = view.calls.into_iter().map(|call| call.spec);
     Ok(RunContext {
         history: view.history,
-        earlier: specs.find(is_earlier),
+        original: specs.find(is_original),
     })
 }
 
@@ -156,7 +159,7 @@
     if let Some(number) = app.known_runs.take_number(run) {
         return Ok(number);
     }
-    learn_run(app, tenant, run).await?;
+    load_run(app, tenant, run).await?;
     app.known_runs
         .take_number(run)
         .ok_or_else(ApiError::run_not_found)
@@ -177,7 +180,7 @@
 }
 
 impl CallDraft {
-    fn numbered(&self, number: CallNumber) -> CallSpec {
+    fn with_number(&self, number: CallNumber) -> CallSpec {
         CallSpec {
             number,
             request: self.request.clone(),
@@ -190,9 +193,9 @@
 }
 
 /// One step of an answer.
-pub enum Step {
+pub enum CallEvent {
     /// The next piece.
-    Piece(String),
+    Chunk(String),
     /// What was streamed so far is void.
     Restarted,
     /// The end: the whole answer, or the error to be told.
@@ -201,22 +204,22 @@
 
 impl OpenCall {
     /// The next step; nothing comes after the end.
-    pub async fn next(&mut self) -> Step {
-        let reply = match self.first.take() {
+    pub async fn next(&mut self) -> CallEvent {
+        let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
             None => self.replies.next().await,
         };
         match reply {
-            Some(CallerReply::Chunk { text }) => Step::Piece(text),
-            Some(CallerReply::Restarted) => Step::Restarted,
-            Some(CallerReply::CallEnded { outcome, .. }) => Step::Ended(self.ended(outcome)),
+            Some(CallerReply::Chunk { text }) => CallEvent::Chunk(text),
+            Some(CallerReply::Restarted) => CallEvent::Restarted,
+            Some(CallerReply::CallEnded { outcome, .. }) => CallEvent::Ended(self.ended(outcome)),
             // The process is stopping; the caller may ask again elsewhere.
-            _ => Step::Ended(Err(crate::core_client::Unreachable.into())),
+            _ => CallEvent::Ended(Err(crate::core_client::NoAnswerFromNode.into())),
         }
     }
 
     fn ended(&self, outcome: Outcome) -> Result<Answer, ApiError> {
-        let error = ApiError::of_outcome(&outcome);
+        let error = ApiError::from_outcome(&outcome);
         let code = error.as_ref().map_or("completed", ApiError::code);
         self.app.metrics.count_call(code, self.started.elapsed());
         match (outcome, error) {
@@ -227,9 +230,9 @@
     }
 
     /// Waits for the end and returns the whole answer.
-    pub async fn whole(mut self) -> Result<Answer, ApiError> {
+    pub async fn into_answer(mut self) -> Result<Answer, ApiError> {
         loop {
-            if let Step::Ended(result) = self.next().await {
+            if let CallEvent::Ended(result) = self.next().await {
                 return result;
             }
         }
@@ -237,9 +240,9 @@
 
     /// The error, if the call ended with one before saying anything else. Taken before a streamed
     /// response begins, so that its status tells.
-    pub fn error_at_once(&self) -> Option<ApiError> {
-        match &self.first {
-            Some(CallerReply::CallEnded { outcome, .. }) => ApiError::of_outcome(outcome),
+    pub fn immediate_error(&self) -> Option<ApiError> {
+        match &self.first_reply {
+            Some(CallerReply::CallEnded { outcome, .. }) => ApiError::from_outcome(outcome),
             _ => None,
         }
     }
--- a/crates/sidecar/src/http/calls.rs
+++ b/crates/sidecar/src/http/calls.rs
@@ -8,16 +8,18 @@
 use elderworks_types::{CallRequest, Message, ModelRequest, RunId, TenantId, Tokens, ToolRequest};
 use futures_util::{Stream, stream};
 
-use super::call_request::{CallDraft, OpenCall, RunContext, Step, check_run, read_context, submit};
+use super::call_request::{
+    CallDraft, CallEvent, OpenCall, RunContext, check_run, read_context, submit,
+};
 use super::error::ApiError;
 use super::{ApiResult, App, auth, body, json, runs, sse};
-use crate::wire::{CallBody, CompletedCall, ModelBody, Piece, ToolBody};
+use crate::wire::{AnswerChunk, CallBody, CompletedCall, ModelBody, ToolBody};
 
 /// Most tokens generated where a caller sets no limit.
-pub const DEFAULT_MAX_OUTPUT: Tokens = Tokens(1024);
+pub const DEFAULT_MAX_OUTPUT_TOKENS: Tokens = Tokens(1024);
 
 /// Makes a call and answers with its whole answer or a stream of it.
-pub async fn make(app: App, mut request: Request, run: RunId) -> ApiResult {
+pub async fn create(app: App, mut request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let limit = app.settings.limits.max_body_bytes;
     let body: CallBody = body::json(&mut request, limit).await?;
@@ -26,9 +28,9 @@
     let draft = draft(&app, &tenant, run, body).await?;
     let call = submit(&app, &tenant, run, draft).await?;
     if is_streamed {
-        streamed(call)
+        streamed_response(call)
     } else {
-        whole(call).await
+        whole_response(call).await
     }
 }
 
@@ -39,8 +41,8 @@
     body: CallBody,
 ) -> Result<CallDraft, ApiError> {
     let key = body.idempotency_key.as_deref();
-    let may_repeat = key.is_some() || (body.number.is_some() && body.deadline_ms.is_some());
-    let needs_context = may_repeat || body.model.is_some();
+    let is_possible_repeat = key.is_some() || (body.number.is_some() && body.deadline_ms.is_some());
+    let needs_context = is_possible_repeat || body.model.is_some();
     let context = match needs_context {
         true => Some(read_context(app, tenant, run, body.number, key).await?),
         false => None,
@@ -68,13 +70,13 @@
 /// Without a prefix of the caller's own, the prompt begins with the whole history as it is, or as
 /// it was for the call that this one repeats.
 fn model_request(body: ModelBody, context: Option<&RunContext>) -> CallRequest {
-    let present = context.map_or(0, |context| context.history.len() as u32);
-    let earlier = context.and_then(RunContext::earlier_prefix);
+    let current = context.map_or(0, |context| context.history.len() as u32);
+    let earlier = context.and_then(RunContext::original_prefix);
     CallRequest::Model(ModelRequest {
         model: body.name,
-        history_prefix: body.history_prefix.or(earlier).unwrap_or(present),
+        history_prefix: body.history_prefix.or(earlier).unwrap_or(current),
         messages: body.messages.into_iter().map(Message::from).collect(),
-        max_output: body.max_output.unwrap_or(DEFAULT_MAX_OUTPUT),
+        max_output: body.max_output.unwrap_or(DEFAULT_MAX_OUTPUT_TOKENS),
     })
 }
 
@@ -85,15 +87,15 @@
     })
 }
 
-async fn whole(call: OpenCall) -> ApiResult {
+async fn whole_response(call: OpenCall) -> ApiResult {
     let (run, number) = (call.run, call.number);
-    let answer = call.whole().await?;
+    let answer = call.into_answer().await?;
     let completed = CompletedCall::new(run, number, answer);
     Ok(json(StatusCode::OK, &completed))
 }
 
-fn streamed(call: OpenCall) -> Result<Response<BoxBody>, ApiError> {
-    if let Some(error) = call.error_at_once() {
+fn streamed_response(call: OpenCall) -> Result<Response<BoxBody>, ApiError> {
+    if let Some(error) = call.immediate_error() {
         return Err(error);
     }
     Ok(sse::response(&[], events(call)))
@@ -103,17 +105,17 @@
     stream::unfold(Some(call), |call| async move {
         let mut call = call?;
         let step = call.next().await;
-        let is_last = matches!(step, Step::Ended(_));
+        let is_last = matches!(step, CallEvent::Ended(_));
         let event = event(&call, step);
         Some((event, (!is_last).then_some(call)))
     })
 }
 
-fn event(call: &OpenCall, step: Step) -> Bytes {
+fn event(call: &OpenCall, step: CallEvent) -> Bytes {
     match step {
-        Step::Piece(text) => sse::event("chunk", &to_json(&Piece { text })),
-        Step::Restarted => sse::event("restarted", "{}"),
-        Step::Ended(result) => match result {
+        CallEvent::Chunk(text) => sse::event("chunk", &to_json(&AnswerChunk { text })),
+        CallEvent::Restarted => sse::event("restarted", "{}"),
+        CallEvent::Ended(result) => match result {
             Ok(answer) => {
                 let completed = CompletedCall::new(call.run, call.number, answer);
                 sse::event("completed", &to_json(&completed))
--- a/crates/sidecar/src/http/chat.rs
+++ b/crates/sidecar/src/http/chat.rs
@@ -11,8 +11,8 @@
 };
 use futures_util::{Stream, stream};
 
-use super::call_request::{CallDraft, OpenCall, Step, read_context, submit};
-use super::calls::DEFAULT_MAX_OUTPUT;
+use super::call_request::{CallDraft, CallEvent, OpenCall, read_context, submit};
+use super::calls::DEFAULT_MAX_OUTPUT_TOKENS;
 use super::chat_wire::{ChatBody, Completion};
 use super::error::ApiError;
 use super::runs::{RunDraft, from_now, start_run};
@@ -20,20 +20,20 @@
 use crate::driver::now;
 
 /// Names the run that the call belongs to.
-const RUN: &str = "x-elderworks-run";
+const RUN_HEADER: &str = "x-elderworks-run";
 /// Names the program of a call that belongs to no run.
-const PROGRAM: &str = "x-elderworks-run-program";
+const PROGRAM_HEADER: &str = "x-elderworks-run-program";
 /// Position of the call within its run.
-const CALL: &str = "x-elderworks-call";
+const CALL_HEADER: &str = "x-elderworks-call";
 /// Milliseconds until the answer stops being useful.
-const DEADLINE: &str = "x-elderworks-timeout-ms";
+const TIMEOUT_HEADER: &str = "x-elderworks-timeout-ms";
 /// Milliseconds until the prefix is expected to be used again.
-const EXPECTED_REUSE: &str = "x-elderworks-expected-reuse-ms";
+const EXPECTED_REUSE_HEADER: &str = "x-elderworks-expected-reuse-ms";
 /// Key under which a repeat of the request is recognised.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// The last event of every stream.
-const DONE: &str = "[DONE]";
+const DONE_EVENT: &str = "[DONE]";
 
 /// What the request's headers say.
 struct ChatHeaders {
@@ -48,16 +48,16 @@
 impl ChatHeaders {
     fn read(headers: &HeaderMap) -> Result<Self, ApiError> {
         // A run id that is none names no run, like any unknown one.
-        let run = body::header(headers, RUN).map_err(|_| ApiError::run_not_found())?;
-        let deadline: Option<u64> = body::header(headers, DEADLINE)?;
-        let reuse: Option<u64> = body::header(headers, EXPECTED_REUSE)?;
+        let run = body::header(headers, RUN_HEADER).map_err(|_| ApiError::run_not_found())?;
+        let deadline: Option<u64> = body::header(headers, TIMEOUT_HEADER)?;
+        let reuse: Option<u64> = body::header(headers, EXPECTED_REUSE_HEADER)?;
         Ok(Self {
             run,
-            program: body::header(headers, PROGRAM)?,
-            number: body::header(headers, CALL)?.map(CallNumber),
+            program: body::header(headers, PROGRAM_HEADER)?,
+            number: body::header(headers, CALL_HEADER)?.map(CallNumber),
             deadline: deadline.map(from_now),
             expected_reuse: reuse.map(Duration::from_millis),
-            idempotency_key: body::header(headers, IDEMPOTENCY_KEY)?,
+            idempotency_key: body::header(headers, IDEMPOTENCY_KEY_HEADER)?,
         })
     }
 }
@@ -69,13 +69,13 @@
     let limit = app.settings.limits.max_body_bytes;
     let body: ChatBody = body::json(&mut request, limit).await?;
     check(&body)?;
-    let place = place(&app, &tenant, &headers).await?;
+    let target = resolve_run(&app, &tenant, &headers).await?;
     let form = ResponseForm::of(&body);
     let model = body.model.clone();
-    let draft = draft(&app, &tenant, &place, headers, body).await?;
-    let call = submit(&app, &tenant, place.run, draft)
+    let draft = draft(&app, &tenant, &target, headers, body).await?;
+    let call = submit(&app, &tenant, target.run, draft)
         .await
-        .inspect_err(|_| end_single(&app, &tenant, &place))?;
+        .inspect_err(|_| end_ephemeral_run(&app, &tenant, &target))?;
     let completion = Completion {
         run: call.run,
         number: call.number,
@@ -85,13 +85,13 @@
     let chat = Chat {
         app,
         tenant,
-        place,
+        target,
         completion,
         call,
     };
     match form {
-        ResponseForm::Streamed { with_usage } => chat.streamed(with_usage),
-        ResponseForm::Whole => chat.whole().await,
+        ResponseForm::Streamed { with_usage } => chat.streamed_response(with_usage),
+        ResponseForm::Whole => chat.whole_response().await,
     }
 }
 
@@ -129,65 +129,69 @@
 }
 
 /// Where the call belongs.
-struct Place {
+struct RunTarget {
     run: RunId,
     /// Whether the run was started for this call alone and ends with it.
-    is_single: bool,
+    is_ephemeral: bool,
 }
 
-async fn place(app: &App, tenant: &TenantId, headers: &ChatHeaders) -> Result<Place, ApiError> {
+async fn resolve_run(
+    app: &App,
+    tenant: &TenantId,
+    headers: &ChatHeaders,
+) -> Result<RunTarget, ApiError> {
     if let Some(run) = headers.run {
-        return Ok(Place {
+        return Ok(RunTarget {
             run,
-            is_single: false,
+            is_ephemeral: false,
         });
     }
     let program = headers
         .program
         .as_deref()
         .or(app.settings.default_program.as_deref())
-        .ok_or_else(|| ApiError::invalid(format!("give {RUN} or {PROGRAM}")))?;
+        .ok_or_else(|| ApiError::invalid(format!("give {RUN_HEADER} or {PROGRAM_HEADER}")))?;
     let draft = RunDraft {
         program: ResourceName::new(program),
         budget: None,
         deadline: headers.deadline,
         parent: None,
     };
-    Ok(Place {
+    Ok(RunTarget {
         run: start_run(app, tenant, draft).await?,
-        is_single: true,
+        is_ephemeral: true,
     })
 }
 
 async fn draft(
     app: &App,
     tenant: &TenantId,
-    place: &Place,
+    target: &RunTarget,
     headers: ChatHeaders,
     body: ChatBody,
 ) -> Result<CallDraft, ApiError> {
     let mut messages: Vec<Message> = body.messages.into_iter().map(Message::from).collect();
     let mut number = headers.number;
     let mut deadline = headers.deadline;
-    let mut known = 0;
-    if !place.is_single {
+    let mut prefix_len = 0;
+    if !target.is_ephemeral {
         let key = headers.idempotency_key.as_deref();
-        let context = read_context(app, tenant, place.run, number, key).await?;
+        let context = read_context(app, tenant, target.run, number, key).await?;
         number = context.number(number);
         deadline = context.deadline(deadline);
         let shared = common_prefix(&context.history, &messages);
-        let earlier = context.earlier_prefix().map(|prefix| prefix as usize);
-        known = earlier.unwrap_or(shared).min(shared);
+        let earlier = context.original_prefix().map(|prefix| prefix as usize);
+        prefix_len = earlier.unwrap_or(shared).min(shared);
     }
-    messages.drain(..known);
+    messages.drain(..prefix_len);
     let max_output = body.max_completion_tokens.or(body.max_tokens);
     Ok(CallDraft {
         number,
         request: CallRequest::Model(ModelRequest {
             model: body.model,
-            history_prefix: known as u32,
+            history_prefix: prefix_len as u32,
             messages,
-            max_output: max_output.unwrap_or(DEFAULT_MAX_OUTPUT),
+            max_output: max_output.unwrap_or(DEFAULT_MAX_OUTPUT_TOKENS),
         }),
         repeatable: true,
         idempotency_key: headers.idempotency_key,
@@ -209,66 +213,66 @@
 struct Chat {
     app: App,
     tenant: TenantId,
-    place: Place,
+    target: RunTarget,
     completion: Completion,
     call: OpenCall,
 }
 
 impl Chat {
-    async fn whole(self) -> ApiResult {
-        let result = self.call.whole().await;
-        end_single(&self.app, &self.tenant, &self.place);
-        let body = self.completion.whole(&result?);
+    async fn whole_response(self) -> ApiResult {
+        let result = self.call.into_answer().await;
+        end_ephemeral_run(&self.app, &self.tenant, &self.target);
+        let body = self.completion.full_response(&result?);
         let mut builder = Response::build(StatusCode::OK);
         builder.insert_header((CONTENT_TYPE, "application/json"));
-        for (name, value) in headers_of(&self.completion) {
+        for (name, value) in response_headers(&self.completion) {
             builder.insert_header((name, value));
         }
         Ok(builder.body(body).map_into_boxed_body())
     }
 
-    fn streamed(self, with_usage: bool) -> ApiResult {
-        if let Some(error) = self.call.error_at_once() {
-            end_single(&self.app, &self.tenant, &self.place);
+    fn streamed_response(self, with_usage: bool) -> ApiResult {
+        if let Some(error) = self.call.immediate_error() {
+            end_ephemeral_run(&self.app, &self.tenant, &self.target);
             return Err(error);
         }
-        let headers = headers_of(&self.completion);
-        let opening = sse::data(&self.completion.opening());
+        let headers = response_headers(&self.completion);
+        let role_chunk = sse::data(&self.completion.role_chunk());
         let stream = ChatStream {
             chat: self,
-            ready: VecDeque::from([opening]),
+            pending: VecDeque::from([role_chunk]),
             with_usage,
-            is_over: false,
+            is_finished: false,
         };
         Ok(sse::response(&headers, stream.events()))
     }
 }
 
-fn headers_of(completion: &Completion) -> Vec<(&'static str, String)> {
+fn response_headers(completion: &Completion) -> Vec<(&'static str, String)> {
     vec![
-        (RUN, completion.run.to_string()),
-        (CALL, completion.number.to_string()),
+        (RUN_HEADER, completion.run.to_string()),
+        (CALL_HEADER, completion.number.to_string()),
     ]
 }
 
 /// Ends a run that was started for one call. The answer does not wait for it; should the end be
 /// lost, the run ends by its program's limits.
-fn end_single(app: &App, tenant: &TenantId, place: &Place) {
-    if !place.is_single {
+fn end_ephemeral_run(app: &App, tenant: &TenantId, target: &RunTarget) {
+    if !target.is_ephemeral {
         return;
     }
-    let (app, tenant, run) = (app.clone(), tenant.clone(), place.run);
+    let (app, tenant, run) = (app.clone(), tenant.clone(), target.run);
     actix_rt::spawn(async move {
-        app.known_runs.forget(run);
+        app.known_runs.remove(run);
         let _ = app.core.end_run(tenant, run).await;
     });
 }
 
 struct ChatStream {
     chat: Chat,
-    ready: VecDeque<Bytes>,
+    pending: VecDeque<Bytes>,
     with_usage: bool,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl ChatStream {
@@ -280,39 +284,39 @@
     }
 
     async fn next(&mut self) -> Option<Bytes> {
-        if let Some(event) = self.ready.pop_front() {
+        if let Some(event) = self.pending.pop_front() {
             return Some(event);
         }
-        if self.is_over {
+        if self.is_finished {
             return None;
         }
         match self.chat.call.next().await {
-            Step::Piece(text) => return Some(sse::data(&self.chat.completion.piece(&text))),
-            Step::Restarted => self.end_with_error(&ApiError::answer_restarted()),
-            Step::Ended(result) => match result {
+            CallEvent::Chunk(text) => return Some(sse::data(&self.chat.completion.delta(&text))),
+            CallEvent::Restarted => self.finish_with_error(&ApiError::answer_restarted()),
+            CallEvent::Ended(result) => match result {
                 Ok(answer) => {
-                    self.ready
-                        .push_back(sse::data(&self.chat.completion.closing()));
+                    self.pending
+                        .push_back(sse::data(&self.chat.completion.final_chunk()));
                     if self.with_usage {
-                        let usage = self.chat.completion.usage(&answer);
-                        self.ready.push_back(sse::data(&usage));
+                        let usage = self.chat.completion.usage_chunk(&answer);
+                        self.pending.push_back(sse::data(&usage));
                     }
-                    self.end();
+                    self.finish();
                 }
-                Err(error) => self.end_with_error(&error),
+                Err(error) => self.finish_with_error(&error),
             },
         }
-        self.ready.pop_front()
+        self.pending.pop_front()
     }
 
-    fn end_with_error(&mut self, error: &ApiError) {
-        self.ready.push_back(sse::data(&error.body()));
-        self.end();
+    fn finish_with_error(&mut self, error: &ApiError) {
+        self.pending.push_back(sse::data(&error.body()));
+        self.finish();
     }
 
-    fn end(&mut self) {
-        self.ready.push_back(sse::data(DONE));
-        self.is_over = true;
-        end_single(&self.chat.app, &self.chat.tenant, &self.chat.place);
+    fn finish(&mut self) {
+        self.pending.push_back(sse::data(DONE_EVENT));
+        self.is_finished = true;
+        end_ephemeral_run(&self.chat.app, &self.chat.tenant, &self.chat.target);
     }
 }
--- a/crates/sidecar/src/http/chat_wire.rs
+++ b/crates/sidecar/src/http/chat_wire.rs
@@ -163,7 +163,7 @@
 
 impl Completion {
     /// The whole answer.
-    pub fn whole(&self, answer: &Answer) -> String {
+    pub fn full_response(&self, answer: &Answer) -> String {
         let choice = WholeChoice {
             index: 0,
             message: AnswerMessage {
@@ -176,7 +176,7 @@
     }
 
     /// The first chunk of a stream, which only names the role.
-    pub fn opening(&self) -> String {
+    pub fn role_chunk(&self) -> String {
         let delta = Delta {
             role: Some(Role::Assistant),
             content: None,
@@ -185,7 +185,7 @@
     }
 
     /// One piece of a stream.
-    pub fn piece(&self, text: &str) -> String {
+    pub fn delta(&self, text: &str) -> String {
         let delta = Delta {
             role: None,
             content: Some(text),
@@ -194,12 +194,12 @@
     }
 
     /// The last piece of a stream.
-    pub fn closing(&self) -> String {
+    pub fn final_chunk(&self) -> String {
         self.chunk(Delta::default(), Some("stop"))
     }
 
     /// The chunk that carries the usage.
-    pub fn usage(&self, answer: &Answer) -> String {
+    pub fn usage_chunk(&self, answer: &Answer) -> String {
         let choices: Vec<DeltaChoice<'_>> = Vec::new();
         self.render("chat.completion.chunk", choices, Some(answer))
     }
--- a/crates/sidecar/src/http/error.rs
+++ b/crates/sidecar/src/http/error.rs
@@ -7,11 +7,11 @@
 use actix_http::{Response, StatusCode};
 use elderworks_types::{FailureReason, Outcome, Refusal, RefusalReason, UnknownReason};
 
-use crate::core_client::{StartError, Unreachable};
+use crate::core_client::{NoAnswerFromNode, StartError};
 use crate::wire::{ErrorBody, ErrorFields, WasRun};
 
 /// Tells OpenAI's own clients not to repeat a request by themselves.
-const SHOULD_RETRY: &str = "x-should-retry";
+const SHOULD_RETRY_HEADER: &str = "x-should-retry";
 
 /// An error as callers see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     }
 
     /// The error of an outcome that is none of a completed call.
-    pub fn of_outcome(outcome: &Outcome) -> Option<Self> {
+    pub fn from_outcome(outcome: &Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed(_) => None,
             Outcome::Refused(refusal) => Some(Self::refused(refusal)),
@@ -82,7 +82,7 @@
                 Some(Self {
                     status,
                     code,
-                    message: join_detail(message, &failure.detail),
+                    message: append_detail(message, &failure.detail),
                     run,
                     retry_after: None,
                 })
@@ -127,7 +127,7 @@
             builder.insert_header((RETRY_AFTER, whole_seconds(wait).to_string()));
         }
         if self.run != WasRun::No {
-            builder.insert_header((SHOULD_RETRY, "false"));
+            builder.insert_header((SHOULD_RETRY_HEADER, "false"));
         }
         builder.body(self.body()).map_into_boxed_body()
     }
@@ -137,7 +137,7 @@
     wait.as_millis().div_ceil(1000) as u64
 }
 
-fn join_detail(message: &str, detail: &str) -> String {
+fn append_detail(message: &str, detail: &str) -> String {
     if detail.is_empty() {
         message.to_owned()
     } else {
@@ -145,8 +145,8 @@
     }
 }
 
-impl From<Unreachable> for ApiError {
-    fn from(_: Unreachable) -> Self {
+impl From<NoAnswerFromNode> for ApiError {
+    fn from(_: NoAnswerFromNode) -> Self {
         Self {
             // The request may have taken effect, so the status must not promise that it has not.
             status: StatusCode::GATEWAY_TIMEOUT,
@@ -162,7 +162,7 @@
     fn from(error: StartError) -> Self {
         match error {
             StartError::Refused(refusal) => Self::refused(&refusal),
-            StartError::Unreachable => Unreachable.into(),
+            StartError::NoAnswerFromNode => NoAnswerFromNode.into(),
         }
     }
 }
--- a/crates/sidecar/src/http/mod.rs
+++ b/crates/sidecar/src/http/mod.rs
@@ -75,7 +75,7 @@
 }
 
 async fn respond(app: App, request: Request) -> Response<BoxBody> {
-    let route = Route::of(request.method(), request.path());
+    let route = Route::resolve(request.method(), request.path());
     let name = route.as_ref().map_or("unknown", Route::name);
     let metrics = app.metrics.clone();
     let result = match route {
@@ -98,7 +98,7 @@
         Route::EndRun(run) => runs::end(app, request, run).await,
         Route::History(run) => runs::history(app, request, run).await,
         Route::Watch(run) => watch::watch(app, request, run).await,
-        Route::Call(run) => calls::make(app, request, run).await,
+        Route::Call(run) => calls::create(app, request, run).await,
     }
 }
 
--- a/crates/sidecar/src/http/route.rs
+++ b/crates/sidecar/src/http/route.rs
@@ -32,19 +32,29 @@
 
 impl Route {
     /// Finds the resource; a run id that is none is treated like an unknown run.
-    pub fn of(method: &Method, path: &str) -> Result<Self, ApiError> {
+    pub fn resolve(method: &Method, path: &str) -> Result<Self, ApiError> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments.as_slice() {
-            ["metrics"] => only(method, Method::GET, Route::Metrics),
-            ["healthz"] => only(method, Method::GET, Route::Healthz),
-            ["readyz"] => only(method, Method::GET, Route::Readyz),
-            ["v1", "chat", "completions"] => only(method, Method::POST, Route::ChatCompletions),
-            ["v1", "runs"] => only(method, Method::POST, Route::StartRun),
-            ["v1", "runs", id] if *method == Method::DELETE => Ok(Route::EndRun(parse(id)?)),
-            ["v1", "runs", id] => only(method, Method::GET, Route::ReadRun(parse(id)?)),
-            ["v1", "runs", id, "calls"] => only(method, Method::POST, Route::Call(parse(id)?)),
-            ["v1", "runs", id, "history"] => only(method, Method::GET, Route::History(parse(id)?)),
-            ["v1", "runs", id, "watch"] => only(method, Method::GET, Route::Watch(parse(id)?)),
+            ["metrics"] => require_method(method, Method::GET, Route::Metrics),
+            ["healthz"] => require_method(method, Method::GET, Route::Healthz),
+            ["readyz"] => require_method(method, Method::GET, Route::Readyz),
+            ["v1", "chat", "completions"] => {
+                require_method(method, Method::POST, Route::ChatCompletions)
+            }
+            ["v1", "runs"] => require_method(method, Method::POST, Route::StartRun),
+            ["v1", "runs", id] if *method == Method::DELETE => Ok(Route::EndRun(parse_run_id(id)?)),
+            ["v1", "runs", id] => {
+                require_method(method, Method::GET, Route::ReadRun(parse_run_id(id)?))
+            }
+            ["v1", "runs", id, "calls"] => {
+                require_method(method, Method::POST, Route::Call(parse_run_id(id)?))
+            }
+            ["v1", "runs", id, "history"] => {
+                require_method(method, Method::GET, Route::History(parse_run_id(id)?))
+            }
+            ["v1", "runs", id, "watch"] => {
+                require_method(method, Method::GET, Route::Watch(parse_run_id(id)?))
+            }
             _ => {
                 let message = format!("no resource at {path}");
                 Err(ApiError::request(
@@ -73,7 +83,7 @@
     }
 }
 
-fn only(method: &Method, allowed: Method, route: Route) -> Result<Route, ApiError> {
+fn require_method(method: &Method, allowed: Method, route: Route) -> Result<Route, ApiError> {
     if *method == allowed {
         return Ok(route);
     }
@@ -82,6 +92,6 @@
     Err(ApiError::request(status, "method_not_allowed", message))
 }
 
-fn parse(id: &str) -> Result<RunId, ApiError> {
+fn parse_run_id(id: &str) -> Result<RunId, ApiError> {
     id.parse().map_err(|_| ApiError::run_not_found())
 }
--- a/crates/sidecar/src/http/runs.rs
+++ b/crates/sidecar/src/http/runs.rs
@@ -13,7 +13,7 @@
 use crate::wire::{EndedRun, StartRunBody, StartedRun, WireHistory, WireRun};
 
 /// Stands for "as much as the program allows".
-const PROGRAM_BUDGET: Credits = Credits(u64::MAX);
+const UNLIMITED_BUDGET: Credits = Credits(u64::MAX);
 
 /// What a run is started with.
 pub struct RunDraft {
@@ -56,11 +56,11 @@
         tenant: tenant.clone(),
         program: draft.program,
         parent: draft.parent,
-        budget: draft.budget.unwrap_or(PROGRAM_BUDGET),
+        budget: draft.budget.unwrap_or(UNLIMITED_BUDGET),
         deadline: draft.deadline,
     };
     let run = app.core.start_run(spec).await?;
-    app.known_runs.learn(run, tenant, CallNumber(1));
+    app.known_runs.record(run, tenant, CallNumber(1));
     Ok(run)
 }
 
@@ -99,6 +99,6 @@
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     check_run(&app, &tenant, run).await?;
     let phase = app.core.end_run(tenant, run).await?;
-    app.known_runs.forget(run);
+    app.known_runs.remove(run);
     Ok(json(StatusCode::OK, &EndedRun { id: run, phase }))
 }
--- a/crates/sidecar/src/http/watch.rs
+++ b/crates/sidecar/src/http/watch.rs
@@ -11,7 +11,7 @@
 use crate::wire::WireRun;
 
 /// How often the owner is asked.
-const READ_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Streams one `run` event per change, and ends after the run's end.
 pub async fn watch(app: App, request: Request, run: RunId) -> ApiResult {
@@ -52,7 +52,7 @@
                 let is_active = view.phase == RunPhase::Active;
                 return Some((sse::event("run", &json), is_active.then_some(self)));
             }
-            actix_rt::time::sleep(READ_INTERVAL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/sidecar/src/known_runs.rs
+++ b/crates/sidecar/src/known_runs.rs
@@ -1,12 +1,12 @@
-//! Runs that this sidecar has seen, so that ordinary calls need no extra question to a node.
+//! Cache of recently used runs, which saves most calls a read of their run from its node.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 use elderworks_types::{CallNumber, RunId, TenantId};
 
-/// Most runs remembered; the others are read from their owner again when needed.
-const REMEMBERED_RUNS: usize = 16_384;
+/// Maximum number of cached runs; evicted ones are read from their node again when needed.
+const MAX_KNOWN_RUNS: usize = 16_384;
 
 #[derive(Clone, Debug)]
 struct KnownRun {
@@ -14,17 +14,17 @@
     next_number: CallNumber,
 }
 
-/// Owner and next call number of recently used runs.
+/// Tenant and next call number of recently used runs.
 #[derive(Debug, Default)]
 pub struct KnownRuns {
     runs: Mutex<BTreeMap<RunId, KnownRun>>,
 }
 
 impl KnownRuns {
-    /// Notes a run, or that more calls of it were made than known here.
-    pub fn learn(&self, run: RunId, tenant: &TenantId, next_number: CallNumber) {
+    /// Records a run, or raises the next call number of a known one.
+    pub fn record(&self, run: RunId, tenant: &TenantId, next_number: CallNumber) {
         let mut runs = self.lock();
-        if runs.len() >= REMEMBERED_RUNS && !runs.contains_key(&run) {
+        if runs.len() >= MAX_KNOWN_RUNS && !runs.contains_key(&run) {
             runs.pop_first();
         }
         let known = runs.entry(run).or_insert_with(|| KnownRun {
@@ -34,13 +34,13 @@
         known.next_number = known.next_number.max(next_number);
     }
 
-    /// Whether the run is known to be the tenant's.
+    /// Returns whether the run is known to belong to the tenant.
     pub fn is_known(&self, run: RunId, tenant: &TenantId) -> bool {
         let runs = self.lock();
         runs.get(&run).is_some_and(|known| known.tenant == *tenant)
     }
 
-    /// Takes the next call number of a known run.
+    /// Reserves the next call number of a known run.
     pub fn take_number(&self, run: RunId) -> Option<CallNumber> {
         let mut runs = self.lock();
         let known = runs.get_mut(&run)?;
@@ -49,15 +49,15 @@
         Some(number)
     }
 
-    /// Notes that the caller itself chose a number.
-    pub fn number_used(&self, run: RunId, number: CallNumber) {
+    /// Records that a call number is in use, so that it is not assigned again.
+    pub fn record_number(&self, run: RunId, number: CallNumber) {
         if let Some(known) = self.lock().get_mut(&run) {
             known.next_number = known.next_number.max(number.next());
         }
     }
 
-    /// Gives back the number of a call that was refused, unless later ones were taken.
-    pub fn give_back(&self, run: RunId, number: CallNumber) {
+    /// Releases the number of a refused call, unless a later one has been reserved since.
+    pub fn return_number(&self, run: RunId, number: CallNumber) {
         if let Some(known) = self.lock().get_mut(&run)
             && known.next_number == number.next()
         {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Forgets an ended run.
-    pub fn forget(&self, run: RunId) {
+    /// Removes a run, usually because it has ended.
+    pub fn remove(&self, run: RunId) {
         self.lock().remove(&run);
     }
 
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! The sidecar process: callers' HTTP interface and the driver around sidecar-core; and a client of
-//! that interface.
+//! The sidecar process: the HTTP API for callers, the driver that runs the state machine of
+//! `elderworks-sidecar-core`, and a client of the API.
 
 pub mod client;
 mod connection;
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms, in the usual text form.
+//! Metrics in the Prometheus text format.
 
 use std::sync::atomic::AtomicI64;
 use std::time::Duration;
@@ -11,27 +11,30 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET_SECONDS: f64 = 0.001;
+/// Ratio of the upper bounds of consecutive buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 20;
+/// Number of latency buckets.
+const BUCKET_COUNT: u16 = 20;
 
 /// Labels of an answered HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ResponseLabels {
-    /// The resource, without ids.
+    /// Name of the route, without ids.
     pub route: &'static str,
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
 }
 
 /// Labels of an ended call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// `completed`, or the code of the error.
+    /// `completed` or the error code.
     pub outcome: &'static str,
 }
 
-/// All that a sidecar counts.
+/// The metrics of a sidecar.
 pub struct Metrics {
     registry: Registry,
     responses: Family<ResponseLabels, Counter>,
@@ -39,16 +42,16 @@
     call_seconds: Histogram,
     open_requests: Gauge<i64, AtomicI64>,
     ready_nodes: Gauge<i64, AtomicI64>,
-    /// Connections to nodes that broke or could not be made.
+    /// Number of connections to nodes that were lost or could not be established.
     pub connections_lost: Counter,
-    /// Answers that were made anew after part of another was passed on.
+    /// Number of answers that were restarted after a part was delivered.
     pub answers_restarted: Counter,
 }
 
 impl Metrics {
-    /// Everything at zero.
+    /// Creates and registers the metrics.
     pub fn new() -> Self {
-        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS);
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT);
         let mut metrics = Self {
             registry: Registry::with_prefix("elderworks_sidecar"),
             responses: Family::default(),
@@ -90,13 +93,13 @@
         );
     }
 
-    /// Notes the state machine's sizes.
+    /// Records the state machine's numbers of open requests and connected nodes.
     pub fn observe_core(&self, open_requests: usize, ready_nodes: usize) {
         self.open_requests.set(open_requests as i64);
         self.ready_nodes.set(ready_nodes as i64);
     }
 
-    /// Whether any node is connected.
+    /// Returns whether any node is connected.
     pub fn is_ready(&self) -> bool {
         self.ready_nodes.get() > 0
     }
@@ -107,13 +110,13 @@
         self.responses.get_or_create(&labels).inc();
     }
 
-    /// Counts an ended call.
+    /// Counts an ended call and records its duration.
     pub fn count_call(&self, outcome: &'static str, duration: Duration) {
         self.calls.get_or_create(&CallLabels { outcome }).inc();
         self.call_seconds.observe(duration.as_secs_f64());
     }
 
-    /// The text form.
+    /// Renders the metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string does not fail");
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! Putting the process together.
+//! Startup and shutdown of the sidecar process.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::known_runs::KnownRuns;
 use crate::metrics::Metrics;
 
-/// How long a planned stop may take beyond the longest call.
+/// Time added to the call timeout to get the limit of a graceful shutdown.
 const STOP_MARGIN: Duration = Duration::from_secs(10);
 
 /// A running sidecar.
@@ -26,18 +26,22 @@
 }
 
 impl SidecarHandle {
-    /// Where it serves callers.
+    /// Returns the address on which it serves callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops taking connections and waits for open requests to end.
+    /// Stops accepting connections and waits for open requests to complete.
     pub async fn stop(self) {
         self.server.stop(true).await;
     }
 }
 
-/// Starts a sidecar in the present actix system.
+/// Starts a sidecar in the current actix system.
+///
+/// # Errors
+///
+/// Returns an error if the listening socket or the HTTP server can't be set up.
 pub fn start(settings: SidecarProcessSettings) -> eyre::Result<SidecarHandle> {
     let listener = TcpListener::bind(settings.listen)
         .wrap_err_with(|| format!("cannot listen on {}", settings.listen))?;
--- a/crates/sidecar/src/wire.rs
+++ b/crates/sidecar/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON forms of the run resource and of errors, shared by the interface and its client.
+//! JSON types of the callers' API, shared by the server and the client.
 
 use std::time::Duration;
 
@@ -17,80 +17,80 @@
 pub struct StartRunBody {
     /// Name of the `Program` resource.
     pub program: ResourceName,
-    /// Most credits that the run may spend; by default all that its program allows.
+    /// Maximum credits that the run may spend; by default the limit of its program.
     pub budget: Option<Credits>,
-    /// Milliseconds from now until the run should be done.
+    /// Time until the run's deadline, in milliseconds from now.
     pub deadline_ms: Option<u64>,
     /// The run that spawns this one.
     pub parent: Option<RunId>,
 }
 
-/// Answer to `POST /v1/runs`.
+/// Response to `POST /v1/runs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartedRun {
     /// The run's id.
     pub id: RunId,
 }
 
-/// Body of `POST /v1/runs/{id}/calls`: either `model` or `tool`.
+/// Body of `POST /v1/runs/{id}/calls`; exactly one of `model` and `tool` must be given.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallBody {
-    /// A call to a model.
+    /// A model call.
     pub model: Option<ModelBody>,
-    /// A call to a tool.
+    /// A tool call.
     pub tool: Option<ToolBody>,
-    /// Whether running it twice is harmless; by default so for models and not so for tools.
+    /// Whether the call may safely run more than once; by default true for models, false for tools.
     pub repeatable: Option<bool>,
-    /// Key under which a repeat of this request is recognised.
+    /// Key that identifies repetitions of this request.
     pub idempotency_key: Option<String>,
-    /// Milliseconds from now until the answer stops being useful.
+    /// Time until the call's deadline, in milliseconds from now.
     pub deadline_ms: Option<u64>,
-    /// Milliseconds until the prefix is expected to be used again.
+    /// Time until the prompt prefix is expected to be reused, in milliseconds.
     pub expected_reuse_ms: Option<u64>,
-    /// Position within the run, from 1; by default the next one.
+    /// Number of the call within its run, starting at 1; by default the next free one.
     pub number: Option<CallNumber>,
     /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// A call to a model.
+/// A model call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelBody {
-    /// The model.
+    /// Name of the model.
     pub name: ModelName,
-    /// New messages.
+    /// Messages that follow the history prefix.
     pub messages: Vec<WireMessage>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_output: Option<Tokens>,
-    /// How many messages of the history the prompt begins with; by default all.
+    /// Number of messages of the run's history that the prompt starts with; by default all.
     pub history_prefix: Option<u32>,
 }
 
-/// A call to a tool.
+/// A tool call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ToolBody {
-    /// The tool.
+    /// Name of the tool.
     pub name: ToolName,
-    /// Any JSON value; handed to the tool as it is.
+    /// Arguments as any JSON value, passed to the tool unchanged.
     pub arguments: serde_json::Value,
 }
 
-/// One message.
+/// A message of a conversation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WireMessage {
-    /// Who said it.
+    /// Role of the author.
     pub role: Role,
-    /// The text.
+    /// The text of the message.
     pub content: String,
 }
 
 impl WireMessage {
-    /// A message.
+    /// Creates a message.
     pub fn new(role: Role, content: impl Into<String>) -> Self {
         Self {
             role,
@@ -105,12 +105,12 @@
     }
 }
 
-/// Tokens consumed.
+/// Token counts of a call.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct WireUsage {
     /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Of those, how many were found in the engine's prefix cache.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached_tokens: Tokens,
     /// Tokens generated.
     pub output_tokens: Tokens,
@@ -121,18 +121,18 @@
 pub struct CompletedCall {
     /// The run.
     pub run: RunId,
-    /// The call's position in it.
+    /// Number of the call within the run.
     pub number: CallNumber,
-    /// Text of a model, or the tool's result as JSON text.
+    /// The model's text, or the tool's result as JSON text.
     pub content: String,
-    /// What was consumed.
+    /// Token counts.
     pub usage: WireUsage,
-    /// What it cost.
+    /// Cost of the call, in credits.
     pub cost: Credits,
 }
 
 impl CallBody {
-    /// A call to a model that goes on from the whole history.
+    /// Creates a model call whose prompt starts with the whole history.
     pub fn ask(model: &str, messages: Vec<WireMessage>, max_output: u64) -> Self {
         Self {
             model: Some(ModelBody {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A call to a tool.
+    /// Creates a tool call.
     pub fn invoke(tool: &str, arguments: serde_json::Value, repeatable: bool) -> Self {
         Self {
             tool: Some(ToolBody {
@@ -159,7 +159,7 @@
 }
 
 impl CompletedCall {
-    /// The JSON form of an answer.
+    /// Converts the answer to a call.
     pub fn new(run: RunId, number: CallNumber, answer: Answer) -> Self {
         Self {
             run,
@@ -175,114 +175,114 @@
     }
 }
 
-/// One streamed piece.
+/// Data of a `chunk` event: the next part of a streamed answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Piece {
-    /// Its text.
+pub struct AnswerChunk {
+    /// The text of the chunk.
     pub text: String,
 }
 
 /// A run, without its history.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireRun {
-    /// Its id.
+    /// The run's id.
     pub id: RunId,
-    /// Its program.
+    /// Name of its `Program` resource.
     pub program: ResourceName,
-    /// The run that spawned it.
+    /// The run that spawned this one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<RunId>,
-    /// Where it stands.
+    /// The current phase.
     pub phase: RunPhase,
-    /// Most that it may spend.
+    /// Maximum credits that it may spend.
     pub budget: Credits,
-    /// What it has spent, its sub-agents included.
+    /// Credits spent, including by its sub-agents.
     pub spent: Credits,
-    /// What open calls and sub-agents may still cost.
+    /// Credits reserved for open calls and sub-agents.
     pub reserved: Credits,
-    /// When it should be done, in milliseconds since the Unix epoch.
+    /// Deadline, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_unix_ms: Option<u64>,
-    /// Its calls in order.
+    /// The calls of the run, by number.
     pub calls: Vec<WireCall>,
 }
 
 /// One call of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireCall {
-    /// Its position in the run.
+    /// Number of the call within the run.
     pub number: CallNumber,
-    /// Model or tool.
+    /// Whether this is a model call or a tool call.
     pub kind: CallKind,
-    /// Which model or tool.
+    /// Name of the model or tool.
     pub target: String,
-    /// Whether running it twice is harmless.
+    /// Whether the call may safely run more than once.
     pub repeatable: bool,
-    /// `open`, `completed`, or the code of the error that it ended with.
+    /// `open`, `completed`, or the error code with which the call ended.
     pub state: String,
-    /// What it cost.
+    /// Cost of the call, in credits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cost: Option<Credits>,
-    /// Tokens of its prompt that were found in the engine's cache.
+    /// Prompt tokens found in the engine's prefix cache.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cached_tokens: Option<Tokens>,
-    /// Tokens of its prompt.
+    /// Tokens in the prompt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt_tokens: Option<Tokens>,
-    /// Each attempt in order.
+    /// The attempts in order.
     pub attempts: Vec<WireAttempt>,
-    /// Time from its arrival to its first attempt.
+    /// Time from arrival to the start of the first attempt, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waited_ms: Option<u64>,
-    /// Time from its arrival to its end.
+    /// Time from arrival to the end of the call, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub took_ms: Option<u64>,
-    /// What it waited for and what was decided.
+    /// Explanations of scheduling decisions and delays.
     pub notes: Vec<String>,
 }
 
 /// One attempt of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireAttempt {
-    /// Which, from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
-    /// Where it ran, for a model call.
+    /// The engine that ran it, for a model call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineId>,
-    /// Time from its start to its first piece.
+    /// Time from its start to the first chunk, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_chunk_ms: Option<u64>,
 }
 
-/// Whether what was asked for was run.
+/// Whether the requested operation was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WasRun {
-    /// Surely not, now or later.
+    /// It was not run and never will be.
     No,
-    /// Yes.
+    /// It was run.
     Yes,
-    /// It cannot be known.
+    /// It may have been run.
     Unknown,
 }
 
-/// The one shape of errors.
+/// Body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Fields of the error.
     pub error: ErrorFields,
 }
 
-/// What an error says.
+/// Fields of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorFields {
-    /// The stable code.
+    /// Stable error code.
     pub code: String,
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// Whether what was asked for was run.
+    /// Whether the requested operation was run.
     pub run: WasRun,
-    /// When asking again may succeed, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -320,8 +320,10 @@
             cached_tokens: answer.map(|answer| answer.usage.cached),
             prompt_tokens: answer.map(|answer| answer.usage.prompt),
             attempts: call.attempts.iter().map(wire_attempt).collect(),
-            waited_ms: first_start.map(|start| whole_ms(start.since(call.received))),
-            took_ms: call.ended.map(|ended| whole_ms(ended.since(call.received))),
+            waited_ms: first_start.map(|start| as_millis(start.since(call.received))),
+            took_ms: call
+                .ended
+                .map(|ended| as_millis(ended.since(call.received))),
             notes: call.notes.clone(),
         }
     }
@@ -332,7 +334,7 @@
     WireAttempt {
         number: attempt.attempt.0,
         engine: attempt.engine.clone(),
-        first_chunk_ms: first_chunk.map(|first| whole_ms(first.since(attempt.started))),
+        first_chunk_ms: first_chunk.map(|first| as_millis(first.since(attempt.started))),
     }
 }
 
@@ -347,30 +349,30 @@
     match outcome {
         None => "open",
         Some(Outcome::Completed(_)) => "completed",
-        Some(outcome) => ApiError::of_outcome(outcome).map_or("completed", |error| error.code()),
+        Some(outcome) => ApiError::from_outcome(outcome).map_or("completed", |error| error.code()),
     }
 }
 
-fn whole_ms(duration: Duration) -> u64 {
+fn as_millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
 
 fn unix_ms(time: Timestamp) -> u64 {
-    whole_ms(time.since(Timestamp::default()))
+    as_millis(time.since(Timestamp::default()))
 }
 
-/// Answer to `GET /v1/runs/{id}/history`.
+/// Response to `GET /v1/runs/{id}/history`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireHistory {
-    /// Every message in order.
+    /// All messages in order.
     pub messages: Vec<Message>,
 }
 
-/// Answer to `DELETE /v1/runs/{id}`.
+/// Response to `DELETE /v1/runs/{id}`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EndedRun {
     /// The run.
     pub id: RunId,
-    /// How it ended.
+    /// The phase in which it ended.
     pub phase: RunPhase,
 }
--- a/crates/sidecar/tests/callers/client.rs
+++ b/crates/sidecar/tests/callers/client.rs
@@ -57,7 +57,7 @@
 }
 
 /// Longest wait for an answer; a node that stays silent is given up within it.
-const PATIENCE: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Starts everything and waits until the sidecar is ready.
 pub async fn setup() -> Setup {
@@ -87,7 +87,7 @@
     let setup = Setup {
         node,
         sidecar,
-        client: awc::Client::builder().timeout(PATIENCE).finish(),
+        client: awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish(),
     };
     for _ in 0..READY_ATTEMPTS {
         if setup.send(Method::GET, "/readyz", &[], "").await.status == StatusCode::OK {
--- a/crates/sidecar/tests/callers/node.rs
+++ b/crates/sidecar/tests/callers/node.rs
@@ -148,7 +148,7 @@
         let outcome = match known {
             Some(call) if call.spec == spec => call.outcome.clone().expect("calls end at once"),
             Some(_) => refused(RefusalReason::CallNumberReused),
-            None => outcome_of(&spec),
+            None => scripted_outcome(&spec),
         };
         let is_new = known.is_none() && !matches!(outcome, Outcome::Refused(_));
         if is_new {
@@ -189,7 +189,7 @@
 }
 
 /// A tool's name or a model's last message decides how the call ends.
-fn outcome_of(spec: &CallSpec) -> Outcome {
+fn scripted_outcome(spec: &CallSpec) -> Outcome {
     let text = match &spec.request {
         CallRequest::Tool(tool) => tool.tool.to_string(),
         CallRequest::Model(model) => model
--- a/crates/sidecar/tests/callers/stream.rs
+++ b/crates/sidecar/tests/callers/stream.rs
@@ -26,7 +26,7 @@
             AnswerEvent::Restarted => text.clear(),
         };
         for part in bytes.as_bytes().chunks(size) {
-            reader.take(part, &mut take).expect("no error event");
+            reader.feed(part, &mut take).expect("no error event");
         }
         let answer = reader.finish().expect("completed");
         assert_eq!(answer.content, text, "by {size} bytes");
@@ -39,7 +39,7 @@
     let mut reader = AnswerReader::default();
     let error = "event: error\ndata: {\"error\":{\"code\":\"overloaded\",\"message\":\"m\",\
         \"run\":\"no\",\"retry_after_ms\":5}}\n\n";
-    let error = reader.take(error.as_bytes(), &mut |_| {});
+    let error = reader.feed(error.as_bytes(), &mut |_| {});
     let Err(ClientError::Answered(fields)) = error else {
         panic!("{error:?}");
     };
@@ -49,9 +49,9 @@
     );
     let mut reader = AnswerReader::default();
     reader
-        .take(chunk("ab").as_bytes(), &mut |_| {})
+        .feed(chunk("ab").as_bytes(), &mut |_| {})
         .expect("no error event");
-    assert_eq!(reader.finish().expect_err("no end"), ClientError::CutOff);
+    assert_eq!(reader.finish().expect_err("no end"), ClientError::Truncated);
 }
 
 #[actix_rt::test]
