--- a/crates/sidecar/src/http/auth.rs
+++ b/crates/sidecar/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! On whose behalf a request is made.
+//! Authentication of callers by bearer token.
 
 use actix_http::StatusCode;
 use actix_http::header::{AUTHORIZATION, HeaderMap};
@@ -7,7 +7,11 @@
 
 use super::error::ApiError;
 
-/// The tenant whose bearer token the request shows.
+/// Returns the tenant that the request's bearer token belongs to.
+///
+/// # Errors
+///
+/// Returns a 401 error if the token is missing or unknown.
 pub fn tenant(
     settings: &SidecarProcessSettings,
     headers: &HeaderMap,
@@ -16,13 +20,13 @@
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .ok_or_else(|| unauthorized("a bearer token is needed"))?;
+        .ok_or_else(|| unauthorized("a bearer token is required"))?;
     settings
         .tenants
         .iter()
         .find(|(_, token)| token.expose() == presented)
         .map(|(tenant, _)| tenant.clone())
-        .ok_or_else(|| unauthorized("the bearer token is not known"))
+        .ok_or_else(|| unauthorized("unknown bearer token"))
 }
 
 fn unauthorized(message: &str) -> ApiError {
--- a/crates/sidecar/src/http/body.rs
+++ b/crates/sidecar/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body and headers.
+//! Decoding of request bodies and headers.
 
 use std::str::FromStr;
 
@@ -10,7 +10,11 @@
 
 use super::error::ApiError;
 
-/// Reads a JSON body of at most `limit` bytes.
+/// Reads and decodes a JSON body of at most `limit` bytes.
+///
+/// # Errors
+///
+/// Returns an error if the body is too large, is not JSON or does not match `T`.
 pub async fn json<T: DeserializeOwned>(request: &mut Request, limit: usize) -> Result<T, ApiError> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
@@ -36,7 +40,11 @@
     ApiError::request(StatusCode::BAD_REQUEST, "malformed_json", message)
 }
 
-/// A header's value, if the header is there.
+/// Parses a header's value, if the header is present.
+///
+/// # Errors
+///
+/// Returns an error if the value is not a valid `T`.
 pub fn header<T: FromStr>(headers: &HeaderMap, name: &str) -> Result<Option<T>, ApiError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -44,8 +52,6 @@
     let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
     match parsed {
         Some(value) => Ok(Some(value)),
-        None => Err(ApiError::invalid(format!(
-            "header {name} is not understood"
-        ))),
+        None => Err(ApiError::invalid(format!("invalid value of header {name}"))),
     }
 }
--- a/crates/sidecar/src/http/call_request.rs
+++ b/crates/sidecar/src/http/call_request.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to a with_number call and its outcome.
+//! Submission of calls: numbering, repeated requests, and the events of an open call.
 
 use std::time::{Duration, Instant};
 
@@ -12,31 +12,31 @@
 use super::{App, runs};
 use crate::core_client::Replies;
 
-/// Most times that a call is renumbered because another sidecar used its number first.
+/// Maximum number of times that a call gets a new number because another sidecar used its number.
 const MAX_RENUMBERINGS: u32 = 3;
 
-/// A call without a number yet.
+/// A call that may not have a number yet.
 #[derive(Clone, Debug)]
 pub struct CallDraft {
-    /// The caller's own number, if it gave one.
+    /// The number, if the caller chose one or repeats a call.
     pub number: Option<CallNumber>,
-    /// The work.
+    /// The model or tool request.
     pub request: CallRequest,
-    /// Whether running it twice is harmless.
+    /// Whether the call may safely run more than once.
     pub repeatable: bool,
-    /// Key under which a repeated request is recognised.
+    /// Key that identifies repetitions of the request.
     pub idempotency_key: Option<String>,
-    /// When the answer stops being useful.
+    /// Time after which the answer is no longer useful.
     pub deadline: Option<Timestamp>,
-    /// How soon the prefix will be used again.
+    /// Time until the prompt prefix is expected to be reused.
     pub expected_reuse: Option<Duration>,
 }
 
-/// A call that was submitted and has said something.
+/// A submitted call whose first reply has arrived.
 pub struct OpenCall {
-    /// The run.
+    /// The run of the call.
     pub run: RunId,
-    /// Its number.
+    /// Number of the call within the run.
     pub number: CallNumber,
     app: App,
     replies: Replies,
@@ -44,7 +44,11 @@
     started: Instant,
 }
 
-/// Checks that the run exists for this tenant, by asking its owner if need be.
+/// Checks that the run exists for this tenant, from the cache or by reading it from its node.
+///
+/// # Errors
+///
+/// Returns an error if the run does not exist for the tenant or no node answered.
 pub async fn check_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
     if app.known_runs.is_known(run, tenant) {
         return Ok(());
@@ -60,7 +64,14 @@
     Ok(())
 }
 
-/// Submits a call of an existing run and waits for its first sign of life.
+/// Submits a call of an existing run and waits for its first reply.
+///
+/// A call numbered by this sidecar is renumbered if another sidecar has used the number.
+///
+/// # Errors
+///
+/// Returns an error if no number could be assigned. Failures of the call itself are reported by the
+/// returned [`OpenCall`].
 pub async fn submit(
     app: &App,
     tenant: &TenantId,
@@ -101,17 +112,18 @@
     }
 }
 
-/// What a new request is compared with: the run, and the call that the request repeats.
+/// The state of a run that a new request is evaluated against.
 pub struct RunContext {
-    /// Messages that a prompt can begin with.
+    /// The message history of the run.
     pub history: Vec<Message>,
-    /// The call of the same number or, without a number, of the same idempotency key.
+    /// The call that the request repeats: the one with the same number or, if the request has none,
+    /// with the same idempotency key.
     pub original: Option<CallSpec>,
 }
 
 impl RunContext {
-    /// How many messages of the history the original call's prompt began with. A repeated request
-    /// has to say the same, although the history has grown since.
+    /// Returns the number of history messages with which the original call's prompt started. A
+    /// repeated request must use the same number although the history has grown since.
     pub fn original_prefix(&self) -> Option<u32> {
         match &self.original.as_ref()?.request {
             CallRequest::Model(model) => Some(model.history_prefix),
@@ -119,8 +131,8 @@
         }
     }
 
-    /// The deadline to use. Callers give it from now, so a repeated request takes over the first
-    /// one's.
+    /// Returns the deadline to use. Callers give deadlines relative to the present, so a repeated
+    /// request uses the original call's deadline.
     pub fn deadline(&self, given: Option<Timestamp>) -> Option<Timestamp> {
         let original = self
             .original
@@ -129,13 +141,17 @@
         given.map(|given| original.unwrap_or(given))
     }
 
-    /// The number to use: the caller's own, or that of the call that the request repeats.
+    /// Returns the number to use: the given one, or that of the call that the request repeats.
     pub fn number(&self, given: Option<CallNumber>) -> Option<CallNumber> {
         given.or(self.original.as_ref().map(|original| original.number))
     }
 }
 
-/// Reads what a request with this number and idempotency key is compared with.
+/// Reads the run and finds the call that a request with this number or idempotency key repeats.
+///
+/// # Errors
+///
+/// Returns an error if the run does not exist for the tenant or no node answered.
 pub async fn read_context(
     app: &App,
     tenant: &TenantId,
@@ -192,18 +208,18 @@
     }
 }
 
-/// One step of an answer.
+/// An event of an open call.
 pub enum CallEvent {
-    /// The next piece.
+    /// The next chunk of text.
     Chunk(String),
-    /// What was streamed so far is void.
+    /// The answer starts over; the chunks so far must be discarded.
     Restarted,
-    /// The end: the whole answer, or the error to be told.
+    /// The call has ended with the full answer or an error.
     Ended(Result<Answer, ApiError>),
 }
 
 impl OpenCall {
-    /// The next step; nothing comes after the end.
+    /// Waits for the next event. Must not be called after [`CallEvent::Ended`].
     pub async fn next(&mut self) -> CallEvent {
         let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
@@ -213,7 +229,7 @@
             Some(CallerReply::Chunk { text }) => CallEvent::Chunk(text),
             Some(CallerReply::Restarted) => CallEvent::Restarted,
             Some(CallerReply::CallEnded { outcome, .. }) => CallEvent::Ended(self.ended(outcome)),
-            // The process is stopping; the caller may ask again elsewhere.
+            // The replies end early only if the process is stopping; the caller may retry elsewhere.
             _ => CallEvent::Ended(Err(crate::core_client::NoAnswerFromNode.into())),
         }
     }
@@ -229,7 +245,11 @@
         }
     }
 
-    /// Waits for the end and returns the whole answer.
+    /// Waits for the end of the call and returns the full answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the call did not complete.
     pub async fn into_answer(mut self) -> Result<Answer, ApiError> {
         loop {
             if let CallEvent::Ended(result) = self.next().await {
@@ -238,8 +258,8 @@
         }
     }
 
-    /// The error, if the call ended with one before saying anything else. Taken before a streamed
-    /// response begins, so that its status tells.
+    /// Returns the error if the call's first reply ended it with one. Checked before a streamed
+    /// response starts, so that the error is reported by the HTTP status.
     pub fn immediate_error(&self) -> Option<ApiError> {
         match &self.first_reply {
             Some(CallerReply::CallEnded { outcome, .. }) => ApiError::from_outcome(outcome),
--- a/crates/sidecar/src/http/calls.rs
+++ b/crates/sidecar/src/http/calls.rs
@@ -15,10 +15,10 @@
 use super::{ApiResult, App, auth, body, json, runs, sse};
 use crate::wire::{AnswerChunk, CallBody, CompletedCall, ModelBody, ToolBody};
 
-/// Most tokens generated where a caller sets no limit.
+/// Maximum number of generated tokens if the caller sets no limit.
 pub const DEFAULT_MAX_OUTPUT_TOKENS: Tokens = Tokens(1024);
 
-/// Makes a call and answers with its whole answer or a stream of it.
+/// Handles `POST /v1/runs/{id}/calls`: makes a call and responds with the full answer or a stream.
 pub async fn create(app: App, mut request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let limit = app.settings.limits.max_body_bytes;
@@ -55,7 +55,9 @@
     let (request, is_repeatable) = match (body.model, body.tool) {
         (Some(model), None) => (model_request(model, context.as_ref()), true),
         (None, Some(tool)) => (tool_request(tool), false),
-        _ => return Err(ApiError::invalid("give either `model` or `tool`")),
+        _ => {
+            return Err(ApiError::invalid("give exactly one of `model` and `tool`"));
+        }
     };
     Ok(CallDraft {
         number,
@@ -67,14 +69,14 @@
     })
 }
 
-/// Without a prefix of the caller's own, the prompt begins with the whole history as it is, or as
-/// it was for the call that this one repeats.
+/// Builds the model request. By default, the prompt starts with the whole current history, or with
+/// the prefix that the repeated call used.
 fn model_request(body: ModelBody, context: Option<&RunContext>) -> CallRequest {
     let current = context.map_or(0, |context| context.history.len() as u32);
-    let earlier = context.and_then(RunContext::original_prefix);
+    let original = context.and_then(RunContext::original_prefix);
     CallRequest::Model(ModelRequest {
         model: body.name,
-        history_prefix: body.history_prefix.or(earlier).unwrap_or(current),
+        history_prefix: body.history_prefix.or(original).unwrap_or(current),
         messages: body.messages.into_iter().map(Message::from).collect(),
         max_output: body.max_output.unwrap_or(DEFAULT_MAX_OUTPUT_TOKENS),
     })
@@ -104,15 +106,15 @@
 fn events(call: OpenCall) -> impl Stream<Item = Bytes> {
     stream::unfold(Some(call), |call| async move {
         let mut call = call?;
-        let step = call.next().await;
-        let is_last = matches!(step, CallEvent::Ended(_));
-        let event = event(&call, step);
+        let call_event = call.next().await;
+        let is_last = matches!(call_event, CallEvent::Ended(_));
+        let event = event(&call, call_event);
         Some((event, (!is_last).then_some(call)))
     })
 }
 
-fn event(call: &OpenCall, step: CallEvent) -> Bytes {
-    match step {
+fn event(call: &OpenCall, call_event: CallEvent) -> Bytes {
+    match call_event {
         CallEvent::Chunk(text) => sse::event("chunk", &to_json(&AnswerChunk { text })),
         CallEvent::Restarted => sse::event("restarted", "{}"),
         CallEvent::Ended(result) => match result {
--- a/crates/sidecar/src/http/chat.rs
+++ b/crates/sidecar/src/http/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: an existing client works by changing its base URL.
+//! `POST /v1/chat/completions`, compatible with clients of OpenAI's API.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 use super::{ApiResult, App, auth, body, sse};
 use crate::driver::now;
 
-/// Names the run that the call belongs to.
+/// Header with the id of the run that the call belongs to.
 const RUN_HEADER: &str = "x-elderworks-run";
-/// Names the program of a call that belongs to no run.
+/// Header with the program to run if no run is given.
 const PROGRAM_HEADER: &str = "x-elderworks-run-program";
-/// Position of the call within its run.
+/// Header with the number of the call within its run.
 const CALL_HEADER: &str = "x-elderworks-call";
-/// Milliseconds until the answer stops being useful.
+/// Header with the time until the call's deadline, in milliseconds.
 const TIMEOUT_HEADER: &str = "x-elderworks-timeout-ms";
-/// Milliseconds until the prefix is expected to be used again.
+/// Header with the time until the prompt prefix is expected to be reused, in milliseconds.
 const EXPECTED_REUSE_HEADER: &str = "x-elderworks-expected-reuse-ms";
-/// Key under which a repeat of the request is recognised.
+/// Header with the key that identifies repetitions of the request.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// The last event of every stream.
 const DONE_EVENT: &str = "[DONE]";
 
-/// What the request's headers say.
+/// The request headers that control the call.
 struct ChatHeaders {
     run: Option<RunId>,
     program: Option<String>,
@@ -47,7 +47,7 @@
 
 impl ChatHeaders {
     fn read(headers: &HeaderMap) -> Result<Self, ApiError> {
-        // A run id that is none names no run, like any unknown one.
+        // A malformed run id is reported like an unknown run.
         let run = body::header(headers, RUN_HEADER).map_err(|_| ApiError::run_not_found())?;
         let deadline: Option<u64> = body::header(headers, TIMEOUT_HEADER)?;
         let reuse: Option<u64> = body::header(headers, EXPECTED_REUSE_HEADER)?;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Makes one model call.
+/// Handles a chat completion request.
 pub async fn complete(app: App, mut request: Request) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let headers = ChatHeaders::read(&request.head().headers)?;
@@ -95,11 +95,11 @@
     }
 }
 
-/// How the caller wants the answer.
+/// The requested form of the response.
 enum ResponseForm {
-    /// As one body.
+    /// The full answer in one body.
     Whole,
-    /// Piece by piece, with the usage at the end if asked for.
+    /// A stream of chunks, with the token usage at the end if requested.
     Streamed { with_usage: bool },
 }
 
@@ -116,22 +116,22 @@
 
 fn check(body: &ChatBody) -> Result<(), ApiError> {
     if body.n.is_some_and(|n| n != 1) {
-        return Err(ApiError::invalid("`n`: only one answer is possible"));
+        return Err(ApiError::invalid("`n`: only 1 is supported"));
     }
     if body.tools.as_ref().is_some_and(|tools| !tools.is_empty()) {
-        let message = "`tools`: call tools by POST /v1/runs/{id}/calls instead";
+        let message = "`tools`: not supported; call tools by POST /v1/runs/{id}/calls instead";
         return Err(ApiError::invalid(message));
     }
     if body.messages.is_empty() {
-        return Err(ApiError::invalid("`messages`: at least one is needed"));
+        return Err(ApiError::invalid("`messages`: at least one is required"));
     }
     Ok(())
 }
 
-/// Where the call belongs.
+/// The run that the call belongs to.
 struct RunTarget {
     run: RunId,
-    /// Whether the run was started for this call alone and ends with it.
+    /// Whether the run was started for this call only and ends with it.
     is_ephemeral: bool,
 }
 
@@ -150,7 +150,11 @@
         .program
         .as_deref()
         .or(app.settings.default_program.as_deref())
-        .ok_or_else(|| ApiError::invalid(format!("give {RUN_HEADER} or {PROGRAM_HEADER}")))?;
+        .ok_or_else(|| {
+            ApiError::invalid(format!(
+                "header {RUN_HEADER} or {PROGRAM_HEADER} is required"
+            ))
+        })?;
     let draft = RunDraft {
         program: ResourceName::new(program),
         budget: None,
@@ -180,8 +184,8 @@
         number = context.number(number);
         deadline = context.deadline(deadline);
         let shared = common_prefix(&context.history, &messages);
-        let earlier = context.original_prefix().map(|prefix| prefix as usize);
-        prefix_len = earlier.unwrap_or(shared).min(shared);
+        let original_prefix = context.original_prefix().map(|prefix| prefix as usize);
+        prefix_len = original_prefix.unwrap_or(shared).min(shared);
     }
     messages.drain(..prefix_len);
     let max_output = body.max_completion_tokens.or(body.max_tokens);
@@ -200,7 +204,7 @@
     })
 }
 
-/// How many messages both begin with.
+/// Returns the number of leading messages that both have in common.
 fn common_prefix(history: &[Message], messages: &[Message]) -> usize {
     history
         .iter()
@@ -209,7 +213,7 @@
         .count()
 }
 
-/// A completion under way.
+/// A completion in progress.
 struct Chat {
     app: App,
     tenant: TenantId,
@@ -255,8 +259,8 @@
     ]
 }
 
-/// Ends a run that was started for one call. The answer does not wait for it; should the end be
-/// lost, the run ends by its program's limits.
+/// Ends a run that was started for this call only, in the background. If that fails, the run ends
+/// when it reaches the limits of its program.
 fn end_ephemeral_run(app: &App, tenant: &TenantId, target: &RunTarget) {
     if !target.is_ephemeral {
         return;
@@ -268,6 +272,7 @@
     });
 }
 
+/// The state of a streamed completion.
 struct ChatStream {
     chat: Chat,
     pending: VecDeque<Bytes>,
--- a/crates/sidecar/src/http/chat_wire.rs
+++ b/crates/sidecar/src/http/chat_wire.rs
@@ -1,39 +1,39 @@
-//! JSON forms of OpenAI's chat completion interface, as far as elderworks speaks it.
+//! JSON types of the supported part of OpenAI's chat completions API.
 
 use elderworks_types::{Answer, CallNumber, Credits, Message, ModelName, Role, RunId, Tokens};
 use serde::{Deserialize, Serialize};
 
-/// Body of `POST /v1/chat/completions`. Sampling parameters are taken and not used.
+/// Body of `POST /v1/chat/completions`. Other fields, such as sampling parameters, are ignored.
 #[derive(Debug, Deserialize)]
 pub struct ChatBody {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
     /// The whole conversation.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens to generate, by its older name.
+    /// Maximum number of tokens to generate; deprecated in favour of `max_completion_tokens`.
     pub max_tokens: Option<Tokens>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_completion_tokens: Option<Tokens>,
     /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
-    /// What else a stream carries.
+    /// Options of a streamed response.
     pub stream_options: Option<StreamOptions>,
-    /// Number of answers; only 1 is possible.
+    /// Number of answers; only 1 is supported.
     pub n: Option<u32>,
-    /// Functions that the model may ask for; not offered here.
+    /// Functions that the model may request; must be empty.
     pub tools: Option<Vec<serde_json::Value>>,
 }
 
 /// Options of a stream.
 #[derive(Debug, Deserialize)]
 pub struct StreamOptions {
-    /// Whether a last chunk carries the usage.
+    /// Whether to send a last chunk with the token usage.
     #[serde(default)]
     pub include_usage: bool,
 }
 
-/// One message.
+/// A message of the conversation.
 #[derive(Debug, Deserialize)]
 pub struct ChatMessage {
     role: ChatRole,
@@ -87,16 +87,16 @@
     }
 }
 
-/// What all answers of one completion share.
+/// The fields shared by all responses and chunks of one completion.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// The run.
+    /// Id of the run.
     pub run: RunId,
-    /// The call.
+    /// Number of the call within the run.
     pub number: CallNumber,
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// When it was made, in seconds since the Unix epoch.
+    /// Creation time, in seconds since the Unix epoch.
     pub created: u64,
 }
 
@@ -162,7 +162,7 @@
 }
 
 impl Completion {
-    /// The whole answer.
+    /// Renders the full answer.
     pub fn full_response(&self, answer: &Answer) -> String {
         let choice = WholeChoice {
             index: 0,
@@ -175,7 +175,7 @@
         self.render("chat.completion", vec![choice], Some(answer))
     }
 
-    /// The first chunk of a stream, which only names the role.
+    /// Renders the first chunk of a stream, which only has the role.
     pub fn role_chunk(&self) -> String {
         let delta = Delta {
             role: Some(Role::Assistant),
@@ -184,7 +184,7 @@
         self.chunk(delta, None)
     }
 
-    /// One piece of a stream.
+    /// Renders a chunk with a part of the text.
     pub fn delta(&self, text: &str) -> String {
         let delta = Delta {
             role: None,
@@ -193,12 +193,12 @@
         self.chunk(delta, None)
     }
 
-    /// The last piece of a stream.
+    /// Renders the last content chunk of a stream, which has the finish reason.
     pub fn final_chunk(&self) -> String {
         self.chunk(Delta::default(), Some("stop"))
     }
 
-    /// The chunk that carries the usage.
+    /// Renders the chunk with the token usage.
     pub fn usage_chunk(&self, answer: &Answer) -> String {
         let choices: Vec<DeltaChoice<'_>> = Vec::new();
         self.render("chat.completion.chunk", choices, Some(answer))
--- a/crates/sidecar/src/http/error.rs
+++ b/crates/sidecar/src/http/error.rs
@@ -1,4 +1,4 @@
-//! The one shape of errors, and its stable codes.
+//! Error responses of the API and their stable codes.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::core_client::{NoAnswerFromNode, StartError};
 use crate::wire::{ErrorBody, ErrorFields, WasRun};
 
-/// Tells OpenAI's own clients not to repeat a request by themselves.
+/// Header that controls whether OpenAI's client libraries retry a request automatically.
 const SHOULD_RETRY_HEADER: &str = "x-should-retry";
 
-/// An error as callers see it.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiError {
     status: StatusCode,
@@ -24,7 +24,7 @@
 }
 
 impl ApiError {
-    /// A mistake in the request itself: nothing was run.
+    /// Creates an error for an invalid request, of which nothing was run.
     pub fn request(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// A field is missing, of the wrong type or out of range.
+    /// Creates an error for a field that is missing, of the wrong type or out of range.
     pub fn invalid(message: impl Into<String>) -> Self {
         Self::request(StatusCode::BAD_REQUEST, "invalid_request", message)
     }
 
-    /// The run does not exist, or belongs to another tenant.
+    /// Creates the error for a run that does not exist or belongs to another tenant.
     pub fn run_not_found() -> Self {
         Self::refused(&Refusal {
             reason: RefusalReason::RunNotFound,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// A refusal.
+    /// Creates an error from a refusal.
     pub fn refused(refusal: &Refusal) -> Self {
         let (status, code, message) = describe_refusal(refusal.reason);
         Self {
@@ -60,19 +60,19 @@
         }
     }
 
-    /// The answer was made anew while part of another had been streamed.
+    /// Creates the error for an answer that started over after a part of it had been streamed.
     pub fn answer_restarted() -> Self {
         Self {
             status: StatusCode::CONFLICT,
             code: "answer_restarted",
-            message: "the answer was made anew; ask again with the same number for the whole of it"
+            message: "the answer was restarted after part of it was streamed; repeat the request with the same call number for the full answer"
                 .to_owned(),
             run: WasRun::Yes,
             retry_after: Some(Duration::ZERO),
         }
     }
 
-    /// The error of an outcome that is none of a completed call.
+    /// Creates an error from an outcome, or returns `None` if the call completed.
     pub fn from_outcome(outcome: &Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed(_) => None,
@@ -100,12 +100,12 @@
         }
     }
 
-    /// The stable code.
+    /// Returns the stable error code.
     pub fn code(&self) -> &'static str {
         self.code
     }
 
-    /// The JSON form.
+    /// Renders the JSON body.
     pub fn body(&self) -> String {
         let retry_after_ms = self.retry_after.map(|wait| wait.as_millis() as u64);
         let body = ErrorBody {
@@ -119,7 +119,7 @@
         serde_json::to_string(&body).expect("errors are plain data")
     }
 
-    /// The whole response.
+    /// Converts the error to an HTTP response.
     pub fn into_response(self) -> Response<BoxBody> {
         let mut builder = Response::build(self.status);
         builder.insert_header((CONTENT_TYPE, "application/json"));
@@ -148,7 +148,7 @@
 impl From<NoAnswerFromNode> for ApiError {
     fn from(_: NoAnswerFromNode) -> Self {
         Self {
-            // The request may have taken effect, so the status must not promise that it has not.
+            // Not 503, which would imply that the request had no effect.
             status: StatusCode::GATEWAY_TIMEOUT,
             code: "no_answer_from_node",
             message: "no node answered in time; the request may be repeated".to_owned(),
@@ -173,7 +173,7 @@
         R::LogUnavailable => (
             StatusCode::SERVICE_UNAVAILABLE,
             "log_unavailable",
-            "the platform's log does not answer",
+            "the platform's log is not responding",
         ),
         R::Overloaded => (
             StatusCode::SERVICE_UNAVAILABLE,
@@ -196,7 +196,11 @@
             "the run has reached a limit of its program",
         ),
         R::RunEnded => (StatusCode::CONFLICT, "run_ended", "the run has ended"),
-        R::RunNotFound => (StatusCode::NOT_FOUND, "run_not_found", "no such run"),
+        R::RunNotFound => (
+            StatusCode::NOT_FOUND,
+            "run_not_found",
+            "the run does not exist",
+        ),
         R::NoBackend => (
             StatusCode::SERVICE_UNAVAILABLE,
             "no_backend",
@@ -225,7 +229,7 @@
         R::HistoryMissing => (
             StatusCode::CONFLICT,
             "history_missing",
-            "the call builds on more history than the run has; read the run and make it anew",
+            "the call refers to more history than the run has; read the run and submit a new call",
         ),
         R::NoNodeReachable => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/sidecar/src/http/mod.rs
+++ b/crates/sidecar/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface.
+//! The HTTP API for callers.
 
 mod auth;
 mod body;
@@ -31,26 +31,26 @@
 use error::ApiError;
 use route::Route;
 
-/// Longest time for a client to send a request's head.
+/// Maximum time for a client to send the head of a request.
 const CLIENT_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What every handler needs; cheap to clone.
+/// State shared by all request handlers; cheap to clone.
 #[derive(Clone)]
 pub struct App {
-    /// The state machine.
+    /// Handle to the state machine.
     pub core: CoreClient,
-    /// Runs seen before.
+    /// Cache of recently used runs.
     pub known_runs: Arc<KnownRuns>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Arc<SidecarProcessSettings>,
 }
 
-/// A response, or the error to be told in its place.
+/// The result of a request handler.
 pub type ApiResult = Result<Response<BoxBody>, ApiError>;
 
-/// The HTTP service on accepted connections.
+/// Returns the HTTP service for accepted connections.
 pub fn http_service(
     app: App,
     stop: GracefulShutdownSignal,
@@ -120,7 +120,7 @@
         .map_into_boxed_body()
 }
 
-/// A JSON response.
+/// Builds a JSON response.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<BoxBody> {
     let body = serde_json::to_vec(value).expect("responses are plain data");
     Response::build(status)
--- a/crates/sidecar/src/http/route.rs
+++ b/crates/sidecar/src/http/route.rs
@@ -1,11 +1,11 @@
-//! Which resource a request is for.
+//! Mapping of methods and paths to routes.
 
 use actix_http::{Method, StatusCode};
 use elderworks_types::RunId;
 
 use super::error::ApiError;
 
-/// The resources of the callers' interface.
+/// The routes of the callers' API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
     /// `GET /metrics`.
@@ -31,7 +31,12 @@
 }
 
 impl Route {
-    /// Finds the resource; a run id that is none is treated like an unknown run.
+    /// Finds the route of a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if there is no such route or the method is not allowed. A malformed run id
+    /// is reported like an unknown run.
     pub fn resolve(method: &Method, path: &str) -> Result<Self, ApiError> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments.as_slice() {
@@ -66,7 +71,7 @@
         }
     }
 
-    /// The resource's name, for counters.
+    /// Returns the route's name for metric labels.
     pub fn name(&self) -> &'static str {
         match self {
             Route::Metrics => "metrics",
@@ -87,7 +92,7 @@
     if *method == allowed {
         return Ok(route);
     }
-    let message = format!("only {allowed} is possible here");
+    let message = format!("only {allowed} is allowed for this resource");
     let status = StatusCode::METHOD_NOT_ALLOWED;
     Err(ApiError::request(status, "method_not_allowed", message))
 }
--- a/crates/sidecar/src/http/runs.rs
+++ b/crates/sidecar/src/http/runs.rs
@@ -1,4 +1,4 @@
-//! The run resource: start, read, history, end.
+//! Handlers of the run resource: start, read, history and end.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use crate::driver::now;
 use crate::wire::{EndedRun, StartRunBody, StartedRun, WireHistory, WireRun};
 
-/// Stands for "as much as the program allows".
+/// Budget of a run that is limited only by its program's budget.
 const UNLIMITED_BUDGET: Credits = Credits(u64::MAX);
 
-/// What a run is started with.
+/// Parameters of a new run.
 pub struct RunDraft {
-    /// The program.
+    /// Name of the program.
     pub program: ResourceName,
-    /// Most credits; `None` for all that the program allows.
+    /// Maximum credits; `None` for the limit of the program.
     pub budget: Option<Credits>,
-    /// When it should be done.
+    /// Time by which the run should be complete.
     pub deadline: Option<Timestamp>,
-    /// The run that spawns it.
+    /// The run that spawns this one.
     pub parent: Option<RunId>,
 }
 
-/// `POST /v1/runs`.
+/// Handles `POST /v1/runs`.
 pub async fn start(app: App, mut request: Request) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let limit = app.settings.limits.max_body_bytes;
@@ -42,7 +42,11 @@
     Ok(json(StatusCode::CREATED, &StartedRun { id }))
 }
 
-/// Starts a run and notes that it is the tenant's.
+/// Starts a run and adds it to the cache of known runs.
+///
+/// # Errors
+///
+/// Returns an error if the parent does not exist, the run is refused or no node answered.
 pub async fn start_run(app: &App, tenant: &TenantId, draft: RunDraft) -> Result<RunId, ApiError> {
     let id = match draft.parent {
         Some(parent) => {
@@ -64,37 +68,41 @@
     Ok(run)
 }
 
-/// Zero names no run and no sub-agent.
+/// Returns a random id other than zero, which is reserved.
 fn random_id() -> u64 {
     rand::random::<u64>().max(1)
 }
 
-/// The time `milliseconds` from now.
+/// Returns the time `milliseconds` from now.
 pub fn from_now(milliseconds: u64) -> Timestamp {
     now() + Duration::from_millis(milliseconds)
 }
 
-/// `GET /v1/runs/{id}`.
+/// Handles `GET /v1/runs/{id}`.
 pub async fn read(app: App, request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let view = view(&app, &tenant, run).await?;
     Ok(json(StatusCode::OK, &WireRun::from(&*view)))
 }
 
-/// `GET /v1/runs/{id}/history`.
+/// Handles `GET /v1/runs/{id}/history`.
 pub async fn history(app: App, request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     let messages = view(&app, &tenant, run).await?.history;
     Ok(json(StatusCode::OK, &WireHistory { messages }))
 }
 
-/// Reads a run, or says that it does not exist.
+/// Reads a run.
+///
+/// # Errors
+///
+/// Returns an error if the run does not exist for the tenant or no node answered.
 pub async fn view(app: &App, tenant: &TenantId, run: RunId) -> Result<Box<RunView>, ApiError> {
     let view = app.core.read_run(tenant.clone(), run).await?;
     view.ok_or_else(ApiError::run_not_found)
 }
 
-/// `DELETE /v1/runs/{id}`.
+/// Handles `DELETE /v1/runs/{id}`.
 pub async fn end(app: App, request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     check_run(&app, &tenant, run).await?;
--- a/crates/sidecar/src/http/sse.rs
+++ b/crates/sidecar/src/http/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events.
+//! Encoding of server-sent events.
 
 use std::convert::Infallible;
 
@@ -8,18 +8,18 @@
 use bytes::Bytes;
 use futures_util::Stream;
 
-/// One event with a name.
+/// Encodes an event with a name.
 pub fn event(name: &str, data: &str) -> Bytes {
     Bytes::from(format!("event: {name}\ndata: {data}\n\n"))
 }
 
-/// One event without a name, as OpenAI's interface has them.
+/// Encodes an event without a name, as in OpenAI's API.
 pub fn data(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// A response that streams events. Dropping it, as the server does once the client hangs up,
-/// drops the stream.
+/// Builds a response that streams events. The server drops the response, and with it the stream,
+/// when the client disconnects.
 pub fn response(
     headers: &[(&'static str, String)],
     events: impl Stream<Item = Bytes> + 'static,
--- a/crates/sidecar/src/http/watch.rs
+++ b/crates/sidecar/src/http/watch.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/runs/{id}/watch`: a run's state now, and again whenever it has changed.
+//! `GET /v1/runs/{id}/watch`: streams a run's state, initially and after every change.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use super::{ApiResult, App, auth, runs, sse};
 use crate::wire::WireRun;
 
-/// How often the owner is asked.
+/// Interval at which the run is read from its node.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Streams one `run` event per change, and ends after the run's end.
+/// Streams one `run` event per change; the stream ends when the run does.
 pub async fn watch(app: App, request: Request, run: RunId) -> ApiResult {
     let tenant = auth::tenant(&app.settings, &request.head().headers)?;
     runs::view(&app, &tenant, run).await?;
@@ -38,7 +38,7 @@
 }
 
 impl Watch {
-    /// Waits for the next change; the watch itself is returned unless the run has ended.
+    /// Waits for the next change. Returns the watch as well, unless the run has ended.
     async fn next(mut self) -> Option<(Bytes, Option<Self>)> {
         loop {
             let view = match runs::view(&self.app, &self.tenant, self.run).await {
