--- a/crates/sidecar-core/tests/core/bench.rs
+++ b/crates/sidecar-core/tests/core/bench.rs
@@ -1,4 +1,4 @@
-//! A sidecar with one or two scripted nodes.
+//! Test harness: a sidecar with two scripted nodes and a virtual clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +14,23 @@
     PartitionId, RunId, TenantId, Timestamp, ToolName, ToolRequest, Usage,
 };
 
-/// The run of every test.
+/// The run used by all tests.
 pub const RUN: RunId = RunId::root(7);
 
-/// Partitions that the scripted nodes report.
+/// Number of partitions that the scripted nodes report.
 pub const PARTITIONS: u32 = 8;
 
-/// The first scripted node.
+/// Returns the address of the first scripted node.
 pub fn node_a() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7101))
 }
 
-/// The second scripted node.
+/// Returns the address of the second scripted node.
 pub fn node_b() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7102))
 }
 
-/// Call number 1 of [`RUN`].
+/// Returns the id of call 1 of [`RUN`].
 pub fn call_id() -> CallId {
     CallId {
         run: RUN,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A tool call with the given properties.
+/// Returns the spec of call 1, a tool call.
 pub fn call_spec(repeatable: bool, deadline: Option<Timestamp>) -> CallSpec {
     CallSpec {
         number: CallNumber(1),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A completed outcome.
+/// Returns a completed outcome with the given content.
 pub fn completed(content: &str) -> Outcome {
     Outcome::Completed(Answer {
         content: content.to_owned(),
@@ -62,7 +62,7 @@
     })
 }
 
-/// The end of call 1.
+/// Returns the end message of call 1.
 pub fn ended(outcome: Outcome) -> NodeMessage {
     let digest = match &outcome {
         Outcome::Completed(answer) => answer_digest(&answer.content),
@@ -78,7 +78,7 @@
     }
 }
 
-/// A chunk of call 1.
+/// Returns a chunk message of call 1.
 pub fn chunk(attempt: u32, index: u32, text: &str) -> NodeMessage {
     NodeMessage::Chunk(Chunk {
         call: call_id(),
@@ -88,7 +88,7 @@
     })
 }
 
-/// The sidecar under test, its clock, and what it said.
+/// The sidecar under test, its clock, and its recorded effects.
 pub struct Bench {
     pub core: SidecarCore,
     pub now: Timestamp,
@@ -98,12 +98,12 @@
 }
 
 impl Bench {
-    /// A sidecar that knows both nodes and is connected to neither.
+    /// Creates a sidecar that knows both nodes and is connected to neither.
     pub fn new() -> Self {
         Self::with_settings(|_| {})
     }
 
-    /// The same with changed settings.
+    /// Like [`Bench::new`], with changed settings.
     pub fn with_settings(change: impl FnOnce(&mut SidecarSettings)) -> Self {
         let mut settings = SidecarSettings::new(vec![node_a(), node_b()], 1);
         change(&mut settings);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A sidecar that is connected to both nodes and knows that `owner` owns the run.
+    /// Creates a sidecar that is connected to both nodes and knows that `owner` owns the run.
     pub fn with_owner(owner: SocketAddr) -> Self {
         let mut bench = Self::new();
         bench.event(Event::Tick);
@@ -126,7 +126,7 @@
         bench
     }
 
-    /// `from` says that `owner` owns the run.
+    /// Delivers a report from `from` that `owner` owns the run.
     pub fn report_owner(&mut self, from: SocketAddr, owner: SocketAddr) {
         let owner = NodeAddress {
             node: NodeId::new("owner"),
@@ -142,7 +142,7 @@
         );
     }
 
-    /// Gives the core one event and sorts its effects.
+    /// Passes one event to the core and records its effects.
     pub fn event(&mut self, event: Event) {
         for effect in self.core.handle(self.now, event) {
             match effect {
@@ -153,12 +153,12 @@
         }
     }
 
-    /// A node sends a message.
+    /// Delivers a message from a node.
     pub fn receive(&mut self, address: SocketAddr, message: NodeMessage) {
         self.event(Event::Received { address, message });
     }
 
-    /// A caller makes call 1.
+    /// Makes a call as the tenant "office".
     pub fn call(&mut self, request: RequestId, spec: CallSpec) {
         self.event(Event::Call {
             request,
@@ -168,7 +168,7 @@
         });
     }
 
-    /// Lets time pass, with its ticks.
+    /// Advances the clock, sending a tick at every interval.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Where call 1 was submitted, in order.
+    /// Returns the nodes to which calls were submitted, in order.
     pub fn submissions(&self) -> Vec<SocketAddr> {
         self.sent
             .iter()
@@ -186,12 +186,12 @@
             .collect()
     }
 
-    /// The joined chunks that a request got since the last restart.
+    /// Returns the text that a request has received since its last restart.
     pub fn text(&self, request: RequestId) -> String {
         let mut text = String::new();
         for (_, reply) in self.replies.iter().filter(|(id, _)| *id == request) {
             match reply {
-                CallerReply::Chunk { text: piece } => text.push_str(piece),
+                CallerReply::Chunk { text: chunk } => text.push_str(chunk),
                 CallerReply::Restarted => text.clear(),
                 _ => {}
             }
@@ -199,7 +199,7 @@
         text
     }
 
-    /// The outcomes that a request got.
+    /// Returns the outcomes that a request has received.
     pub fn outcomes(&self, request: RequestId) -> Vec<Outcome> {
         self.replies
             .iter()
@@ -212,5 +212,5 @@
     }
 }
 
-/// The partition that a sidecar asks about before it knows their number.
+/// The partition that a sidecar looks up before it knows the number of partitions.
 pub const FIRST_PARTITION: PartitionId = PartitionId(0);
--- a/crates/sidecar-core/tests/core/calls.rs
+++ b/crates/sidecar-core/tests/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls through breaks, moves, repeats and silence.
+//! Calls across lost connections, moved partitions, repeated requests and silent nodes.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_call_finds_its_owner_and_is_acknowledged_once_whole() {
+fn a_call_is_sent_to_its_owner_and_acknowledged_when_complete() {
     let mut bench = Bench::new();
     bench.event(Event::Tick);
     assert_eq!(bench.connects, [node_a(), node_b()]);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn chunks_join_to_the_whole_whatever_comes_between() {
+fn chunks_form_the_full_answer_despite_repetitions_gaps_and_restarts() {
     type Steps = &'static [(u32, u32, &'static str)];
     let cases: &[(&str, Steps)] = &[
         ("in order", &[(1, 0, "ab"), (1, 1, "cd"), (1, 2, "ef")]),
@@ -69,22 +69,22 @@
             &[(1, 0, "ab"), (2, 1, "cd"), (2, 2, "ef")],
         ),
         (
-            "restarted in other pieces",
+            "restarted with other chunk boundaries",
             &[(1, 0, "abc"), (2, 0, "ab"), (2, 1, "cd"), (2, 2, "ef")],
         ),
         (
-            "restarted otherwise",
+            "restarted with a different text",
             &[(1, 0, "xyz"), (2, 0, "ab"), (2, 1, "cd")],
         ),
         (
-            "late pieces of an older attempt",
+            "late chunks of an older attempt",
             &[(2, 0, "ab"), (1, 0, "zz"), (1, 1, "yy")],
         ),
         (
             "restarted twice",
             &[(1, 0, "abcd"), (2, 0, "a"), (3, 0, "abcde")],
         ),
-        ("nothing but the end", &[]),
+        ("no chunks before the end", &[]),
     ];
     for (name, steps) in cases {
         let mut bench = Bench::with_owner(node_a());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_follows_a_restart_is_announced() {
+fn an_answer_that_differs_from_its_chunks_is_announced_as_restarted() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.receive(node_a(), chunk(1, 0, "other"));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_end_that_does_not_match_its_digest_is_asked_for_again() {
+fn a_call_is_resubmitted_if_its_answer_does_not_match_the_digest() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     let mut broken = ended(completed("abc"));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn after_a_break_the_new_owner_is_told_what_was_delivered() {
+fn after_a_lost_connection_the_new_owner_receives_the_delivered_progress() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.receive(node_a(), chunk(3, 0, "ab"));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_hint_of_a_better_owner_is_followed() {
+fn a_call_follows_a_redirect_to_the_new_owner() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     bench.receive(
@@ -172,13 +172,13 @@
     );
     bench.advance(Duration::from_secs(1));
     assert_eq!(bench.submissions(), [node_a(), node_b()]);
-    // The first node declined it, so the second one's refusal speaks for all.
+    // The first node rejected the call, so the second one's refusal proves that it was not run.
     bench.receive(node_b(), ended(refused(RefusalReason::Overloaded)));
     assert_eq!(bench.outcomes(1), [refused(RefusalReason::Overloaded)]);
 }
 
 #[test]
-fn a_call_that_moved_after_it_was_taken_is_not_refused_by_another_node() {
+fn a_call_that_moved_after_it_was_accepted_is_not_refused() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     let call = call_id();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_call_that_no_node_was_given_is_refused_as_not_run() {
+fn a_call_that_was_never_sent_is_refused() {
     for repeatable in [true, false] {
         let mut bench = Bench::new();
         bench.call(1, call_spec(repeatable, None));
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_call_that_a_lost_node_may_have_taken_is_never_refused() {
+fn a_call_that_a_lost_node_may_have_accepted_is_never_refused() {
     let reasons = [
         RefusalReason::Overloaded,
         RefusalReason::RunEnded,
@@ -239,7 +239,7 @@
     }
 }
 
-/// The submissions of call 1 as the nodes were told of them.
+/// Returns the tags of all submitted calls, in order.
 fn submission_tags(bench: &Bench) -> Vec<SubmissionTag> {
     let sent = bench.sent.iter();
     sent.filter_map(|(_, message)| match message {
@@ -249,6 +249,7 @@
     .collect()
 }
 
+/// Returns the end message of call 1 that bars a submission.
 fn ended_barring(outcome: Outcome, submission: Option<SubmissionId>) -> NodeMessage {
     let mut message = ended(outcome);
     if let NodeMessage::CallEnded { barred, .. } = &mut message {
@@ -258,7 +259,7 @@
 }
 
 #[test]
-fn copies_of_a_submission_are_told_apart_from_other_submissions() {
+fn copies_of_a_submission_share_its_id_and_are_marked_as_resubmitted() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(true, None));
     bench.event(Event::Disconnected { address: node_a() });
@@ -277,21 +278,21 @@
 }
 
 #[test]
-fn a_refusal_that_binds_every_owner_ends_a_call_that_was_handed_over_before() {
+fn a_refusal_that_bars_the_submission_ends_a_call_that_was_sent_before() {
     let other = SubmissionId {
         sidecar: 99,
         number: 99,
     };
     let cases = [
-        ("binds this submission", true, false, true),
-        ("binds another submission", false, false, false),
-        ("comes after a piece of the answer", true, true, false),
+        ("bars this submission", true, false, true),
+        ("bars another submission", false, false, false),
+        ("follows a chunk of the answer", true, true, false),
     ];
-    for (name, is_own, has_begun, is_final) in cases {
+    for (name, is_own, has_received_chunk, is_final) in cases {
         for repeatable in [true, false] {
             let mut bench = Bench::with_owner(node_a());
             bench.call(1, call_spec(repeatable, None));
-            if has_begun {
+            if has_received_chunk {
                 bench.receive(node_a(), chunk(1, 0, "ab"));
             }
             bench.event(Event::Disconnected { address: node_a() });
@@ -309,14 +310,14 @@
 }
 
 #[test]
-fn the_next_call_says_that_the_one_before_was_given_up() {
+fn a_call_reports_that_the_previous_one_was_abandoned() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     bench.event(Event::Disconnected { address: node_a() });
     bench.advance(Duration::from_secs(1));
     bench.report_owner(node_b(), node_b());
     bench.receive(node_b(), ended(refused(RefusalReason::DeadlinePassed)));
-    assert_eq!(bench.outcomes(1).len(), 1, "nobody could say");
+    assert_eq!(bench.outcomes(1).len(), 1, "the call is abandoned");
     let mut second = call_spec(false, None);
     second.number = CallNumber(2);
     bench.call(2, second);
@@ -331,7 +332,7 @@
 }
 
 #[test]
-fn a_late_refusal_of_a_left_node_is_ignored() {
+fn a_late_refusal_of_a_former_owner_is_ignored() {
     let mut bench = Bench::with_owner(node_a());
     bench.call(1, call_spec(false, None));
     bench.advance(Duration::from_secs(6));
@@ -344,7 +345,7 @@
 }
 
 #[test]
-fn a_full_sidecar_refuses_at_once() {
+fn a_full_sidecar_refuses_calls_immediately() {
     let mut bench = Bench::with_settings(|settings| settings.max_open_calls = 1);
     bench.call(1, call_spec(true, None));
     let mut second = call_spec(true, None);
--- a/crates/sidecar-core/tests/core/delivery.rs
+++ b/crates/sidecar-core/tests/core/delivery.rs
@@ -1,5 +1,5 @@
-//! Whatever order chunks come in, the passed-on text is a beginning of the answer, and the pieces
-//! join to the whole.
+//! Property tests of chunk assembly: for any order of chunks, the delivered text is a prefix of the
+//! answer and can be completed to the full answer.
 
 use elderworks_protocol::sidecar::Chunk;
 use elderworks_sidecar_core::delivery::{Delivery, Remainder};
@@ -10,9 +10,10 @@
 use crate::bench::call_id;
 
 const ANSWER: &str = "abcdefghijklmnopqrstuvwxyz";
+/// Number of generated cases per test.
 const CASES: u32 = 2_000;
 
-/// One chunk of an attempt that says the same answer in pieces of its own length.
+/// Chunks of attempts that produce the same answer with different chunk lengths.
 fn chunks() -> impl Strategy<Value = Vec<Chunk>> {
     let chunk = (1u32..4, 0u32..9).prop_map(|(attempt, index)| {
         let length = attempt as usize + 2;
@@ -38,8 +39,10 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-/// Only attempts that restart are drawn, since an attempt that continues depends on what was
-/// delivered before it; those are in the table of `calls.rs`.
+/// Returns whether the chunk belongs to the current or an earlier attempt, or starts a new one.
+///
+/// Attempts that continue the delivered text depend on it and are covered by the table in
+/// `calls.rs`.
 fn is_restart_or_next(delivery: &Delivery, chunk: &Chunk) -> bool {
     let progress = delivery.progress();
     progress
@@ -49,36 +52,38 @@
 }
 
 #[test]
-fn pieces_join_to_the_whole() {
+fn chunks_form_the_full_answer() {
     let outcome = runner().run(&chunks(), |chunks| {
         let mut delivery = Delivery::default();
-        let mut passed_on = String::new();
+        let mut delivered = String::new();
         for chunk in chunks {
             if !is_restart_or_next(&delivery, &chunk) {
                 continue;
             }
             if let Some(text) = delivery.accept(&chunk) {
-                passed_on.push_str(&text);
+                delivered.push_str(&text);
             }
-            prop_assert!(ANSWER.starts_with(&passed_on));
-            prop_assert_eq!(delivery.text(), passed_on.as_str());
+            prop_assert!(ANSWER.starts_with(&delivered));
+            prop_assert_eq!(delivery.text(), delivered.as_str());
             prop_assert!(ANSWER.starts_with(&delivery.progress().text));
         }
         let Remainder::Tail(tail) = delivery.remainder(ANSWER) else {
-            return Err(TestCaseError::fail("the beginning was not recognised"));
+            return Err(TestCaseError::fail(
+                "the delivered prefix was not recognised",
+            ));
         };
-        prop_assert_eq!(passed_on + &tail, ANSWER);
+        prop_assert_eq!(delivered + &tail, ANSWER);
         Ok(())
     });
-    outcome.expect("pieces join");
+    outcome.expect("the chunks form the answer");
 }
 
 #[test]
-fn another_answer_is_never_joined() {
+fn different_answers_are_never_mixed() {
     let outcome = runner().run(&chunks(), |chunks| {
         let mut delivery = Delivery::default();
         for mut chunk in chunks {
-            // The second attempt says something else.
+            // The second attempt produces a different answer.
             if chunk.attempt == Attempt(2) {
                 chunk.text = chunk.text.to_uppercase();
             }
@@ -92,5 +97,5 @@
         }
         Ok(())
     });
-    outcome.expect("answers stay apart");
+    outcome.expect("answers are not mixed");
 }
--- a/crates/sidecar-core/tests/core/due_queue.rs
+++ b/crates/sidecar-core/tests/core/due_queue.rs
@@ -1,16 +1,16 @@
-//! The queue of due requests.
+//! Table tests of the queue of due requests.
 
 use elderworks_sidecar_core::due_queue::DueQueue;
 use elderworks_sidecar_core::request::RequestKey;
 use elderworks_types::Timestamp;
 
-/// A request moved from one due time to another.
+/// A request, its previous due time and its new one.
 type Move = (u64, Option<u64>, Option<u64>);
 
 struct Case {
     name: &'static str,
     moves: &'static [Move],
-    /// Times, each with the requests due then.
+    /// Times, each with the requests that are due.
     due: &'static [(u64, &'static [u64])],
 }
 
@@ -21,17 +21,17 @@
         due: &[(u64::MAX, &[])],
     },
     Case {
-        name: "a request is due from its time on, until it is moved",
+        name: "a request is due from its time onwards",
         moves: &[(1, None, Some(10))],
         due: &[(9, &[]), (10, &[1]), (11, &[1])],
     },
     Case {
-        name: "due requests come in order of their keys, not of their times",
+        name: "due requests are sorted by key, not by time",
         moves: &[(2, None, Some(5)), (1, None, Some(7)), (3, None, Some(6))],
         due: &[(4, &[]), (5, &[2]), (6, &[2, 3]), (7, &[1, 2, 3])],
     },
     Case {
-        name: "requests of the same time are all due",
+        name: "all requests with the same time are due",
         moves: &[(2, None, Some(5)), (1, None, Some(5))],
         due: &[(4, &[]), (5, &[1, 2])],
     },
@@ -46,17 +46,17 @@
         due: &[(4, &[]), (5, &[1]), (8, &[1])],
     },
     Case {
-        name: "moving to the same time changes nothing",
+        name: "rescheduling to the same time has no effect",
         moves: &[(1, None, Some(5)), (1, Some(5), Some(5))],
         due: &[(4, &[]), (5, &[1])],
     },
     Case {
-        name: "a request that left is never due, others of its time stay",
+        name: "removing a request keeps others with the same time",
         moves: &[(1, None, Some(5)), (2, None, Some(5)), (1, Some(5), None)],
         due: &[(5, &[2]), (u64::MAX, &[2])],
     },
     Case {
-        name: "a request that left may come back",
+        name: "a removed request can be added again",
         moves: &[(1, None, Some(5)), (1, Some(5), None), (1, None, Some(6))],
         due: &[(5, &[]), (6, &[1])],
     },
--- a/crates/sidecar-core/tests/core/main.rs
+++ b/crates/sidecar-core/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The sidecar's state machine against scripted nodes.
+//! Tests of the sidecar's state machine against scripted nodes.
 
 mod bench;
 mod calls;
--- a/crates/sidecar-core/tests/core/runs.rs
+++ b/crates/sidecar-core/tests/core/runs.rs
@@ -1,4 +1,4 @@
-//! Starting, reading and ending runs.
+//! Starting, reading and ending runs, with silent and lost nodes.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_start_is_repeated_after_a_break_and_answered_once() {
+fn a_start_is_resent_after_a_lost_connection_and_answered_once() {
     let mut bench = Bench::with_owner(node_a());
     start(&mut bench);
     bench.event(Event::Disconnected { address: node_a() });
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_refusal_of_a_start_counts_only_if_no_other_node_may_have_taken_it() {
+fn a_start_is_refused_only_if_no_other_node_may_have_accepted_it() {
     let refusal = Refusal {
         reason: RefusalReason::Overloaded,
         retry_after: None,
     };
-    for (is_broken, expected) in [
+    for (is_connection_lost, expected) in [
         (
             false,
             CallerReply::RunRefused {
@@ -56,7 +56,7 @@
     ] {
         let mut bench = Bench::with_owner(node_a());
         start(&mut bench);
-        if is_broken {
+        if is_connection_lost {
             bench.event(Event::Disconnected { address: node_a() });
             bench.event(Event::Connected { address: node_a() });
             bench.advance(Duration::from_secs(1));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn requests_without_any_node_end_in_time() {
+fn requests_end_within_the_timeout_without_any_node() {
     let mut bench = Bench::new();
     start(&mut bench);
     let tenant = TenantId::new("office");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_silent_node_is_asked_again() {
+fn a_request_is_resent_to_a_silent_node() {
     let mut bench = Bench::with_owner(node_a());
     let tenant = TenantId::new("office");
     bench.event(Event::EndRun {
@@ -117,9 +117,9 @@
     assert_eq!(bench.replies, [(3, CallerReply::RunEnded { phase })]);
 }
 
-/// A paused node keeps its connections, so that silence is all that a sidecar sees of it.
+/// Guards against requests stuck at a paused node, whose connections stay open.
 #[test]
-fn a_request_leaves_a_silent_node_once_another_owns_its_partition() {
+fn a_request_moves_from_a_silent_node_to_the_new_owner() {
     let mut bench = Bench::with_owner(node_a());
     bench.event(Event::ReadRun {
         request: 3,
@@ -128,10 +128,10 @@
     });
     bench.sent.clear();
     bench.advance(Duration::from_secs(10));
-    let asks_for_owner = |(to, message): &(_, SidecarMessage)| {
+    let is_locate = |(to, message): &(_, SidecarMessage)| {
         *to == node_b() && matches!(message, SidecarMessage::Locate { .. })
     };
-    assert!(bench.sent.iter().any(asks_for_owner), "{:?}", bench.sent);
+    assert!(bench.sent.iter().any(is_locate), "{:?}", bench.sent);
     bench.report_owner(node_b(), node_b());
     bench.advance(Duration::from_secs(3));
     let is_read_there = |(to, message): &(_, SidecarMessage)| {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_view_reaches_only_the_request_that_asked_for_it() {
+fn a_run_view_is_delivered_only_to_its_query() {
     let mut bench = Bench::with_owner(node_a());
     for request in [5, 6] {
         bench.event(Event::ReadRun {
@@ -178,7 +178,7 @@
     bench.sent.iter().filter(is_start).count()
 }
 
-/// A node that is busy for longer than the time after which a start is sent again.
+/// A start that was resent because its node was busy for longer than the resend timeout.
 fn start_sent_twice() -> Bench {
     let mut bench = Bench::with_owner(node_a());
     start(&mut bench);
@@ -188,25 +188,25 @@
 }
 
 #[test]
-fn a_start_is_refused_once_each_copy_of_it_was() {
+fn a_start_is_refused_once_every_copy_was_refused() {
     let mut bench = start_sent_twice();
     refuse(&mut bench);
-    assert_eq!(bench.replies, [], "the second copy may still be taken");
+    assert_eq!(bench.replies, [], "the second copy may still be accepted");
     refuse(&mut bench);
     let refusal = log_unavailable();
     assert_eq!(bench.replies, [(1, CallerReply::RunRefused { refusal })]);
 }
 
 #[test]
-fn a_copy_that_is_pointed_elsewhere_was_not_taken() {
+fn a_redirected_copy_was_not_accepted() {
     let mut bench = start_sent_twice();
-    let elsewhere = NodeMessage::NotOwner {
+    let not_owner = NodeMessage::NotOwner {
         run: RUN,
         number: None,
         owner: None,
     };
-    bench.receive(node_a(), elsewhere.clone());
-    bench.receive(node_a(), elsewhere);
+    bench.receive(node_a(), not_owner.clone());
+    bench.receive(node_a(), not_owner);
     bench.advance(Duration::from_secs(1));
     bench.report_owner(node_b(), node_b());
     bench.advance(Duration::from_secs(1));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_refusal_of_one_copy_does_not_hide_that_another_was_taken() {
+fn a_start_succeeds_if_one_copy_is_refused_and_another_accepted() {
     let mut bench = start_sent_twice();
     refuse(&mut bench);
     bench.receive(node_a(), NodeMessage::RunStarted { run: RUN });
@@ -230,8 +230,8 @@
 }
 
 #[test]
-fn a_copy_that_nobody_answers_leaves_the_start_open() {
-    // The connection ends with a copy unanswered: its refusal can no longer come.
+fn an_unanswered_copy_leaves_the_start_unsettled() {
+    // The connection is lost before the second copy is answered.
     let mut broken = start_sent_twice();
     refuse(&mut broken);
     broken.event(Event::Disconnected { address: node_a() });
@@ -240,7 +240,7 @@
     broken.report_owner(node_b(), node_a());
     refuse(&mut broken);
     assert_eq!(broken.replies, [(1, CallerReply::NoAnswerFromNode)]);
-    // Another node owns the partition: the silent one may still take its copies.
+    // The partition moves while the silent node may still accept its copies.
     let mut moved = start_sent_twice();
     moved.advance(Duration::from_secs(4));
     moved.report_owner(node_b(), node_b());
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_refusal_for_good_with_another_copy_open_says_nothing_of_the_start() {
+fn a_permanent_refusal_with_an_unanswered_copy_leaves_the_start_unsettled() {
     let mut bench = start_sent_twice();
     let refusal = Refusal {
         reason: RefusalReason::RunNotFound,
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_copy_without_an_answer_is_waited_for_until_the_time_is_over() {
+fn an_unanswered_copy_is_awaited_until_the_timeout() {
     let mut bench = start_sent_twice();
     refuse(&mut bench);
     bench.advance(Duration::from_secs(40));
--- a/crates/sidecar/src/http/calls.rs
+++ b/crates/sidecar/src/http/calls.rs
@@ -55,9 +55,7 @@
     let (request, is_repeatable) = match (body.model, body.tool) {
         (Some(model), None) => (model_request(model, context.as_ref()), true),
         (None, Some(tool)) => (tool_request(tool), false),
-        _ => {
-            return Err(ApiError::invalid("give exactly one of `model` and `tool`"));
-        }
+        _ => return Err(ApiError::invalid("give exactly one of `model` and `tool`")),
     };
     Ok(CallDraft {
         number,
--- a/crates/sidecar/tests/callers/bad_input.rs
+++ b/crates/sidecar/tests/callers/bad_input.rs
@@ -1,4 +1,4 @@
-//! What wrong requests get: a typed error, and the process stays up.
+//! Invalid requests get typed errors and do not reach the node.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::client::{KITCHEN, MAX_BODY_BYTES, OFFICE, Reply, Setup, setup, setup_with};
 use crate::node::SILENT_PROGRAM;
 
-/// Stands for the id of a run of the first tenant.
-const RUN: &str = "{run}";
+/// Placeholder for the id of the first tenant's run.
+const RUN_PLACEHOLDER: &str = "{run}";
 
 struct Case {
     name: &'static str,
@@ -38,7 +38,7 @@
     let chat = "/v1/chat/completions";
     let large = format!(r#"{{"program":"{}"}}"#, "x".repeat(MAX_BODY_BYTES));
     vec![
-        case("no JSON", "/v1/runs", "{program", (400, "malformed_json")),
+        case("not JSON", "/v1/runs", "{program", (400, "malformed_json")),
         case("empty", "/v1/runs", "", (400, "malformed_json")),
         case(
             "cut off",
@@ -68,14 +68,19 @@
         ),
         case("missing field", "/v1/runs", "{}", (400, "invalid_request")),
         case(
-            "wrong parent",
+            "malformed parent",
             "/v1/runs",
             r#"{"program":"a","parent":"x"}"#,
             (400, "invalid_request"),
         ),
-        case("neither kind", calls, "{}", (400, "invalid_request")),
         case(
-            "wrong role",
+            "neither model nor tool",
+            calls,
+            "{}",
+            (400, "invalid_request"),
+        ),
+        case(
+            "unknown role",
             calls,
             r#"{"model":{"name":"m","messages":[{"role":"boss","content":""}]}}"#,
             (400, "invalid_request"),
@@ -104,7 +109,7 @@
             r#"{"program":"unknown"}"#,
             (422, "unknown_service"),
         ),
-        case("no resource", "/v2/runs", "{}", (404, "not_found")),
+        case("unknown path", "/v2/runs", "{}", (404, "not_found")),
     ]
 }
 
@@ -130,29 +135,59 @@
         Case {
             token: Some(KITCHEN),
             method: Method::GET,
-            ..case("another's view", "/v1/runs/{run}", "", not_found)
+            ..case(
+                "another tenant's run state",
+                "/v1/runs/{run}",
+                "",
+                not_found,
+            )
         },
         Case {
             token: Some(KITCHEN),
             method: Method::GET,
-            ..case("another's history", "/v1/runs/{run}/history", "", not_found)
+            ..case(
+                "another tenant's history",
+                "/v1/runs/{run}/history",
+                "",
+                not_found,
+            )
         },
         Case {
             token: Some(KITCHEN),
             method: Method::DELETE,
-            ..case("another's end", "/v1/runs/{run}", "", not_found)
+            ..case(
+                "ending another tenant's run",
+                "/v1/runs/{run}",
+                "",
+                not_found,
+            )
         },
         Case {
             token: Some(KITCHEN),
-            run_header: Some(RUN),
-            ..case("another's chat", "/v1/chat/completions", chat, not_found)
+            run_header: Some(RUN_PLACEHOLDER),
+            ..case(
+                "chat in another tenant's run",
+                "/v1/chat/completions",
+                chat,
+                not_found,
+            )
         },
         Case {
             run_header: Some("nonsense"),
-            ..case("no run id", "/v1/chat/completions", chat, not_found)
+            ..case(
+                "malformed run id in header",
+                "/v1/chat/completions",
+                chat,
+                not_found,
+            )
         },
         case("unknown run", unknown, tool, not_found),
-        case("not a run", "/v1/runs/7/calls", tool, not_found),
+        case(
+            "malformed run id in path",
+            "/v1/runs/7/calls",
+            tool,
+            not_found,
+        ),
         Case {
             method: Method::PUT,
             ..case(
@@ -167,7 +202,9 @@
 
 async fn send(setup: &Setup, case: &Case, run: &str) -> Reply {
     let bearer = case.token.map(|token| format!("Bearer {token}"));
-    let run_header = case.run_header.map(|header| header.replace(RUN, run));
+    let run_header = case
+        .run_header
+        .map(|header| header.replace(RUN_PLACEHOLDER, run));
     let mut headers = Vec::new();
     if let Some(bearer) = &bearer {
         headers.push(("authorization", bearer.as_str()));
@@ -175,14 +212,14 @@
     if let Some(run) = &run_header {
         headers.push(("x-elderworks-run", run.as_str()));
     }
-    let path = case.path.replace(RUN, run);
+    let path = case.path.replace(RUN_PLACEHOLDER, run);
     setup
         .send(case.method.clone(), &path, &headers, &case.body)
         .await
 }
 
 #[actix_rt::test]
-async fn wrong_requests_get_a_typed_error_and_lose_nothing() {
+async fn invalid_requests_get_a_typed_error_and_change_nothing() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     for case in malformed_cases().into_iter().chain(access_cases()) {
@@ -208,7 +245,7 @@
 }
 
 #[actix_rt::test]
-async fn outcomes_say_whether_the_call_was_run() {
+async fn errors_report_whether_the_call_was_run() {
     let cases = [
         ("refuse", 503, "overloaded", "no", Some("2")),
         ("fail", 502, "backend_error", "yes", None),
@@ -233,9 +270,9 @@
 }
 
 #[actix_rt::test]
-async fn a_start_that_no_node_answers_is_not_said_to_be_refused() {
-    let soon = Duration::from_millis(300);
-    let setup = setup_with(|limits| limits.hand_over_timeout = soon).await;
+async fn a_start_that_no_node_answers_is_not_reported_as_refused() {
+    let timeout = Duration::from_millis(300);
+    let setup = setup_with(|limits| limits.hand_over_timeout = timeout).await;
     let body = format!(r#"{{"program":"{SILENT_PROGRAM}"}}"#);
     let reply = setup.send_as(OFFICE, Method::POST, "/v1/runs", &body).await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT, "{}", reply.body);
--- a/crates/sidecar/tests/callers/client.rs
+++ b/crates/sidecar/tests/callers/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! Test setup: a sidecar, a scripted node and an HTTP client.
 
 use std::time::Duration;
 
@@ -14,10 +14,12 @@
 pub const OFFICE: &str = "office-token";
 /// Token of the second tenant.
 pub const KITCHEN: &str = "kitchen-token";
-/// Largest body taken by the sidecar under test.
+/// Maximum body size that the sidecar under test accepts, in bytes.
 pub const MAX_BODY_BYTES: usize = 4096;
 
+/// Maximum number of readiness checks.
 const READY_ATTEMPTS: u32 = 600;
+/// Interval between readiness checks.
 const READY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A sidecar, its node and a client.
@@ -27,7 +29,7 @@
     client: awc::Client,
 }
 
-/// A response, read whole.
+/// A response with its full body.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -36,17 +38,17 @@
 }
 
 impl Reply {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("not JSON: {}", self.body))
     }
 
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The data of every server-sent event.
+    /// Returns the data of all server-sent events.
     pub fn events(&self) -> Vec<String> {
         self.body
             .lines()
@@ -56,15 +58,15 @@
     }
 }
 
-/// Longest wait for an answer; a node that stays silent is given up within it.
+/// Maximum time to wait for a response; longer than the sidecar waits for a silent node.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts everything and waits until the sidecar is ready.
+/// Starts a node and a sidecar, and waits until the sidecar is ready.
 pub async fn setup() -> Setup {
     setup_with(|_| {}).await
 }
 
-/// The same with changed limits.
+/// Like [`setup`], with changed limits.
 pub async fn setup_with(change: impl FnOnce(&mut SidecarLimits)) -> Setup {
     let mut limits = SidecarLimits {
         max_body_bytes: MAX_BODY_BYTES,
--- a/crates/sidecar/tests/callers/main.rs
+++ b/crates/sidecar/tests/callers/main.rs
@@ -1,4 +1,4 @@
-//! The callers' interface over HTTP, against a scripted node.
+//! Tests of the callers' HTTP API against a scripted node.
 
 mod bad_input;
 mod client;
--- a/crates/sidecar/tests/callers/node.rs
+++ b/crates/sidecar/tests/callers/node.rs
@@ -20,10 +20,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes of an answer in one chunk.
+/// Size of an answer chunk, in bytes.
 const CHUNK_BYTES: usize = 4;
 
-/// The program whose runs' starts are never answered.
+/// A program for which the node never answers the start of a run.
 pub const SILENT_PROGRAM: &str = "silent";
 
 /// A scripted node.
@@ -40,7 +40,7 @@
 }
 
 impl ScriptedNode {
-    /// Starts to listen.
+    /// Starts a node on a free loopback port.
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
         let node = Self {
@@ -56,12 +56,12 @@
         node
     }
 
-    /// Calls submitted so far.
+    /// Returns the calls submitted so far.
     pub fn submissions(&self) -> Vec<CallSpec> {
         self.state.borrow().submissions.clone()
     }
 
-    /// Phase of a run.
+    /// Returns the phase of a run.
     pub fn phase(&self, run: RunId) -> Option<RunPhase> {
         let state = self.state.borrow();
         state.runs.get(&run).map(|view| view.phase)
@@ -146,7 +146,7 @@
             .iter()
             .find(|call| call.spec.number == spec.number);
         let outcome = match known {
-            Some(call) if call.spec == spec => call.outcome.clone().expect("calls end at once"),
+            Some(call) if call.spec == spec => call.outcome.clone().expect("calls end immediately"),
             Some(_) => refused(RefusalReason::CallNumberReused),
             None => scripted_outcome(&spec),
         };
@@ -188,7 +188,7 @@
     });
 }
 
-/// A tool's name or a model's last message decides how the call ends.
+/// Returns the outcome selected by the tool's name or the model's last message.
 fn scripted_outcome(spec: &CallSpec) -> Outcome {
     let text = match &spec.request {
         CallRequest::Tool(tool) => tool.tool.to_string(),
--- a/crates/sidecar/tests/callers/programs.rs
+++ b/crates/sidecar/tests/callers/programs.rs
@@ -1,4 +1,4 @@
-//! What right requests get.
+//! Responses to valid requests.
 
 use awc::http::{Method, StatusCode};
 use elderworks_types::{CallRequest, RunId, RunPhase};
@@ -26,7 +26,7 @@
 }
 
 #[actix_rt::test]
-async fn a_conversation_sends_only_what_is_new() {
+async fn a_conversation_submits_only_new_messages() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let first = json!({"model": "m", "messages": [
@@ -65,7 +65,7 @@
 }
 
 #[actix_rt::test]
-async fn a_streamed_completion_joins_to_the_whole() {
+async fn the_chunks_of_a_streamed_completion_form_the_full_answer() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let body = json!({"model": "m", "stream": true, "stream_options": {"include_usage": true},
@@ -90,7 +90,7 @@
 }
 
 #[actix_rt::test]
-async fn a_completion_without_a_run_ends_the_run_that_it_started() {
+async fn a_completion_without_a_run_header_ends_the_run_that_it_started() {
     let setup = setup().await;
     let headers = [
         ("authorization", "Bearer office-token"),
@@ -112,7 +112,7 @@
 }
 
 #[actix_rt::test]
-async fn a_run_is_read_watched_and_ended() {
+async fn a_run_can_be_read_watched_and_ended() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let path = format!("/v1/runs/{run}");
@@ -149,7 +149,7 @@
 }
 
 #[actix_rt::test]
-async fn the_same_idempotency_key_gets_the_same_call() {
+async fn a_repeated_idempotency_key_returns_the_same_call() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let path = format!("/v1/runs/{run}/calls");
@@ -167,7 +167,7 @@
 }
 
 #[actix_rt::test]
-async fn a_repeated_model_call_gets_the_first_answer_though_the_history_has_grown() {
+async fn a_repeated_model_call_returns_the_original_answer_after_the_history_has_grown() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let path = format!("/v1/runs/{run}/calls");
@@ -201,7 +201,7 @@
 }
 
 #[actix_rt::test]
-async fn a_repeated_completion_gets_the_first_answer_though_the_history_has_grown() {
+async fn a_repeated_completion_returns_the_original_answer_after_the_history_has_grown() {
     let setup = setup().await;
     let run = setup.start_run(OFFICE).await;
     let body = json!({"model": "m", "messages": [{"role": "user", "content": "one"}]});
@@ -225,7 +225,7 @@
 }
 
 #[actix_rt::test]
-async fn a_sub_agent_belongs_to_its_parents_tree() {
+async fn a_sub_agent_shares_the_root_of_its_parent() {
     let setup = setup().await;
     let parent = setup.start_run(OFFICE).await;
     let body = json!({"program": "boundary", "parent": parent, "budget": 5, "deadline_ms": 1000});
@@ -238,7 +238,7 @@
 }
 
 #[actix_rt::test]
-async fn counters_are_served() {
+async fn metrics_are_served() {
     let setup = setup().await;
     setup.start_run(OFFICE).await;
     let reply = setup.send(Method::GET, "/metrics", &[], "").await;
--- a/crates/sidecar/tests/callers/stream.rs
+++ b/crates/sidecar/tests/callers/stream.rs
@@ -1,4 +1,4 @@
-//! The client's reading of streamed answers.
+//! Tests of the client and its decoder of streamed answers.
 
 use elderworks_sidecar::client::{AnswerEvent, AnswerReader, CallerClient, ClientError};
 use elderworks_sidecar::wire::{CallBody, StartRunBody, WasRun, WireMessage};
@@ -15,27 +15,27 @@
 }
 
 #[test]
-fn events_are_read_however_the_bytes_are_cut() {
+fn events_are_decoded_for_any_split_of_the_bytes() {
     let restarted = "event: restarted\ndata: {}\n\n".to_owned();
     let bytes = [chunk("x"), restarted, chunk("ab"), chunk("cd")].concat() + COMPLETED;
     for size in [1, 7, bytes.len()] {
         let mut reader = AnswerReader::default();
         let mut text = String::new();
         let mut take = |event: AnswerEvent<'_>| match event {
-            AnswerEvent::Piece(piece) => text.push_str(piece),
+            AnswerEvent::Piece(chunk) => text.push_str(chunk),
             AnswerEvent::Restarted => text.clear(),
         };
         for part in bytes.as_bytes().chunks(size) {
             reader.feed(part, &mut take).expect("no error event");
         }
         let answer = reader.finish().expect("completed");
-        assert_eq!(answer.content, text, "by {size} bytes");
+        assert_eq!(answer.content, text, "in parts of {size} bytes");
         assert_eq!(answer.usage.cached_tokens.0, 4);
     }
 }
 
 #[test]
-fn errors_and_cut_off_streams_are_told_apart() {
+fn error_events_and_truncated_streams_are_distinguished() {
     let mut reader = AnswerReader::default();
     let error = "event: error\ndata: {\"error\":{\"code\":\"overloaded\",\"message\":\"m\",\
         \"run\":\"no\",\"retry_after_ms\":5}}\n\n";
@@ -55,7 +55,7 @@
 }
 
 #[actix_rt::test]
-async fn the_client_speaks_the_whole_interface() {
+async fn the_client_covers_the_whole_api() {
     let setup = setup().await;
     let url = format!("http://{}", setup.sidecar.address());
     let client = CallerClient::new(&url, OFFICE);
@@ -71,8 +71,8 @@
     ask.stream = true;
     let mut text = String::new();
     let take = |event: AnswerEvent<'_>| {
-        if let AnswerEvent::Piece(piece) = event {
-            text.push_str(piece);
+        if let AnswerEvent::Piece(chunk) = event {
+            text.push_str(chunk);
         }
     };
     let answer = client.stream(run, &ask, take).await.expect("answered");
