--- a/crates/sidecar-core/src/core.rs
+++ b/crates/sidecar-core/src/core.rs
@@ -45,7 +45,7 @@
 /// Settings of a sidecar.
 #[derive(Clone, Debug)]
 pub struct SidecarSettings {
-    /// Addresses of the nodes to connect to initially; others are discovered.
+    /// Addresses of the nodes to connect to initially; others are learned from lookups.
     pub nodes: Vec<SocketAddr>,
     /// Seed of the random number generator; also identifies the sidecar to nodes.
     pub seed: u64,
@@ -270,9 +270,12 @@
     }
 
     fn handle_caller_disconnect(&mut self, request: RequestId) {
-        let joined = self.open.matching(
-            |open| matches!(&open.operation, Operation::Call(call) if call.listeners.contains(&request)),
-        );
+        let joined = self.open.matching(|open| {
+            matches!(
+                &open.operation,
+                Operation::Call(call) if call.listeners.contains(&request)
+            )
+        });
         for key in joined {
             if let Some(open) = self.open.get_mut(&key)
                 && let Operation::Call(call) = &mut open.operation
--- a/crates/sidecar-core/src/delivery.rs
+++ b/crates/sidecar-core/src/delivery.rs
@@ -52,7 +52,7 @@
         self.extend(&chunk.text)
     }
 
-    /// Returns whether the chunk is the next expected one, resetting the progress if a later attempt
+    /// Returns whether the chunk is the next expected one. Resets the progress if a later attempt
     /// starts over.
     fn start_chunk(&mut self, chunk: &Chunk) -> bool {
         if self.attempt.is_some_and(|current| chunk.attempt < current) {
--- a/crates/sidecar-core/src/event.rs
+++ b/crates/sidecar-core/src/event.rs
@@ -47,7 +47,7 @@
         /// The run.
         run: RunId,
     },
-    /// The caller disconnected. Its request stays open, and a repeated request gets the same answer.
+    /// The caller disconnected. Its request stays open; a repeated one gets the same answer.
     CallerGone {
         /// The request whose caller disconnected.
         request: RequestId,
--- a/crates/sidecar-core/src/messages.rs
+++ b/crates/sidecar-core/src/messages.rs
@@ -133,7 +133,10 @@
                 continue;
             }
             // A node that produced part of the answer had accepted the call.
-            let had_started = matches!(&request.operation, Operation::Call(call) if call.delivery.has_received_chunks());
+            let had_started = matches!(
+                &request.operation,
+                Operation::Call(call) if call.delivery.has_received_chunks()
+            );
             request.possibly_accepted |= had_started;
             request.failures += 1;
             let delay = backoff::delay(request.failures, &mut self.random);
--- a/crates/sidecar/src/core_client.rs
+++ b/crates/sidecar/src/core_client.rs
@@ -131,7 +131,7 @@
             event: Box::new(event(request)),
             replies: sender,
         };
-        // If the driver has stopped, the sender is dropped and the caller sees the end of its replies.
+        // If the driver has stopped, dropping the sender ends the replies.
         let _ = self.commands.send(command);
         Replies {
             request,
--- a/crates/sidecar/src/http/call_request.rs
+++ b/crates/sidecar/src/http/call_request.rs
@@ -219,7 +219,7 @@
 }
 
 impl OpenCall {
-    /// Waits for the next event. Must not be called after [`CallEvent::Ended`].
+    /// Waits for the next event; [`CallEvent::Ended`] is the last one.
     pub async fn next(&mut self) -> CallEvent {
         let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
@@ -229,7 +229,7 @@
             Some(CallerReply::Chunk { text }) => CallEvent::Chunk(text),
             Some(CallerReply::Restarted) => CallEvent::Restarted,
             Some(CallerReply::CallEnded { outcome, .. }) => CallEvent::Ended(self.ended(outcome)),
-            // The replies end early only if the process is stopping; the caller may retry elsewhere.
+            // Replies end early only if the process is stopping; the caller may retry elsewhere.
             _ => CallEvent::Ended(Err(crate::core_client::NoAnswerFromNode.into())),
         }
     }
--- a/crates/sidecar/src/http/error.rs
+++ b/crates/sidecar/src/http/error.rs
@@ -65,8 +65,9 @@
         Self {
             status: StatusCode::CONFLICT,
             code: "answer_restarted",
-            message: "the answer was restarted after part of it was streamed; repeat the request with the same call number for the full answer"
-                .to_owned(),
+            message:
+                "the answer was restarted; repeat the request with the same call number to get it"
+                    .to_owned(),
             run: WasRun::Yes,
             retry_after: Some(Duration::ZERO),
         }
