--- a/crates/sidecar/src/http/call_request.rs
+++ b/crates/sidecar/src/http/call_request.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to a numbered call and its outcome.
+//! Submission of calls: numbering, repeated requests, and the events of an open call.
 
 use std::time::{Duration, Instant};
 
@@ -12,55 +12,66 @@
 use super::{App, runs};
 use crate::core_client::Replies;
 
-/// Most times that a call is renumbered because another sidecar used its number first.
+/// Maximum number of times that a call gets a new number because another sidecar used its number.
 const MAX_RENUMBERINGS: u32 = 3;
 
-/// A call without a number yet.
+/// A call that may not have a number yet.
 #[derive(Clone, Debug)]
 pub struct CallDraft {
-    /// The caller's own number, if it gave one.
+    /// The number, if the caller chose one or repeats a call.
     pub number: Option<CallNumber>,
-    /// The work.
+    /// The model or tool request.
     pub request: CallRequest,
-    /// Whether running it twice is harmless.
+    /// Whether the call may safely run more than once.
     pub repeatable: bool,
-    /// Key under which a repeated request is recognised.
+    /// Key that identifies repetitions of the request.
     pub idempotency_key: Option<String>,
-    /// When the answer stops being useful.
+    /// Time after which the answer is no longer useful.
     pub deadline: Option<Timestamp>,
-    /// How soon the prefix will be used again.
+    /// Time until the prompt prefix is expected to be reused.
     pub expected_reuse: Option<Duration>,
 }
 
-/// A call that was submitted and has said something.
+/// A submitted call whose first reply has arrived.
 pub struct OpenCall {
-    /// The run.
+    /// The run of the call.
     pub run: RunId,
-    /// Its number.
+    /// Number of the call within the run.
     pub number: CallNumber,
     app: App,
     replies: Replies,
-    first: Option<CallerReply>,
+    first_reply: Option<CallerReply>,
     started: Instant,
 }
 
-/// Checks that the run exists for this tenant, by asking its owner if need be.
+/// Checks that the run exists for this tenant, from the cache or by reading it from its node.
+///
+/// # Errors
+///
+/// Returns an error if the run does not exist for the tenant or no node answered.
 pub async fn check_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
     if app.known_runs.is_known(run, tenant) {
         return Ok(());
     }
-    learn_run(app, tenant, run).await
+    load_run(app, tenant, run).await
 }
 
-async fn learn_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
+async fn load_run(app: &App, tenant: &TenantId, run: RunId) -> Result<(), ApiError> {
     let view = runs::view(app, tenant, run).await?;
     let highest = view.calls.iter().map(|call| call.spec.number).max();
     let next = highest.unwrap_or_default().next();
-    app.known_runs.learn(run, tenant, next);
+    app.known_runs.record(run, tenant, next);
     Ok(())
 }
 
-/// Submits a call of an existing run and waits for its first sign of life.
+/// Submits a call of an existing run and waits for its first reply.
+///
+/// A call numbered by this sidecar is renumbered if another sidecar has used the number.
+///
+/// # Errors
+///
+/// Returns an error if no number could be assigned. Failures of the call itself are reported by the
+/// returned [`OpenCall`].
 pub async fn submit(
     app: &App,
     tenant: &TenantId,
@@ -68,26 +79,26 @@
     draft: CallDraft,
 ) -> Result<OpenCall, ApiError> {
     let started = Instant::now();
-    let is_numbered_here = draft.number.is_none();
+    let assigns_number = draft.number.is_none();
     let mut renumberings = 0;
     loop {
         let number = match draft.number {
             Some(number) => number,
             None => take_number(app, tenant, run).await?,
         };
-        let spec = draft.numbered(number);
+        let spec = draft.with_number(number);
         let mut replies = app.core.call(tenant.clone(), run, spec);
-        let first = replies.next().await;
-        let refusal = refusal_of(first.as_ref());
+        let first_reply = replies.next().await;
+        let refusal = refusal_of(first_reply.as_ref());
         match refusal {
-            None => app.known_runs.number_used(run, number),
-            Some(_) if is_numbered_here => app.known_runs.give_back(run, number),
+            None => app.known_runs.record_number(run, number),
+            Some(_) if assigns_number => app.known_runs.return_number(run, number),
             Some(_) => {}
         }
-        let may_renumber = is_numbered_here && renumberings < MAX_RENUMBERINGS;
+        let may_renumber = assigns_number && renumberings < MAX_RENUMBERINGS;
         if may_renumber && is_number_reused(refusal) {
             renumberings += 1;
-            learn_run(app, tenant, run).await?;
+            load_run(app, tenant, run).await?;
             continue;
         }
         return Ok(OpenCall {
@@ -95,44 +106,52 @@
             number,
             app: app.clone(),
             replies,
-            first,
+            first_reply,
             started,
         });
     }
 }
 
-/// What a new request is compared with: the run, and the call that the request repeats.
+/// The state of a run that a new request is evaluated against.
 pub struct RunContext {
-    /// Messages that a prompt can begin with.
+    /// The message history of the run.
     pub history: Vec<Message>,
-    /// The call of the same number or, without a number, of the same idempotency key.
-    pub earlier: Option<CallSpec>,
+    /// The call that the request repeats: the one with the same number or, if the request has none,
+    /// with the same idempotency key.
+    pub original: Option<CallSpec>,
 }
 
 impl RunContext {
-    /// How many messages of the history the earlier call's prompt began with. A repeated request
-    /// has to say the same, although the history has grown since.
-    pub fn earlier_prefix(&self) -> Option<u32> {
-        match &self.earlier.as_ref()?.request {
+    /// Returns the number of history messages with which the original call's prompt started. A
+    /// repeated request must use the same number although the history has grown since.
+    pub fn original_prefix(&self) -> Option<u32> {
+        match &self.original.as_ref()?.request {
             CallRequest::Model(model) => Some(model.history_prefix),
             CallRequest::Tool(_) => None,
         }
     }
 
-    /// The deadline to use. Callers give it from now, so a repeated request takes over the first
-    /// one's.
+    /// Returns the deadline to use. Callers give deadlines relative to the present, so a repeated
+    /// request uses the original call's deadline.
     pub fn deadline(&self, given: Option<Timestamp>) -> Option<Timestamp> {
-        let earlier = self.earlier.as_ref().and_then(|earlier| earlier.deadline);
-        given.map(|given| earlier.unwrap_or(given))
+        let original = self
+            .original
+            .as_ref()
+            .and_then(|original| original.deadline);
+        given.map(|given| original.unwrap_or(given))
     }
 
-    /// The number to use: the caller's own, or that of the call that the request repeats.
+    /// Returns the number to use: the given one, or that of the call that the request repeats.
     pub fn number(&self, given: Option<CallNumber>) -> Option<CallNumber> {
-        given.or(self.earlier.as_ref().map(|earlier| earlier.number))
+        given.or(self.original.as_ref().map(|original| original.number))
     }
 }
 
-/// Reads what a request with this number and idempotency key is compared with.
+/// Reads the run and finds the call that a request with this number or idempotency key repeats.
+///
+/// # Errors
+///
+/// Returns an error if the run does not exist for the tenant or no node answered.
 pub async fn read_context(
     app: &App,
     tenant: &TenantId,
@@ -141,14 +160,14 @@
     idempotency_key: Option<&str>,
 ) -> Result<RunContext, ApiError> {
     let view = runs::view(app, tenant, run).await?;
-    let is_earlier = |spec: &CallSpec| match number {
+    let is_original = |spec: &CallSpec| match number {
         Some(number) => spec.number == number,
         None => idempotency_key.is_some() && spec.idempotency_key.as_deref() == idempotency_key,
     };
     let mut specs = view.calls.into_iter().map(|call| call.spec);
     Ok(RunContext {
         history: view.history,
-        earlier: specs.find(is_earlier),
+        original: specs.find(is_original),
     })
 }
 
@@ -156,7 +175,7 @@
     if let Some(number) = app.known_runs.take_number(run) {
         return Ok(number);
     }
-    learn_run(app, tenant, run).await?;
+    load_run(app, tenant, run).await?;
     app.known_runs
         .take_number(run)
         .ok_or_else(ApiError::run_not_found)
@@ -177,7 +196,7 @@
 }
 
 impl CallDraft {
-    fn numbered(&self, number: CallNumber) -> CallSpec {
+    fn with_number(&self, number: CallNumber) -> CallSpec {
         CallSpec {
             number,
             request: self.request.clone(),
@@ -189,34 +208,34 @@
     }
 }
 
-/// One step of an answer.
-pub enum Step {
-    /// The next piece.
-    Piece(String),
-    /// What was streamed so far is void.
+/// An event of an open call.
+pub enum CallEvent {
+    /// The next chunk of text.
+    Chunk(String),
+    /// The answer starts over; the chunks so far must be discarded.
     Restarted,
-    /// The end: the whole answer, or the error to be told.
+    /// The call has ended with the full answer or an error.
     Ended(Result<Answer, ApiError>),
 }
 
 impl OpenCall {
-    /// The next step; nothing comes after the end.
-    pub async fn next(&mut self) -> Step {
-        let reply = match self.first.take() {
+    /// Waits for the next event; [`CallEvent::Ended`] is the last one.
+    pub async fn next(&mut self) -> CallEvent {
+        let reply = match self.first_reply.take() {
             Some(reply) => Some(reply),
             None => self.replies.next().await,
         };
         match reply {
-            Some(CallerReply::Chunk { text }) => Step::Piece(text),
-            Some(CallerReply::Restarted) => Step::Restarted,
-            Some(CallerReply::CallEnded { outcome, .. }) => Step::Ended(self.ended(outcome)),
-            // The process is stopping; the caller may ask again elsewhere.
-            _ => Step::Ended(Err(crate::core_client::Unreachable.into())),
+            Some(CallerReply::Chunk { text }) => CallEvent::Chunk(text),
+            Some(CallerReply::Restarted) => CallEvent::Restarted,
+            Some(CallerReply::CallEnded { outcome, .. }) => CallEvent::Ended(self.ended(outcome)),
+            // Replies end early only if the process is stopping; the caller may retry elsewhere.
+            _ => CallEvent::Ended(Err(crate::core_client::NoAnswerFromNode.into())),
         }
     }
 
     fn ended(&self, outcome: Outcome) -> Result<Answer, ApiError> {
-        let error = ApiError::of_outcome(&outcome);
+        let error = ApiError::from_outcome(&outcome);
         let code = error.as_ref().map_or("completed", ApiError::code);
         self.app.metrics.count_call(code, self.started.elapsed());
         match (outcome, error) {
@@ -226,20 +245,24 @@
         }
     }
 
-    /// Waits for the end and returns the whole answer.
-    pub async fn whole(mut self) -> Result<Answer, ApiError> {
+    /// Waits for the end of the call and returns the full answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the call did not complete.
+    pub async fn into_answer(mut self) -> Result<Answer, ApiError> {
         loop {
-            if let Step::Ended(result) = self.next().await {
+            if let CallEvent::Ended(result) = self.next().await {
                 return result;
             }
         }
     }
 
-    /// The error, if the call ended with one before saying anything else. Taken before a streamed
-    /// response begins, so that its status tells.
-    pub fn error_at_once(&self) -> Option<ApiError> {
-        match &self.first {
-            Some(CallerReply::CallEnded { outcome, .. }) => ApiError::of_outcome(outcome),
+    /// Returns the error if the call's first reply ended it with one. Checked before a streamed
+    /// response starts, so that the error is reported by the HTTP status.
+    pub fn immediate_error(&self) -> Option<ApiError> {
+        match &self.first_reply {
+            Some(CallerReply::CallEnded { outcome, .. }) => ApiError::from_outcome(outcome),
             _ => None,
         }
     }
