--- a/crates/backend/src/error.rs
+++ b/crates/backend/src/error.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether the request is known to have had no effect.
-    pub fn surely_not_run(&self) -> bool {
+    pub fn is_known_not_run(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::Rejected { .. })
     }
 
--- a/crates/engine-model/src/parameters.rs
+++ b/crates/engine-model/src/parameters.rs
@@ -29,7 +29,7 @@
     /// Time to import one block from another engine.
     pub transfer_per_block: Duration,
     /// Number of completed requests whose answers can be resumed.
-    pub remembered_requests: usize,
+    pub retained_requests: usize,
     /// Size of a model's weights, in bytes.
     pub model_bytes: u64,
     /// Delay and loss of published reports and events.
@@ -81,7 +81,7 @@
     /// Delay until a cache event becomes visible.
     pub cache_lag: Duration,
     /// Fraction of cache events that are lost, from 0 to 1. Their sequence numbers are skipped.
-    pub cache_loss: f64,
+    pub cache_loss_ratio: f64,
     /// Number of cache events kept for readers.
     pub retained_events: usize,
 }
--- a/crates/engine-model/src/request.rs
+++ b/crates/engine-model/src/request.rs
@@ -55,7 +55,7 @@
         continue_text: String,
     },
     /// Token counts and block hashes; no text is generated.
-    Counted {
+    Synthetic {
         /// Number of tokens in the prompt.
         prompt: Tokens,
         /// Number of tokens to generate.
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -274,7 +274,7 @@
     let mut first = engine(EngineParameters::default());
     let mut second = engine(EngineParameters::default());
     let request = synthetic_request("a", 1, 640, 64, 0);
-    let Work::Counted { chain, .. } = request.work.clone() else {
+    let Work::Synthetic { chain, .. } = request.work.clone() else {
         panic!("counted");
     };
     first.submit(Timestamp(0), request).unwrap();
--- a/crates/platform-model/src/tool.rs
+++ b/crates/platform-model/src/tool.rs
@@ -93,7 +93,7 @@
     /// A new execution started; poll for its outcome.
     Started(ExecutionId),
     /// An execution with the same key exists already; poll for its outcome.
-    Joined(ExecutionId),
+    Existing(ExecutionId),
     /// The invocation was rejected without running.
     Rejected,
     /// The invocation was not run, and the client receives no answer.
@@ -155,7 +155,7 @@
             return Invocation::Down;
         }
         if let Some(id) = self.find_by_key(key) {
-            return Invocation::Joined(id);
+            return Invocation::Existing(id);
         }
         if self.faults.busy || self.running.len() >= self.settings.max_running {
             return Invocation::Rejected;
@@ -303,6 +303,6 @@
 
 /// Returns the result of a tool. It depends only on the tool's name and arguments, so that repeated
 /// executions have the same result.
-pub fn result_of(tool: &ToolName, arguments: &Value) -> Value {
+pub fn tool_result(tool: &ToolName, arguments: &Value) -> Value {
     json!({ "tool": tool, "arguments": arguments, "accepted": true })
 }
--- a/crates/sidecar-core/src/core.rs
+++ b/crates/sidecar-core/src/core.rs
@@ -99,7 +99,7 @@
 
     /// Handles one event and returns the resulting effects in the order of their execution.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
-        let may_make_requests_due = !matches!(event, Event::CallerGone { .. });
+        let may_make_requests_due = !matches!(event, Event::CallerDisconnected { .. });
         match event {
             Event::StartRun { request, spec } => self.start_run(now, request, spec),
             Event::Call {
@@ -118,7 +118,7 @@
                 tenant,
                 run,
             } => self.open_other(now, request, run, Operation::EndRun { tenant }),
-            Event::CallerGone { request } => self.handle_caller_disconnect(request),
+            Event::CallerDisconnected { request } => self.handle_caller_disconnect(request),
             Event::Connected { address } => self.links.set_connected(address),
             Event::Disconnected { address } => self.handle_disconnect(now, address),
             Event::Received { address, message } => self.handle_message(now, address, message),
--- a/crates/sidecar-core/src/event.rs
+++ b/crates/sidecar-core/src/event.rs
@@ -48,7 +48,7 @@
         run: RunId,
     },
     /// The caller disconnected. Its request stays open; a repeated one gets the same answer.
-    CallerGone {
+    CallerDisconnected {
         /// The request whose caller disconnected.
         request: RequestId,
     },
--- a/crates/sidecar-core/tests/core/calls.rs
+++ b/crates/sidecar-core/tests/core/calls.rs
@@ -368,7 +368,7 @@
         run: RUN,
         spec: call_spec(true, None),
     });
-    bench.event(Event::CallerGone { request: 1 });
+    bench.event(Event::CallerDisconnected { request: 1 });
     bench.receive(node_a(), ended(completed("abc")));
     assert_eq!(bench.submissions().len(), 1);
     assert_eq!(bench.text(2), "abc");
--- a/crates/sidecar/src/client/stream.rs
+++ b/crates/sidecar/src/client/stream.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEvent<'a> {
     /// The next part of the text.
-    Piece(&'a str),
+    Chunk(&'a str),
     /// The answer starts over; the text received so far must be discarded.
     Restarted,
 }
@@ -59,7 +59,7 @@
         match field("event: ") {
             Some("chunk") => {
                 let chunk: AnswerChunk = parse(data)?;
-                on_event(AnswerEvent::Piece(&chunk.text));
+                on_event(AnswerEvent::Chunk(&chunk.text));
             }
             Some("restarted") => on_event(AnswerEvent::Restarted),
             Some("completed") => self.completed = Some(parse(data)?),
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -87,7 +87,7 @@
             }
             Command::CallerDisconnected { request } => {
                 if self.callers.remove(&request).is_some() {
-                    self.handle_event(Event::CallerGone { request });
+                    self.handle_event(Event::CallerDisconnected { request });
                 }
             }
         }
--- a/crates/sidecar/src/wire.rs
+++ b/crates/sidecar/src/wire.rs
@@ -133,7 +133,7 @@
 
 impl CallBody {
     /// Creates a model call whose prompt starts with the whole history.
-    pub fn ask(model: &str, messages: Vec<WireMessage>, max_output: u64) -> Self {
+    pub fn model_call(model: &str, messages: Vec<WireMessage>, max_output: u64) -> Self {
         Self {
             model: Some(ModelBody {
                 name: ModelName::new(model),
@@ -146,7 +146,7 @@
     }
 
     /// Creates a tool call.
-    pub fn invoke(tool: &str, arguments: serde_json::Value, repeatable: bool) -> Self {
+    pub fn tool_call(tool: &str, arguments: serde_json::Value, repeatable: bool) -> Self {
         Self {
             tool: Some(ToolBody {
                 name: ToolName::new(tool),
--- a/crates/sidecar/tests/callers/stream.rs
+++ b/crates/sidecar/tests/callers/stream.rs
@@ -22,7 +22,7 @@
         let mut reader = AnswerReader::default();
         let mut text = String::new();
         let mut take = |event: AnswerEvent<'_>| match event {
-            AnswerEvent::Piece(chunk) => text.push_str(chunk),
+            AnswerEvent::Chunk(chunk) => text.push_str(chunk),
             AnswerEvent::Restarted => text.clear(),
         };
         for part in bytes.as_bytes().chunks(size) {
@@ -71,7 +71,7 @@
     ask.stream = true;
     let mut text = String::new();
     let take = |event: AnswerEvent<'_>| {
-        if let AnswerEvent::Piece(chunk) = event {
+        if let AnswerEvent::Chunk(chunk) = event {
             text.push_str(chunk);
         }
     };
--- a/crates/simulation/src/world/callers/requests.rs
+++ b/crates/simulation/src/world/callers/requests.rs
@@ -105,7 +105,11 @@
             ),
         );
         let start = self.sidecar_start(pending.sidecar);
-        self.deliver_to_sidecar_later(start, LOCAL_DELAY, SidecarEvent::CallerGone { request });
+        self.deliver_to_sidecar_later(
+            start,
+            LOCAL_DELAY,
+            SidecarEvent::CallerDisconnected { request },
+        );
         self.change_sidecar(pending.caller);
         self.ask_again(pending.caller, pending.wanted, LOCAL_DELAY);
     }
