--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to a client.
+//! Delivery of generated answers to HTTP clients, streamed or complete.
 
 use std::io;
 use std::sync::Arc;
@@ -18,17 +18,20 @@
 use crate::clock::now;
 use crate::shared::Shared;
 
-/// Reads one request's answer from a chunk on. The request is not abandoned while this exists.
+/// Reads one request's answer, starting at a given chunk.
+///
+/// The request does not count as abandoned while a reader exists.
 pub(super) struct AnswerReader {
     service: Arc<Shared<EngineService>>,
     progress: watch::Receiver<()>,
     id: RequestId,
     info: RequestInfo,
+    /// Index of the next chunk to read.
     next: u32,
 }
 
 impl AnswerReader {
-    /// Starts at chunk `next`; `None` if the request is unknown.
+    /// Creates a reader that starts at chunk `next`, or returns `None` if the request is unknown.
     pub(super) fn new(
         service: &Arc<Shared<EngineService>>,
         id: RequestId,
@@ -44,49 +47,49 @@
         })
     }
 
-    /// The answer as server-sent events.
+    /// Converts the reader into a stream of server-sent events.
     pub(super) fn into_events(self) -> impl Stream<Item = Result<Bytes, io::Error>> {
         unfold(Some(self), |reader| async move {
             let mut reader = reader?;
-            let news = reader.next_news().await?;
-            let events = reader.encode(&news);
-            let reader = news.completion.is_none().then_some(reader);
+            let update = reader.next_update().await?;
+            let events = reader.encode(&update);
+            let reader = update.completion.is_none().then_some(reader);
             Some((Ok(events), reader))
         })
     }
 
-    /// The whole answer; `None` if the request is cancelled.
+    /// Waits for the complete answer; returns `None` if the request is cancelled.
     pub(super) async fn into_completion(mut self) -> Option<ChatCompletion> {
         let mut content = String::new();
         loop {
-            let news = self.next_news().await?;
-            content.extend(news.chunks.iter().map(|chunk| chunk.text.as_str()));
-            if let Some(completion) = news.completion {
+            let update = self.next_update().await?;
+            content.extend(update.chunks.iter().map(|chunk| chunk.text.as_str()));
+            if let Some(completion) = update.completion {
                 return Some(self.completion(content, &completion));
             }
         }
     }
 
-    /// Waits for more of the answer; `None` once the request is no longer known.
-    async fn next_news(&mut self) -> Option<Resumed> {
+    /// Waits for new chunks or for completion; returns `None` once the request is unknown.
+    async fn next_update(&mut self) -> Option<Resumed> {
         loop {
-            let news = self.service.lock().resume(&self.id, self.next)?;
-            if let Some(last) = news.chunks.last() {
+            let update = self.service.lock().resume(&self.id, self.next)?;
+            if let Some(last) = update.chunks.last() {
                 self.next = last.index + 1;
             }
-            if !news.chunks.is_empty() || news.completion.is_some() {
-                return Some(news);
+            if !update.chunks.is_empty() || update.completion.is_some() {
+                return Some(update);
             }
             self.progress.changed().await.ok()?;
         }
     }
 
-    fn encode(&self, news: &Resumed) -> Bytes {
+    fn encode(&self, update: &Resumed) -> Bytes {
         let mut events = String::new();
-        for chunk in &news.chunks {
+        for chunk in &update.chunks {
             push_event(&mut events, chunk.index, &self.text_chunk(chunk));
         }
-        if let Some(completion) = &news.completion {
+        if let Some(completion) = &update.completion {
             push_event(&mut events, self.next, &self.last_chunk(completion));
             events.push_str(&format!("data: {DONE_MARKER}\n\n"));
         }
@@ -154,7 +157,7 @@
 }
 
 fn push_event(events: &mut String, index: u32, chunk: &ChatChunk) {
-    // The wire types hold no map with keys that JSON lacks, so encoding them cannot fail.
+    // Encoding cannot fail: all map keys of the wire types are valid in JSON.
     let data = serde_json::to_string(chunk).expect("wire types encode as JSON");
     events.push_str(&format!("id: {index}\ndata: {data}\n\n"));
 }
--- a/crates/standin/src/engine/application.rs
+++ b/crates/standin/src/engine/application.rs
@@ -1,5 +1,6 @@
-//! The engine's HTTP interface. `POST /v1/restart` starts the engine again with an empty memory,
-//! for tests.
+//! The engine's HTTP interface.
+//!
+//! `POST /v1/restart` restarts the engine with an empty cache, for tests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +17,20 @@
 
 use super::EngineFaults;
 use super::answer::AnswerReader;
-use super::convert::{fenced_action, published_change, published_holding, published_role};
+use super::convert::{fenced_action, wire_change, wire_holding, wire_role};
 use super::state::EngineService;
 use crate::clock::{now, sleep_until};
-use crate::http::{Handled, Incoming, Refusal, Reply};
+use crate::http::{ErrorResponse, HandlerResult, Incoming, Reply};
 use crate::server::Application;
 use crate::shared::Shared;
 
-/// Most tokens of an answer where the request does not say.
+/// Limit on the output tokens of a request that sets none.
 const DEFAULT_MAX_TOKENS: Tokens = Tokens(1_024);
 
-/// Longest request id, in bytes.
+/// Maximum length of a request id.
 const MAX_REQUEST_ID_BYTES: usize = 256;
 
-/// When an engine that refused a request may take it.
+/// `Retry-After` of a request refused by a full or leaving engine.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) struct EngineApplication {
@@ -74,9 +75,9 @@
 }
 
 impl Application for EngineApplication {
-    async fn respond(&self, request: Incoming) -> Handled {
+    async fn respond(&self, request: Incoming) -> HandlerResult {
         let path = request.path();
-        let resource = resource(&path).ok_or_else(Refusal::not_found)?;
+        let resource = resource(&path).ok_or_else(ErrorResponse::not_found)?;
         let is_control = matches!(resource, Resource::Faults | Resource::Restart);
         if !is_control && self.service.lock().faults.down {
             return Ok(Reply::Disconnect);
@@ -97,7 +98,7 @@
             (Resource::Faults, &Method::GET) => Ok(Reply::json(&self.service.lock().faults)),
             (Resource::Faults, &Method::PUT) => self.set_faults(&request),
             (Resource::Restart, &Method::POST) => Ok(self.restart()),
-            _ => Err(Refusal::method_not_allowed()),
+            _ => Err(ErrorResponse::method_not_allowed()),
         }
     }
 }
@@ -107,7 +108,7 @@
         Self { service }
     }
 
-    async fn chat(&self, request: &Incoming) -> Handled {
+    async fn chat(&self, request: &Incoming) -> HandlerResult {
         let id = request_id(request)?;
         let run = run_id(request)?;
         let chat: ChatRequest = request.json()?;
@@ -118,7 +119,7 @@
         }
         match reader.into_completion().await {
             Some(completion) => Ok(Reply::json(&completion)),
-            None => Err(Refusal::failed("the request was cancelled")),
+            None => Err(ErrorResponse::failed("the request was cancelled")),
         }
     }
 
@@ -127,9 +128,9 @@
         id: RequestId,
         run: RunId,
         chat: ChatRequest,
-    ) -> Result<AnswerReader, Refusal> {
+    ) -> Result<AnswerReader, ErrorResponse> {
         if chat.messages.is_empty() {
-            return Err(Refusal::invalid("a request without messages"));
+            return Err(ErrorResponse::invalid("the request has no messages"));
         }
         let request = Request {
             id: id.clone(),
@@ -142,15 +143,15 @@
         };
         let first_chunk = request.first_chunk;
         let submitted = self.service.update(|state| state.submit(now(), request));
-        submitted.map_err(rejection)?;
+        submitted.map_err(rejection_response)?;
         AnswerReader::new(&self.service, id, first_chunk)
-            .ok_or_else(|| Refusal::failed("the request was cancelled"))
+            .ok_or_else(|| ErrorResponse::failed("the request was cancelled"))
     }
 
-    fn resume(&self, id: &str, request: &Incoming) -> Handled {
+    fn resume(&self, id: &str, request: &Incoming) -> HandlerResult {
         let query: ResumeQuery = request.query()?;
         let reader = AnswerReader::new(&self.service, RequestId::new(id), query.from);
-        let reader = reader.ok_or_else(Refusal::not_found)?;
+        let reader = reader.ok_or_else(ErrorResponse::not_found)?;
         Ok(Reply::event_stream(reader.into_events()))
     }
 
@@ -180,7 +181,7 @@
         })
     }
 
-    fn cache_events(&self, request: &Incoming) -> Handled {
+    fn cache_events(&self, request: &Incoming) -> HandlerResult {
         let query: CacheEventsQuery = request.query()?;
         let mut state = self.service.lock();
         let published = state
@@ -188,7 +189,7 @@
             .cache_events(now(), query.after, MAX_CACHE_EVENTS);
         let events = published.into_iter().map(|event| CacheEvent {
             sequence: event.sequence,
-            change: published_change(event.change),
+            change: wire_change(event.change),
         });
         Ok(Reply::json(&CacheEventsResponse {
             instance: state.instance,
@@ -199,18 +200,18 @@
     fn holdings(&self) -> Reply {
         let now = now();
         let held = self.service.lock().engine().holdings();
-        let runs = held.into_iter().map(|held| published_holding(now, held));
+        let runs = held.into_iter().map(|held| wire_holding(now, held));
         Reply::json(&HoldingsResponse {
             runs: runs.collect(),
         })
     }
 
-    fn retain(&self, run: RunId, request: &Incoming) -> Handled {
+    fn retain(&self, run: RunId, request: &Incoming) -> HandlerResult {
         let body: RetentionRequest = request.json()?;
         let lease = Duration::from_millis(body.lease_ms.min(MAX_LEASE_MS));
         let now = now();
         let held = self.service.update(|state| state.retain(now, run, lease));
-        Ok(Reply::json(&published_holding(now, held)))
+        Ok(Reply::json(&wire_holding(now, held)))
     }
 
     fn release(&self, run: RunId) -> Reply {
@@ -225,7 +226,7 @@
         })
     }
 
-    async fn import(&self, run: RunId, request: &Incoming) -> Handled {
+    async fn import(&self, run: RunId, request: &Incoming) -> HandlerResult {
         let body: KvExport = request.json()?;
         let blocks = body.blocks.len() as u32;
         let done = self
@@ -235,7 +236,7 @@
         Ok(Reply::json(&ImportResponse { blocks }))
     }
 
-    fn command(&self, request: &Incoming) -> Handled {
+    fn command(&self, request: &Incoming) -> HandlerResult {
         let body: FencedCommand = request.json()?;
         let action = fenced_action(body.command);
         let outcome = self
@@ -243,7 +244,7 @@
             .update(|state| state.command(now(), body.fence, action));
         match outcome {
             Ok(()) => Ok(Reply::json(&CommandResponse { fence: body.fence })),
-            Err(CommandError::Fenced { highest }) => Err(Refusal::not_run(
+            Err(CommandError::Fenced { highest }) => Err(ErrorResponse::not_run(
                 StatusCode::CONFLICT,
                 ErrorCode::StaleFence,
                 format!("fence {} is below {highest}", body.fence),
@@ -253,7 +254,7 @@
 
     fn state(&self) -> Reply {
         let mut state = self.service.lock();
-        let role = published_role(state.engine().role());
+        let role = wire_role(state.engine().role());
         Reply::json(&EngineState {
             engine: state.settings.id.clone(),
             state: state.serving_state(),
@@ -264,7 +265,7 @@
         })
     }
 
-    fn set_faults(&self, request: &Incoming) -> Handled {
+    fn set_faults(&self, request: &Incoming) -> HandlerResult {
         let faults: EngineFaults = request.json()?;
         ::log::info!("engine faults: {faults:?}");
         self.service.update(|state| state.faults = faults.clone());
@@ -272,52 +273,52 @@
     }
 
     fn restart(&self) -> Reply {
-        ::log::info!("engine restarted with an empty memory");
+        ::log::info!("engine restarted with an empty cache");
         self.service.update(|state| state.restart(now()));
         self.state()
     }
 }
 
-fn request_id(request: &Incoming) -> Result<RequestId, Refusal> {
+fn request_id(request: &Incoming) -> Result<RequestId, ErrorResponse> {
     let id = request.required_header(headers::REQUEST_ID)?;
     if id.len() > MAX_REQUEST_ID_BYTES {
-        return Err(Refusal::invalid("the request id is too long"));
+        return Err(ErrorResponse::invalid("the request id is too long"));
     }
     Ok(RequestId::new(id))
 }
 
-fn run_id(request: &Incoming) -> Result<RunId, Refusal> {
+fn run_id(request: &Incoming) -> Result<RunId, ErrorResponse> {
     let run = request.required_header(headers::RUN_ID)?;
-    run.parse().map_err(Refusal::invalid)
+    run.parse().map_err(ErrorResponse::invalid)
 }
 
-fn rejection(rejected: Rejected) -> Refusal {
+fn rejection_response(rejected: Rejected) -> ErrorResponse {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match rejected {
         Rejected::QueueFull => {
-            Refusal::not_run(unavailable, ErrorCode::QueueFull, "the queue is full")
+            ErrorResponse::not_run(unavailable, ErrorCode::QueueFull, "the queue is full")
                 .retry_after(RETRY_AFTER)
         }
-        Rejected::NotServing => Refusal::not_run(
+        Rejected::NotServing => ErrorResponse::not_run(
             unavailable,
             ErrorCode::Leaving,
-            "the engine takes no new work",
+            "the engine accepts no new requests",
         )
         .retry_after(RETRY_AFTER),
-        Rejected::ModelNotLoaded => Refusal::not_run(
+        Rejected::ModelNotLoaded => ErrorResponse::not_run(
             StatusCode::NOT_FOUND,
             ErrorCode::ModelNotLoaded,
             "the model is not loaded",
         ),
-        Rejected::TooLong => Refusal::not_run(
+        Rejected::TooLong => ErrorResponse::not_run(
             StatusCode::BAD_REQUEST,
             ErrorCode::TooLong,
-            "prompt and answer do not fit into memory",
+            "the prompt and the answer do not fit into the cache",
         ),
-        Rejected::Duplicate => Refusal::unclaimed(
+        Rejected::Duplicate => ErrorResponse::outcome_unknown(
             StatusCode::CONFLICT,
             ErrorCode::RequestIdInUse,
-            "a request of this id is known; resume it by its stream",
+            "the request id is already in use; resume its stream",
         ),
     }
 }
--- a/crates/standin/src/engine/convert.rs
+++ b/crates/standin/src/engine/convert.rs
@@ -1,4 +1,4 @@
-//! Between the engine model's types and those of the wire.
+//! Conversions between the engine model's types and the wire types.
 
 use elderworks_engine_model::{
     CacheChange as ModelCacheChange, EngineRole as ModelRole, FencedAction, Holding as ModelHolding,
@@ -6,7 +6,7 @@
 use elderworks_platform_api::engine::{CacheChange, Command, EngineRole, Holding};
 use elderworks_types::{ModelName, Timestamp};
 
-pub(super) fn published_change(change: ModelCacheChange) -> CacheChange {
+pub(super) fn wire_change(change: ModelCacheChange) -> CacheChange {
     match change {
         ModelCacheChange::Stored(blocks) => CacheChange::Stored(blocks),
         ModelCacheChange::Evicted(blocks) => CacheChange::Evicted(blocks),
@@ -14,7 +14,7 @@
     }
 }
 
-pub(super) fn published_holding(now: Timestamp, held: ModelHolding) -> Holding {
+pub(super) fn wire_holding(now: Timestamp, held: ModelHolding) -> Holding {
     let lease = held.lease_until.map(|until| until.since(now));
     Holding {
         run: held.run,
@@ -23,7 +23,8 @@
     }
 }
 
-/// The engine model keeps versions and adapters each under a name of its own.
+/// Converts a command to an action of the engine model, which has no versions or adapters: each
+/// version or adapter becomes a model with its own name.
 pub(super) fn fenced_action(command: Command) -> FencedAction {
     match command {
         Command::LoadModel { model, version } => FencedAction::Load {
@@ -37,7 +38,7 @@
             model: with_adapter(&model, &adapter),
         },
         Command::ChangeRole { role } => FencedAction::SetRole {
-            role: ordered_role(role),
+            role: model_role(role),
         },
     }
 }
@@ -53,15 +54,14 @@
     ModelName::new(format!("{model}+{adapter}"))
 }
 
-fn ordered_role(role: EngineRole) -> ModelRole {
+fn model_role(role: EngineRole) -> ModelRole {
     match role {
         EngineRole::Serving => ModelRole::Serving,
         EngineRole::Draining => ModelRole::Draining,
     }
 }
 
-/// The role, as published.
-pub(super) fn published_role(role: ModelRole) -> EngineRole {
+pub(super) fn wire_role(role: ModelRole) -> EngineRole {
     match role {
         ModelRole::Serving => EngineRole::Serving,
         ModelRole::Draining => EngineRole::Draining,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine: the engine model driven by the real clock.
+//! Model engine stand-in: the simulated engine, driven by the system clock.
 
 mod answer;
 mod application;
@@ -24,28 +24,29 @@
 use application::EngineApplication;
 use state::EngineService;
 
-/// Longest time between two looks at the engine, so that abandoned requests are found.
-const MAX_STEP: Duration = Duration::from_millis(250);
+/// Maximum interval between two calls of `advance`, so that abandoned requests are detected even
+/// when the engine is idle.
+const MAX_ADVANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How an engine stand-in is set up.
+/// Settings of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Its name.
+    /// Engine id reported by `GET /v1/state`.
     pub id: EngineId,
-    /// Models loaded at the start.
+    /// Models that are loaded at startup.
     pub models: Vec<ModelName>,
-    /// Speed, memory and limits.
+    /// Speed, cache size and queue limits.
     pub parameters: EngineParameters,
-    /// Bytes of weights that it can load per second.
+    /// Rate at which weights are loaded, in bytes per second.
     pub weights_bytes_per_second: u64,
-    /// How long it goes on with a request that nobody reads.
+    /// Time after which a request without a reader is cancelled.
     pub resume_grace: Duration,
-    /// Seed of its random choices.
+    /// Seed of the engine's random choices.
     pub seed: u64,
 }
 
 impl EngineSettings {
-    /// An ordinary engine with no model loaded.
+    /// Returns default settings with no model loaded.
     pub fn new(id: EngineId) -> Self {
         Self {
             id,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Parameters of an engine that computes `speed` times as fast.
+/// Returns parameters of an engine that computes `speed` times as fast.
 pub fn with_speed(parameters: EngineParameters, speed: f64) -> EngineParameters {
     let faster = |nanos: u64| (nanos as f64 / speed) as u64;
     EngineParameters {
@@ -71,21 +72,25 @@
     }
 }
 
-/// Faults of an engine. The default is none.
+/// Injected faults of an engine; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Nothing is answered.
+    /// Connections are closed without a response.
     pub down: bool,
-    /// It takes requests, but generates nothing.
+    /// Requests are accepted, but nothing is generated.
     pub hang: bool,
-    /// It is being taken away: no new work.
+    /// The engine is shutting down and accepts no new requests.
     pub leave: bool,
-    /// New requests are refused as though the queue were full.
+    /// New requests are refused as if the queue were full.
     pub full: bool,
 }
 
-/// Serves an idle engine; must be called within an actix runtime.
+/// Serves an idle engine. Must be called within an actix runtime.
+///
+/// # Errors
+///
+/// Returns an error if the server cannot be started on `listener`.
 pub fn serve(listener: TcpListener, settings: EngineSettings) -> io::Result<ServerHandle> {
     let service = Arc::new(Shared::new(EngineService::new(settings, now())));
     actix_rt::spawn(drive(Arc::downgrade(&service), service.subscribe()));
@@ -96,7 +101,7 @@
     )
 }
 
-/// Moves the engine on whenever something is due, for as long as it is served.
+/// Advances the engine whenever work is due or its state changes, until the server is dropped.
 async fn drive(service: Weak<Shared<EngineService>>, mut changes: watch::Receiver<()>) {
     while let Some(service) = service.upgrade() {
         let next = advance(&service);
@@ -108,11 +113,13 @@
     }
 }
 
-/// Does what is due and returns the time until something else will be.
+/// Processes all due work and returns the time until the next call.
 fn advance(service: &Shared<EngineService>) -> Duration {
     let now = now();
     let mut state = service.lock();
     state.advance(now);
-    let next = state.next_due().map_or(MAX_STEP, |due| due.since(now));
-    next.min(MAX_STEP)
+    let next = state
+        .next_due()
+        .map_or(MAX_ADVANCE_INTERVAL, |due| due.since(now));
+    next.min(MAX_ADVANCE_INTERVAL)
 }
--- a/crates/standin/src/engine/requests.rs
+++ b/crates/standin/src/engine/requests.rs
@@ -1,5 +1,5 @@
-//! What the engine's front keeps of each request: who reads its answer, and how to answer in the
-//! OpenAI form.
+//! Bookkeeping of the HTTP layer per request: its readers, and the metadata for answers in the
+//! OpenAI format.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What of a request goes into each piece of its answer.
+/// Request metadata that every part of its answer repeats.
 #[derive(Clone, Debug)]
 pub(super) struct RequestInfo {
     pub(super) model: ModelName,
     pub(super) first_chunk: u32,
     created: Timestamp,
-    /// Most tokens that it may generate itself.
-    limit: Tokens,
+    /// Maximum number of tokens to generate, without the text that the request continues.
+    max_generated: Tokens,
 }
 
 impl RequestInfo {
-    pub(super) fn of(now: Timestamp, request: &Request) -> Self {
+    pub(super) fn new(now: Timestamp, request: &Request) -> Self {
         let continued = match &request.work {
             Work::Text { continue_text, .. } => token_count(continue_text),
             Work::Counted { .. } => Tokens::ZERO,
@@ -32,18 +32,18 @@
             model: request.model.clone(),
             first_chunk: request.first_chunk,
             created: now,
-            limit: request.max_output.saturating_sub(continued),
+            max_generated: request.max_output.saturating_sub(continued),
         }
     }
 
-    /// Seconds since the Unix epoch.
+    /// Returns the creation time in seconds since the Unix epoch.
     pub(super) fn created_seconds(&self) -> u64 {
         self.created.0 / MICROS_PER_SECOND
     }
 
-    /// Why an answer of this length ended.
+    /// Returns the finish reason of an answer of `output` tokens.
     pub(super) fn finish_reason(&self, output: Tokens) -> FinishReason {
-        if output >= self.limit {
+        if output >= self.max_generated {
             FinishReason::Length
         } else {
             FinishReason::Stop
@@ -54,15 +54,15 @@
 struct Entry {
     run: RunId,
     info: RequestInfo,
-    /// Signals more of the answer, and its end.
+    /// Signals new chunks and completion.
     progress: watch::Sender<()>,
-    ended: bool,
+    is_complete: bool,
     readers: usize,
-    /// Since when nobody reads it.
+    /// Time of insertion, or at which the last reader was removed.
     unread_since: Timestamp,
 }
 
-/// Requests that wait, run or have ended.
+/// Waiting, running and completed requests.
 #[derive(Default)]
 pub(super) struct Requests {
     entries: BTreeMap<RequestId, Entry>,
@@ -73,20 +73,21 @@
         self.entries.len()
     }
 
-    /// Adds a request that nobody reads yet.
+    /// Adds a request without readers.
     pub(super) fn insert(&mut self, now: Timestamp, id: RequestId, run: RunId, info: RequestInfo) {
         let entry = Entry {
             run,
             info,
             progress: watch::Sender::new(()),
-            ended: false,
+            is_complete: false,
             readers: 0,
             unread_since: now,
         };
         self.entries.insert(id, entry);
     }
 
-    /// Someone begins to read an answer. The signal closes once the request is forgotten.
+    /// Registers a reader of an answer; returns `None` if the request is unknown. The returned signal
+    /// closes when the request is removed.
     pub(super) fn add_reader(
         &mut self,
         id: &RequestId,
@@ -96,7 +97,7 @@
         Some((entry.info.clone(), entry.progress.subscribe()))
     }
 
-    /// Someone no longer reads an answer.
+    /// Unregisters a reader.
     pub(super) fn remove_reader(&mut self, now: Timestamp, id: &RequestId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.readers = entry.readers.saturating_sub(1);
@@ -104,37 +105,36 @@
         }
     }
 
-    /// There is more of an answer.
-    pub(super) fn progressed(&mut self, id: &RequestId) {
+    /// Wakes the readers of an answer that has new chunks.
+    pub(super) fn notify_progress(&mut self, id: &RequestId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.progress.send_replace(());
         }
     }
 
-    /// An answer is whole.
-    pub(super) fn ended(&mut self, id: &RequestId) {
+    /// Marks an answer as complete and wakes its readers.
+    pub(super) fn complete(&mut self, id: &RequestId) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.ended = true;
+            entry.is_complete = true;
             entry.progress.send_replace(());
         }
     }
 
-    /// A request is no longer known.
-    pub(super) fn forget(&mut self, id: &RequestId) {
+    pub(super) fn remove(&mut self, id: &RequestId) {
         self.entries.remove(id);
     }
 
-    /// Forgets all but those that are still known.
+    /// Removes the requests for which `is_known` returns false.
     pub(super) fn retain(&mut self, is_known: impl Fn(&RequestId) -> bool) {
         self.entries.retain(|id, _| is_known(id));
     }
 
-    /// Requests of a run that wait or run.
-    pub(super) fn open_of(&self, run: RunId) -> Vec<RequestId> {
+    /// Returns the waiting and running requests of a run.
+    pub(super) fn open_requests_of(&self, run: RunId) -> Vec<RequestId> {
         self.open_where(|entry| entry.run == run)
     }
 
-    /// Requests that wait or run and that nobody has read for `grace`.
+    /// Returns the waiting and running requests that have had no reader for `grace`.
     pub(super) fn abandoned(&self, now: Timestamp, grace: Duration) -> Vec<RequestId> {
         self.open_where(|entry| entry.readers == 0 && entry.unread_since + grace <= now)
     }
@@ -142,7 +142,7 @@
     fn open_where(&self, matches: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
         self.entries
             .iter()
-            .filter(|(_, entry)| !entry.ended && matches(entry))
+            .filter(|(_, entry)| !entry.is_complete && matches(entry))
             .map(|(id, _)| id.clone())
             .collect()
     }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine model together with what its HTTP front must know.
+//! State of the engine stand-in: the engine model and the bookkeeping of its HTTP layer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,22 +15,25 @@
 use super::requests::{RequestInfo, Requests};
 use super::{EngineFaults, EngineSettings};
 
-/// Runs whose prompts are remembered for export. Beyond it, those that hold nothing are forgotten.
+/// Maximum number of runs whose block hashes are kept for export. At the limit, runs that hold no
+/// blocks are dropped.
 const MAX_CHAINS: usize = 16_384;
 
-/// Requests that are remembered beyond those which the engine itself remembers.
-const MAX_FORGOTTEN_REQUESTS: usize = 4_096;
+/// Number of requests unknown to the engine that may accumulate before they are pruned.
+const MAX_STALE_REQUESTS: usize = 4_096;
 
-/// An engine as it is served.
+/// The state shared by all HTTP handlers of an engine.
 pub(super) struct EngineService {
     pub(super) faults: EngineFaults,
     pub(super) settings: EngineSettings,
-    /// Changes with every start.
+    /// Instance number; increases with every restart.
     pub(super) instance: u64,
+    /// Highest accepted fencing token.
     pub(super) fence: u64,
     engine: Engine,
     weights: WeightStore,
     requests: Requests,
+    /// Block hashes of the last sequence of each run.
     chains: BTreeMap<RunId, Vec<BlockHash>>,
 }
 
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Starts again with an empty memory. Fences outlast a restart.
+    /// Restarts the engine with an empty cache. The fencing token is kept.
     pub(super) fn restart(&mut self, now: Timestamp) {
         self.instance = now.0.max(self.instance + 1);
         self.engine = new_engine(&self.settings, now);
@@ -56,7 +59,8 @@
         self.chains.clear();
     }
 
-    /// Does all that is due by `now`, and wakes the readers of answers that went on.
+    /// Cancels abandoned requests, processes all work due by `now` and wakes the readers of answers
+    /// that progressed.
     pub(super) fn advance(&mut self, now: Timestamp) {
         if self.faults.hang {
             return;
@@ -65,8 +69,8 @@
         self.cancel_all(now, &abandoned);
         for output in self.engine.advance(now) {
             match output {
-                Output::Chunk { id, .. } => self.requests.progressed(&id),
-                Output::Completed(completion) => self.requests.ended(&completion.id),
+                Output::Chunk { id, .. } => self.requests.notify_progress(&id),
+                Output::Completed(completion) => self.requests.complete(&completion.id),
                 Output::FirstToken { .. }
                 | Output::Imported { .. }
                 | Output::CommandDone { .. } => {}
@@ -81,7 +85,7 @@
         self.engine.next_event_at()
     }
 
-    /// Whether it takes new work.
+    /// Returns whether the engine accepts new requests.
     pub(super) fn serving_state(&self) -> ServingState {
         if self.faults.leave || self.engine.role() == EngineRole::Draining {
             return ServingState::Leaving;
@@ -89,12 +93,12 @@
         ServingState::Serving
     }
 
-    /// The model, for what needs no bookkeeping here.
+    /// Returns the engine model, for operations that need no bookkeeping.
     pub(super) fn engine(&mut self) -> &mut Engine {
         &mut self.engine
     }
 
-    /// Takes a request.
+    /// Submits a request.
     pub(super) fn submit(&mut self, now: Timestamp, request: Request) -> Result<(), Rejected> {
         if self.faults.full {
             return Err(Rejected::QueueFull);
@@ -105,42 +109,42 @@
         let id = request.id.clone();
         let run = request.run;
         let chain = chain_of(&request);
-        let info = RequestInfo::of(now, &request);
+        let info = RequestInfo::new(now, &request);
         self.engine.submit(now, request)?;
-        self.remember_chain(run, chain);
+        self.store_chain(run, chain);
         self.requests.insert(now, id, run, info);
-        self.forget_requests();
+        self.prune_requests();
         Ok(())
     }
 
-    /// What exists of an answer from a chunk on; `None` if the request is unknown.
+    /// Returns the answer generated so far, starting at chunk `from`, or `None` if the request is
+    /// unknown.
     pub(super) fn resume(&self, id: &RequestId, from: u32) -> Option<Resumed> {
         self.engine.resume(id, from)
     }
 
-    /// Who reads what.
     pub(super) fn requests(&mut self) -> &mut Requests {
         &mut self.requests
     }
 
-    /// Stops a request; false if it neither waited nor ran.
+    /// Cancels a request; returns false if it was neither waiting nor running.
     pub(super) fn cancel(&mut self, now: Timestamp, id: &RequestId) -> bool {
         let cancelled = self.engine.cancel(now, id);
         if cancelled {
-            self.requests.forget(id);
+            self.requests.remove(id);
         }
         cancelled
     }
 
-    /// Cancels a run's requests and frees what it holds.
+    /// Cancels a run's requests and frees its blocks; returns how many were freed.
     pub(super) fn release(&mut self, now: Timestamp, run: RunId) -> u32 {
-        let open = self.requests.open_of(run);
+        let open = self.requests.open_requests_of(run);
         self.cancel_all(now, &open);
         self.chains.remove(&run);
         self.engine.release(now, run)
     }
 
-    /// Keeps what a run holds for a while.
+    /// Protects a run's blocks from eviction for the time of a lease.
     pub(super) fn retain(&mut self, now: Timestamp, run: RunId, lease: Duration) -> Holding {
         self.engine.retain(now, run, lease);
         let nothing = Holding {
@@ -156,24 +160,24 @@
         held.unwrap_or(nothing)
     }
 
-    /// The cached part of a run's last sequence.
+    /// Returns the cached blocks of a run's last sequence.
     pub(super) fn export(&self, run: RunId) -> ExportedBlocks {
         let chain = self.chains.get(&run).map_or(&[][..], Vec::as_slice);
         self.engine.export(run, chain)
     }
 
-    /// Begins an import; returns when the blocks will be usable.
+    /// Starts an import; returns the time at which the blocks will be usable.
     pub(super) fn import(
         &mut self,
         now: Timestamp,
         run: RunId,
         blocks: Vec<BlockHash>,
     ) -> Timestamp {
-        self.remember_chain(run, blocks.clone());
+        self.store_chain(run, blocks.clone());
         self.engine.import(now, ExportedBlocks { run, blocks })
     }
 
-    /// Carries out a fenced command.
+    /// Executes a command unless its fencing token is outdated.
     pub(super) fn command(
         &mut self,
         now: Timestamp,
@@ -196,25 +200,26 @@
         }
     }
 
-    /// Forgets requests that the engine has forgotten, once there are many.
-    fn forget_requests(&mut self) {
+    /// Removes requests that the engine no longer knows, once more than
+    /// `MAX_STALE_REQUESTS` have accumulated.
+    fn prune_requests(&mut self) {
         let limits = &self.settings.parameters;
         let known = limits.remembered_requests + limits.max_waiting + limits.max_batch;
-        if self.requests.len() > known + MAX_FORGOTTEN_REQUESTS {
+        if self.requests.len() > known + MAX_STALE_REQUESTS {
             let engine = &self.engine;
             self.requests
                 .retain(|id| engine.resume(id, u32::MAX).is_some());
         }
     }
 
-    fn remember_chain(&mut self, run: RunId, chain: Vec<BlockHash>) {
+    fn store_chain(&mut self, run: RunId, chain: Vec<BlockHash>) {
         if self.chains.len() >= MAX_CHAINS {
-            self.forget_chains();
+            self.prune_chains();
         }
         self.chains.insert(run, chain);
     }
 
-    fn forget_chains(&mut self) {
+    fn prune_chains(&mut self) {
         let holdings = self.engine.holdings();
         let holding: BTreeSet<RunId> = holdings.iter().map(|held| held.run).collect();
         self.chains.retain(|run, _| holding.contains(run));
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as the stand-ins see them.
+//! HTTP requests and responses of the stand-ins.
 
 use std::time::Duration;
 
@@ -14,57 +14,61 @@
 /// A request whose body has been read.
 pub(crate) struct Incoming {
     pub(crate) method: Method,
-    /// Decoded segments of the path.
+    /// Percent-decoded path segments.
     pub(crate) segments: Vec<String>,
-    /// The query, undecoded.
+    /// The raw query string.
     pub(crate) query: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
 impl Incoming {
-    /// The segments, to be matched against patterns.
+    /// Returns the path segments in a form that can be matched against patterns.
     pub(crate) fn path(&self) -> Vec<&str> {
         self.segments.iter().map(String::as_str).collect()
     }
 
     /// Decodes the body as JSON.
-    pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Refusal> {
-        serde_json::from_slice(&self.body).map_err(Refusal::invalid)
+    pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, ErrorResponse> {
+        serde_json::from_slice(&self.body).map_err(ErrorResponse::invalid)
     }
 
-    /// Decodes the query.
-    pub(crate) fn query<T: DeserializeOwned>(&self) -> Result<T, Refusal> {
-        serde_urlencoded::from_str(&self.query).map_err(Refusal::invalid)
+    /// Decodes the query string.
+    pub(crate) fn query<T: DeserializeOwned>(&self) -> Result<T, ErrorResponse> {
+        serde_urlencoded::from_str(&self.query).map_err(ErrorResponse::invalid)
     }
 
-    /// A header's text; `None` where it is absent or not text.
+    /// Returns a header's text, or `None` if it is absent or not text.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The text of a header without which the request makes no sense.
-    pub(crate) fn required_header(&self, name: &str) -> Result<&str, Refusal> {
+    /// Returns the text of a mandatory header.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error response if the header is absent, empty or not text.
+    pub(crate) fn required_header(&self, name: &str) -> Result<&str, ErrorResponse> {
         let value = self.header(name).filter(|value| !value.is_empty());
-        value.ok_or_else(|| Refusal::invalid(format!("header {name} is missing or not text")))
+        value.ok_or_else(|| ErrorResponse::invalid(format!("header {name} is missing or not text")))
     }
 }
 
-/// What becomes of a request.
+/// Outcome of a handled request.
 pub(crate) enum Reply {
-    /// An answer.
-    Answer(Response<BoxBody>),
-    /// The connection is closed without an answer.
+    /// A response is sent.
+    Response(Response<BoxBody>),
+    /// The connection is closed without a response.
     Disconnect,
 }
 
 impl Reply {
-    /// A successful answer in JSON.
+    /// Returns a successful response with a JSON body.
     pub(crate) fn json(value: &impl Serialize) -> Self {
-        Reply::Answer(json_response(StatusCode::OK, value))
+        Reply::Response(json_response(StatusCode::OK, value))
     }
 
-    /// A server-sent event stream.
+    /// Returns a response that streams server-sent events.
     pub(crate) fn event_stream(
         events: impl Stream<Item = Result<Bytes, std::io::Error>> + 'static,
     ) -> Self {
@@ -72,22 +76,22 @@
             .insert_header((CONTENT_TYPE, "text/event-stream"))
             .insert_header(("cache-control", "no-cache"))
             .body(BodyStream::new(events));
-        Reply::Answer(response.map_into_boxed_body())
+        Reply::Response(response.map_into_boxed_body())
     }
 }
 
-/// What a handler returns.
-pub(crate) type Handled = Result<Reply, Refusal>;
+/// Result of a request handler.
+pub(crate) type HandlerResult = Result<Reply, ErrorResponse>;
 
-/// An answer with a status of 400 or above.
-pub(crate) struct Refusal {
+/// A response with a status of 400 or above.
+pub(crate) struct ErrorResponse {
     status: StatusCode,
     body: ErrorBody,
     retry_after: Option<Duration>,
 }
 
-impl Refusal {
-    /// A request that was not run.
+impl ErrorResponse {
+    /// Creates the response to a request that was not run.
     pub(crate) fn not_run(status: StatusCode, code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -96,7 +100,7 @@
         }
     }
 
-    /// A request that was run and failed.
+    /// Creates the response to a request that was run and failed.
     pub(crate) fn failed(message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::INTERNAL_SERVER_ERROR,
@@ -105,18 +109,18 @@
         }
     }
 
-    /// A request of which nothing is said whether it ran.
-    pub(crate) fn unclaimed(
+    /// Creates a response that does not state whether the request was run.
+    pub(crate) fn outcome_unknown(
         status: StatusCode,
         code: ErrorCode,
         message: impl Into<String>,
     ) -> Self {
-        let mut refusal = Self::not_run(status, code, message);
-        refusal.body.run = None;
-        refusal
+        let mut error = Self::not_run(status, code, message);
+        error.body.run = None;
+        error
     }
 
-    /// A header, query or body that does not have the expected form.
+    /// Creates the response to a malformed header, query or body.
     pub(crate) fn invalid(problem: impl ToString) -> Self {
         Self::not_run(
             StatusCode::BAD_REQUEST,
@@ -125,12 +129,12 @@
         )
     }
 
-    /// A path, or a thing named by it, that does not exist.
+    /// Creates the response to an unknown path or resource.
     pub(crate) fn not_found() -> Self {
         Self::not_run(StatusCode::NOT_FOUND, ErrorCode::NotFound, "not found")
     }
 
-    /// A path that exists, but not with this method.
+    /// Creates the response to a method that the path does not support.
     pub(crate) fn method_not_allowed() -> Self {
         Self::not_run(
             StatusCode::METHOD_NOT_ALLOWED,
@@ -139,13 +143,13 @@
         )
     }
 
-    /// The same, saying when to come back.
+    /// Adds a `Retry-After` header.
     pub(crate) fn retry_after(mut self, duration: Duration) -> Self {
         self.retry_after = Some(duration);
         self
     }
 
-    /// The answer to send.
+    /// Converts the error to an HTTP response.
     pub(crate) fn into_response(self) -> Response<BoxBody> {
         let mut response = json_response(self.status, &self.body);
         if let Some(duration) = self.retry_after {
@@ -157,13 +161,13 @@
     }
 }
 
-/// Rounds up, so that who comes back then is not too early.
+/// Rounds up to whole seconds, so that a client does not retry too early.
 fn whole_seconds(duration: Duration) -> u64 {
     duration.as_secs() + u64::from(duration.subsec_nanos() > 0)
 }
 
 fn json_response(status: StatusCode, value: &impl Serialize) -> Response<BoxBody> {
-    // The wire types hold no map with keys that JSON lacks, so encoding them cannot fail.
+    // Encoding cannot fail: all map keys of the wire types are valid in JSON.
     let text = serde_json::to_vec(value).expect("wire types encode as JSON");
     Response::build(status)
         .insert_header((CONTENT_TYPE, "application/json"))
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,8 @@
-//! Stand-ins for the platform and back ends over HTTP, for tests and experiments.
+//! HTTP stand-ins for the platform services and back ends, for tests and experiments.
 //!
-//! Each module serves one interface of `elderworks-platform-api` on a listener of the caller's
-//! choice, so that a test or `elderworks demo` can embed it on port 0. Beside the published
-//! interface each has `GET /healthz` and `GET` and `PUT /v1/faults`, which reads and replaces the
-//! faults in force.
+//! Each module serves one interface of `elderworks-platform-api` on a listener supplied by the
+//! caller, so that tests and `elderworks demo` can use a free port. In addition, each server has
+//! `GET /healthz`, and `GET` and `PUT /v1/faults` to read and replace the injected faults.
 
 mod clock;
 pub mod engine;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! Log service stand-in.
 
 use std::io;
 use std::net::TcpListener;
@@ -18,19 +18,19 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::http::{Handled, Incoming, Refusal, Reply};
+use crate::http::{ErrorResponse, HandlerResult, Incoming, Reply};
 use crate::server::{self, Application, ServerHandle};
 use crate::shared::{Shared, next_change};
 
-/// Signals that all streams share.
+/// Number of wake-up signals, shared by all streams.
 const SIGNAL_BUCKETS: usize = 256;
 
-/// How a log stand-in is set up.
+/// Settings of a log stand-in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Bytes of records that it holds; appends beyond are refused.
+    /// Capacity for records, in bytes; appends beyond it are refused.
     pub capacity_bytes: u64,
-    /// Seed of the choices of which answers are lost.
+    /// Seed of the random choice of responses to lose.
     pub seed: u64,
 }
 
@@ -43,7 +43,11 @@
     }
 }
 
-/// Serves an empty log; must be called within an actix runtime.
+/// Serves an empty log. Must be called within an actix runtime.
+///
+/// # Errors
+///
+/// Returns an error if the server cannot be started on `listener`.
 pub fn serve(listener: TcpListener, settings: LogSettings) -> io::Result<ServerHandle> {
     let state = LogState {
         model: LogModel::with_capacity(settings.capacity_bytes),
@@ -61,8 +65,10 @@
     rng: ChaCha8Rng,
 }
 
-/// Wakes readers that wait for records. Streams share a bounded number of signals, so that an
-/// append wakes few readers of other streams.
+/// Wakes readers that wait for records.
+///
+/// Streams are hashed to a fixed number of signals, so that an append wakes few readers of other
+/// streams.
 struct Signals {
     buckets: [watch::Sender<()>; SIGNAL_BUCKETS],
 }
@@ -76,13 +82,13 @@
 }
 
 impl Signals {
-    fn of(&self, stream: &str) -> &watch::Sender<()> {
+    fn for_stream(&self, stream: &str) -> &watch::Sender<()> {
         let bucket = xxh3_64(stream.as_bytes()) % SIGNAL_BUCKETS as u64;
         &self.buckets[bucket as usize]
     }
 
     fn wake(&self, stream: &str) {
-        self.of(stream).send_replace(());
+        self.for_stream(stream).send_replace(());
     }
 
     fn wake_all(&self) {
@@ -113,22 +119,23 @@
 }
 
 impl Application for LogApplication {
-    async fn respond(&self, request: Incoming) -> Handled {
+    async fn respond(&self, request: Incoming) -> HandlerResult {
         let path = request.path();
-        let resource = resource(&path).ok_or_else(Refusal::not_found)?;
+        let resource = resource(&path).ok_or_else(ErrorResponse::not_found)?;
         match (resource, &request.method) {
             (Resource::Records(stream), &Method::POST) => self.append(stream, &request).await,
             (Resource::Records(stream), &Method::GET) => self.read(stream, &request).await,
             (Resource::Faults, &Method::GET) => Ok(Reply::json(&self.state.lock().model.faults)),
             (Resource::Faults, &Method::PUT) => self.set_faults(&request),
-            _ => Err(Refusal::method_not_allowed()),
+            _ => Err(ErrorResponse::method_not_allowed()),
         }
     }
 }
 
 impl LogApplication {
-    /// Takes effect first and is slow afterwards: a client that gives up waiting cannot know.
-    async fn append(&self, stream: &str, request: &Incoming) -> Handled {
+    /// Appends a record, then applies the injected delay. A client that times out cannot tell whether
+    /// the record was appended.
+    async fn append(&self, stream: &str, request: &Incoming) -> HandlerResult {
         let data = request.body.to_vec();
         let outcome = self.append_now(stream, data);
         self.signals.wake(stream);
@@ -136,7 +143,7 @@
         match outcome {
             AppendOutcome::Appended(offset) => Ok(Reply::json(&AppendResponse { offset })),
             AppendOutcome::AnswerLost(_) | AppendOutcome::Down => Ok(Reply::Disconnect),
-            AppendOutcome::Full => Err(Refusal::not_run(
+            AppendOutcome::Full => Err(ErrorResponse::not_run(
                 StatusCode::INSUFFICIENT_STORAGE,
                 ErrorCode::Unavailable,
                 "the log is full",
@@ -150,11 +157,11 @@
         state.model.request_append(stream, data, &mut state.rng)
     }
 
-    async fn read(&self, stream: &str, request: &Incoming) -> Handled {
+    async fn read(&self, stream: &str, request: &Incoming) -> HandlerResult {
         let query: ReadQuery = request.query()?;
         self.delay().await;
         let deadline = Instant::now() + Duration::from_millis(query.wait_ms.min(MAX_WAIT_MS));
-        let mut changes = self.signals.of(stream).subscribe();
+        let mut changes = self.signals.for_stream(stream).subscribe();
         loop {
             let Some(response) = self.read_now(stream, &query) else {
                 return Ok(Reply::Disconnect);
@@ -180,13 +187,13 @@
 
     async fn delay(&self) {
         let delay = self.state.lock().model.faults.delay();
-        // Even a sleep of no length costs a tick of the timer.
+        // Sleeping for zero would still wait for the next timer tick.
         if !delay.is_zero() {
             sleep(delay).await;
         }
     }
 
-    fn set_faults(&self, request: &Incoming) -> Handled {
+    fn set_faults(&self, request: &Incoming) -> HandlerResult {
         let faults: LogFaults = request.json()?;
         ::log::info!("log faults: {faults:?}");
         self.state.lock().model.faults = faults.clone();
--- a/crates/standin/src/machines.rs
+++ b/crates/standin/src/machines.rs
@@ -1,4 +1,4 @@
-//! The list of machines. `PUT /v1/machines` replaces it, for tests.
+//! Machine list stand-in. `PUT /v1/machines` replaces the list, for tests.
 
 use std::io;
 use std::net::TcpListener;
@@ -11,28 +11,32 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::now;
-use crate::http::{Handled, Incoming, Refusal, Reply};
+use crate::http::{ErrorResponse, HandlerResult, Incoming, Reply};
 use crate::server::{self, Application, ServerHandle};
 use crate::shared::Shared;
 
-/// How a machine list stand-in is set up.
+/// Settings of a machine list stand-in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachinesSettings {
-    /// Time after which a change shows.
+    /// Delay until a change becomes visible to readers.
     pub lag: Duration,
-    /// The list at the start.
+    /// Initial list.
     pub machines: MachineList,
 }
 
-/// Faults of the machine list. The default is none.
+/// Injected faults of the machine list; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MachinesFaults {
-    /// Nothing is answered.
+    /// Connections are closed without a response.
     pub down: bool,
 }
 
-/// Serves a list; must be called within an actix runtime.
+/// Serves a machine list. Must be called within an actix runtime.
+///
+/// # Errors
+///
+/// Returns an error if the server cannot be started on `listener`.
 pub fn serve(listener: TcpListener, settings: MachinesSettings) -> io::Result<ServerHandle> {
     let state = MachinesState {
         model: MachinesModel::new(settings.lag, settings.machines),
@@ -54,14 +58,14 @@
 }
 
 impl Application for MachinesApplication {
-    async fn respond(&self, request: Incoming) -> Handled {
+    async fn respond(&self, request: Incoming) -> HandlerResult {
         match (request.path().as_slice(), &request.method) {
             (["v1", "machines"], &Method::GET) => Ok(self.list()),
             (["v1", "machines"], &Method::PUT) => self.replace(&request),
             (["v1", "faults"], &Method::GET) => Ok(Reply::json(&self.state.lock().faults)),
             (["v1", "faults"], &Method::PUT) => self.set_faults(&request),
-            (["v1", "machines" | "faults"], _) => Err(Refusal::method_not_allowed()),
-            _ => Err(Refusal::not_found()),
+            (["v1", "machines" | "faults"], _) => Err(ErrorResponse::method_not_allowed()),
+            _ => Err(ErrorResponse::not_found()),
         }
     }
 }
@@ -75,14 +79,14 @@
         Reply::json(state.model.read(now()))
     }
 
-    fn replace(&self, request: &Incoming) -> Handled {
+    fn replace(&self, request: &Incoming) -> HandlerResult {
         let list: MachineList = request.json()?;
         let mut state = self.state.lock();
         state.model.replace(now(), list);
         Ok(Reply::json(state.model.current()))
     }
 
-    fn set_faults(&self, request: &Incoming) -> Handled {
+    fn set_faults(&self, request: &Incoming) -> HandlerResult {
         let faults: MachinesFaults = request.json()?;
         ::log::info!("machine list faults: {faults:?}");
         self.state.lock().faults = faults.clone();
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under every stand-in.
+//! The HTTP server shared by all stand-ins.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -15,28 +15,28 @@
 use futures_util::StreamExt;
 use socket2::{SockRef, Socket};
 
-use crate::http::{Handled, Incoming, Refusal, Reply};
+use crate::http::{ErrorResponse, HandlerResult, Incoming, Reply};
 
-/// Worker threads of one server; models are small and behind a lock.
+/// Worker threads per server; one is enough because all requests lock the same model.
 const WORKERS: usize = 1;
 
-/// How long an idle connection is kept. Longer than clients keep theirs, so that a client does not
-/// send on a connection that is just being closed.
+/// Time that an idle connection is kept open. Exceeds the clients' own keep-alive time, so that a
+/// client does not send on a connection that the server is closing.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// Longest time to receive a body.
+/// Maximum time to receive a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most connections at once.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 8_192;
 
-/// What a stand-in does with requests.
+/// Request handler of a stand-in.
 pub(crate) trait Application: Send + Sync + 'static {
-    /// Answers one request. Dropped where the client goes away before the answer.
-    fn respond(&self, request: Incoming) -> impl Future<Output = Handled>;
+    /// Handles one request. The future is dropped if the client disconnects before the response.
+    fn respond(&self, request: Incoming) -> impl Future<Output = HandlerResult>;
 }
 
-/// A running server. It runs on when this is dropped.
+/// Handle to a running server. Dropping the handle does not stop the server.
 #[derive(Clone, Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
@@ -44,28 +44,32 @@
 }
 
 impl ServerHandle {
-    /// Where it listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Base URL for clients.
+    /// Returns the base URL for clients.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Stops it; open requests are cut off.
+    /// Stops the server and aborts open requests.
     pub async fn stop(&self) {
         self.handle.stop(false).await;
     }
 }
 
-/// Binds an address for a server.
+/// Binds a listener to an address.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address)
 }
 
-/// Serves an application; must be called within an actix runtime.
+/// Serves an application. Must be called within an actix runtime.
 pub(crate) fn serve<A: Application>(
     name: &str,
     listener: TcpListener,
@@ -77,9 +81,9 @@
         HttpService::build()
             .keep_alive(KEEP_ALIVE)
             .tcp_nodelay(true)
-            // A client that goes away ends its request.
+            // A request is aborted when its client disconnects.
             .h1_allow_half_closed(false)
-            .on_connect_ext(remember_connection)
+            .on_connect_ext(store_connection)
             .finish(move |request: Request| handle(application.clone(), request))
             .tcp()
     };
@@ -94,10 +98,10 @@
     Ok(ServerHandle { address, handle })
 }
 
-/// A second handle on a connection, by which it can be closed without an answer.
+/// A duplicate of a connection's socket, used to close it without a response.
 struct Connection(Socket);
 
-fn remember_connection(stream: &TcpStream, extensions: &mut Extensions) {
+fn store_connection(stream: &TcpStream, extensions: &mut Extensions) {
     if let Ok(socket) = SockRef::from(stream).try_clone() {
         extensions.insert(Connection(socket));
     }
@@ -110,37 +114,38 @@
     let handled = match read_request(&mut request).await {
         Ok(incoming) if incoming.path() == ["healthz"] => healthz(&incoming),
         Ok(incoming) => application.respond(incoming).await,
-        Err(refusal) => Err(refusal),
+        Err(error) => Err(error),
     };
     match handled {
-        Ok(Reply::Answer(response)) => Ok(response),
-        Err(refusal) => Ok(refusal.into_response()),
+        Ok(Reply::Response(response)) => Ok(response),
+        Err(error) => Ok(error.into_response()),
         Ok(Reply::Disconnect) => disconnect(&request).await,
     }
 }
 
-fn healthz(incoming: &Incoming) -> Handled {
+fn healthz(incoming: &Incoming) -> HandlerResult {
     if incoming.method != Method::GET {
-        return Err(Refusal::method_not_allowed());
+        return Err(ErrorResponse::method_not_allowed());
     }
     let response = Response::build(StatusCode::OK).body("ok\n");
-    Ok(Reply::Answer(response.map_into_boxed_body()))
+    Ok(Reply::Response(response.map_into_boxed_body()))
 }
 
 async fn disconnect<T>(request: &Request) -> T {
     if let Some(Connection(socket)) = request.conn_data::<Connection>() {
-        // Fails only where the client has closed the connection already.
+        // Fails only if the client has already closed the connection.
         let _ = socket.shutdown(std::net::Shutdown::Both);
     }
     // The server drops this future together with the connection.
     std::future::pending().await
 }
 
-async fn read_request(request: &mut Request) -> Result<Incoming, Refusal> {
+async fn read_request(request: &mut Request) -> Result<Incoming, ErrorResponse> {
     let segments = paths::segments(request.path());
-    let segments = segments.ok_or_else(|| Refusal::invalid("the path is not UTF-8"))?;
+    let segments = segments.ok_or_else(|| ErrorResponse::invalid("the path is not UTF-8"))?;
     let body = timeout(BODY_TIMEOUT, read_body(request)).await;
-    let body = body.map_err(|_| Refusal::invalid("the body did not come in time"))?;
+    let body =
+        body.map_err(|_| ErrorResponse::invalid("the request body was not received in time"))?;
     Ok(Incoming {
         method: request.method().clone(),
         segments,
@@ -150,12 +155,12 @@
     })
 }
 
-async fn read_body(request: &mut Request) -> Result<Bytes, Refusal> {
+async fn read_body(request: &mut Request) -> Result<Bytes, ErrorResponse> {
     let mut body = BytesMut::new();
     while let Some(received) = request.payload().next().await {
-        let received = received.map_err(Refusal::invalid)?;
+        let received = received.map_err(ErrorResponse::invalid)?;
         if body.len() + received.len() > MAX_BODY_BYTES {
-            return Err(Refusal::not_run(
+            return Err(ErrorResponse::not_run(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 ErrorCode::BodyTooLarge,
                 format!("the body is larger than {MAX_BODY_BYTES} bytes"),
--- a/crates/standin/src/shared.rs
+++ b/crates/standin/src/shared.rs
@@ -1,10 +1,10 @@
-//! A model that many requests share, and that tells them of its changes.
+//! A model shared by concurrent requests, with change notifications.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tokio::sync::watch;
 
-/// A model behind a lock, with a signal of changes.
+/// A model behind a mutex, with a signal for changes.
 pub(crate) struct Shared<M> {
     model: Mutex<M>,
     changed: watch::Sender<()>,
@@ -18,25 +18,25 @@
         }
     }
 
-    /// Looks at the model, or changes it without a signal.
+    /// Locks the model without signalling a change.
     pub(crate) fn lock(&self) -> MutexGuard<'_, M> {
         self.model.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the model and wakes all who wait for a change.
+    /// Changes the model and wakes all subscribers.
     pub(crate) fn update<R>(&self, change: impl FnOnce(&mut M) -> R) -> R {
         let result = change(&mut self.lock());
         self.changed.send_replace(());
         result
     }
 
-    /// Sees every change from now on.
+    /// Returns a receiver that is notified of every later `update`.
     pub(crate) fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 }
 
-/// Waits for the next change. Never returns once the model is gone.
+/// Waits for the next change. Never returns after the model has been dropped.
 pub(crate) async fn next_change(changes: &mut watch::Receiver<()>) {
     if changes.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -1,4 +1,4 @@
-//! A tool service. `GET /v1/invocations` lists every execution, for checkers.
+//! Tool service stand-in. `GET /v1/invocations` lists all executions, for tests.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -19,46 +19,50 @@
 use serde_json::Value;
 
 use crate::clock::{now, sleep_until};
-use crate::http::{Handled, Incoming, Refusal, Reply};
+use crate::http::{ErrorResponse, HandlerResult, Incoming, Reply};
 use crate::server::{self, Application, ServerHandle};
 use crate::shared::Shared;
 
-/// When a rejected invocation may be accepted.
+/// `Retry-After` of a rejected invocation.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Most executions in one answer.
-const MAX_LISTED: usize = 10_000;
+/// Maximum number of executions in one response.
+const MAX_LISTED_EXECUTIONS: usize = 10_000;
 
-/// Name of the tool where a request names none.
-const UNNAMED: &str = "tool";
+/// Tool name of requests without a tool header.
+const DEFAULT_TOOL: &str = "tool";
 
-/// Which tools a service hosts, and how they behave.
+/// Settings of a tool service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ToolServiceSettings {
-    /// Tools that may be invoked; any where empty.
+    /// Tools that may be invoked; all if empty.
     pub tools: BTreeSet<ToolName>,
-    /// Their behaviour.
+    /// Behaviour of the tools.
     pub behaviour: ToolSettings,
-    /// Seed of the choices of which answers are lost.
+    /// Seed of the random choice of responses to lose.
     pub seed: u64,
 }
 
 /// Query of `GET /v1/invocations`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ExecutionsQuery {
-    /// Number of the last execution that the reader has.
+    /// Id of the last execution that the reader has seen.
     #[serde(default)]
     pub after: u64,
 }
 
-/// Answer to `GET /v1/invocations`.
+/// Response to `GET /v1/invocations`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExecutionsResponse {
-    /// Executions in order of start.
+    /// Executions in start order.
     pub executions: Vec<Execution>,
 }
 
-/// Serves tools that have run nothing; must be called within an actix runtime.
+/// Serves tools without earlier executions. Must be called within an actix runtime.
+///
+/// # Errors
+///
+/// Returns an error if the server cannot be started on `listener`.
 pub fn serve(listener: TcpListener, settings: ToolServiceSettings) -> io::Result<ServerHandle> {
     let state = ToolState {
         model: ToolModel::new(settings.behaviour),
@@ -97,30 +101,30 @@
 }
 
 impl Application for ToolApplication {
-    async fn respond(&self, request: Incoming) -> Handled {
+    async fn respond(&self, request: Incoming) -> HandlerResult {
         let path = request.path();
-        let resource = resource(&path).ok_or_else(Refusal::not_found)?;
+        let resource = resource(&path).ok_or_else(ErrorResponse::not_found)?;
         match (resource, &request.method) {
             (Resource::Invocations, &Method::POST) => self.invoke(&request).await,
             (Resource::Invocations, &Method::GET) => self.executions(&request),
             (Resource::Invocation(key), &Method::GET) => Ok(self.status(key)),
             (Resource::Faults, &Method::GET) => Ok(Reply::json(&self.state.lock().model.faults)),
             (Resource::Faults, &Method::PUT) => self.set_faults(&request),
-            _ => Err(Refusal::method_not_allowed()),
+            _ => Err(ErrorResponse::method_not_allowed()),
         }
     }
 }
 
 impl ToolApplication {
-    async fn invoke(&self, request: &Incoming) -> Handled {
+    async fn invoke(&self, request: &Incoming) -> HandlerResult {
         let key = idempotency_key(request)?;
         let tool = self.tool(request)?;
         let arguments: Value = request.json()?;
-        let (invocation, answer_lost) = self.take(&tool, key, arguments);
+        let (invocation, answer_lost) = self.start_invocation(&tool, key, arguments);
         let Some(id) = invocation.execution() else {
-            return not_run(invocation);
+            return not_run_reply(invocation);
         };
-        let outcome = self.outcome(id).await;
+        let outcome = self.wait_for_outcome(id).await;
         if answer_lost {
             return Ok(Reply::Disconnect);
         }
@@ -129,12 +133,13 @@
                 result,
                 repeated: matches!(invocation, Invocation::Joined(_)),
             })),
-            ExecutionOutcome::Failed(message) => Err(Refusal::failed(message)),
+            ExecutionOutcome::Failed(message) => Err(ErrorResponse::failed(message)),
         }
     }
 
-    /// Starts the invocation. It runs to its end even if the client goes away.
-    fn take(&self, tool: &ToolName, key: &str, arguments: Value) -> (Invocation, bool) {
+    /// Starts the invocation and returns whether its response is lost. The execution completes even if
+    /// the client disconnects.
+    fn start_invocation(&self, tool: &ToolName, key: &str, arguments: Value) -> (Invocation, bool) {
         let mut guard = self.state.lock();
         let state = &mut *guard;
         let invocation = state.model.invoke(now(), tool, key, arguments);
@@ -143,8 +148,8 @@
         (invocation, answer_lost)
     }
 
-    /// Waits for an execution's end; for ever where it hangs.
-    async fn outcome(&self, id: ExecutionId) -> ExecutionOutcome {
+    /// Waits until an execution completes; never returns if it hangs.
+    async fn wait_for_outcome(&self, id: ExecutionId) -> ExecutionOutcome {
         loop {
             let due = {
                 let mut state = self.state.lock();
@@ -168,28 +173,28 @@
         Reply::json(&state.model.status(now(), key))
     }
 
-    fn executions(&self, request: &Incoming) -> Handled {
+    fn executions(&self, request: &Incoming) -> HandlerResult {
         let query: ExecutionsQuery = request.query()?;
         let state = self.state.lock();
         let executions = state
             .model
             .executions()
             .filter(|execution| execution.id.0 > query.after)
-            .take(MAX_LISTED)
+            .take(MAX_LISTED_EXECUTIONS)
             .cloned()
             .collect();
         Ok(Reply::json(&ExecutionsResponse { executions }))
     }
 
-    fn tool(&self, request: &Incoming) -> Result<ToolName, Refusal> {
-        let tool = ToolName::new(request.header(headers::TOOL).unwrap_or(UNNAMED));
+    fn tool(&self, request: &Incoming) -> Result<ToolName, ErrorResponse> {
+        let tool = ToolName::new(request.header(headers::TOOL).unwrap_or(DEFAULT_TOOL));
         if self.tools.is_empty() || self.tools.contains(&tool) {
             return Ok(tool);
         }
-        Err(Refusal::not_found())
+        Err(ErrorResponse::not_found())
     }
 
-    fn set_faults(&self, request: &Incoming) -> Handled {
+    fn set_faults(&self, request: &Incoming) -> HandlerResult {
         let faults: ToolFaults = request.json()?;
         ::log::info!("tool faults: {faults:?}");
         self.state.lock().model.faults = faults.clone();
@@ -197,19 +202,19 @@
     }
 }
 
-fn idempotency_key(request: &Incoming) -> Result<&str, Refusal> {
+fn idempotency_key(request: &Incoming) -> Result<&str, ErrorResponse> {
     let key = request.required_header(headers::IDEMPOTENCY_KEY)?;
     if key.len() > MAX_KEY_BYTES {
-        return Err(Refusal::invalid("the idempotency key is too long"));
+        return Err(ErrorResponse::invalid("the idempotency key is too long"));
     }
     Ok(key)
 }
 
-fn not_run(invocation: Invocation) -> Handled {
+fn not_run_reply(invocation: Invocation) -> HandlerResult {
     if invocation == Invocation::Down {
         return Ok(Reply::Disconnect);
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    let refusal = Refusal::not_run(status, ErrorCode::QueueFull, "too many invocations");
-    Err(refusal.retry_after(RETRY_AFTER))
+    let error = ErrorResponse::not_run(status, ErrorCode::QueueFull, "too many invocations");
+    Err(error.retry_after(RETRY_AFTER))
 }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the contract tests share: servers on free ports, raw requests and tables of bad ones.
+//! Helpers of the contract tests: servers on free ports, raw requests and tables of bad requests.
 
 #![allow(dead_code)]
 
@@ -11,7 +11,7 @@
 use elderworks_standin::{ServerHandle, listen};
 use serde::Serialize;
 
-/// Far longer than any of these requests takes.
+/// Timeout that exceeds the duration of any request in these tests.
 pub const GENEROUS: Duration = Duration::from_secs(20);
 
 pub fn free_port() -> TcpListener {
@@ -23,7 +23,7 @@
     Endpoint::new(HttpClient::new(), &server.url(), GENEROUS)
 }
 
-/// Waits for a condition.
+/// Polls a condition until it holds; panics after `GENEROUS`.
 pub async fn eventually<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
     let start = Instant::now();
     while !condition().await {
@@ -32,7 +32,7 @@
     }
 }
 
-/// An answer as it came.
+/// An undecoded response.
 #[derive(Debug)]
 pub struct RawAnswer {
     pub status: StatusCode,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Sends a request that no client of ours would.
+/// Sends a request directly, without the clients' encoding and checks.
 pub async fn raw(
     server: &ServerHandle,
     method: Method,
@@ -71,7 +71,7 @@
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
 }
 
-/// A request that must be refused, and how.
+/// A request that must be refused, with the expected status and error code.
 pub struct BadRequest {
     pub name: &'static str,
     pub method: Method,
@@ -112,14 +112,14 @@
 pub const WRONG_METHOD: (StatusCode, ErrorCode) =
     (StatusCode::METHOD_NOT_ALLOWED, ErrorCode::MethodNotAllowed);
 
-/// One byte more than is accepted.
+/// A body one byte above the limit.
 pub static OVERSIZED: [u8; MAX_BODY_BYTES + 1] = [b' '; MAX_BODY_BYTES + 1];
 
 pub const TOO_LARGE: (StatusCode, ErrorCode) =
     (StatusCode::PAYLOAD_TOO_LARGE, ErrorCode::BodyTooLarge);
 
-/// Sends each request; each must be refused as not run, and the service must stay up.
-pub async fn refuses(server: &ServerHandle, table: &[BadRequest]) {
+/// Asserts that each request is refused as not run and that the service stays healthy.
+pub async fn assert_refused(server: &ServerHandle, table: &[BadRequest]) {
     for row in table {
         let answer = raw(server, row.method.clone(), row.path, row.headers, row.body).await;
         assert_eq!(answer.status, row.status, "{}: {answer:?}", row.name);
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! The engine interface, through its client.
+//! Tests of the engine interface through `HttpEngineClient`.
 
 mod common;
 
@@ -23,7 +23,7 @@
 
 const RUN: RunId = RunId::root(7);
 const MAX_OUTPUT: Tokens = Tokens(64);
-/// Fast enough for tests, slow enough that an answer takes many steps.
+/// Speed factor: fast enough for tests, slow enough that an answer takes many steps.
 const SPEED: f64 = 10.0;
 
 fn settings() -> EngineSettings {
@@ -37,7 +37,7 @@
 }
 
 fn start_with(settings: EngineSettings) -> (ServerHandle, HttpEngineClient) {
-    let server = serve(free_port(), settings).expect("it starts");
+    let server = serve(free_port(), settings).expect("the server starts");
     let client = HttpEngineClient::new(endpoint(&server));
     (server, client)
 }
@@ -69,12 +69,12 @@
     }
 }
 
-fn whole_text() -> String {
+fn expected_text() -> String {
     answer_text(&render_prompt(&messages()), MAX_OUTPUT)
 }
 
-/// The text, the number after the last chunk, and the end of an answer.
-fn joined(items: Vec<AnswerItem>) -> (String, u32, Finish) {
+/// Returns the text of an answer, the index after its last chunk, and its final item.
+fn join_chunks(items: Vec<AnswerItem>) -> (String, u32, Finish) {
     let mut text = String::new();
     let mut next = 0;
     for item in items {
@@ -90,7 +90,7 @@
 }
 
 async fn generate(client: &HttpEngineClient, request: GenerateRequest) -> (String, u32, Finish) {
-    joined(
+    join_chunks(
         client
             .generate(request)
             .try_collect()
@@ -114,7 +114,7 @@
 async fn an_answer_is_streamed_whole_with_its_usage() {
     let (_server, client) = start();
     let (text, chunks, finish) = generate(&client, request("first")).await;
-    assert_eq!(text, whole_text());
+    assert_eq!(text, expected_text());
     assert!(chunks > 1, "{chunks} chunks");
     assert_eq!(
         finish.usage.output,
@@ -136,17 +136,17 @@
     };
     drop(stream);
     let rest = client.resume("broken", index + 1, GENEROUS);
-    let (rest, end, finish) = joined(rest.try_collect().await.expect("the rest"));
-    assert_eq!(head + &rest, whole_text());
+    let (rest, end, finish) = join_chunks(rest.try_collect().await.expect("the rest"));
+    assert_eq!(head + &rest, expected_text());
     let again = client.resume("broken", 0, GENEROUS);
-    let again = joined(again.try_collect().await.expect("the whole"));
-    assert_eq!(again, (whole_text(), end, finish));
+    let again = join_chunks(again.try_collect().await.expect("the whole"));
+    assert_eq!(again, (expected_text(), end, finish));
 }
 
 #[actix_rt::test]
 async fn an_answer_continues_on_another_engine() {
     let (_server, client) = start();
-    let whole = whole_text();
+    let whole = expected_text();
     let (head, tail) = whole.split_at(32);
     let continued = GenerateRequest {
         continue_text: head.to_owned(),
@@ -162,7 +162,7 @@
         matches!(items[0], AnswerItem::Chunk { index: 5, .. }),
         "{items:?}"
     );
-    assert_eq!(joined(items).0, tail);
+    assert_eq!(join_chunks(items).0, tail);
 }
 
 #[actix_rt::test]
@@ -187,10 +187,10 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_nobody_reads_is_cancelled_after_the_grace_time() {
+async fn an_unread_request_is_cancelled_after_the_grace_time() {
     let mut settings = settings();
     settings.resume_grace = Duration::from_millis(1);
-    // An answer that would outlast the test.
+    // Slow enough that the answer would not complete during the test.
     settings.parameters = with_speed(EngineParameters::default(), 0.01);
     settings.parameters.feed.load_lag = Duration::ZERO;
     let (server, client) = start_with(settings);
@@ -215,7 +215,7 @@
     faults: EngineFaults,
     request: GenerateRequest,
     code: ErrorCode,
-    says_when: bool,
+    has_retry_after: bool,
 }
 
 #[actix_rt::test]
@@ -230,7 +230,7 @@
             },
             request: request("full"),
             code: ErrorCode::QueueFull,
-            says_when: true,
+            has_retry_after: true,
         },
         RefusalRow {
             name: "leaving",
@@ -240,7 +240,7 @@
             },
             request: request("leaving"),
             code: ErrorCode::Leaving,
-            says_when: true,
+            has_retry_after: true,
         },
         RefusalRow {
             name: "model not loaded",
@@ -250,7 +250,7 @@
                 ..request("model")
             },
             code: ErrorCode::ModelNotLoaded,
-            says_when: false,
+            has_retry_after: false,
         },
         RefusalRow {
             name: "no messages",
@@ -260,7 +260,7 @@
                 ..request("empty")
             },
             code: ErrorCode::InvalidRequest,
-            says_when: false,
+            has_retry_after: false,
         },
         RefusalRow {
             name: "too long",
@@ -270,7 +270,7 @@
                 ..request("long")
             },
             code: ErrorCode::TooLong,
-            says_when: false,
+            has_retry_after: false,
         },
     ];
     for row in table {
@@ -284,7 +284,7 @@
             panic!("{}: {error:?}", row.name);
         };
         assert_eq!(code, row.code, "{}", row.name);
-        assert_eq!(retry_after.is_some(), row.says_when, "{}", row.name);
+        assert_eq!(retry_after.is_some(), row.has_retry_after, "{}", row.name);
         let resumed: Result<Vec<AnswerItem>, BackendError> =
             client.resume(&id, 0, GENEROUS).try_collect().await;
         assert!(resumed.expect_err("not run").is_not_found(), "{}", row.name);
@@ -308,7 +308,7 @@
     );
     let mut items: Vec<AnswerItem> = stream.try_collect().await.expect("the rest");
     items.insert(0, first);
-    assert_eq!(joined(items).0, whole_text());
+    assert_eq!(join_chunks(items).0, expected_text());
 }
 
 #[actix_rt::test]
@@ -327,12 +327,12 @@
     assert!(matches!(error, BackendError::Lost { .. }), "{error:?}");
     put_faults(&server, &EngineFaults::default()).await;
     let resumed = client.resume("hung", 0, GENEROUS);
-    let resumed = joined(resumed.try_collect().await.expect("it went on"));
-    assert_eq!(resumed.0, whole_text());
+    let resumed = join_chunks(resumed.try_collect().await.expect("a resumed answer"));
+    assert_eq!(resumed.0, expected_text());
 }
 
 #[actix_rt::test]
-async fn a_repeated_request_id_is_not_run_again_nor_claimed_unrun() {
+async fn a_repeated_request_id_is_refused_without_a_not_run_claim() {
     let (_server, client) = start();
     generate(&client, request("same")).await;
     let error = fails(&client, request("same")).await;
@@ -372,7 +372,7 @@
     let own: Result<Vec<AnswerItem>, BackendError> = own.try_collect().await;
     assert!(own.is_err());
     let other = other.await.expect("it ends").expect("a whole answer");
-    assert_eq!(joined(other).0, whole_text());
+    assert_eq!(join_chunks(other).0, expected_text());
 }
 
 #[actix_rt::test]
@@ -391,7 +391,7 @@
     })
     .await;
     let (text, _, finish) = generate(&second, request("here")).await;
-    assert_eq!(text, whole_text());
+    assert_eq!(text, expected_text());
     assert!(finish.usage.cached > Tokens(0), "{finish:?}");
 }
 
@@ -457,7 +457,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_cut_by_its_limit_says_so() {
+async fn a_truncated_answer_has_finish_reason_length() {
     let (_server, client) = start();
     let short = GenerateRequest {
         max_output: Tokens(3),
--- a/crates/standin/tests/engine_requests.rs
+++ b/crates/standin/tests/engine_requests.rs
@@ -1,12 +1,11 @@
-//! The engine interface by raw requests: what other clients of the OpenAI form see, and what is
-//! refused.
+//! Tests of the engine interface by raw requests: compatibility with OpenAI clients, and refusals.
 
 mod common;
 
 use awc::http::{Method, StatusCode};
 use common::{
-    BadRequest, INVALID, NOT_FOUND, OVERSIZED, RawAnswer, TOO_LARGE, WRONG_METHOD, free_port, raw,
-    refuses,
+    BadRequest, INVALID, NOT_FOUND, OVERSIZED, RawAnswer, TOO_LARGE, WRONG_METHOD, assert_refused,
+    free_port, raw,
 };
 use elderworks_engine_model::EngineParameters;
 use elderworks_engine_model::answer::answer_text;
@@ -33,7 +32,7 @@
     let mut settings = EngineSettings::new(EngineId::new("engine-a"));
     settings.models = vec![ModelName::new("menu")];
     settings.parameters = with_speed(EngineParameters::default(), 100.0);
-    serve(free_port(), settings).expect("it starts")
+    serve(free_port(), settings).expect("the server starts")
 }
 
 async fn chat(server: &ServerHandle, body: &Value) -> RawAnswer {
@@ -44,7 +43,7 @@
 #[actix_rt::test]
 async fn a_whole_answer_has_the_openai_form() {
     let server = start();
-    // Fields that the engine does not know are ignored, as existing clients send many.
+    // Unknown fields must be ignored, since existing clients send many.
     let body = json!({
         "model": "menu",
         "messages": [{"role": "user", "content": "Plan Monday."}],
@@ -180,7 +179,7 @@
             INVALID,
         ),
     ];
-    refuses(&server, &table).await;
+    assert_refused(&server, &table).await;
     let holdings = raw(&server, Method::GET, "/v1/runs", &[], "").await;
     let holdings: HoldingsResponse = serde_json::from_slice(&holdings.body).expect("holdings");
     assert!(holdings.runs.is_empty());
--- a/crates/standin/tests/lists_contract.rs
+++ b/crates/standin/tests/lists_contract.rs
@@ -1,4 +1,4 @@
-//! The machine list and the weight store, through their clients and by raw requests.
+//! Tests of the machine list and the weight store, through their clients and by raw requests.
 
 mod common;
 
@@ -6,8 +6,8 @@
 
 use awc::http::{Method, StatusCode};
 use common::{
-    BadRequest, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, endpoint, eventually,
-    free_port, put_faults, raw, refuses,
+    BadRequest, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, assert_refused, endpoint,
+    eventually, free_port, put_faults, raw,
 };
 use elderworks_backend::{
     BackendError, HttpMachinesClient, HttpWeightsClient, MachinesClient, WeightsClient,
@@ -45,13 +45,14 @@
         lag,
         machines: list_of(MachineState::Live),
     };
-    let server = machines::serve(free_port(), settings).expect("it starts");
+    let server = machines::serve(free_port(), settings).expect("the server starts");
     let client = HttpMachinesClient::new(endpoint(&server));
     (server, client)
 }
 
 fn start_weights(settings: WeightsSettings) -> (ServerHandle, HttpWeightsClient) {
-    let server = weights::serve(free_port(), settings, vec![menu_weights()]).expect("it starts");
+    let server =
+        weights::serve(free_port(), settings, vec![menu_weights()]).expect("the server starts");
     let client = HttpWeightsClient::new(endpoint(&server));
     (server, client)
 }
@@ -72,7 +73,7 @@
 
 #[actix_rt::test]
 async fn the_machine_list_shows_changes_late() {
-    // A lag that outlasts the test, then one that it waits for.
+    // First a lag longer than the test, then one that elapses during the test.
     let (server, client) = start_machines(Duration::from_secs(3_600));
     replace(&server, &list_of(MachineState::Leaving)).await;
     let list = client.list().await.expect("a list");
@@ -99,7 +100,7 @@
 }
 
 #[actix_rt::test]
-async fn the_weight_store_limits_its_rate_and_says_when_to_come_back() {
+async fn the_weight_store_limits_its_rate_and_sends_retry_after() {
     let (_server, client) = start_weights(WeightsSettings {
         burst: 1,
         interval: Duration::from_secs(600),
@@ -114,7 +115,7 @@
         panic!("{error:?}");
     };
     assert_eq!(code, ErrorCode::RateLimited);
-    let wait = retry_after.expect("when to come back");
+    let wait = retry_after.expect("a retry delay");
     assert!(wait > Duration::ZERO && wait <= Duration::from_secs(600));
 }
 
@@ -157,7 +158,7 @@
         ),
         BadRequest::new("oversized", put, "/v1/machines", &OVERSIZED, TOO_LARGE),
     ];
-    refuses(&machines, &table).await;
+    assert_refused(&machines, &table).await;
     assert_eq!(client.list().await.expect("a list").version, 1);
 
     let (weights, _client) = start_weights(WeightsSettings::default());
@@ -178,5 +179,5 @@
             NOT_FOUND,
         ),
     ];
-    refuses(&weights, &table).await;
+    assert_refused(&weights, &table).await;
 }
--- a/crates/standin/tests/log_contract.rs
+++ b/crates/standin/tests/log_contract.rs
@@ -1,4 +1,4 @@
-//! The log interface, through its client and by raw requests.
+//! Tests of the log interface, through its client and by raw requests.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use awc::http::Method;
 use bytes::Bytes;
 use common::{
-    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, endpoint,
-    free_port, put_faults, refuses,
+    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, assert_refused,
+    endpoint, free_port, put_faults,
 };
 use elderworks_backend::{BackendError, HttpLogClient, LogClient, LostReason};
 use elderworks_platform_model::LogFaults;
@@ -19,7 +19,7 @@
 const PAGE_BYTES: usize = 1 << 20;
 
 fn start() -> (ServerHandle, HttpLogClient) {
-    let server = log::serve(free_port(), log::LogSettings::default()).expect("it starts");
+    let server = log::serve(free_port(), log::LogSettings::default()).expect("the server starts");
     let client = HttpLogClient::new(endpoint(&server));
     (server, client)
 }
@@ -181,6 +181,6 @@
             INVALID,
         ),
     ];
-    refuses(&server, &table).await;
+    assert_refused(&server, &table).await;
     assert!(records(&client, "s", 0).await.is_empty());
 }
--- a/crates/standin/tests/tool_contract.rs
+++ b/crates/standin/tests/tool_contract.rs
@@ -1,4 +1,4 @@
-//! The tool interface, through its client and by raw requests.
+//! Tests of the tool interface, through its client and by raw requests.
 
 mod common;
 
@@ -6,8 +6,8 @@
 
 use awc::http::Method;
 use common::{
-    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, endpoint,
-    eventually, free_port, put_faults, raw, refuses,
+    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, assert_refused,
+    endpoint, eventually, free_port, put_faults, raw,
 };
 use elderworks_backend::{BackendError, HttpToolClient, ToolClient, ToolInvocation};
 use elderworks_platform_api::ErrorCode;
@@ -32,7 +32,7 @@
         behaviour,
         ..ToolServiceSettings::default()
     };
-    let server = serve(free_port(), settings).expect("it starts");
+    let server = serve(free_port(), settings).expect("the server starts");
     let client = HttpToolClient::new(endpoint(&server));
     (server, client)
 }
@@ -94,7 +94,7 @@
     assert_eq!(status, InvocationStatus::Unknown);
 }
 
-/// What a client can know of a failed invocation.
+/// Information that a client has about a failed invocation.
 #[derive(Debug, PartialEq)]
 enum Known {
     NotRun,
@@ -116,12 +116,12 @@
     timeout: Duration,
     known: Known,
     runs: usize,
-    /// What the tool says afterwards.
+    /// Status reported by the tool afterwards.
     status: InvocationStatus,
 }
 
 #[actix_rt::test]
-async fn faults_tell_what_may_have_run() {
+async fn faults_determine_what_may_have_run() {
     let completed = InvocationStatus::Completed {
         result: expected_result(),
     };
@@ -204,7 +204,7 @@
 }
 
 #[actix_rt::test]
-async fn a_busy_tool_says_when_to_come_back() {
+async fn a_busy_tool_sends_retry_after() {
     let (server, client) = start();
     put_faults(
         &server,
@@ -275,6 +275,6 @@
         BadRequest::new("list", Method::GET, "/v1/invocations?after=x", b"", INVALID),
         BadRequest::new("faults", Method::PUT, "/v1/faults", b"[]7", INVALID),
     ];
-    refuses(&server, &table).await;
+    assert_refused(&server, &table).await;
     assert!(executions(&server).await.executions.is_empty());
 }
