--- a/crates/lab/benches/decisions/fixtures.rs
+++ b/crates/lab/benches/decisions/fixtures.rs
@@ -1,4 +1,4 @@
-//! Runs, calls and engines of the benchmarks.
+//! Events for runs, calls and engines that the benchmarks share.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
     ModelRequest, ResourceName, Role, RunId, RunSpec, TenantId, Timestamp, Tokens, ZoneId,
 };
 
-/// Bytes of the new messages of one call.
+/// Size of the new message of one call.
 const QUESTION_BYTES: usize = 400;
 
-/// Blocks of a prompt of 30,000 tokens.
+/// Cache blocks of a prompt of 30,000 tokens.
 const BLOCKS_PER_CALL: u64 = 1_875;
 
-/// The start of a run that no budget ends.
-pub(crate) fn start_of_run(
+/// Returns the start event of a run whose budget is never exhausted.
+pub(crate) fn start_run_event(
     run: RunId,
     tenant: TenantId,
     max_turns: u32,
@@ -48,9 +48,9 @@
     }
 }
 
-/// The submission of a model call whose prompt begins with `history_prefix` messages of its run's
-/// history.
-pub(crate) fn submission(tenant: TenantId, call: CallId, history_prefix: u32) -> Event {
+/// Returns the submit event of a model call whose prompt starts with `history_prefix` messages of
+/// its run's history.
+pub(crate) fn submit_call_event(tenant: TenantId, call: CallId, history_prefix: u32) -> Event {
     let spec = CallSpec {
         number: call.number,
         request: CallRequest::Model(ModelRequest {
@@ -82,8 +82,8 @@
     })
 }
 
-/// An engine joins.
-pub(crate) fn engine_added(number: usize, zone: ZoneId) -> PlacementEvent {
+/// Returns the event by which engine `number` joins.
+pub(crate) fn engine_added_event(number: usize, zone: ZoneId) -> PlacementEvent {
     PlacementEvent::EngineAdded {
         engine: engine(number),
         zone,
@@ -91,8 +91,8 @@
     }
 }
 
-/// An engine that is busy by its number reports its load.
-pub(crate) fn load_of(number: usize, now: Timestamp) -> PlacementEvent {
+/// Returns a load report of engine `number`; the load varies with the number.
+pub(crate) fn load_event(number: usize, now: Timestamp) -> PlacementEvent {
     PlacementEvent::Load {
         engine: engine(number),
         report: LoadReport {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The first attempt of a run's first call.
+/// Returns the ticket of the first attempt of a run's first call.
 pub(crate) fn first_ticket(run: RunId) -> Ticket {
     Ticket {
         call: CallId {
@@ -117,12 +117,12 @@
     }
 }
 
-/// A call with a prompt of 30,000 tokens is ready to be placed.
-pub(crate) fn call_ready(ticket: Ticket, now: Timestamp) -> PlacementEvent {
+/// Returns the event by which a call with a prompt of 30,000 tokens becomes ready for placement.
+pub(crate) fn call_ready_event(ticket: Ticket, now: Timestamp) -> PlacementEvent {
     PlacementEvent::CallReady(Box::new(ReadyCall {
         ticket,
         model: model(),
-        blocks: (0..BLOCKS_PER_CALL).map(scattered).collect(),
+        blocks: (0..BLOCKS_PER_CALL).map(block_hash).collect(),
         prompt: Tokens(30_000),
         max_output: Tokens(1_024),
         tenant: TenantId::new("tenant-0001"),
@@ -145,7 +145,7 @@
     ModelName::new("agent-large")
 }
 
-/// Spreads numbers as hashes are spread.
-fn scattered(number: u64) -> u64 {
+/// Returns a well-distributed block hash for a number.
+fn block_hash(number: u64) -> u64 {
     number.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/crates/lab/benches/decisions/gossip.rs
+++ b/crates/lab/benches/decisions/gossip.rs
@@ -1,4 +1,4 @@
-//! A tick of the failure detector, by the members that it knows.
+//! Benchmark of a failure detector tick by number of members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     }
 }
 
-/// A detector that knows `members` members.
+/// Creates a detector that knows `members` members.
 fn detector(members: usize) -> Membership {
     let mut detector = Membership::new(MembershipSettings {
         node: NodeId::new("node-0000"),
@@ -54,7 +54,7 @@
     detector
 }
 
-/// Measures ticks.
+/// Measures one tick for several cluster sizes.
 pub fn gossip_tick(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("gossip tick by members");
     for members in [5, 10, 20, 40] {
--- a/crates/lab/benches/decisions/journal.rs
+++ b/crates/lab/benches/decisions/journal.rs
@@ -1,8 +1,8 @@
-//! Admitting and journalling calls, by the runs that the partition holds.
+//! Benchmark of admitting and journalling calls by number of runs in the partition.
 
 use std::time::Duration;
 
-use crate::fixtures::{start_of_run, submission};
+use crate::fixtures::{start_run_event, submit_call_event};
 use criterion::{BenchmarkId, Criterion};
 use elderworks_execution::{Effect, Event, ExecutionSettings, Partition};
 use elderworks_protocol::record::{Record, Writer};
@@ -11,9 +11,10 @@
     Sequence, TenantId, Timestamp, Tokens, Usage,
 };
 
+/// Size of the answer of one call.
 const ANSWER_BYTES: usize = 1_932;
 
-/// A partition whose log answers at once.
+/// A partition together with a log that returns each appended record immediately.
 struct Owner {
     partition: Partition,
     writer: Writer,
@@ -38,11 +39,11 @@
             offset: Offset(0),
             dispatched: Vec::new(),
         };
-        owner.feed(Event::Claim { forced: true });
+        owner.handle(Event::Claim { forced: true });
         owner
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.now = self.now + Duration::from_micros(100);
         for effect in self.partition.handle(self.now, event) {
             match effect {
@@ -56,7 +57,7 @@
                     };
                     let offset = self.offset;
                     self.offset = offset.next();
-                    self.feed(Event::RecordRead { offset, record });
+                    self.handle(Event::RecordRead { offset, record });
                 }
                 Effect::Dispatch { call, attempt, .. } => self.dispatched.push((call, attempt)),
                 _ => {}
@@ -65,8 +66,8 @@
     }
 
     fn start_run(&mut self, run: RunId) {
-        let event = start_of_run(run, tenant(), u32::MAX, Tokens(u64::MAX));
-        self.feed(event);
+        let event = start_run_event(run, tenant(), u32::MAX, Tokens(u64::MAX));
+        self.handle(event);
     }
 
     fn call(&mut self, run: RunId, number: u32) {
@@ -74,17 +75,17 @@
             run,
             number: CallNumber(number),
         };
-        // The prompt does not begin with the run's history, so that the cost of a call does not
-        // depend on how many came before.
-        self.feed(submission(tenant(), call, 0));
+        // The prompt omits the run's history, so that the cost of a call does not grow with the
+        // number of earlier calls.
+        self.handle(submit_call_event(tenant(), call, 0));
         for (call, attempt) in std::mem::take(&mut self.dispatched) {
-            self.feed(Event::AttemptPlaced {
+            self.handle(Event::AttemptPlaced {
                 call,
                 attempt,
                 engine: Some(EngineId::new("engine-07")),
                 note: String::new(),
             });
-            self.feed(Event::AttemptCompleted {
+            self.handle(Event::AttemptCompleted {
                 call,
                 attempt,
                 content: "a".repeat(ANSWER_BYTES),
@@ -94,7 +95,7 @@
                     output: Tokens(483),
                 },
             });
-            self.feed(Event::Acknowledge { call });
+            self.handle(Event::Acknowledge { call });
         }
     }
 }
@@ -103,7 +104,7 @@
     TenantId::new("tenant-0001")
 }
 
-/// Measures a call from its submission to its acknowledgement, its records read back.
+/// Measures a call from submission to acknowledgement, including reading its records back.
 pub fn admit_and_journal(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admit and journal a call by runs");
     for runs in [100_u64, 200, 400, 800] {
--- a/crates/lab/benches/decisions/place.rs
+++ b/crates/lab/benches/decisions/place.rs
@@ -1,8 +1,8 @@
-//! Choosing an engine for a call with a prompt of 30,000 tokens, by the engines known.
+//! Benchmark of choosing an engine for a prompt of 30,000 tokens, by number of known engines.
 
 use std::time::Duration;
 
-use crate::fixtures::{call_ready, engine_added, first_ticket, load_of};
+use crate::fixtures::{call_ready_event, engine_added_event, first_ticket, load_event};
 use criterion::{BenchmarkId, Criterion};
 use elderworks_placement::event::FinishedResult;
 use elderworks_placement::{Event, Placement, PlacementSettings};
@@ -13,15 +13,15 @@
     let mut placement = Placement::new(settings);
     let now = Timestamp(1);
     for number in 0..engines {
-        placement.handle(now, engine_added(number, ZoneId::new("zone-00")));
-        placement.handle(now, load_of(number, now));
+        placement.handle(now, engine_added_event(number, ZoneId::new("zone-00")));
+        placement.handle(now, load_event(number, now));
     }
     placement
 }
 
 fn place_and_finish(placement: &mut Placement, now: Timestamp, run: u64) {
     let ticket = first_ticket(RunId::root(run));
-    placement.handle(now, call_ready(ticket, now));
+    placement.handle(now, call_ready_event(ticket, now));
     placement.handle(now, Event::FirstToken { ticket });
     let result = FinishedResult::Completed {
         cached: Tokens(0),
@@ -32,7 +32,7 @@
     placement.handle(now, Event::RunEnded { run });
 }
 
-/// Measures a call from its placement to the end of its run.
+/// Measures a call from placement to the end of its run.
 pub fn place(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place a call by engines");
     for engines in [8, 16, 32, 64] {
--- a/crates/lab/src/compare/baseline/affinity.rs
+++ b/crates/lab/src/compare/baseline/affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity, as in common cache-aware routers.
+//! Prefix affinity, as used by common cache-aware routers.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,26 @@
 use super::simple::least_loaded;
 use super::{EngineView, Strategy};
 
-/// Shorter matches count as none: they are the system prompt that most engines hold.
-const LEAST_MATCH: f64 = 0.5;
-/// Affinity gives way when the fullest engine has more than this many requests above the emptiest,
+/// Minimum fraction of the prompt that must match. Shorter matches are ignored: they are usually
+/// the system prompt, which most engines hold.
+const MIN_MATCH_FRACTION: f64 = 0.5;
+/// Load difference, in requests, between the most and the least loaded engine above which affinity
+/// is ignored, provided that `IMBALANCE_RATIO` is exceeded as well.
 const IMBALANCE_REQUESTS: usize = 32;
-/// and this many times as many.
+/// Ratio between the highest and the lowest load above which affinity is ignored, provided that
+/// `IMBALANCE_REQUESTS` is exceeded as well.
 const IMBALANCE_RATIO: f64 = 1.5;
 
-/// The engine that holds the longest part of the prompt; the least loaded one if none holds half of
-/// it, or if load has become uneven.
+/// Chooses the engine that caches the longest prefix of the prompt, or the least loaded engine if
+/// no engine caches at least half of it or the load is imbalanced.
 #[derive(Default)]
 pub struct PrefixAffinity {
     cached: BTreeMap<EngineId, BlockSet>,
 }
 
 impl PrefixAffinity {
-    fn matched(&self, engine: &EngineId, blocks: &[BlockHash]) -> usize {
+    /// Returns how many leading blocks of the prompt the engine caches.
+    fn matching_blocks(&self, engine: &EngineId, blocks: &[BlockHash]) -> usize {
         let Some(cached) = self.cached.get(engine) else {
             return 0;
         };
@@ -37,23 +41,25 @@
 
 fn is_imbalanced(engines: &[EngineView]) -> bool {
     let loads = engines.iter().map(EngineView::requests);
-    let most = loads.clone().max().unwrap_or(0);
-    let least = loads.min().unwrap_or(0);
-    most > least + IMBALANCE_REQUESTS && most as f64 > least as f64 * IMBALANCE_RATIO
+    let highest = loads.clone().max().unwrap_or(0);
+    let lowest = loads.min().unwrap_or(0);
+    highest > lowest + IMBALANCE_REQUESTS && highest as f64 > lowest as f64 * IMBALANCE_RATIO
 }
 
 impl Strategy for PrefixAffinity {
     fn choose(&mut self, call: &ReadyCall, engines: &[EngineView]) -> usize {
         let matches: Vec<usize> = engines
             .iter()
-            .map(|view| self.matched(&view.engine, &call.blocks))
+            .map(|view| self.matching_blocks(&view.engine, &call.blocks))
             .collect();
         let longest = matches.iter().copied().max().unwrap_or(0);
-        let enough = longest as f64 >= call.blocks.len() as f64 * LEAST_MATCH;
-        let follows = enough && !is_imbalanced(engines);
-        let chosen = least_loaded(call, engines, |index| !follows || matches[index] == longest)
-            .expect("some engine has the longest match");
-        // Counted as cached from now on; events correct it.
+        let enough = longest as f64 >= call.blocks.len() as f64 * MIN_MATCH_FRACTION;
+        let use_affinity = enough && !is_imbalanced(engines);
+        let chosen = least_loaded(call, engines, |index| {
+            !use_affinity || matches[index] == longest
+        })
+        .expect("some engine has the longest match");
+        // Assume that the prompt is cached from now on; cache events correct the assumption.
         let cached = self
             .cached
             .entry(engines[chosen].engine.clone())
--- a/crates/lab/src/compare/baseline/mod.rs
+++ b/crates/lab/src/compare/baseline/mod.rs
@@ -1,8 +1,8 @@
-//! Ordinary policies: each sends a call on at once, in the order in which calls come.
+//! Baseline policies that dispatch each call immediately, in order of arrival.
 //!
-//! They get what any router has: the engines' load reports, corrected by the router's own
-//! dispatches since, and their cache events. Engines serve their calls first come, first served and
-//! keep prefixes in least recently used order.
+//! Their input is that of a typical router: the engines' load reports, adjusted by the router's own
+//! later dispatches, and the engines' cache events. Engines serve calls in order of arrival and
+//! evict the least recently used prefixes.
 
 mod affinity;
 mod hashing;
--- a/crates/lab/src/compare/baseline/router.rs
+++ b/crates/lab/src/compare/baseline/router.rs
@@ -1,4 +1,4 @@
-//! What all baselines share: the list of engines, their load, and dispatch at once.
+//! The router that all baselines share: tracks engines and their load, and dispatches immediately.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,20 @@
 
 use crate::compare::policy::Policy;
 
-/// An engine as a router sees it.
+/// A router's view of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// Which.
+    /// Engine id.
     pub engine: EngineId,
-    /// Its newest report.
+    /// Latest load report.
     report: Option<LoadReport>,
-    /// Own requests that are open, with the time of dispatch.
+    /// Unfinished requests of this router with their dispatch times.
     open: BTreeMap<Ticket, Timestamp>,
 }
 
 impl EngineView {
-    /// Requests at the engine: those reported, and own ones sent since the report was measured.
+    /// Returns the reported number of requests plus the router's own requests dispatched since the
+    /// report was measured.
     pub fn requests(&self) -> usize {
         let Some(report) = &self.report else {
             return self.open.len();
@@ -34,23 +35,23 @@
     }
 }
 
-/// How a baseline chooses.
+/// Engine selection of a baseline policy.
 pub trait Strategy {
-    /// Index of the engine for a call; `engines` is not empty.
+    /// Returns the index of the engine for a call; `engines` must not be empty.
     fn choose(&mut self, call: &ReadyCall, engines: &[EngineView]) -> usize;
 
-    /// Hears of a change in an engine's cache.
+    /// Processes a change of an engine's cache.
     fn cache_changed(&mut self, _engine: &EngineId, _change: &CacheChange) {}
 }
 
-/// A policy that sends every call on as its strategy says.
+/// A policy that dispatches each call to the engine chosen by its strategy.
 pub struct Router<S> {
     strategy: S,
     engines: Vec<EngineView>,
 }
 
 impl<S: Strategy> Router<S> {
-    /// Knows no engine yet.
+    /// Creates a router without engines.
     pub fn new(strategy: S) -> Self {
         Self {
             strategy,
--- a/crates/lab/src/compare/baseline/simple.rs
+++ b/crates/lab/src/compare/baseline/simple.rs
@@ -1,4 +1,4 @@
-//! Random, round robin and least loaded.
+//! Random, round-robin and least-loaded selection.
 
 use elderworks_placement::event::ReadyCall;
 use rand::{Rng, SeedableRng};
@@ -7,13 +7,13 @@
 
 use super::{EngineView, Strategy};
 
-/// Any engine, with equal chances.
+/// Chooses engines uniformly at random.
 pub struct RandomChoice {
     random: ChaCha8Rng,
 }
 
 impl RandomChoice {
-    /// Draws from this seed.
+    /// Creates a strategy with a seeded random number generator.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -27,13 +27,14 @@
     }
 }
 
-/// Each engine in turn.
+/// Chooses the engines in rotation.
 pub struct RoundRobin {
     next: usize,
 }
 
 impl RoundRobin {
-    /// Nodes with different seeds begin at different engines.
+    /// Creates a rotation; the seed determines the first engine, so that nodes start at different
+    /// ones.
     pub fn new(seed: u64) -> Self {
         let next = (seed % 1_024) as usize;
         Self { next }
@@ -47,7 +48,7 @@
     }
 }
 
-/// The engine with the fewest requests.
+/// Chooses the engine with the fewest requests.
 pub struct LeastLoaded;
 
 impl Strategy for LeastLoaded {
@@ -56,7 +57,8 @@
     }
 }
 
-/// Index of the engine with the fewest requests among those that qualify; ties fall by chance.
+/// Returns the index of the engine with the fewest requests among those that qualify. Ties are
+/// broken by a hash of the call and the engine.
 pub fn least_loaded(
     call: &ReadyCall,
     engines: &[EngineView],
@@ -67,7 +69,7 @@
     (0..engines.len())
         .filter(|index| qualifies(*index))
         .min_by_key(|index| {
-            let chance = xxh3_64_with_seed(engines[*index].engine.as_str().as_bytes(), seed);
-            (engines[*index].requests(), chance)
+            let tie_breaker = xxh3_64_with_seed(engines[*index].engine.as_str().as_bytes(), seed);
+            (engines[*index].requests(), tie_breaker)
         })
 }
--- a/crates/lab/src/compare/bound.rs
+++ b/crates/lab/src/compare/bound.rs
@@ -1,15 +1,15 @@
-//! The bound: each program alone on an idle fleet with full reuse.
+//! Lower bound on program latency: each program alone on an idle fleet with full cache reuse.
 //!
-//! Every shared segment and the run's whole history are cached; sub-agents each have an engine.
-//! Network distances are left out. No policy can be faster on the same engines.
+//! All shared segments and the run's entire history are cached, each sub-agent has its own engine,
+//! and network latency is ignored. No policy can be faster on the same engines.
 
 use std::time::Duration;
 
 use elderworks_engine_model::EngineParameters;
 
-use crate::workload::{ProgramPlan, RunPlan, Then};
+use crate::workload::{AfterTurn, ProgramPlan, RunPlan};
 
-/// Latency of a program under the bound.
+/// Returns the minimum latency of a program.
 pub fn program_latency(plan: &ProgramPlan) -> Duration {
     run_latency(&EngineParameters::default(), &plan.root)
 }
@@ -22,21 +22,22 @@
         latency += prefill(parameters, turn.prompt);
         latency += decode(parameters, context, turn.output - 1);
         context += turn.output;
-        latency += match &turn.then {
-            Then::Pause(pause) => *pause,
-            Then::Spawn(children) => slowest(parameters, children),
-            Then::End => Duration::ZERO,
+        latency += match &turn.after {
+            AfterTurn::Pause(pause) => *pause,
+            AfterTurn::Spawn(children) => max_latency(parameters, children),
+            AfterTurn::End => Duration::ZERO,
         };
     }
     latency
 }
 
-fn slowest(parameters: &EngineParameters, runs: &[RunPlan]) -> Duration {
+fn max_latency(parameters: &EngineParameters, runs: &[RunPlan]) -> Duration {
     let latencies = runs.iter().map(|run| run_latency(parameters, run));
     latencies.max().unwrap_or_default()
 }
 
-/// Time to prefill a prompt alone; the last step also yields the first token.
+/// Returns the time to prefill a prompt in a batch of one; the last step also yields the first
+/// token.
 fn prefill(parameters: &EngineParameters, tokens: u64) -> Duration {
     let steps = tokens.div_ceil(parameters.step_tokens);
     let base = parameters.step_duration(0, 0, 0) * u32::try_from(steps).unwrap_or(u32::MAX);
--- a/crates/lab/src/compare/experiment.rs
+++ b/crates/lab/src/compare/experiment.rs
@@ -1,4 +1,4 @@
-//! One experiment: a fleet, a workload and a policy on a virtual clock.
+//! Discrete-event simulation of a fleet, a workload and a policy on a virtual clock.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,36 +7,36 @@
 use elderworks_placement::{Effect, Event};
 use elderworks_types::{RefusalReason, Timestamp};
 
-use super::fleet::{EngineAction, Fleet, FleetSettings, Heard};
+use super::fleet::{EngineAction, EngineMessage, Fleet, FleetSettings};
 use super::metrics::{Metrics, Recorder};
 use super::policy::{Policy, PolicyKind};
 use super::runs::{RunIndex, RunTable, Step};
 use crate::workload::{Preset, generate};
 
-/// How often nodes read the engines' feeds.
+/// Interval at which nodes poll the engines' feeds.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How often placement hears that time has passed.
+/// Interval of placement ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a node waits before it offers a call again that an engine rejected.
+/// Delay before a node retries a call that an engine rejected.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(500);
-/// When a refused caller comes back if it was not told when.
+/// Delay before a refused caller retries if the refusal has no `retry_after`.
 const DEFAULT_RETRY: Duration = Duration::from_secs(2);
-/// Experiments end this long after the last arrival even with programs unfinished. Longer than any
-/// program takes on a fleet that is not overloaded, tool pauses included.
-const LONGEST_DRAIN: Duration = Duration::from_secs(60 * 60);
+/// Time after the end of arrivals at which an experiment stops even if programs are unfinished.
+/// Exceeds the duration of any program, including tool pauses, on a fleet that is not overloaded.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(60 * 60);
 
-/// What one experiment is of.
+/// Settings of one experiment.
 #[derive(Clone, Debug)]
-pub struct Setting {
-    /// Fleet and programs.
+pub struct ExperimentSettings {
+    /// Fleet and workload.
     pub preset: Preset,
-    /// Share of the fleet's capacity.
+    /// Offered load as a fraction of the fleet's capacity.
     pub load: f64,
     /// Policy under test.
     pub policy: PolicyKind,
-    /// Seed of the workload and of the policy's choices.
+    /// Seed of the workload and of the policy's random choices.
     pub seed: u64,
-    /// Lag and loss of the engines' feeds.
+    /// Delay and loss of the engines' feeds.
     pub fleet: FleetSettings,
 }
 
@@ -46,14 +46,14 @@
     CallReachesNode(RunIndex),
     ReachesEngine(usize, Box<EngineAction>),
     EngineDue(usize),
-    NodeHears(usize, Box<Heard>),
-    TurnEnds(RunIndex),
+    ReachesNode(usize, Box<EngineMessage>),
+    AnswerReachesCaller(RunIndex),
     ResumesAfterPause(RunIndex),
     Poll(usize),
     Tick(usize),
 }
 
-/// Actions in order of time, then of scheduling.
+/// A scheduled action, ordered by time and then by scheduling order.
 struct Scheduled {
     at: Timestamp,
     order: u64,
@@ -84,33 +84,33 @@
     now: Timestamp,
     queue: BinaryHeap<Reverse<Scheduled>>,
     next_order: u64,
-    client_distance: Duration,
+    client_latency: Duration,
     fleet: Fleet,
     nodes: Vec<Box<dyn Policy>>,
     runs: RunTable,
     recorder: Recorder,
 }
 
-/// Runs one experiment to its end.
-pub fn run(setting: &Setting) -> Metrics {
-    let programs = generate::programs(&setting.preset, setting.load, setting.seed);
-    let end = Timestamp(0) + setting.preset.horizon + LONGEST_DRAIN;
-    let horizon = Timestamp(0) + setting.preset.horizon;
-    let mut experiment = Experiment::new(setting, RunTable::new(programs, setting.preset.nodes));
-    let mut measured_cache = false;
+/// Runs one experiment and returns its metrics.
+pub fn run(settings: &ExperimentSettings) -> Metrics {
+    let programs = generate::programs(&settings.preset, settings.load, settings.seed);
+    let end = Timestamp(0) + settings.preset.horizon + MAX_DRAIN_TIME;
+    let horizon = Timestamp(0) + settings.preset.horizon;
+    let mut experiment = Experiment::new(settings, RunTable::new(programs, settings.preset.nodes));
+    let mut cache_is_measured = false;
     while let Some(Reverse(next)) = experiment.queue.pop() {
         if next.at > end || experiment.runs.all_ended() {
             break;
         }
-        if next.at > horizon && !measured_cache {
-            measured_cache = true;
-            experiment.measure_cache(horizon);
+        if next.at > horizon && !cache_is_measured {
+            cache_is_measured = true;
+            experiment.measure_unused_blocks(horizon);
         }
         experiment.now = next.at;
         experiment.perform(next.action);
     }
-    if !measured_cache {
-        experiment.measure_cache(experiment.now);
+    if !cache_is_measured {
+        experiment.measure_unused_blocks(experiment.now);
     }
     experiment
         .runs
@@ -119,20 +119,20 @@
 }
 
 impl Experiment {
-    fn new(setting: &Setting, runs: RunTable) -> Self {
-        let preset = &setting.preset;
-        let fleet = Fleet::new(preset, &setting.fleet, setting.seed);
+    fn new(settings: &ExperimentSettings, runs: RunTable) -> Self {
+        let preset = &settings.preset;
+        let fleet = Fleet::new(preset, &settings.fleet, settings.seed);
         let nodes = (0..preset.nodes)
             .map(|node| {
-                let seed = setting.seed.wrapping_mul(1_000) + node as u64;
-                setting.policy.build(fleet.node_zone(node), seed)
+                let seed = settings.seed.wrapping_mul(1_000) + node as u64;
+                settings.policy.build(fleet.node_zone(node), seed)
             })
             .collect();
         let mut experiment = Self {
             now: Timestamp(0),
             queue: BinaryHeap::new(),
             next_order: 0,
-            client_distance: preset.client_distance,
+            client_latency: preset.client_latency,
             fleet,
             nodes,
             runs,
@@ -144,8 +144,8 @@
 
     fn start(&mut self) {
         for node in 0..self.nodes.len() {
-            for event in self.fleet.introductions() {
-                self.tell(node, event);
+            for event in self.fleet.engine_added_events() {
+                self.notify_node(node, event);
             }
             let offset = Duration::from_millis(37) * node as u32;
             self.schedule(offset, Action::Poll(node));
@@ -172,39 +172,39 @@
                 let run = self.runs.start_program(program, self.now);
                 self.send_call(run);
             }
-            Action::CallReachesNode(run) => self.offer(run),
-            Action::ReachesEngine(engine, action) => self.reach_engine(engine, *action),
+            Action::CallReachesNode(run) => self.submit_call(run),
+            Action::ReachesEngine(engine, action) => self.deliver_to_engine(engine, *action),
             Action::EngineDue(engine) => self.engine_due(engine),
-            Action::NodeHears(node, heard) => self.node_hears(node, *heard),
-            Action::TurnEnds(run) => self.turn_ends(run),
+            Action::ReachesNode(node, message) => self.deliver_to_node(node, *message),
+            Action::AnswerReachesCaller(run) => self.continue_run(run),
             Action::ResumesAfterPause(run) => self.send_call(run),
             Action::Poll(node) => self.poll(node),
             Action::Tick(node) => {
-                self.tell(node, Event::Tick);
+                self.notify_node(node, Event::Tick);
                 self.schedule(TICK_INTERVAL, Action::Tick(node));
             }
         }
     }
 
-    /// The caller makes the run's next call.
+    /// Sends the run's current call from the caller to its node.
     fn send_call(&mut self, run: RunIndex) {
-        self.runs.call_made(run, self.now);
-        self.schedule(self.client_distance, Action::CallReachesNode(run));
+        self.runs.record_call_time(run, self.now);
+        self.schedule(self.client_latency, Action::CallReachesNode(run));
     }
 
-    fn offer(&mut self, run: RunIndex) {
+    fn submit_call(&mut self, run: RunIndex) {
         let (node, call) = self.runs.ready_call(run);
-        self.tell(node, Event::CallReady(Box::new(call)));
+        self.notify_node(node, Event::CallReady(Box::new(call)));
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    fn notify_node(&mut self, node: usize, event: Event) {
         let effects = self.nodes[node].handle(self.now, event);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) {
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Dispatch {
                 ticket,
@@ -225,9 +225,9 @@
                 debug_assert_ne!(refusal.reason, RefusalReason::NoBackend);
                 let after = refusal.retry_after.unwrap_or(DEFAULT_RETRY);
                 let run = self.runs.next_attempt(ticket);
-                self.recorder.refused();
+                self.recorder.record_refusal();
                 self.schedule(
-                    after + self.client_distance * 2,
+                    after + self.client_latency * 2,
                     Action::CallReachesNode(run),
                 );
             }
@@ -249,14 +249,14 @@
     }
 
     fn send_to_engine(&mut self, node: usize, engine: usize, action: EngineAction) {
-        let distance = self.fleet.distance(node, engine);
-        self.schedule(distance, Action::ReachesEngine(engine, Box::new(action)));
+        let latency = self.fleet.network_latency(node, engine);
+        self.schedule(latency, Action::ReachesEngine(engine, Box::new(action)));
     }
 
-    fn reach_engine(&mut self, engine: usize, action: EngineAction) {
-        let heard = self.fleet.reach(self.now, engine, action);
-        for (node, heard) in heard {
-            self.send_to_node(engine, node, heard);
+    fn deliver_to_engine(&mut self, engine: usize, action: EngineAction) {
+        let replies = self.fleet.deliver(self.now, engine, action);
+        for (node, message) in replies {
+            self.send_to_node(engine, node, message);
         }
         self.wake_engine(engine);
     }
@@ -265,68 +265,69 @@
         if !self.fleet.is_due(engine, self.now) {
             return;
         }
-        for (node, heard) in self.fleet.advance(self.now, engine) {
-            if let Heard::Completed { ticket, completion } = &heard {
+        for (node, message) in self.fleet.advance(self.now, engine) {
+            if let EngineMessage::Completed { ticket, completion } = &message {
                 let chain = self.runs.chain_of(ticket.call.run);
-                self.recorder.call_completed(&chain, completion);
+                self.recorder.record_call(&chain, completion);
             }
-            self.send_to_node(engine, node, heard);
+            self.send_to_node(engine, node, message);
         }
         self.wake_engine(engine);
     }
 
     fn wake_engine(&mut self, engine: usize) {
-        if let Some(at) = self.fleet.take_wake(engine) {
+        if let Some(at) = self.fleet.schedule_wake(engine) {
             self.schedule_at(at.max(self.now), Action::EngineDue(engine));
         }
     }
 
-    fn send_to_node(&mut self, engine: usize, node: usize, heard: Heard) {
-        let distance = self.fleet.distance(node, engine);
-        self.schedule(distance, Action::NodeHears(node, Box::new(heard)));
+    fn send_to_node(&mut self, engine: usize, node: usize, message: EngineMessage) {
+        let latency = self.fleet.network_latency(node, engine);
+        self.schedule(latency, Action::ReachesNode(node, Box::new(message)));
     }
 
-    fn node_hears(&mut self, node: usize, heard: Heard) {
-        self.tell(node, heard.event());
-        match heard {
-            Heard::FirstToken { ticket } => {
-                let since_call = self
+    fn deliver_to_node(&mut self, node: usize, message: EngineMessage) {
+        self.notify_node(node, message.event());
+        match message {
+            EngineMessage::FirstToken { ticket } => {
+                let time_since_call = self
                     .runs
-                    .since_call(ticket, self.now + self.client_distance);
-                self.recorder.first_token(since_call);
+                    .time_since_call(ticket, self.now + self.client_latency);
+                self.recorder.record_first_token(time_since_call);
             }
-            Heard::Rejected { ticket } => {
+            EngineMessage::Rejected { ticket } => {
                 let run = self.runs.next_attempt(ticket);
                 self.schedule(REJECTION_BACKOFF, Action::CallReachesNode(run));
             }
-            Heard::Completed { ticket, completion } => {
-                let run = self.runs.answered(ticket, &completion);
-                if let Some(event) = self.runs.after_turn(run) {
-                    self.tell(node, event);
+            EngineMessage::Completed { ticket, completion } => {
+                let run = self.runs.record_answer(ticket, &completion);
+                if let Some(event) = self.runs.event_after_turn(run) {
+                    self.notify_node(node, event);
                 }
-                self.schedule(self.client_distance, Action::TurnEnds(run));
+                self.schedule(self.client_latency, Action::AnswerReachesCaller(run));
             }
         }
     }
 
-    /// The caller has the whole answer and goes on.
-    fn turn_ends(&mut self, run: RunIndex) {
+    /// Continues the run after its caller has received the complete answer.
+    fn continue_run(&mut self, run: RunIndex) {
         match self.runs.advance(run, self.now) {
             Step::Pause(pause) => self.schedule(pause, Action::ResumesAfterPause(run)),
             Step::Call(runs) => runs.into_iter().for_each(|run| self.send_call(run)),
             Step::Wait => {}
-            Step::ProgramEnded(outcome) => self.recorder.program_ended(outcome),
+            Step::ProgramEnded(outcome) => self.recorder.record_program(outcome),
         }
     }
 
     fn poll(&mut self, node: usize) {
         for event in self.fleet.poll(self.now, node) {
-            self.tell(node, event);
+            self.notify_node(node, event);
         }
         self.schedule(POLL_INTERVAL, Action::Poll(node));
     }
 
-    fn measure_cache(&mut self, at: Timestamp) {
-        self.recorder.cache(self.fleet.unused_block_seconds(at));
+    fn measure_unused_blocks(&mut self, at: Timestamp) {
+        self.recorder
+            .set_unused_block_seconds(self.fleet.unused_block_seconds(at));
     }
 }
--- a/crates/lab/src/compare/fleet.rs
+++ b/crates/lab/src/compare/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of an experiment, where they stand, and what nodes hear from them.
+//! The engines of an experiment, their zones, and the messages between engines and nodes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,51 +15,51 @@
 
 use crate::workload::Preset;
 
-/// The one model of the comparison.
+/// The only model in the comparison.
 pub const MODEL: &str = "agent";
 
-/// Most cache events read in one poll.
+/// Maximum number of cache events read from one engine per poll.
 const EVENTS_PER_POLL: usize = 256;
 
-/// One way between two processes of one zone.
-const SAME_ZONE_DISTANCE: Duration = Duration::from_micros(100);
+/// One-way network latency within a zone.
+const SAME_ZONE_LATENCY: Duration = Duration::from_micros(100);
 
-/// How late and how incompletely engines publish.
+/// Settings of the simulated fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSettings {
-    /// Of every engine.
+    /// Delay and loss of every engine's feed.
     pub feed: FeedParameters,
 }
 
 /// A message on its way to an engine.
 #[derive(Debug, PartialEq)]
 pub enum EngineAction {
-    /// A request.
+    /// Submit a request.
     Submit {
-        /// From this node.
+        /// Index of the sending node.
         node: usize,
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// The request.
+        /// The generation request.
         request: Request,
     },
     /// Keep a run's blocks.
     Retain {
-        /// Whose.
+        /// Run that owns the blocks.
         run: RunId,
-        /// For how long.
+        /// Lease duration.
         lease: Duration,
     },
     /// Free a run's blocks.
     Release {
-        /// Whose.
+        /// Run that owns the blocks.
         run: RunId,
     },
     /// Fetch a run's blocks from another engine.
     Import {
-        /// Whose.
+        /// Run that owns the blocks.
         run: RunId,
-        /// The other engine.
+        /// Index of the source engine.
         from: usize,
         /// Hashes of the run's blocks.
         chain: Arc<[BlockHash]>,
@@ -70,36 +70,36 @@
 
 /// A message on its way from an engine to a node.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Generation began.
+pub enum EngineMessage {
+    /// The first token was generated.
     FirstToken {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
-    /// The engine did not take the request.
+    /// The engine rejected the request.
     Rejected {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Completed {
-        /// Which attempt.
+        /// The attempt.
         ticket: Ticket,
-        /// What it took.
+        /// Token usage and prefill work of the answer.
         completion: Completion,
     },
 }
 
-impl Heard {
-    /// As placement is told of it.
+impl EngineMessage {
+    /// Converts the message to an event for placement.
     pub fn event(&self) -> Event {
         match self {
-            Heard::FirstToken { ticket } => Event::FirstToken { ticket: *ticket },
-            Heard::Rejected { ticket } => Event::Finished {
+            EngineMessage::FirstToken { ticket } => Event::FirstToken { ticket: *ticket },
+            EngineMessage::Rejected { ticket } => Event::Finished {
                 ticket: *ticket,
                 result: FinishedResult::Rejected,
             },
-            Heard::Completed { ticket, completion } => Event::Finished {
+            EngineMessage::Completed { ticket, completion } => Event::Finished {
                 ticket: *ticket,
                 result: FinishedResult::Completed {
                     cached: completion.usage.cached,
@@ -110,32 +110,33 @@
     }
 }
 
-struct Member {
+struct FleetEngine {
     id: EngineId,
     zone: usize,
     engine: Engine,
-    wake: Option<Timestamp>,
-    /// Who asked for each open request.
-    askers: HashMap<RequestId, (usize, Ticket)>,
+    /// Time of the next scheduled wake-up.
+    next_wake: Option<Timestamp>,
+    /// Node and ticket of each unfinished request.
+    requesters: HashMap<RequestId, (usize, Ticket)>,
 }
 
-/// All engines.
+/// All engines of an experiment.
 pub struct Fleet {
-    members: Vec<Member>,
+    members: Vec<FleetEngine>,
     node_zones: Vec<usize>,
-    zone_distance: Duration,
-    /// By node and engine: number of the last cache event read.
-    read_events: Vec<Vec<u64>>,
+    zone_latency: Duration,
+    /// Sequence number of the last cache event read, by node and engine.
+    last_read_events: Vec<Vec<u64>>,
 }
 
 impl Fleet {
-    /// Idle engines, dealt out to the zones in turn.
+    /// Creates idle engines, assigned to the zones in rotation.
     pub fn new(preset: &Preset, settings: &FleetSettings, seed: u64) -> Self {
         let parameters = EngineParameters {
             feed: settings.feed.clone(),
             ..EngineParameters::default()
         };
-        let member = |index: usize| Member {
+        let member = |index: usize| FleetEngine {
             id: EngineId::new(format!("engine-{index:03}")),
             zone: index % preset.zones,
             engine: Engine::new(
@@ -143,56 +144,56 @@
                 [ModelName::new(MODEL)],
                 seed.wrapping_mul(31) + index as u64,
             ),
-            wake: None,
-            askers: HashMap::new(),
+            next_wake: None,
+            requesters: HashMap::new(),
         };
         Self {
             members: (0..preset.workers).map(member).collect(),
             node_zones: (0..preset.nodes).map(|node| node % preset.zones).collect(),
-            zone_distance: preset.zone_distance,
-            read_events: vec![vec![0; preset.workers]; preset.nodes],
+            zone_latency: preset.zone_latency,
+            last_read_events: vec![vec![0; preset.workers]; preset.nodes],
         }
     }
 
-    /// Zone of a node.
+    /// Returns the zone of a node.
     pub fn node_zone(&self, node: usize) -> ZoneId {
         zone_name(self.node_zones[node])
     }
 
-    /// Events that make the engines known to a node.
-    pub fn introductions(&self) -> Vec<Event> {
-        let introduce = |member: &Member| Event::EngineAdded {
+    /// Returns the events that announce all engines to a node.
+    pub fn engine_added_events(&self) -> Vec<Event> {
+        let engine_added = |member: &FleetEngine| Event::EngineAdded {
             engine: member.id.clone(),
             zone: zone_name(member.zone),
             models: vec![ModelName::new(MODEL)],
         };
-        self.members.iter().map(introduce).collect()
+        self.members.iter().map(engine_added).collect()
     }
 
-    /// Position of an engine.
+    /// Returns the index of an engine.
     pub fn index(&self, engine: &EngineId) -> usize {
         self.members
             .iter()
             .position(|member| member.id == *engine)
-            .expect("policies name engines that they were told of")
+            .expect("policies use only announced engines")
     }
 
-    /// One way between a node and an engine.
-    pub fn distance(&self, node: usize, engine: usize) -> Duration {
+    /// Returns the one-way network latency between a node and an engine.
+    pub fn network_latency(&self, node: usize, engine: usize) -> Duration {
         if self.node_zones[node] == self.members[engine].zone {
-            SAME_ZONE_DISTANCE
+            SAME_ZONE_LATENCY
         } else {
-            self.zone_distance
+            self.zone_latency
         }
     }
 
-    /// A message arrives at an engine.
-    pub fn reach(
+    /// Delivers a message to an engine; returns the immediate replies with their nodes.
+    pub fn deliver(
         &mut self,
         now: Timestamp,
         engine: usize,
         action: EngineAction,
-    ) -> Vec<(usize, Heard)> {
+    ) -> Vec<(usize, EngineMessage)> {
         match action {
             EngineAction::Submit {
                 node,
@@ -202,9 +203,9 @@
                 let member = &mut self.members[engine];
                 let id = request.id.clone();
                 if member.engine.submit(now, request).is_err() {
-                    return vec![(node, Heard::Rejected { ticket })];
+                    return vec![(node, EngineMessage::Rejected { ticket })];
                 }
-                member.askers.insert(id, (node, ticket));
+                member.requesters.insert(id, (node, ticket));
             }
             EngineAction::Retain { run, lease } => {
                 self.members[engine].engine.retain(now, run, lease);
@@ -220,41 +221,42 @@
         Vec::new()
     }
 
-    /// Whether the engine's next wake-up is now; older ones have been replaced.
+    /// Returns whether the engine's wake-up is due and clears it. Superseded wake-ups return false.
     pub fn is_due(&mut self, engine: usize, now: Timestamp) -> bool {
-        let due = self.members[engine].wake == Some(now);
+        let due = self.members[engine].next_wake == Some(now);
         if due {
-            self.members[engine].wake = None;
+            self.members[engine].next_wake = None;
         }
         due
     }
 
-    /// Lets an engine do what is due.
-    pub fn advance(&mut self, now: Timestamp, engine: usize) -> Vec<(usize, Heard)> {
+    /// Advances an engine to `now`; returns its messages with their nodes.
+    pub fn advance(&mut self, now: Timestamp, engine: usize) -> Vec<(usize, EngineMessage)> {
         let member = &mut self.members[engine];
         let outputs = member.engine.advance(now);
         outputs
             .into_iter()
-            .filter_map(|output| member.heard(output))
+            .filter_map(|output| member.handle_output(output))
             .collect()
     }
 
-    /// When to wake the engine, if that is earlier than was planned.
-    pub fn take_wake(&mut self, engine: usize) -> Option<Timestamp> {
+    /// Reschedules the engine's wake-up and returns it, if its next event is earlier than the
+    /// scheduled wake-up.
+    pub fn schedule_wake(&mut self, engine: usize) -> Option<Timestamp> {
         let member = &mut self.members[engine];
         let next = member.engine.next_event_at()?;
-        if member.wake.is_some_and(|wake| wake <= next) {
+        if member.next_wake.is_some_and(|next_wake| next_wake <= next) {
             return None;
         }
-        member.wake = Some(next);
+        member.next_wake = Some(next);
         Some(next)
     }
 
-    /// What a node newly reads from the engines' feeds.
+    /// Returns the cache and load events that a node has not yet read from the engines' feeds.
     pub fn poll(&mut self, now: Timestamp, node: usize) -> Vec<Event> {
         let mut events = Vec::new();
         for (index, member) in self.members.iter_mut().enumerate() {
-            let read = &mut self.read_events[node][index];
+            let read = &mut self.last_read_events[node][index];
             for event in member.engine.cache_events(now, *read, EVENTS_PER_POLL) {
                 let missed = event.sequence - *read - 1;
                 *read = event.sequence;
@@ -268,7 +270,8 @@
         events
     }
 
-    /// Sum over all engines of the time that blocks were held after their last use.
+    /// Returns the total block-seconds, over all engines, that blocks were held after their last
+    /// use.
     pub fn unused_block_seconds(&self, at: Timestamp) -> f64 {
         self.members
             .iter()
@@ -277,16 +280,16 @@
     }
 }
 
-impl Member {
-    fn heard(&mut self, output: Output) -> Option<(usize, Heard)> {
+impl FleetEngine {
+    fn handle_output(&mut self, output: Output) -> Option<(usize, EngineMessage)> {
         match output {
             Output::FirstToken { id } => {
-                let (node, ticket) = *self.askers.get(&id)?;
-                Some((node, Heard::FirstToken { ticket }))
+                let (node, ticket) = *self.requesters.get(&id)?;
+                Some((node, EngineMessage::FirstToken { ticket }))
             }
             Output::Completed(completion) => {
-                let (node, ticket) = self.askers.remove(&completion.id)?;
-                Some((node, Heard::Completed { ticket, completion }))
+                let (node, ticket) = self.requesters.remove(&completion.id)?;
+                Some((node, EngineMessage::Completed { ticket, completion }))
             }
             Output::Chunk { .. } | Output::Imported { .. } | Output::CommandDone { .. } => None,
         }
--- a/crates/lab/src/compare/metrics.rs
+++ b/crates/lab/src/compare/metrics.rs
@@ -1,4 +1,4 @@
-//! What is measured in one experiment.
+//! Metrics of one experiment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,73 +10,75 @@
 use super::statistics::percentile;
 use crate::workload::chain::BLOCK_TOKENS;
 
-/// How one program fared.
+/// Outcome of one program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramOutcome {
-    /// Its `Program` resource.
+    /// Name of the `Program` resource.
     pub program: ResourceName,
-    /// Whose it was.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// From its intended start to the caller's last whole answer.
+    /// Time from the intended start until the caller has the last complete answer.
     pub latency: Duration,
-    /// Its latency alone on an idle fleet.
+    /// Lower bound on the latency: that of the program alone on an idle fleet.
     pub bound: Duration,
-    /// Latest useful end, from its intended start.
+    /// Deadline, relative to the intended start.
     pub deadline: Duration,
-    /// Whether it met that.
+    /// Whether the deadline was met.
     pub in_time: bool,
 }
 
-/// The figures of one experiment.
+/// Metrics of one experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     /// Mean program latency in seconds.
     pub mean: f64,
-    /// Median of it.
+    /// Median program latency in seconds.
     pub p50: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of program latency in seconds.
     pub p95: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of program latency in seconds.
     pub p99: f64,
-    /// Share of programs that met their deadline.
-    pub deadline_share: f64,
+    /// Fraction of programs that met their deadline.
+    pub deadline_met_ratio: f64,
     /// 95th percentile of the time from a call to its first token, in seconds.
     pub first_token_p95: f64,
-    /// Block-seconds held within the horizon with no later reuse.
+    /// Block-seconds that blocks were held within the horizon without later reuse.
     pub wasted_block_seconds: f64,
-    /// Prefix tokens prefilled although some engine had computed them before.
+    /// Prefix tokens that were prefilled although some engine had already computed them.
     pub recomputed_tokens: f64,
-    /// Jain's index over the tenants' mean slowdowns; 1 is even.
+    /// Jain's fairness index over the tenants' mean slowdowns; 1 is perfectly fair.
     pub fairness: f64,
-    /// Refusals; each refused caller came back.
+    /// Number of refusals; each refused caller retries.
     pub refusals: f64,
-    /// Programs that never ended and count with their latency so far.
+    /// Number of unfinished programs; they count with their latency at the end of the experiment.
     pub unfinished: f64,
-    /// The same latencies under the bound.
+    /// Lower bound on the latencies of the same programs.
     pub bound: Bound,
 }
 
 /// Latencies of the same programs, each alone on an idle fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bound {
-    /// Mean in seconds.
+    /// Mean latency in seconds.
     pub mean: f64,
-    /// Median.
+    /// Median latency in seconds.
     pub p50: f64,
-    /// 95th percentile.
+    /// 95th percentile of latency in seconds.
     pub p95: f64,
-    /// 99th percentile.
+    /// 99th percentile of latency in seconds.
     pub p99: f64,
-    /// Share that meets its deadline.
-    pub deadline_share: f64,
+    /// Fraction of programs that meet their deadline.
+    pub deadline_met_ratio: f64,
 }
 
-/// Collects while an experiment runs.
+/// Collects metrics during an experiment.
 #[derive(Default)]
 pub struct Recorder {
     outcomes: Vec<ProgramOutcome>,
-    first_tokens: Vec<f64>,
-    computed: BlockSet,
+    /// Seconds from each call to its first token.
+    first_token_seconds: Vec<f64>,
+    /// Blocks that some engine has computed.
+    computed_blocks: BlockSet,
     recomputed_tokens: u64,
     wasted_block_seconds: f64,
     refusals: u64,
@@ -84,52 +86,54 @@
 }
 
 impl Recorder {
-    /// Nothing has happened.
+    /// Creates an empty recorder.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A program ended.
-    pub fn program_ended(&mut self, outcome: ProgramOutcome) {
+    /// Records a completed program.
+    pub fn record_program(&mut self, outcome: ProgramOutcome) {
         self.outcomes.push(outcome);
     }
 
-    /// A program did not end; it missed its deadline.
-    pub fn unfinished(&mut self, mut outcome: ProgramOutcome) {
+    /// Records an unfinished program, which counts as having missed its deadline.
+    pub fn record_unfinished(&mut self, mut outcome: ProgramOutcome) {
         outcome.in_time = false;
         self.unfinished += 1;
-        self.program_ended(outcome);
+        self.record_program(outcome);
     }
 
-    /// A first token reached its caller.
-    pub fn first_token(&mut self, since_call: Duration) {
-        self.first_tokens.push(since_call.as_secs_f64());
+    /// Records the time from a call to its first token.
+    pub fn record_first_token(&mut self, since_call: Duration) {
+        self.first_token_seconds.push(since_call.as_secs_f64());
     }
 
-    /// A call was refused.
-    pub fn refused(&mut self) {
+    /// Records a refused call.
+    pub fn record_refusal(&mut self) {
         self.refusals += 1;
     }
 
-    /// A call completed; `chain` holds the blocks of its prompt and answer.
-    pub fn call_completed(&mut self, chain: &[BlockHash], completion: &Completion) {
+    /// Records a completed call; `chain` holds the block hashes of its prompt and answer.
+    pub fn record_call(&mut self, chain: &[BlockHash], completion: &Completion) {
         let usage = &completion.usage;
         let prompt_blocks = (usage.prompt.0 / BLOCK_TOKENS) as usize;
         let cached_blocks = (usage.cached.0 / BLOCK_TOKENS) as usize;
         let missing = &chain[cached_blocks.min(prompt_blocks)..prompt_blocks.min(chain.len())];
-        let known = missing.iter().filter(|hash| self.computed.contains(hash));
+        let known = missing
+            .iter()
+            .filter(|hash| self.computed_blocks.contains(hash));
         self.recomputed_tokens += known.count() as u64 * BLOCK_TOKENS;
         let first_time = usage.prompt.0 - usage.cached.0;
         self.recomputed_tokens += completion.prefilled.0.saturating_sub(first_time);
-        self.computed.extend(chain.iter().copied());
+        self.computed_blocks.extend(chain.iter().copied());
     }
 
-    /// Sum of what the engines held in vain.
-    pub fn cache(&mut self, unused_block_seconds: f64) {
+    /// Sets the block-seconds that engines held without reuse.
+    pub fn set_unused_block_seconds(&mut self, unused_block_seconds: f64) {
         self.wasted_block_seconds = unused_block_seconds;
     }
 
-    /// The figures.
+    /// Computes the metrics.
     pub fn metrics(mut self) -> Metrics {
         let latencies = sorted(self.outcomes.iter().map(|outcome| outcome.latency));
         let in_time: Vec<bool> = self
@@ -137,14 +141,14 @@
             .iter()
             .map(|outcome| outcome.in_time)
             .collect();
-        self.first_tokens.sort_by(f64::total_cmp);
+        self.first_token_seconds.sort_by(f64::total_cmp);
         Metrics {
             mean: mean(&latencies),
             p50: percentile(&latencies, 0.50),
             p95: percentile(&latencies, 0.95),
             p99: percentile(&latencies, 0.99),
-            deadline_share: share(&in_time),
-            first_token_p95: percentile(&self.first_tokens, 0.95),
+            deadline_met_ratio: fraction(&in_time),
+            first_token_p95: percentile(&self.first_token_seconds, 0.95),
             wasted_block_seconds: self.wasted_block_seconds,
             recomputed_tokens: self.recomputed_tokens as f64,
             fairness: fairness(&self.outcomes),
@@ -160,20 +164,20 @@
         let latencies = sorted(outcomes.iter().map(|outcome| outcome.bound));
         let in_time: Vec<bool> = outcomes
             .iter()
-            .map(ProgramOutcome::could_be_in_time)
+            .map(ProgramOutcome::bound_meets_deadline)
             .collect();
         Self {
             mean: mean(&latencies),
             p50: percentile(&latencies, 0.50),
             p95: percentile(&latencies, 0.95),
             p99: percentile(&latencies, 0.99),
-            deadline_share: share(&in_time),
+            deadline_met_ratio: fraction(&in_time),
         }
     }
 }
 
 impl ProgramOutcome {
-    fn could_be_in_time(&self) -> bool {
+    fn bound_meets_deadline(&self) -> bool {
         self.bound <= self.deadline
     }
 }
@@ -188,12 +192,12 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn share(flags: &[bool]) -> f64 {
+fn fraction(flags: &[bool]) -> f64 {
     let set = flags.iter().filter(|flag| **flag).count();
     set as f64 / flags.len().max(1) as f64
 }
 
-/// Jain's index over each tenant's mean ratio of latency to bound.
+/// Computes Jain's fairness index over the tenants' mean ratios of latency to bound.
 fn fairness(outcomes: &[ProgramOutcome]) -> f64 {
     let mut slowdowns: BTreeMap<&TenantId, Vec<f64>> = BTreeMap::new();
     for outcome in outcomes {
--- a/crates/lab/src/compare/mod.rs
+++ b/crates/lab/src/compare/mod.rs
@@ -1,4 +1,4 @@
-//! Comparison of placement policies on one simulated fleet.
+//! Comparison of placement policies on a simulated fleet.
 
 mod baseline;
 mod bound;
@@ -22,11 +22,15 @@
 use policy::{POLICIES, PolicyKind};
 use report::JsonRow;
 
-/// Runs the experiment and prints its report.
+/// Runs all experiments and prints the report.
+///
+/// # Errors
+///
+/// Returns an error if an option is invalid or an output file cannot be written.
 pub fn run(options: Compare) -> eyre::Result<ExitCode> {
     let preset = Preset::named(&options.preset).ok_or_else(|| {
         eyre!(
-            "no preset {:?}: lublin, ulaanbaatar or target",
+            "unknown preset {:?}: expected lublin, ulaanbaatar or target",
             options.preset
         )
     })?;
@@ -41,10 +45,10 @@
     if let Some(file) = &options.json {
         let rows: Vec<JsonRow> = rows.iter().map(report::Row::to_json).collect();
         let text = serde_json::to_string_pretty(&rows)?;
-        fs::write(file, text).wrap_err("writing the JSON file")?;
+        fs::write(file, text).wrap_err("cannot write the JSON file")?;
     }
     if let Some(directory) = &options.plot {
-        fs::create_dir_all(directory).wrap_err("making the plot folder")?;
+        fs::create_dir_all(directory).wrap_err("cannot create the plot directory")?;
         plot::draw(directory, &rows)?;
     }
     Ok(ExitCode::SUCCESS)
@@ -59,7 +63,7 @@
 
 fn parse_policy(name: &str) -> eyre::Result<PolicyKind> {
     let known = POLICIES.into_iter().find(|policy| policy.name() == name);
-    known.ok_or_else(|| eyre!("no policy {name:?}"))
+    known.ok_or_else(|| eyre!("unknown policy {name:?}"))
 }
 
 fn parse_loads(text: &str) -> eyre::Result<Vec<f64>> {
@@ -70,11 +74,11 @@
     let load: f64 = text
         .trim()
         .parse()
-        .wrap_err_with(|| format!("not a load: {text:?}"))?;
+        .wrap_err_with(|| format!("invalid load {text:?}"))?;
     if load.is_finite() && load > 0.0 {
         Ok(load)
     } else {
-        Err(eyre!("a load must be above zero: {text:?}"))
+        Err(eyre!("invalid load {text:?}: must be finite and above 0"))
     }
 }
 
--- a/crates/lab/src/compare/plot.rs
+++ b/crates/lab/src/compare/plot.rs
@@ -8,9 +8,10 @@
 use super::metrics::Metrics;
 use super::report::Row;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (900, 560);
 
-/// One figure to be drawn over the load.
+/// A metric plotted against the load.
 struct Figure {
     file: &'static str,
     title: &'static str,
@@ -40,12 +41,16 @@
     },
 ];
 
-/// Writes one SVG file for each figure.
+/// Writes one SVG file per figure.
+///
+/// # Errors
+///
+/// Returns an error if a file cannot be written.
 pub fn draw(directory: &Path, rows: &[Row]) -> eyre::Result<()> {
     for figure in &FIGURES {
         let path = directory.join(figure.file);
         draw_figure(&path, figure, rows)
-            .map_err(|error| eyre!("drawing {}: {error}", figure.file))?;
+            .map_err(|error| eyre!("cannot draw {}: {error}", figure.file))?;
     }
     Ok(())
 }
@@ -56,10 +61,10 @@
     rows: &[Row],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let value = |row: &Row| row.estimate(figure.value).mean;
-    let highest = rows.iter().map(value).fold(1e-3, f64::max);
+    let max_value = rows.iter().map(value).fold(1e-3, f64::max);
     let loads = rows.iter().map(|row| row.load);
-    let most = loads.clone().fold(f64::MIN, f64::max);
-    let least = loads.fold(f64::MAX, f64::min).min(most - 0.05);
+    let max_load = loads.clone().fold(f64::MIN, f64::max);
+    let min_load = loads.fold(f64::MAX, f64::min).min(max_load - 0.05);
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -67,7 +72,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(80)
-        .build_cartesian_2d(least..most, 0.0..highest * 1.05)?;
+        .build_cartesian_2d(min_load..max_load, 0.0..max_value * 1.05)?;
     chart.configure_mesh().x_desc("load").draw()?;
     for (index, policy) in policies(rows).into_iter().enumerate() {
         let points: Vec<(f64, f64)> = rows
--- a/crates/lab/src/compare/policy.rs
+++ b/crates/lab/src/compare/policy.rs
@@ -1,4 +1,4 @@
-//! The policies under comparison, behind the surface of the product's placement.
+//! The compared policies, all with the event interface of `Placement`.
 
 use elderworks_placement::{Effect, Event, Placement, PlacementSettings};
 use elderworks_types::{Timestamp, ZoneId};
@@ -7,9 +7,9 @@
     ConsistentHashing, LeastLoaded, PrefixAffinity, RandomChoice, RoundRobin, Router,
 };
 
-/// Decides for the calls of one node.
+/// A placement policy as run by one node.
 pub trait Policy {
-    /// Takes one event and returns what is to be done.
+    /// Processes an event and returns the resulting effects.
     fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect>;
 }
 
@@ -19,24 +19,24 @@
     }
 }
 
-/// Which policy.
+/// The available policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// Any engine, with equal chances.
+    /// An engine chosen uniformly at random.
     Random,
-    /// Each engine in turn.
+    /// The engines in rotation.
     RoundRobin,
     /// The engine with the fewest requests.
     LeastLoaded,
-    /// The engine that holds the longest part of the prompt.
+    /// The engine that caches the longest prefix of the prompt.
     PrefixAffinity,
-    /// The engine that the run hashes to, unless it has more than its share.
+    /// The engine that the run hashes to, unless it exceeds its load bound.
     ConsistentHashing,
-    /// This project's placement.
+    /// The placement of elderworks.
     Elderworks,
 }
 
-/// In the order of the report.
+/// All policies, in report order.
 pub const POLICIES: [PolicyKind; 6] = [
     PolicyKind::Random,
     PolicyKind::RoundRobin,
@@ -47,7 +47,7 @@
 ];
 
 impl PolicyKind {
-    /// Its name in reports.
+    /// Returns the name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Random => "random",
@@ -59,7 +59,7 @@
         }
     }
 
-    /// One node's instance.
+    /// Creates the instance of one node.
     pub fn build(self, zone: ZoneId, seed: u64) -> Box<dyn Policy> {
         match self {
             PolicyKind::Random => Box::new(Router::new(RandomChoice::new(seed))),
--- a/crates/lab/src/compare/report.rs
+++ b/crates/lab/src/compare/report.rs
@@ -1,4 +1,4 @@
-//! Rows of the comparison, as a table and as JSON.
+//! Report of the comparison, as a table and as JSON.
 
 use comfy_table::Table;
 use serde::Serialize;
@@ -6,23 +6,23 @@
 use super::metrics::Metrics;
 use super::statistics::Estimate;
 
-/// Name of the row that no policy can beat.
+/// Policy name of the rows with the lower bound.
 pub const BOUND: &str = "bound";
 
-/// One policy at one load.
+/// Results of one policy at one load.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Preset.
+    /// Preset name.
     pub preset: &'static str,
-    /// Load as a share of capacity.
+    /// Load as a fraction of capacity.
     pub load: f64,
-    /// Policy.
+    /// Policy name.
     pub policy: &'static str,
-    /// Figures of each seed.
+    /// Metrics of each seed.
     pub metrics: Vec<Metrics>,
 }
 
-/// A row as written to JSON: means over the seeds.
+/// JSON form of a row, with means over the seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct JsonRow {
     preset: &'static str,
@@ -43,20 +43,20 @@
 }
 
 impl Row {
-    /// One figure over the seeds.
+    /// Estimates the mean of a metric over the seeds.
     pub fn estimate(&self, figure: impl Fn(&Metrics) -> f64) -> Estimate {
         let values: Vec<f64> = self.metrics.iter().map(figure).collect();
         Estimate::of(&values)
     }
 
-    /// The row of the bound for the same programs.
+    /// Returns the row with the lower bound for the same programs.
     pub fn bound(&self) -> Row {
         let metrics = self.metrics.iter().map(|metrics| Metrics {
             mean: metrics.bound.mean,
             p50: metrics.bound.p50,
             p95: metrics.bound.p95,
             p99: metrics.bound.p99,
-            deadline_share: metrics.bound.deadline_share,
+            deadline_met_ratio: metrics.bound.deadline_met_ratio,
             fairness: 1.0,
             ..Metrics::default()
         });
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The row for JSON.
+    /// Converts the row to its JSON form.
     pub fn to_json(&self) -> JsonRow {
         let mean = |figure: fn(&Metrics) -> f64| self.estimate(figure).mean;
         JsonRow {
@@ -79,7 +79,7 @@
             p50_s: mean(|metrics| metrics.p50),
             p95_s: mean(|metrics| metrics.p95),
             p99_s: mean(|metrics| metrics.p99),
-            deadline_share: mean(|metrics| metrics.deadline_share),
+            deadline_share: mean(|metrics| metrics.deadline_met_ratio),
             ttft_p95_s: mean(|metrics| metrics.first_token_p95),
             wasted_block_s: mean(|metrics| metrics.wasted_block_seconds),
             recomputed_tokens: mean(|metrics| metrics.recomputed_tokens),
@@ -90,7 +90,7 @@
     }
 }
 
-/// A table of the rows; each figure is a mean over seeds with its 95 % interval.
+/// Formats the rows as a table; each cell is a mean over seeds with its 95 % confidence interval.
 pub fn table(rows: &[Row]) -> Table {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
@@ -128,7 +128,7 @@
         cell(1.0, 1, |metrics| metrics.p50),
         cell(1.0, 1, |metrics| metrics.p95),
         cell(1.0, 1, |metrics| metrics.p99),
-        cell(1.0, 3, |metrics| metrics.deadline_share),
+        cell(1.0, 3, |metrics| metrics.deadline_met_ratio),
         cell(1.0, 2, |metrics| metrics.first_token_p95),
         cell(1e3, 0, |metrics| metrics.wasted_block_seconds),
         cell(1e3, 0, |metrics| metrics.recomputed_tokens),
--- a/crates/lab/src/compare/runs.rs
+++ b/crates/lab/src/compare/runs.rs
@@ -1,4 +1,4 @@
-//! The programs of an experiment as their callers drive them.
+//! Progress of the programs and runs of an experiment.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 use super::bound;
 use super::fleet::MODEL;
 use super::metrics::{ProgramOutcome, Recorder};
-use crate::workload::chain::{BLOCK_TOKENS, block_chain};
-use crate::workload::{ProgramPlan, RunPlan, Then};
+use crate::workload::chain::{BLOCK_TOKENS, run_block_hashes};
+use crate::workload::{AfterTurn, ProgramPlan, RunPlan};
 
-/// Position of a run in the table.
+/// Index of a run in a `RunTable`.
 pub type RunIndex = usize;
 
-/// Seed of run ids, so that they do not follow the order of arrival.
+/// Seed of the hash for run ids, so that ids do not follow the order of arrival.
 const RUN_ID_SEED: u64 = 0x5eed;
 
-/// What a caller does after an answer.
+/// Action of a caller after an answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Waits for a tool.
+    /// Wait for a tool.
     Pause(Duration),
-    /// Makes the next call of these runs.
+    /// Make the next call of these runs.
     Call(Vec<RunIndex>),
-    /// Waits for other sub-agents.
+    /// Wait for the remaining sub-agents.
     Wait,
-    /// The whole program is done.
+    /// Finish: the program has ended.
     ProgramEnded(ProgramOutcome),
 }
 
@@ -40,32 +40,37 @@
     id: RunId,
     program: usize,
     plan: RunPlan,
+    /// Block hashes of the run's complete token sequence.
     chain: Arc<[BlockHash]>,
     parent: Option<RunIndex>,
+    /// Index of the node that places the run's calls.
     node: usize,
     started: Timestamp,
+    /// Index of the current turn.
     turn: usize,
-    /// Tokens of history before the current turn.
+    /// Tokens in the history before the current turn.
     history: u64,
+    /// Attained service in tokens: prefilled and generated so far.
     attained: u64,
     attempt: Attempt,
+    /// Time at which the caller made the current call.
     call_made: Timestamp,
     open_children: usize,
 }
 
-/// Programs and runs, in the order in which they began.
+/// The programs of an experiment, and their runs in start order.
 pub struct RunTable {
     programs: Vec<ProgramPlan>,
     nodes: usize,
     runs: Vec<Run>,
     by_id: HashMap<RunId, RunIndex>,
     ended_programs: usize,
-    /// By program: whether it has ended.
+    /// Whether each program has ended.
     has_ended: Vec<bool>,
 }
 
 impl RunTable {
-    /// None has begun.
+    /// Creates a table of programs that have not started.
     pub fn new(programs: Vec<ProgramPlan>, nodes: usize) -> Self {
         Self {
             has_ended: vec![false; programs.len()],
@@ -77,18 +82,18 @@
         }
     }
 
-    /// Every program with its intended start.
+    /// Returns each program's index and intended start.
     pub fn arrivals(&self) -> Vec<(usize, Duration)> {
         let arrivals = self.programs.iter().map(|program| program.arrival);
         arrivals.enumerate().collect()
     }
 
-    /// Whether every program is done.
+    /// Returns whether all programs have ended.
     pub fn all_ended(&self) -> bool {
         self.ended_programs == self.programs.len()
     }
 
-    /// Begins a program's root run.
+    /// Starts a program's root run.
     pub fn start_program(&mut self, program: usize, now: Timestamp) -> RunIndex {
         let root = xxh3_64_with_seed(&(program as u64).to_le_bytes(), RUN_ID_SEED);
         let plan = self.programs[program].root.clone();
@@ -109,7 +114,7 @@
         self.runs.push(Run {
             id,
             program,
-            chain: block_chain(&plan, identity).into(),
+            chain: run_block_hashes(&plan, identity).into(),
             plan,
             parent,
             node: (id.root % self.nodes as u64) as usize,
@@ -125,12 +130,12 @@
         index
     }
 
-    /// The caller makes the run's current call.
-    pub fn call_made(&mut self, run: RunIndex, now: Timestamp) {
+    /// Records the time at which the caller makes the run's current call.
+    pub fn record_call_time(&mut self, run: RunIndex, now: Timestamp) {
         self.runs[run].call_made = now;
     }
 
-    /// The node that places the run's calls, and its current call.
+    /// Returns the run's node and its current call.
     pub fn ready_call(&self, run: RunIndex) -> (usize, ReadyCall) {
         let run = &self.runs[run];
         let program = &self.programs[run.program];
@@ -154,7 +159,7 @@
         (run.node, call)
     }
 
-    /// The request that carries an attempt to an engine.
+    /// Returns the engine request of an attempt.
     pub fn request(&self, ticket: Ticket, priority: i64) -> Request {
         let run = self.run(ticket.call.run);
         let output = run.plan.turns[run.turn].output;
@@ -173,7 +178,7 @@
         }
     }
 
-    /// Blocks of the run's sequence up to the end of its current turn.
+    /// Returns the block hashes of the run's sequence up to the end of its current turn.
     pub fn chain_of(&self, id: RunId) -> Arc<[BlockHash]> {
         let run = self.run(id);
         let turn = run.turn.min(run.plan.turns.len() - 1);
@@ -182,54 +187,54 @@
         run.chain[..blocks.min(run.chain.len())].into()
     }
 
-    /// The attempt came to nothing; the run's next one has the next number.
+    /// Starts the next attempt after an unsuccessful one.
     pub fn next_attempt(&mut self, ticket: Ticket) -> RunIndex {
         let index = self.by_id[&ticket.call.run];
         self.runs[index].attempt = ticket.attempt.next();
         index
     }
 
-    /// Time from the call to `now`.
-    pub fn since_call(&self, ticket: Ticket, now: Timestamp) -> Duration {
+    /// Returns the time from the call to `now`.
+    pub fn time_since_call(&self, ticket: Ticket, now: Timestamp) -> Duration {
         now.since(self.run(ticket.call.run).call_made)
     }
 
-    /// The answer reached the node.
-    pub fn answered(&mut self, ticket: Ticket, completion: &Completion) -> RunIndex {
+    /// Records an answer that reached the node.
+    pub fn record_answer(&mut self, ticket: Ticket, completion: &Completion) -> RunIndex {
         let index = self.by_id[&ticket.call.run];
         let run = &mut self.runs[index];
         run.attained += completion.usage.output.0 + completion.prefilled.0;
         index
     }
 
-    /// What the node's execution tells placement once the answer is journalled.
-    pub fn after_turn(&self, index: RunIndex) -> Option<Event> {
+    /// Returns the event that placement receives after the answer is journalled.
+    pub fn event_after_turn(&self, index: RunIndex) -> Option<Event> {
         let run = &self.runs[index];
-        match &run.plan.turns[run.turn].then {
-            Then::Pause(_) | Then::Spawn(_) => Some(Event::RunPaused {
+        match &run.plan.turns[run.turn].after {
+            AfterTurn::Pause(_) | AfterTurn::Spawn(_) => Some(Event::RunPaused {
                 run: run.id,
                 expected_reuse: None,
             }),
-            Then::End => Some(Event::RunEnded { run: run.id }),
+            AfterTurn::End => Some(Event::RunEnded { run: run.id }),
         }
     }
 
-    /// The caller has the answer: goes on to the next turn, or to the run's end.
+    /// Moves to the next turn, or ends the run, after the caller has received the answer.
     pub fn advance(&mut self, index: RunIndex, now: Timestamp) -> Step {
         let run = &mut self.runs[index];
-        let then = run.plan.turns[run.turn].then.clone();
+        let after = run.plan.turns[run.turn].after.clone();
         run.history = run.prompt_tokens() + run.plan.turns[run.turn].output;
-        match then {
-            Then::Pause(pause) => {
+        match after {
+            AfterTurn::Pause(pause) => {
                 run.next_turn();
                 Step::Pause(pause)
             }
-            Then::Spawn(children) => {
+            AfterTurn::Spawn(children) => {
                 run.next_turn();
                 run.open_children = children.len();
                 Step::Call(self.spawn(index, children, now))
             }
-            Then::End => self.run_ended(index, now),
+            AfterTurn::End => self.run_ended(index, now),
         }
     }
 
@@ -277,11 +282,11 @@
         }
     }
 
-    /// Counts programs that never ended as ending now.
+    /// Records all unfinished programs with their latency at `end`.
     pub fn record_unfinished(&self, end: Timestamp, recorder: &mut Recorder) {
         for program in 0..self.programs.len() {
             if !self.has_ended[program] {
-                recorder.unfinished(self.outcome(program, end));
+                recorder.record_unfinished(self.outcome(program, end));
             }
         }
     }
--- a/crates/lab/src/compare/statistics.rs
+++ b/crates/lab/src/compare/statistics.rs
@@ -5,20 +5,20 @@
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131,
 ];
-/// The same for a normal distribution.
+/// Two-sided 95 % quantile of the normal distribution.
 const NORMAL_95: f64 = 1.960;
 
-/// A mean over seeds with the half width of its 95 % confidence interval.
+/// A mean with the half-width of its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The mean.
+    /// Sample mean.
     pub mean: f64,
-    /// Half the width of the interval; zero for a single seed, where it is unknown.
+    /// Half-width of the interval; zero for fewer than two values, where it is undefined.
     pub half_width: f64,
 }
 
 impl Estimate {
-    /// The mean of `values`.
+    /// Estimates the mean of `values`.
     pub fn of(values: &[f64]) -> Self {
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
@@ -38,9 +38,9 @@
     }
 }
 
-/// The value at `share` (0 to 1) of sorted values, by nearest rank; zero if there are none.
-pub fn percentile(sorted: &[f64], share: f64) -> f64 {
-    let rank = (sorted.len() as f64 * share).ceil() as usize;
+/// Returns the `quantile` (0 to 1) of sorted values by nearest rank, or zero if there are none.
+pub fn percentile(sorted: &[f64], quantile: f64) -> f64 {
+    let rank = (sorted.len() as f64 * quantile).ceil() as usize;
     let index = rank.clamp(1, sorted.len().max(1)) - 1;
     sorted.get(index).copied().unwrap_or(0.0)
 }
--- a/crates/lab/src/compare/sweep.rs
+++ b/crates/lab/src/compare/sweep.rs
@@ -1,20 +1,20 @@
-//! Runs experiments over loads, policies and seeds, several at a time.
+//! Runs experiments over all loads, policies and seeds in parallel.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use super::experiment::{self, Setting};
+use super::experiment::{self, ExperimentSettings};
 use super::fleet::FleetSettings;
 use super::metrics::Metrics;
 use super::policy::PolicyKind;
 use super::report::Row;
 use crate::workload::Preset;
 
-/// Most experiments at a time.
+/// Maximum number of experiments that run in parallel.
 const MAX_THREADS: usize = 4;
 
-/// Rows of every policy and the bound at every load.
+/// Returns the rows of every policy and of the lower bound at every load.
 pub fn run(preset: &Preset, loads: &[f64], policies: &[PolicyKind], seeds: Range<u64>) -> Vec<Row> {
     let settings = settings(preset, loads, policies, seeds.clone());
     let results = run_all(&settings);
@@ -39,11 +39,11 @@
     loads: &[f64],
     policies: &[PolicyKind],
     seeds: Range<u64>,
-) -> Vec<Setting> {
+) -> Vec<ExperimentSettings> {
     let mut settings = Vec::new();
     for load in loads {
         for policy in policies {
-            settings.extend(seeds.clone().map(|seed| Setting {
+            settings.extend(seeds.clone().map(|seed| ExperimentSettings {
                 preset: preset.clone(),
                 load: *load,
                 policy: *policy,
@@ -55,19 +55,19 @@
     settings
 }
 
-/// Runs each setting; results are in the order of the settings.
-pub fn run_all(settings: &[Setting]) -> Vec<Metrics> {
+/// Runs all experiments; results are in the order of `settings`.
+pub fn run_all(settings: &[ExperimentSettings]) -> Vec<Metrics> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(vec![Metrics::default(); settings.len()]);
     std::thread::scope(|scope| {
         for _ in 0..MAX_THREADS.min(settings.len()) {
-            scope.spawn(|| work(settings, &next, &results));
+            scope.spawn(|| run_pending(settings, &next, &results));
         }
     });
     results.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn work(settings: &[Setting], next: &AtomicUsize, results: &Mutex<Vec<Metrics>>) {
+fn run_pending(settings: &[ExperimentSettings], next: &AtomicUsize, results: &Mutex<Vec<Metrics>>) {
     loop {
         let index = next.fetch_add(1, Ordering::Relaxed);
         let Some(setting) = settings.get(index) else {
--- a/crates/lab/src/compare/tests.rs
+++ b/crates/lab/src/compare/tests.rs
@@ -1,19 +1,19 @@
-//! The harness is deterministic, and its figures are sane.
+//! Tests that experiments are deterministic and that metrics are consistent.
 
 use std::time::Duration;
 
-use super::experiment::{self, Setting};
+use super::experiment::{self, ExperimentSettings};
 use super::fleet::FleetSettings;
 use super::policy::{POLICIES, PolicyKind};
 use super::statistics::{Estimate, percentile};
 use crate::workload::Preset;
 
-fn small_setting(policy: PolicyKind) -> Setting {
+fn small_experiment(policy: PolicyKind) -> ExperimentSettings {
     let mut preset = Preset::named("lublin").unwrap();
     preset.horizon = Duration::from_secs(60);
     preset.workers = 3;
     preset.nodes = 3;
-    Setting {
+    ExperimentSettings {
         preset,
         load: 0.6,
         policy,
@@ -25,7 +25,7 @@
 #[test]
 fn every_policy_finishes_every_program_and_respects_the_bound() {
     for policy in POLICIES {
-        let metrics = experiment::run(&small_setting(policy));
+        let metrics = experiment::run(&small_experiment(policy));
         let name = policy.name();
         assert_eq!(metrics.unfinished, 0.0, "{name}");
         assert!(metrics.mean >= metrics.bound.mean, "{name}");
@@ -37,8 +37,8 @@
 #[test]
 fn equal_seeds_give_equal_figures() {
     for policy in [PolicyKind::LeastLoaded, PolicyKind::Elderworks] {
-        let first = experiment::run(&small_setting(policy));
-        let second = experiment::run(&small_setting(policy));
+        let first = experiment::run(&small_experiment(policy));
+        let second = experiment::run(&small_experiment(policy));
         assert_eq!(format!("{first:?}"), format!("{second:?}"));
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The experiments behind the `elderworks-lab` command, and what its benchmarks share with them.
+//! Implementation of the `elderworks-lab` command.
 
 mod command_line;
 mod compare;
@@ -9,7 +9,11 @@
 
 use command_line::{LabCommand, LabCommandCmd};
 
-/// Runs the subcommand that the process's arguments name; exits where they name none.
+/// Runs the subcommand given by the process's arguments; exits the process if they are invalid.
+///
+/// # Errors
+///
+/// Returns the error of the subcommand.
 pub fn run() -> eyre::Result<std::process::ExitCode> {
     match LabCommand::from_env_or_exit().subcommand {
         LabCommandCmd::Compare(options) => compare::run(options),
--- a/crates/lab/src/load/figures.rs
+++ b/crates/lab/src/load/figures.rs
@@ -1,4 +1,4 @@
-//! Sums and distributions over all programs.
+//! Totals and latency distributions over all programs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use super::program::ProgramRecord;
 
-/// Longest latency told apart, in microseconds: one hour.
+/// Maximum recorded latency: one hour. Longer latencies are clamped to it.
 const MAX_MICROSECONDS: u64 = 3_600_000_000;
 
-/// Significant digits kept of each latency.
+/// Precision of recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A distribution of latencies.
+/// A latency histogram in microseconds.
 #[derive(Clone, Debug)]
 pub struct Latencies(Histogram<u64>);
 
@@ -28,45 +28,45 @@
         self.0.saturating_record(microseconds);
     }
 
-    /// How many there are.
+    /// Returns the number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The latency that `quantile` (0 to 1) of all do not exceed, in milliseconds.
+    /// Returns the latency at `quantile` (0 to 1), in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// The longest, in milliseconds.
+    /// Returns the maximum latency in milliseconds.
     pub fn max_ms(&self) -> f64 {
         self.0.max() as f64 / 1000.0
     }
 }
 
-/// Figures of one experiment.
+/// Results of one load experiment.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// Completed programs, from their intended start.
+    /// Latencies of completed programs, from their intended start.
     pub programs: Latencies,
-    /// Answered calls, from their sending.
+    /// Latencies of answered calls, from sending.
     pub calls: Latencies,
-    /// First pieces of answered calls, from the calls' sending.
+    /// Times from sending a call to the first piece of its answer.
     pub first_pieces: Latencies,
-    /// Programs that broke off, by error code.
+    /// Number of failed programs by error code.
     pub errors: BTreeMap<String, u64>,
-    /// Answers whose pieces did not join to the whole.
+    /// Number of answers whose streamed pieces do not add up to the final answer.
     pub broken_answers: u64,
     /// Prompt tokens of answered calls.
     pub prompt_tokens: u64,
-    /// Of those, tokens from engines' caches.
+    /// Prompt tokens of answered calls that came from engine caches.
     pub cached_tokens: u64,
-    /// Length of the experiment.
+    /// Duration of the experiment.
     pub elapsed: Duration,
 }
 
 impl Figures {
-    /// Of no program yet.
+    /// Creates empty figures.
     pub fn new() -> Self {
         Self {
             programs: Latencies::new(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Adds one program.
+    /// Adds the record of one program.
     pub fn add(&mut self, record: ProgramRecord) {
         match record.error {
             None => self.programs.add(record.duration),
@@ -91,7 +91,7 @@
             if let Some(first) = call.first_piece {
                 self.first_pieces.add(first);
             }
-            self.broken_answers += u64::from(!call.is_whole);
+            self.broken_answers += u64::from(!call.pieces_match_answer);
             self.prompt_tokens += call.prompt_tokens;
             self.cached_tokens += call.cached_tokens;
         }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! Open-loop load on real sidecars.
+//! Open-loop load generation against real sidecars.
 //!
-//! Programs arrive at random times that do not depend on how the system copes. Latency counts from
-//! the intended start, so that a system that falls behind cannot hide it.
+//! Programs arrive at random times, independently of the system's responses. Latency is measured
+//! from the intended start, so that it includes any delay of a system that falls behind.
 
 mod figures;
 mod plan;
@@ -25,11 +25,18 @@
 const DEFAULT_TARGET: &str = "http://127.0.0.1:8001";
 const DEFAULT_TOKEN: &str = "lublin-example-token";
 const DEFAULT_PROGRAM: &str = "boundary-correction";
+/// Programs started per second.
 const DEFAULT_RATE: f64 = 5.0;
+/// Total number of programs.
 const DEFAULT_RUNS: usize = 200;
 const DEFAULT_SEED: u64 = 1;
 
-/// Runs the experiment and prints its report. The exit code is 1 if any answer was not whole.
+/// Runs the experiment and prints its report. The exit code is 1 if the streamed pieces of any
+/// answer differ from the final answer.
+///
+/// # Errors
+///
+/// Returns an error if an option is invalid or the JSON file cannot be written.
 pub fn run(options: Load) -> eyre::Result<ExitCode> {
     let rate = options.rate.unwrap_or(DEFAULT_RATE);
     if !rate.is_finite() || rate <= 0.0 {
@@ -65,11 +72,11 @@
         .collect()
 }
 
-/// Starts every program at its time and waits for all of them.
+/// Runs every program at its planned start time and collects the results.
 async fn drive(plan: LoadPlan, clients: Vec<CallerClient>, program: &ResourceName) -> Figures {
     let started = Instant::now();
     let arrivals = plan.programs.into_iter().zip(clients.iter().cycle());
-    let running = arrivals.map(|(planned, client)| play_at(started, client, program, planned));
+    let running = arrivals.map(|(planned, client)| run_at(started, client, program, planned));
     let mut figures = Figures::new();
     for record in join_all(running).await {
         figures.add(record);
@@ -78,7 +85,7 @@
     figures
 }
 
-async fn play_at(
+async fn run_at(
     started: Instant,
     client: &CallerClient,
     program: &ResourceName,
@@ -86,5 +93,5 @@
 ) -> program::ProgramRecord {
     let intended = started + planned.start;
     actix_rt::time::sleep_until(intended.into()).await;
-    program::play(client, program, &planned, intended).await
+    program::run(client, program, &planned, intended).await
 }
--- a/crates/lab/src/load/plan.rs
+++ b/crates/lab/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! When programs arrive and what they ask.
+//! Seeded plan of program arrivals and prompts.
 
 use std::time::Duration;
 
@@ -6,11 +6,14 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
+/// Model calls per program.
 const TURNS: std::ops::RangeInclusive<usize> = 2..=6;
+/// Words per prompt.
 const PROMPT_WORDS: std::ops::RangeInclusive<usize> = 20..=200;
+/// Limit on the output tokens of a call.
 const MAX_OUTPUT: std::ops::RangeInclusive<u64> = 32..=160;
 
-/// Words of which prompts are made.
+/// Vocabulary of the prompts.
 const WORDS: [&str; 12] = [
     "parcel", "boundary", "meal", "diet", "declare", "north", "resident", "week", "area", "claim",
     "order", "sheet",
@@ -19,30 +22,30 @@
 /// All programs of one experiment.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// In order of start.
+    /// Programs in start order.
     pub programs: Vec<PlannedProgram>,
 }
 
-/// One program.
+/// A planned program.
 #[derive(Clone, Debug)]
 pub struct PlannedProgram {
-    /// When it arrives, from the start of the experiment.
+    /// Arrival time, from the start of the experiment.
     pub start: Duration,
-    /// Its turns.
+    /// Model calls in order.
     pub turns: Vec<PlannedTurn>,
 }
 
-/// One model call.
+/// A planned model call.
 #[derive(Clone, Debug)]
 pub struct PlannedTurn {
-    /// The new message.
+    /// Text of the new user message.
     pub prompt: String,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output: u64,
 }
 
 impl LoadPlan {
-    /// `runs` programs that arrive independently, `rate` a second on average.
+    /// Plans `runs` programs with Poisson arrivals at `rate` programs per second.
     pub fn new(rate: f64, runs: usize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let gaps = Exp::new(rate).expect("the rate is above 0");
--- a/crates/lab/src/load/program.rs
+++ b/crates/lab/src/load/program.rs
@@ -1,4 +1,4 @@
-//! One program from its start to its end.
+//! Execution of one planned program against a sidecar.
 
 use std::time::{Duration, Instant};
 
@@ -8,44 +8,44 @@
 
 use super::plan::{PlannedProgram, PlannedTurn};
 
-/// The model of the example resources.
+/// Model defined by the example resources.
 const MODEL: &str = "drafting-8b";
 
-/// What became of one call.
+/// Result of one call.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// From its sending to its first piece.
+    /// Time from sending the call to the first piece of its answer.
     pub first_piece: Option<Duration>,
-    /// From its sending to its end.
+    /// Time from sending the call to the end of its answer.
     pub duration: Duration,
-    /// Whether the pieces joined to the whole.
-    pub is_whole: bool,
-    /// Tokens of its prompt.
+    /// Whether the streamed pieces add up to the final answer.
+    pub pieces_match_answer: bool,
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Of those, tokens from the engine's cache.
+    /// Number of prompt tokens from the engine's cache.
     pub cached_tokens: u64,
 }
 
-/// What became of one program.
+/// Result of one program.
 #[derive(Clone, Debug)]
 pub struct ProgramRecord {
-    /// From its intended start to its end.
+    /// Time from the intended start to the end.
     pub duration: Duration,
-    /// Calls that were answered.
+    /// Answered calls.
     pub calls: Vec<CallRecord>,
-    /// Why it broke off, if it did.
+    /// Error that ended the program early.
     pub error: Option<ClientError>,
 }
 
-/// Runs a program that should have started at `intended`.
-pub async fn play(
+/// Runs a program whose intended start time is `intended`.
+pub async fn run(
     client: &CallerClient,
     program: &ResourceName,
     plan: &PlannedProgram,
     intended: Instant,
 ) -> ProgramRecord {
     let mut calls = Vec::with_capacity(plan.turns.len());
-    let result = play_turns(client, program, plan, &mut calls).await;
+    let result = run_turns(client, program, plan, &mut calls).await;
     ProgramRecord {
         duration: intended.elapsed(),
         calls,
@@ -53,7 +53,7 @@
     }
 }
 
-async fn play_turns(
+async fn run_turns(
     client: &CallerClient,
     program: &ResourceName,
     plan: &PlannedProgram,
@@ -67,13 +67,13 @@
     };
     let run = client.start_run(&start).await?;
     for turn in &plan.turns {
-        calls.push(play_turn(client, run, turn).await?);
+        calls.push(run_turn(client, run, turn).await?);
     }
     client.end_run(run).await?;
     Ok(())
 }
 
-async fn play_turn(
+async fn run_turn(
     client: &CallerClient,
     run: RunId,
     turn: &PlannedTurn,
@@ -84,18 +84,18 @@
     let sent = Instant::now();
     let mut received = Received::default();
     let answer = client
-        .stream(run, &body, |event| received.take(event))
+        .stream(run, &body, |event| received.push(event))
         .await?;
     Ok(CallRecord {
         first_piece: received.first.map(|first| first.duration_since(sent)),
         duration: sent.elapsed(),
-        is_whole: received.text == answer.content,
+        pieces_match_answer: received.text == answer.content,
         prompt_tokens: answer.usage.prompt_tokens.0,
         cached_tokens: answer.usage.cached_tokens.0,
     })
 }
 
-/// The pieces of one answer.
+/// The received pieces of one answer.
 #[derive(Debug, Default)]
 struct Received {
     first: Option<Instant>,
@@ -103,7 +103,7 @@
 }
 
 impl Received {
-    fn take(&mut self, event: AnswerEvent<'_>) {
+    fn push(&mut self, event: AnswerEvent<'_>) {
         match event {
             AnswerEvent::Piece(text) => {
                 self.first.get_or_insert_with(Instant::now);
--- a/crates/lab/src/load/report.rs
+++ b/crates/lab/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report, for people and as JSON.
+//! Report of a load experiment, as text and as JSON.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,11 @@
     }
 }
 
-/// The figures as JSON text.
+/// Encodes the figures as JSON.
+///
+/// # Errors
+///
+/// Returns an error if encoding fails.
 pub fn to_json(figures: &Figures, rate: f64, seed: u64) -> eyre::Result<String> {
     let report = JsonReport {
         rate_per_second: rate,
@@ -67,17 +71,17 @@
     table.add_row(row("program, from its intended start", &figures.programs));
     table.add_row(row("call", &figures.calls));
     table.add_row(row("first piece of a call", &figures.first_pieces));
-    println!("{rate} programs a second, seed {seed}");
+    println!("{rate} programs per second, seed {seed}");
     println!("{table}");
     println!(
-        "{} of {} prompt tokens from cache, {} answers not whole, {:.1} s in all",
+        "{} of {} prompt tokens from cache, {} answers with mismatched pieces, {:.1} s in total",
         figures.cached_tokens,
         figures.prompt_tokens,
         figures.broken_answers,
         figures.elapsed.as_secs_f64(),
     );
     for (code, count) in &figures.errors {
-        println!("{count} programs broke off: {code}");
+        println!("{count} programs failed: {code}");
     }
 }
 
--- a/crates/lab/src/load/tests.rs
+++ b/crates/lab/src/load/tests.rs
@@ -1,4 +1,4 @@
-//! Plans are reproducible and keep to their rate.
+//! Tests that plans are reproducible and have the requested rate.
 
 use super::plan::LoadPlan;
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The `elderworks-lab` command: comparison, load and simulation.
+//! The `elderworks-lab` command: policy comparison, load generation and fault simulation.
 
 fn main() -> eyre::Result<std::process::ExitCode> {
     env_logger::init();
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -1,13 +1,13 @@
-//! Ranges of seeds on the command line.
+//! Parsing of seed ranges on the command line.
 
 use std::ops::Range;
 use std::str::FromStr;
 
-/// Seeds `A..B`, `B` excluded.
+/// A range of seeds `A..B`; `B` is excluded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedRange(pub Range<u64>);
 
-/// A text that is not `A..B` with `A` below `B`.
+/// Error for a string that is not `A..B` with `A` below `B`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SeedRangeError;
 
--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of the whole system under faults.
+//! Simulation of the complete system under injected faults.
 
 mod report;
 
@@ -13,10 +13,14 @@
 use crate::command_line::Simulate;
 use report::{Summary, print_failure, print_table};
 
-/// Failing runs that are shrunk and printed; further ones are only counted.
+/// Maximum number of failing runs that are shrunk and printed; further ones are only counted.
 const MAX_FAILURES_SHOWN: usize = 3;
 
-/// Runs the experiment and prints its report; exits 1 on a violation.
+/// Runs the simulations and prints the report. The exit code is 1 if an invariant was violated.
+///
+/// # Errors
+///
+/// Returns an error if an option is invalid or the JSON file cannot be written.
 pub fn run(options: Simulate) -> eyre::Result<ExitCode> {
     let preset = parse_preset(options.preset.as_deref())?;
     let broken = parse_broken(options.broken.as_deref())?;
@@ -29,7 +33,7 @@
     print_table(&summary);
     if let Some(file) = options.json {
         let json = serde_json::to_string_pretty(&summary)?;
-        std::fs::write(&file, json).wrap_err_with(|| format!("writing {}", file.display()))?;
+        std::fs::write(&file, json).wrap_err_with(|| format!("cannot write {}", file.display()))?;
     }
     println!("{} runs, {} violations", summary.runs, summary.violations);
     if summary.violations > 0 {
@@ -57,8 +61,8 @@
         .transpose()
 }
 
-/// The plans of one seed: one with faults drawn, or every row of the fault table. A broken variant
-/// that is given no faults meets those under which it must be caught.
+/// Returns the plans of one seed: one with randomly drawn faults, or one per row of the fault
+/// table. Without a choice of faults, a broken variant gets those that must expose it.
 fn plans(
     seed: u64,
     preset: Preset,
--- a/crates/lab/src/simulate/report.rs
+++ b/crates/lab/src/simulate/report.rs
@@ -1,4 +1,4 @@
-//! What a set of simulations came to, and how it is printed.
+//! Summary of a set of simulations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,32 +9,32 @@
 use elderworks_simulation::run::Totals;
 use serde::Serialize;
 
-/// Counts over all runs.
+/// Totals over all runs.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct Summary {
-    /// Runs made.
+    /// Number of runs.
     pub runs: usize,
-    /// Violations seen in all of them.
+    /// Number of violations in all runs.
     pub violations: usize,
-    /// How much was done.
+    /// Amount of simulated work.
     pub totals: Totals,
-    /// By the faults in force, alone and in pairs.
+    /// Counts by active fault and by pair of active faults.
     pub rows: BTreeMap<String, Row>,
-    /// Failing runs with the shortest schedule found for each.
+    /// Failing runs, each with the shortest fault schedule found.
     pub failures: Vec<Report>,
 }
 
-/// Counts over the runs in which a fault, or a pair, was in force.
+/// Counts over the runs in which a fault, or a pair of faults, was active.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct Row {
-    /// Runs made.
+    /// Number of runs.
     pub runs: usize,
-    /// Runs in which an invariant was violated.
+    /// Number of runs that violated each invariant.
     pub violated: BTreeMap<Invariant, usize>,
 }
 
 impl Summary {
-    /// Counts one run.
+    /// Adds one run.
     pub(super) fn add(&mut self, report: &Report) {
         self.runs += 1;
         self.violations += report.violations.len();
@@ -54,7 +54,7 @@
     }
 }
 
-/// Each fault of a run by itself, and each pair.
+/// Returns the row names of a run: each of its faults and each pair of them.
 fn row_names(report: &Report) -> BTreeSet<String> {
     let kinds: BTreeSet<String> = report
         .schedule
@@ -72,7 +72,7 @@
     names
 }
 
-/// Prints how often each invariant was violated under each fault and pair.
+/// Prints the number of violating runs by invariant for each fault and pair of faults.
 pub(super) fn print_table(summary: &Summary) {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
@@ -95,7 +95,7 @@
     println!("{:?}", summary.totals);
 }
 
-/// Prints a failing run: its seed, its violations, the shortest schedule and that run's trace.
+/// Prints a failing run's seed and violations, the shortest schedule found and its trace.
 pub(super) fn print_failure(report: &Report, shortest: &Report) {
     println!("seed {} violates:", report.seed);
     for violation in &report.violations {
--- a/crates/lab/src/workload/capacity.rs
+++ b/crates/lab/src/workload/capacity.rs
@@ -1,9 +1,8 @@
-//! How many programs a fleet can finish per second.
+//! Capacity of a fleet in programs per second.
 //!
-//! Capacity is the highest rate that the engines could sustain if no prefix that a run or its
-//! tenant's handbook already had were ever prefilled twice and every batch were as full as memory
-//! allows: `workers / mean engine time of a program`. A load of 0.9 therefore leaves a policy
-//! little room for recomputation.
+//! Capacity is `workers / mean engine time of a program`, assuming that no prefix of a run and no
+//! handbook is prefilled twice and that every batch is as large as the cache allows. A load of 0.9
+//! therefore leaves a policy little room for recomputation.
 
 use std::time::Duration;
 
@@ -13,38 +12,38 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::generate::program;
-use super::{Preset, RunPlan, Segment, Then};
+use super::{AfterTurn, Preset, RunPlan, Segment};
 
-/// Programs drawn to estimate the mean.
-const SAMPLE: usize = 4_000;
-/// Seed of that sample; capacity is a property of the preset, not of one experiment.
+/// Number of sampled programs.
+const SAMPLE_PROGRAMS: usize = 4_000;
+/// Seed of the sample. It is fixed so that capacity depends only on the preset.
 const SAMPLE_SEED: u64 = 0x00ca_9ac1;
 
-/// Work of some runs in tokens.
+/// Work of one or more runs, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Prompt tokens that nobody has prefilled before.
+    /// Prompt tokens that are not cached.
     pub prefill: f64,
     /// Generated tokens.
     pub output: f64,
-    /// Sum over generated tokens of the context that each attends to.
+    /// Sum of the context lengths over all generated tokens.
     pub context: f64,
 }
 
-/// The rate that a load of 1 means.
+/// Returns the arrival rate at a load of 1.
 pub fn programs_per_second(preset: &Preset) -> f64 {
     let mut random = ChaCha8Rng::seed_from_u64(SAMPLE_SEED);
     let mut total = Work::default();
-    for _ in 0..SAMPLE {
+    for _ in 0..SAMPLE_PROGRAMS {
         let plan = program(preset, Duration::ZERO, &mut random);
         add_run(&mut total, &plan.root, true);
     }
     let parameters = EngineParameters::default();
-    let mean_seconds = engine_seconds(&parameters, total) / SAMPLE as f64;
+    let mean_seconds = engine_seconds(&parameters, total) / SAMPLE_PROGRAMS as f64;
     preset.workers as f64 / mean_seconds
 }
 
-/// Engine time of some work in batches as full as memory allows.
+/// Returns the engine time of some work, in seconds, with batches as large as the cache allows.
 pub fn engine_seconds(parameters: &EngineParameters, work: Work) -> f64 {
     let mean_context = work.context / work.output.max(1.0);
     let memory = (parameters.cache_blocks * TOKENS_PER_BLOCK) as f64;
@@ -63,7 +62,7 @@
         .map(|segment| segment.tokens)
         .sum::<u64>() as f64;
     if is_root {
-        total.prefill += unshared(&run.segments) as f64;
+        total.prefill += unshared_tokens(&run.segments) as f64;
     }
     for turn in &run.turns {
         context += turn.prompt as f64;
@@ -71,7 +70,7 @@
         total.output += turn.output as f64;
         total.context += turn.output as f64 * (context + turn.output as f64 / 2.0);
         context += turn.output as f64;
-        if let Then::Spawn(children) = &turn.then {
+        if let AfterTurn::Spawn(children) = &turn.after {
             for child in children {
                 add_run(total, child, false);
             }
@@ -79,8 +78,9 @@
     }
 }
 
-/// The document and what follows it; system prompt and handbook are taken as always cached.
-fn unshared(segments: &[Segment]) -> u64 {
+/// Returns the tokens of the document and of all later segments. System prompt and handbook are
+/// assumed to be cached.
+fn unshared_tokens(segments: &[Segment]) -> u64 {
     const DOCUMENT_AND_UNIQUE: usize = 2;
     let first = segments.len().saturating_sub(DOCUMENT_AND_UNIQUE);
     segments[first..].iter().map(|segment| segment.tokens).sum()
--- a/crates/lab/src/workload/generate.rs
+++ b/crates/lab/src/workload/generate.rs
@@ -1,4 +1,4 @@
-//! Draws programs and arrivals from a preset and a seed.
+//! Generates programs and arrivals from a preset and a seed.
 
 use std::time::Duration;
 
@@ -11,41 +11,42 @@
 use super::capacity;
 use super::chain::BLOCK_TOKENS;
 use super::preset::ProgramClass;
-use super::{Preset, ProgramPlan, RunPlan, Segment, Then, Turn};
+use super::{AfterTurn, Preset, ProgramPlan, RunPlan, Segment, Turn};
 
-/// Scale of the heavy tail of pauses, in seconds.
-const SLOW_PAUSE_SCALE: f64 = 5.0;
-/// Shape of that tail; the variance of an uncapped one is infinite.
+/// Scale of the Pareto distribution of slow pauses.
+const SLOW_PAUSE_SCALE_SECONDS: f64 = 5.0;
+/// Shape of the Pareto distribution of slow pauses; its variance would be infinite without the
+/// limit on pauses.
 const SLOW_PAUSE_SHAPE: f64 = 1.3;
-/// Longest pause, in seconds: tools time out.
-const LONGEST_PAUSE: f64 = 120.0;
-/// Share of the horizon, around its middle, that the rush takes.
-const RUSH_SHARE: f64 = 0.4;
+/// Maximum pause, after which tools time out.
+const MAX_PAUSE_SECONDS: f64 = 120.0;
+/// Fraction of the horizon, around its middle, that the rush lasts.
+const RUSH_FRACTION: f64 = 0.4;
 
-/// A log-normal quantity within bounds.
+/// A log-normal distribution clamped to bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct Spread {
+pub struct ClampedLogNormal {
     median: f64,
     sigma: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
-impl Spread {
-    /// A quantity of this median, `sigma` being the standard deviation of its logarithm.
-    pub const fn new(median: f64, sigma: f64, least: f64, most: f64) -> Self {
+impl ClampedLogNormal {
+    /// Creates a distribution; `sigma` is the standard deviation of the logarithm.
+    pub const fn new(median: f64, sigma: f64, min: f64, max: f64) -> Self {
         Self {
             median,
             sigma,
-            least,
-            most,
+            min,
+            max,
         }
     }
 
     fn draw(&self, random: &mut ChaCha8Rng) -> f64 {
         let distribution =
             LogNormal::new(self.median.ln(), self.sigma).expect("sigma is finite and not negative");
-        distribution.sample(random).clamp(self.least, self.most)
+        distribution.sample(random).clamp(self.min, self.max)
     }
 
     fn draw_count(&self, random: &mut ChaCha8Rng) -> u64 {
@@ -53,7 +54,7 @@
     }
 }
 
-/// All programs of one experiment, in order of arrival.
+/// Generates all programs of one experiment in order of arrival.
 pub fn programs(preset: &Preset, load: f64, seed: u64) -> Vec<ProgramPlan> {
     let rate = capacity::programs_per_second(preset) * load;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -63,7 +64,7 @@
         .collect()
 }
 
-/// One program of the preset's mix.
+/// Generates one program of the preset's mix.
 pub fn program(preset: &Preset, arrival: Duration, random: &mut ChaCha8Rng) -> ProgramPlan {
     let class = choose_class(preset, random);
     let tenant = choose_tenant(preset, random);
@@ -78,7 +79,8 @@
     }
 }
 
-/// Poisson arrivals by thinning; the rate rises to the rush's peak in the middle of the horizon.
+/// Generates Poisson arrivals by thinning; the rate is highest during the rush in the middle of the
+/// horizon.
 fn arrivals(preset: &Preset, mean_rate: f64, random: &mut ChaCha8Rng) -> Vec<Duration> {
     let horizon = preset.horizon.as_secs_f64();
     let peak_rate = mean_rate * preset.rush_peak;
@@ -95,20 +97,20 @@
     arrivals
 }
 
-/// Arrival rate at a point of the horizon (0 to 1) as a multiple of the mean rate.
+/// Returns the arrival rate at a point of the horizon (0 to 1) as a multiple of the mean rate.
 fn rate_factor(preset: &Preset, point: f64) -> f64 {
-    let in_rush = (point - 0.5).abs() < RUSH_SHARE / 2.0;
+    let in_rush = (point - 0.5).abs() < RUSH_FRACTION / 2.0;
     if in_rush {
         preset.rush_peak
     } else {
-        (1.0 - preset.rush_peak * RUSH_SHARE) / (1.0 - RUSH_SHARE)
+        (1.0 - preset.rush_peak * RUSH_FRACTION) / (1.0 - RUSH_FRACTION)
     }
 }
 
 fn choose_class<'a>(preset: &'a Preset, random: &mut ChaCha8Rng) -> &'a ProgramClass {
     let mut point: f64 = random.random();
     for class in &preset.classes {
-        point -= class.share;
+        point -= class.arrival_fraction;
         if point < 0.0 {
             return class;
         }
@@ -137,15 +139,15 @@
 ) -> Vec<Segment> {
     let system = identity(&format!("system/{}", class.name));
     let handbook = identity(&format!("handbook/{tenant}"));
-    let sheet = identity(&format!("document/{tenant}/{document}"));
-    // The length belongs to the document: equal documents must have equal lengths.
-    let mut of_document = ChaCha8Rng::seed_from_u64(sheet ^ system);
-    let length = class.document.draw(&mut of_document) as u64;
+    let document_identity = identity(&format!("document/{tenant}/{document}"));
+    // The length is derived from the document, because equal documents must have equal lengths.
+    let mut document_random = ChaCha8Rng::seed_from_u64(document_identity ^ system);
+    let length = class.document.draw(&mut document_random) as u64;
     let unique = random.random();
     let shared = [
         (system, class.system),
         (handbook, class.handbook),
-        (sheet, length),
+        (document_identity, length),
         (unique, BLOCK_TOKENS),
     ];
     shared
@@ -166,20 +168,20 @@
     let count = class.turns.draw_count(random).max(1);
     let turns = (1..=count)
         .map(|number| {
-            let then = if number == count {
-                Then::End
-            } else if random.random_bool(class.spawn_chance) {
-                Then::Spawn(children(class, &segments, random))
+            let after = if number == count {
+                AfterTurn::End
+            } else if random.random_bool(class.spawn_probability) {
+                AfterTurn::Spawn(children(class, &segments, random))
             } else {
-                Then::Pause(pause(class, random))
+                AfterTurn::Pause(pause(class, random))
             };
-            turn(class, then, random)
+            turn(class, after, random)
         })
         .collect();
     RunPlan { segments, turns }
 }
 
-/// Sub-agents start from the segments of their parent and go their own ways.
+/// Generates sub-agents, which start with the segments of their parent.
 fn children(class: &ProgramClass, segments: &[Segment], random: &mut ChaCha8Rng) -> Vec<RunPlan> {
     let count = class.children.draw_count(random);
     (0..count)
@@ -187,12 +189,12 @@
             let turns = class.child_turns.draw_count(random).max(1);
             let turns = (1..=turns)
                 .map(|number| {
-                    let then = if number == turns {
-                        Then::End
+                    let after = if number == turns {
+                        AfterTurn::End
                     } else {
-                        Then::Pause(pause(class, random))
+                        AfterTurn::Pause(pause(class, random))
                     };
-                    turn(class, then, random)
+                    turn(class, after, random)
                 })
                 .collect();
             RunPlan {
@@ -203,20 +205,21 @@
         .collect()
 }
 
-fn turn(class: &ProgramClass, then: Then, random: &mut ChaCha8Rng) -> Turn {
+fn turn(class: &ProgramClass, after: AfterTurn, random: &mut ChaCha8Rng) -> Turn {
     Turn {
         prompt: class.prompt.draw_count(random).max(1),
         output: class.output.draw_count(random).max(1),
-        then,
+        after,
     }
 }
 
 fn pause(class: &ProgramClass, random: &mut ChaCha8Rng) -> Duration {
-    let seconds = if random.random_bool(class.slow_pause_share) {
-        let tail = Pareto::new(SLOW_PAUSE_SCALE, SLOW_PAUSE_SHAPE).expect("positive parameters");
+    let seconds = if random.random_bool(class.slow_pause_fraction) {
+        let tail =
+            Pareto::new(SLOW_PAUSE_SCALE_SECONDS, SLOW_PAUSE_SHAPE).expect("positive parameters");
         tail.sample(random)
     } else {
         class.pause.draw(random)
     };
-    Duration::from_secs_f64(seconds.min(LONGEST_PAUSE))
+    Duration::from_secs_f64(seconds.min(MAX_PAUSE_SECONDS))
 }
--- a/crates/lab/src/workload/mod.rs
+++ b/crates/lab/src/workload/mod.rs
@@ -1,6 +1,6 @@
-//! Seeded workloads: programs as chains of dependent calls, and when they arrive.
+//! Seeded workloads: arrivals of programs, which are sequences of dependent calls.
 //!
-//! A plan is known to the experiment only. A policy under test learns each call when it is made.
+//! Only the experiment knows the plans. A policy under test learns of each call when it is made.
 
 pub mod capacity;
 pub mod chain;
@@ -13,58 +13,58 @@
 
 pub use preset::Preset;
 
-/// One program that will arrive.
+/// A planned program.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
-    /// Intended start, from the start of the experiment.
+    /// Intended start time, from the start of the experiment.
     pub arrival: Duration,
-    /// Its `Program` resource.
+    /// Name of the `Program` resource.
     pub program: ResourceName,
-    /// On whose behalf.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// Latest useful end, from its arrival.
+    /// Deadline, relative to the arrival.
     pub deadline: Duration,
-    /// Its root run.
+    /// Root run.
     pub root: RunPlan,
 }
 
-/// One run: the prompt it starts from and its turns.
+/// A planned run: its initial prompt and its turns.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
     /// Parts of the prompt that other runs may share, in order.
     pub segments: Vec<Segment>,
-    /// Its model calls in order.
+    /// Model calls in order.
     pub turns: Vec<Turn>,
 }
 
-/// A part of a prompt with an identity of its own: a system prompt or a document.
+/// A part of a prompt that runs can share, such as a system prompt or a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// Equal for equal text.
+    /// Identity of the text; equal for equal text.
     pub identity: u64,
     /// Length in tokens, a whole number of cache blocks.
     pub tokens: u64,
 }
 
-/// One model call and what follows it.
+/// A model call and the step after it.
 #[derive(Clone, Debug)]
 pub struct Turn {
-    /// Prompt tokens added to the run's history before the call.
+    /// Number of prompt tokens added to the run's history before the call.
     pub prompt: u64,
-    /// Tokens that the model will generate.
+    /// Number of tokens that the model will generate.
     pub output: u64,
-    /// What the run does next.
-    pub then: Then,
+    /// The step after the call.
+    pub after: AfterTurn,
 }
 
-/// What a run does between two of its model calls.
+/// The step of a run after a model call.
 #[derive(Clone, Debug)]
-pub enum Then {
-    /// It waits for a tool.
+pub enum AfterTurn {
+    /// Wait for a tool for this duration.
     Pause(Duration),
-    /// It waits for sub-agents that work in parallel.
+    /// Wait for sub-agents that run in parallel.
     Spawn(Vec<RunPlan>),
-    /// It ends.
+    /// End the run.
     End,
 }
 
--- a/crates/lab/src/workload/tests.rs
+++ b/crates/lab/src/workload/tests.rs
@@ -1,7 +1,7 @@
-//! Workloads are seeded, and chains share what their plans share.
+//! Tests that workloads are deterministic and that block hashes reflect shared segments.
 
-use super::chain::{BLOCK_TOKENS, block_chain};
-use super::{Preset, ProgramPlan, RunPlan, Segment, Then, Turn, capacity, generate};
+use super::chain::{BLOCK_TOKENS, run_block_hashes};
+use super::{AfterTurn, Preset, ProgramPlan, RunPlan, Segment, Turn, capacity, generate};
 
 const PRESETS: [&str; 3] = ["lublin", "ulaanbaatar", "target"];
 
@@ -42,7 +42,11 @@
 fn class_shares_add_up() {
     for name in PRESETS {
         let preset = Preset::named(name).unwrap();
-        let sum: f64 = preset.classes.iter().map(|class| class.share).sum();
+        let sum: f64 = preset
+            .classes
+            .iter()
+            .map(|class| class.arrival_fraction)
+            .sum();
         assert!((sum - 1.0).abs() < 1e-9, "{name}: {sum}");
     }
 }
@@ -58,12 +62,12 @@
         turns: vec![Turn {
             prompt: 40,
             output: 24,
-            then: Then::End,
+            after: AfterTurn::End,
         }],
     };
-    let first = block_chain(&run(&[segment(1, 4), segment(2, 3)]), 100);
-    let second = block_chain(&run(&[segment(1, 4), segment(3, 3)]), 101);
-    let same_segments = block_chain(&run(&[segment(1, 4), segment(2, 3)]), 102);
+    let first = run_block_hashes(&run(&[segment(1, 4), segment(2, 3)]), 100);
+    let second = run_block_hashes(&run(&[segment(1, 4), segment(3, 3)]), 101);
+    let same_segments = run_block_hashes(&run(&[segment(1, 4), segment(2, 3)]), 102);
     let common = |left: &[u64], right: &[u64]| {
         left.iter()
             .zip(right)
--- a/crates/lab/tests/simulate.rs
+++ b/crates/lab/tests/simulate.rs
@@ -1,4 +1,4 @@
-//! The exit code and last line of `elderworks-lab simulate`.
+//! Tests of the exit code and the last output line of `elderworks-lab simulate`.
 
 use std::process::{Command, Output};
 
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -101,7 +101,7 @@
     )
 }
 
-/// Advances the engine whenever work is due or its state changes, until the server is dropped.
+/// Advances the engine whenever work is due or its state changes, until the service is dropped.
 async fn drive(service: Weak<Shared<EngineService>>, mut changes: watch::Receiver<()>) {
     while let Some(service) = service.upgrade() {
         let next = advance(&service);
--- a/crates/standin/src/engine/requests.rs
+++ b/crates/standin/src/engine/requests.rs
@@ -86,8 +86,8 @@
         self.entries.insert(id, entry);
     }
 
-    /// Registers a reader of an answer; returns `None` if the request is unknown. The returned signal
-    /// closes when the request is removed.
+    /// Registers a reader of an answer; returns `None` if the request is unknown. The returned
+    /// signal closes when the request is removed.
     pub(super) fn add_reader(
         &mut self,
         id: &RequestId,
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -133,8 +133,8 @@
 }
 
 impl LogApplication {
-    /// Appends a record, then applies the injected delay. A client that times out cannot tell whether
-    /// the record was appended.
+    /// Appends a record, then applies the injected delay. A client that times out cannot tell
+    /// whether the record was appended.
     async fn append(&self, stream: &str, request: &Incoming) -> HandlerResult {
         let data = request.body.to_vec();
         let outcome = self.append_now(stream, data);
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Starts the invocation and returns whether its response is lost. The execution completes even if
-    /// the client disconnects.
+    /// Starts the invocation and returns whether its response is lost. The execution completes even
+    /// if the client disconnects.
     fn start_invocation(&self, tool: &ToolName, key: &str, arguments: Value) -> (Invocation, bool) {
         let mut guard = self.state.lock();
         let state = &mut *guard;
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -61,7 +61,7 @@
     let mut answer = request.send_body(body.into()).await.expect("an answer");
     RawAnswer {
         status: answer.status(),
-        body: answer.body().await.expect("a whole body").to_vec(),
+        body: answer.body().await.expect("a complete body").to_vec(),
     }
 }
 
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -95,7 +95,7 @@
             .generate(request)
             .try_collect()
             .await
-            .expect("a whole answer"),
+            .expect("a complete answer"),
     )
 }
 
@@ -139,7 +139,7 @@
     let (rest, end, finish) = join_chunks(rest.try_collect().await.expect("the rest"));
     assert_eq!(head + &rest, expected_text());
     let again = client.resume("broken", 0, GENEROUS);
-    let again = join_chunks(again.try_collect().await.expect("the whole"));
+    let again = join_chunks(again.try_collect().await.expect("a complete answer"));
     assert_eq!(again, (expected_text(), end, finish));
 }
 
@@ -157,7 +157,7 @@
         .generate(continued)
         .try_collect()
         .await
-        .expect("whole");
+        .expect("a complete answer");
     assert!(
         matches!(items[0], AnswerItem::Chunk { index: 5, .. }),
         "{items:?}"
@@ -371,7 +371,10 @@
     client.release(RUN).await.expect("released");
     let own: Result<Vec<AnswerItem>, BackendError> = own.try_collect().await;
     assert!(own.is_err());
-    let other = other.await.expect("it ends").expect("a whole answer");
+    let other = other
+        .await
+        .expect("the task completes")
+        .expect("a complete answer");
     assert_eq!(join_chunks(other).0, expected_text());
 }
 
