--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -204,7 +204,7 @@
     /// `MAX_STALE_REQUESTS` have accumulated.
     fn prune_requests(&mut self) {
         let limits = &self.settings.parameters;
-        let known = limits.remembered_requests + limits.max_waiting + limits.max_batch;
+        let known = limits.retained_requests + limits.max_waiting + limits.max_batch;
         if self.requests.len() > known + MAX_STALE_REQUESTS {
             let engine = &self.engine;
             self.requests
