--- a/crates/cli/tests/explain_request.rs
+++ b/crates/cli/tests/explain_request.rs
@@ -1,7 +1,8 @@
-//! `explain-request` on the lines of nodes, as OPERATIONS reads them by hand.
+//! Explanations that `explain-request` derives from the log lines of nodes.
 
 use elderworks_cli::request_log::explain_text;
 
+/// Log of two nodes around a turn that was refused during a log failure.
 const REFUSED: &str = r#"
   1.0347 edge-a-2 {"at":5,"error":"the log refused the call: append: 503","level":"WARN","message":"append to the ledger failed","partition":1,"time":"2026-05-11T23:31:44.034Z"}
   1.1000 edge-a-9 {"at":5,"error":"another node's","level":"WARN","message":"append to the ledger failed","partition":7,"time":"2026-05-11T23:31:44.100Z"}
@@ -10,7 +11,8 @@
   3.0000 edge-a-1 {"config":4,"finish_ms":700,"first_ms":30,"leave_ms":2,"level":"INFO","message":"answered","ms":300,"program":"p1","request":"r2","route":"r","session":"s","status":200,"time":"2026-05-11T23:31:46.000Z","whole":true,"workers":"w1"}
 "#;
 
-const BROKEN: &str = r#"
+/// Log of a node with a refused request and one that has no completion line.
+const INCOMPLETE: &str = r#"
 {"level":"INFO","message":"attempt failed","ms":4,"reason":"refused with 503","request":"r5","time":"2026-05-11T23:31:48.000Z","worker":"w1"}
 {"level":"INFO","message":"worker changed","draining":true,"offset":3,"service":"s","time":"2026-05-11T23:31:48.010Z","worker":"w1"}
 {"level":"INFO","message":"worker changed","draining":true,"offset":4,"service":"s","time":"2026-05-11T23:31:48.010Z","worker":"w7"}
@@ -19,47 +21,52 @@
 "#;
 
 #[test]
-fn a_refused_turn_is_led_to_its_dependency() {
-    let told = explain_text("r1", REFUSED).expect("an explanation");
-    for wanted in [
+fn refused_turn_is_attributed_to_its_dependency() {
+    let report = explain_text("r1", REFUSED).expect("an explanation");
+    for expected in [
         "request r1 at edge-a-2: status 503, the program's ledger cannot be asked now after 1200 ms",
         "append to the ledger failed: at=5 error=the log refused the call",
         "use of the overdraft changed: before=Active now=None partition=1",
         "r2 at edge-a-1: status 200, answered after 300 ms",
         "cause: the log did not answer this node, and no overdraft covered the turn",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
     assert!(
-        !told.contains("another node's"),
-        "lines of other nodes:\n{told}"
+        !report.contains("another node's"),
+        "lines of other nodes:\n{report}"
     );
 }
 
 #[test]
-fn attempts_and_the_workers_tried_are_told() {
-    let told = explain_text("r5", BROKEN).expect("an explanation");
-    for wanted in [
+fn attempts_and_tried_workers_are_listed() {
+    let report = explain_text("r5", INCOMPLETE).expect("an explanation");
+    for expected in [
         "attempt failed: ms=4 reason=refused with 503",
         "worker changed: draining=true offset=3 service=s worker=w1",
         "cause: every worker tried refused it",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
     assert!(
-        !told.contains("worker=w7"),
-        "a worker that was not tried:\n{told}"
+        !report.contains("worker=w7"),
+        "a worker that was not tried:\n{report}"
     );
 }
 
 #[test]
-fn what_cannot_be_explained_is_said() {
-    let lost = explain_text("r6", BROKEN).expect("it is seen");
-    assert!(lost.contains("no end line"), "{lost}");
-    let unknown = explain_text("r9", BROKEN).expect_err("never seen");
-    assert!(unknown.to_string().contains("no line tells of request r9"));
+fn incomplete_and_unknown_requests_are_reported() {
+    let incomplete = explain_text("r6", INCOMPLETE).expect("the log mentions the request");
+    assert!(incomplete.contains("no end line"), "{incomplete}");
+    let unknown = explain_text("r9", INCOMPLETE).expect_err("the log does not mention the request");
+    assert!(
+        unknown
+            .to_string()
+            .contains("no log line mentions request r9")
+    );
 }
 
+/// Log of a node with requests refused for an unproven key and an exhausted quota.
 const KEYS: &str = r#"
 {"level":"WARN","message":"stream cannot be read","stream":"Configuration","error":"no answer","time":"2026-05-11T23:31:47.000Z"}
 {"config":4,"finish_ms":900,"first_ms":-1,"leave_ms":-1,"level":"WARN","message":"the key may have been taken away: the configuration here is too old to tell","ms":0,"program":"p","proof_ms":-1,"request":"r7","route":"r","session":"","status":503,"tenant":"","time":"2026-05-11T23:31:48.020Z","whole":true,"workers":""}
@@ -67,6 +74,7 @@
 {"config":4,"finish_ms":900,"first_ms":-1,"leave_ms":-1,"level":"INFO","message":"the tenant's quota is used up","ms":0,"program":"p","proof_ms":310,"request":"r8","route":"r","session":"","status":429,"tenant":"acme","time":"2026-05-11T23:31:49.000Z","whole":true,"workers":""}
 "#;
 
+/// Log of a node with requests for unknown routes and one with an unknown outcome.
 const ROUTES: &str = r#"
 {"config":4,"config_read_ms":5221,"finish_ms":-1,"first_ms":-1,"leave_ms":-1,"level":"WARN","message":"no such route is known here, and it may be new: the configuration is too old to tell","ms":0,"program":"","request":"r10","route":"","session":"","status":503,"time":"2026-05-11T23:31:48.020Z","whole":true,"workers":""}
 {"config":4,"config_read_ms":90,"finish_ms":-1,"first_ms":-1,"leave_ms":-1,"level":"INFO","message":"no such route","ms":0,"program":"","request":"r11","route":"","session":"","status":404,"time":"2026-05-11T23:31:49.020Z","whole":true,"workers":""}
@@ -74,8 +82,8 @@
 "#;
 
 #[test]
-fn refusals_on_old_knowledge_and_open_outcomes_are_explained() {
-    for (request, wanted) in [
+fn refusals_on_stale_configuration_and_unknown_outcomes_are_explained() {
+    for (request, expected) in [
         (
             "r10",
             "cause: the node had not read the configuration for too long",
@@ -86,21 +94,24 @@
         ),
         ("r12", "cause: an attempt broke off after it was sent"),
     ] {
-        let told = explain_text(request, ROUTES).expect("an explanation");
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        let report = explain_text(request, ROUTES).expect("an explanation");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
 }
 
 #[test]
 fn refusals_for_keys_and_quotas_are_explained() {
-    let told = explain_text("r7", KEYS).expect("an explanation");
-    assert!(told.contains("the log did not answer this node"), "{told}");
-    let told = explain_text("r8", KEYS).expect("an explanation");
-    for wanted in [
+    let report = explain_text("r7", KEYS).expect("an explanation");
+    assert!(
+        report.contains("the log did not answer this node"),
+        "{report}"
+    );
+    let report = explain_text("r8", KEYS).expect("an explanation");
+    for expected in [
         "tenant acme, configuration proved 310 ms before",
         "over quota: limit=60 nodes_heard=3 pause_ms=200 request=r8 tenant=acme used=61",
         "cause: the tenant has sent as much as its quota holds",
     ] {
-        assert!(told.contains(wanted), "{wanted} in\n{told}");
+        assert!(report.contains(expected), "{expected} in\n{report}");
     }
 }
--- a/crates/execution/src/partition/failures.rs
+++ b/crates/execution/src/partition/failures.rs
@@ -1,4 +1,4 @@
-//! Failed attempts: which are repeated, which end their call, and how.
+//! Handling of failed attempts: retry the call or end it.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 
 use super::Partition;
 use super::attempts::idempotency_key;
-use super::intake::{SHORT_RETRY, refusal};
+use super::intake::{SHORT_RETRY_AFTER, refusal};
 use crate::Effect;
 use crate::event::AttemptFailure;
 use crate::retry::backoff;
-use crate::soft::{Backoff, Running, Source, Stage};
+use crate::soft_state::{AttemptOrigin, RetryPlan, RunningAttempt, Stage};
 use crate::state::{CallState, Inconsistency, reservation};
 
-/// How often a delayed retry looks whether it may go.
-const RETRY_POLL: Duration = Duration::from_millis(100);
+/// Interval at which a postponed retry is checked again.
+const RETRY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Partition {
-    /// Placement gave the attempt up; no back end saw it.
+    /// Handles a refusal by placement; the attempt was not sent.
     pub(super) fn on_attempt_refused(
         &mut self,
         now: Timestamp,
@@ -48,13 +48,13 @@
         attempt: Attempt,
         failure: AttemptFailure,
     ) {
-        let Some(source) = self.running(id, attempt).map(|running| running.source) else {
+        let Some(origin) = self.running(id, attempt).map(|running| running.origin) else {
             return;
         };
-        match source {
-            Source::Dispatched => self.on_dispatch_failed(now, id, attempt, failure),
-            Source::Resumed => self.on_resume_failed(now, id, attempt, failure),
-            Source::Queried => self.on_query_failed(now, id, failure),
+        match origin {
+            AttemptOrigin::Dispatched => self.on_dispatch_failed(now, id, attempt, failure),
+            AttemptOrigin::Resumed => self.on_resume_failed(now, id, attempt, failure),
+            AttemptOrigin::Queried => self.on_query_failed(now, id, failure),
         }
     }
 
@@ -66,9 +66,9 @@
         failure: AttemptFailure,
     ) {
         match failure {
-            AttemptFailure::NotSent => self.retry_unrun(now, id, attempt, None),
+            AttemptFailure::NotSent => self.retry_not_run(now, id, attempt, None),
             AttemptFailure::Rejected { retry_after } => {
-                self.retry_unrun(now, id, attempt, retry_after);
+                self.retry_not_run(now, id, attempt, retry_after);
             }
             AttemptFailure::Lost { reason, .. } => self.on_attempt_lost(now, id, attempt, reason),
             AttemptFailure::Errored { detail, usage } => {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The attempt was surely not run: the next costs nothing more.
-    fn retry_unrun(
+    /// Plans a retry of an attempt that did not run and costs nothing.
+    fn retry_not_run(
         &mut self,
         now: Timestamp,
         id: CallId,
@@ -90,21 +90,22 @@
         };
         let asked = retry_after.unwrap_or_default();
         let wait = backoff(&self.settings, id, attempt).max(asked);
-        let plan = Backoff {
-            until: now + wait.min(self.settings.retry_backoff_limit),
+        let plan = RetryPlan {
+            due_at: now + wait.min(self.settings.retry_backoff_limit),
             since: now,
             spent: call.spent,
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(retry_after.unwrap_or(SHORT_RETRY)),
+            retry_after: Some(retry_after.unwrap_or(SHORT_RETRY_AFTER)),
             for_recovery: false,
         };
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} not run"));
+            .add_line(id, format!("attempt {attempt} did not run"));
         self.plan_retry(id, plan);
     }
 
-    /// The attempt may have run, and what it consumed cannot be known: its reservation is charged.
+    /// Handles an attempt that may have run. Its consumption is unknown, so its whole reservation
+    /// is charged.
     pub(super) fn on_attempt_lost(
         &mut self,
         now: Timestamp,
@@ -119,24 +120,24 @@
         let spent = call.held();
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} lost: {reason:?}"));
+            .add_line(id, format!("attempt {attempt} lost: {reason:?}"));
         if self.settings.faults.refuse_after_dispatch() {
-            let refusal = refusal(RefusalReason::Overloaded, Some(SHORT_RETRY));
+            let refusal = refusal(RefusalReason::Overloaded, Some(SHORT_RETRY_AFTER));
             return self.end_call(now, id, Outcome::Refused(refusal));
         }
         if !repeatable {
             return self.query_or_unknown(now, id, attempt, unknown_reason(reason));
         }
         if let Some(open) = self.soft.open(id.run, id.number) {
-            open.ran_before = true;
+            open.may_have_run = true;
         }
         self.emit(Effect::Cancel { call: id, attempt });
-        let plan = Backoff {
-            until: now + backoff(&self.settings, id, attempt),
+        let plan = RetryPlan {
+            due_at: now + backoff(&self.settings, id, attempt),
             since: now,
             spent,
             reason,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: false,
         };
         self.plan_retry(id, plan);
@@ -154,7 +155,8 @@
         self.end_call(now, id, Outcome::Failed(failure));
     }
 
-    /// A call that must not be repeated was sent and not answered: only its tool can tell.
+    /// Handles a call that was sent without a result and must not be repeated: queries its tool for
+    /// the result, or ends a model call with an unknown outcome.
     pub(super) fn query_or_unknown(
         &mut self,
         now: Timestamp,
@@ -178,13 +180,15 @@
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        open.stage = Stage::Running(Running {
+        open.stage = Stage::Running(RunningAttempt {
             attempt,
-            source: Source::Queried,
+            origin: AttemptOrigin::Queried,
             sent: Some(now),
         });
         self.counters.tool_queries += 1;
-        self.soft.notes.line(id, "asks the tool what became of it");
+        self.soft
+            .notes
+            .add_line(id, "querying the tool for the result");
         self.wake_at(now + limit, id.run);
         self.emit(effect);
     }
@@ -205,16 +209,17 @@
         self.end_call(now, id, Outcome::Unknown(reason));
     }
 
-    pub(super) fn plan_retry(&mut self, id: CallId, plan: Backoff) {
-        let until = plan.until;
+    pub(super) fn plan_retry(&mut self, id: CallId, plan: RetryPlan) {
+        let due_at = plan.due_at;
         if let Some(open) = self.soft.open(id.run, id.number) {
             open.stage = Stage::Backoff(plan);
         }
-        self.wake_at(until, id.run);
+        self.wake_at(due_at, id.run);
     }
 
-    /// Reserves the next attempt if limits and budgets permit it.
-    pub(super) fn try_retry(&mut self, now: Timestamp, id: CallId, plan: Backoff) {
+    /// Reserves the next attempt if limits and budgets permit it; otherwise postpones it or gives
+    /// up.
+    pub(super) fn try_retry(&mut self, now: Timestamp, id: CallId, plan: RetryPlan) {
         let Some(call) = self.journal.open_call(id) else {
             return;
         };
@@ -238,21 +243,21 @@
         self.reserve_next(id, plan.spent, reserved);
     }
 
-    fn delay_retry(&mut self, now: Timestamp, id: CallId, plan: Backoff) {
-        let ran_before = self
+    fn delay_retry(&mut self, now: Timestamp, id: CallId, plan: RetryPlan) {
+        let may_have_run = self
             .soft
             .open(id.run, id.number)
-            .is_some_and(|open| open.ran_before);
-        let limit = if ran_before {
+            .is_some_and(|open| open.may_have_run);
+        let limit = if may_have_run {
             self.settings.retry_wait
         } else {
-            self.settings.unrun_retry_wait
+            self.settings.not_run_retry_wait
         };
         if now.since(plan.since) >= limit {
             return self.give_up(now, id, &plan);
         }
-        let until = now + RETRY_POLL;
-        self.plan_retry(id, Backoff { until, ..plan });
+        let due_at = now + RETRY_POLL_INTERVAL;
+        self.plan_retry(id, RetryPlan { due_at, ..plan });
     }
 
     fn next_reservation(&self, id: CallId, call: &CallState) -> Option<Credits> {
@@ -264,7 +269,8 @@
         Some(reservation(&call.terms, &call.spec.request, &prompt, &text))
     }
 
-    /// What the next attempt is to continue: the answer so far, as held here or by the caller.
+    /// Returns the text that the next attempt is to continue, and its number of chunks: the longer
+    /// of the answer received here and the part reported by the caller.
     fn text_to_continue(&self, id: CallId, call: &CallState) -> (String, u32) {
         if let CallRequest::Tool(_) = call.spec.request {
             return (String::new(), 0);
@@ -273,7 +279,7 @@
             .soft
             .runs
             .get(&id.run)
-            .and_then(|work| work.open.as_ref());
+            .and_then(|activity| activity.open.as_ref());
         let Some(open) = open else {
             return (String::new(), 0);
         };
@@ -325,18 +331,18 @@
         });
     }
 
-    /// The reservation counts: the next attempt may go out.
+    /// Handles the read-back of a reservation: the next attempt can be started.
     pub(super) fn on_attempt_reserved(&mut self, now: Timestamp, id: CallId) {
         let reserving = self
             .soft
             .open(id.run, id.number)
             .is_some_and(|open| open.stage == Stage::Reserving);
         if reserving {
-            self.begin_attempt(now, id);
+            self.start_attempt(now, id);
         }
     }
 
-    /// The reservation will never count.
+    /// Handles a reservation that contradicted the state: ends the call.
     pub(super) fn on_reservation_rejected(
         &mut self,
         now: Timestamp,
@@ -346,24 +352,24 @@
         let Some(call) = self.journal.open_call(id) else {
             return;
         };
-        let plan = Backoff {
-            until: now,
+        let plan = RetryPlan {
+            due_at: now,
             since: now,
             spent: call.held(),
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: false,
         };
         self.give_up(now, id, &plan);
     }
 
-    pub(super) fn give_up(&mut self, now: Timestamp, id: CallId, plan: &Backoff) {
+    pub(super) fn give_up(&mut self, now: Timestamp, id: CallId, plan: &RetryPlan) {
         let refusal = refusal(RefusalReason::Overloaded, plan.retry_after);
         let outcome = self.outcome_without_answer(id, plan.spent, plan.reason, refusal);
         self.end_call(now, id, outcome);
     }
 
-    /// A refusal where surely nothing ran, else a failure.
+    /// Returns a refusal if no attempt ran, otherwise a failure.
     pub(super) fn outcome_without_answer(
         &mut self,
         id: CallId,
@@ -371,11 +377,11 @@
         reason: FailureReason,
         refusal: Refusal,
     ) -> Outcome {
-        let ran_before = self
+        let may_have_run = self
             .soft
             .open(id.run, id.number)
-            .is_none_or(|open| open.ran_before);
-        if !ran_before {
+            .is_none_or(|open| open.may_have_run);
+        if !may_have_run {
             return Outcome::Refused(refusal);
         }
         Outcome::Failed(Failure {
@@ -386,7 +392,7 @@
     }
 }
 
-/// The reason to give where a lost attempt cannot be followed up.
+/// Returns the reason to report for a lost attempt whose result can't be determined.
 pub(super) fn unknown_reason(reason: FailureReason) -> UnknownReason {
     match reason {
         FailureReason::TimedOut => UnknownReason::NoAnswer,
--- a/crates/execution/src/partition/memory.rs
+++ b/crates/execution/src/partition/memory.rs
@@ -1,18 +1,18 @@
-//! Engine memory of ended runs, and the forgetting of the runs themselves.
+//! Release of ended runs' engine memory, and removal of ended runs from the state.
 
 use elderworks_protocol::journal::JournalBody;
 use elderworks_types::{EngineId, RunId, Timestamp};
 
 use super::Partition;
 use crate::Effect;
-use crate::soft::MemoryRelease;
+use crate::soft_state::MemoryRelease;
 
-/// Most runs forgotten by one record.
-const MAX_FORGOTTEN: usize = 256;
+/// Maximum number of runs removed by one record.
+const MAX_FORGOTTEN_PER_RECORD: usize = 256;
 
 impl Partition {
-    /// Begins to free what engines hold for an ended run.
-    pub(super) fn begin_memory_release(&mut self, now: Timestamp, run: RunId) {
+    /// Starts to release the engine memory of an ended run.
+    pub(super) fn start_memory_release(&mut self, now: Timestamp, run: RunId) {
         if !self.journal.unreleased.contains(&run) {
             return;
         }
@@ -26,11 +26,11 @@
             appended: false,
         };
         self.soft.memory.insert(run, release);
-        self.send_release(now, run);
+        self.send_memory_releases(now, run);
     }
 
-    /// Sends the releases whose time has come.
-    pub(super) fn repeat_releases(&mut self, now: Timestamp) {
+    /// Repeats the releases that are due.
+    pub(super) fn repeat_memory_releases(&mut self, now: Timestamp) {
         let due: Vec<RunId> = self
             .soft
             .memory
@@ -39,13 +39,13 @@
             .map(|(run, _)| *run)
             .collect();
         for run in due {
-            self.send_release(now, run);
+            self.send_memory_releases(now, run);
         }
     }
 
-    fn send_release(&mut self, now: Timestamp, run: RunId) {
+    fn send_memory_releases(&mut self, now: Timestamp, run: RunId) {
         let limit = self.settings.memory_backoff_limit;
-        let believed = self.settings.faults.release_not_retried();
+        let assume_acknowledged = self.settings.faults.release_not_retried();
         let Some(release) = self.soft.memory.get_mut(&run) else {
             return;
         };
@@ -58,7 +58,7 @@
                 run,
                 engine: engine.clone(),
             });
-            if believed {
+            if assume_acknowledged {
                 self.on_memory_released(run, &engine);
             }
         }
@@ -88,13 +88,13 @@
         }
     }
 
-    pub(super) fn on_release_journalled(&mut self, run: RunId) {
+    pub(super) fn on_memory_release_journalled(&mut self, run: RunId) {
         self.soft.memory.remove(&run);
     }
 
-    /// Forgets ended runs that are too many or too old, once their memory is free.
+    /// Removes ended runs that exceed the maximum number or age, if their memory was released.
     pub(super) fn forget_ended(&mut self, now: Timestamp) {
-        if !self.is_serving() || self.soft.forgetting || !self.log_reachable {
+        if !self.is_serving() || self.soft.forget_in_flight || !self.log_reachable {
             return;
         }
         let surplus = self
@@ -112,17 +112,17 @@
             })
             .map(|(_, (_, run))| *run)
             .filter(|run| !self.journal.unreleased.contains(run))
-            .take(MAX_FORGOTTEN)
+            .take(MAX_FORGOTTEN_PER_RECORD)
             .collect();
         if runs.is_empty() {
             return;
         }
-        self.soft.forgetting = true;
+        self.soft.forget_in_flight = true;
         self.append(JournalBody::RunsForgotten { runs });
     }
 
     pub(super) fn on_runs_forgotten(&mut self, count: usize) {
-        self.soft.forgetting = false;
+        self.soft.forget_in_flight = false;
         self.counters.runs_forgotten += count as u64;
     }
 }
--- a/crates/execution/src/partition/recovery.rs
+++ b/crates/execution/src/partition/recovery.rs
@@ -1,27 +1,30 @@
-//! Taking over: what becomes of the calls that an earlier owner left open.
+//! Recovery after a takeover: continues the calls that the previous owner left open.
 
 use elderworks_types::{
     Attempt, CallId, CallRequest, EngineId, Epoch, FailureReason, RunId, Timestamp, UnknownReason,
 };
 
 use super::Partition;
-use super::intake::SHORT_RETRY;
+use super::intake::SHORT_RETRY_AFTER;
 use crate::Effect;
 use crate::event::AttemptFailure;
-use crate::soft::{AnswerBuffer, Backoff, Callers, OpenCall, Running, Source, Stage};
+use crate::soft_state::{
+    AnswerBuffer, AttemptOrigin, Callers, OpenCall, RetryPlan, RunningAttempt, Stage,
+};
 
-/// What is known of a call that an earlier owner left open.
-enum Leftover {
-    /// No back end has seen the permitted attempt.
+/// What the journal says about the permitted attempt of a call that the previous owner left open.
+enum InheritedAttempt {
+    /// The attempt was not sent.
     Unsent,
-    /// An engine was given it.
+    /// The attempt was sent to this engine.
     OnEngine(Attempt, EngineId),
-    /// It may be out, to a tool or to an engine that is not known.
+    /// The attempt may have been sent to a tool or to an unknown engine.
     MaybeSent(Attempt),
 }
 
 impl Partition {
-    /// Takes up everything open: runs with open calls first, then what engines still hold.
+    /// Recovers open calls, then unfinished releases of engine memory, then the timers of active
+    /// runs.
     pub(super) fn recover(&mut self, now: Timestamp, epoch: Epoch) {
         let open: Vec<RunId> = self.journal.open.iter().copied().collect();
         for run in open {
@@ -29,7 +32,7 @@
         }
         let unreleased: Vec<RunId> = self.journal.unreleased.iter().copied().collect();
         for run in unreleased {
-            self.begin_memory_release(now, run);
+            self.start_memory_release(now, run);
         }
         let due: Vec<(Timestamp, RunId)> = self
             .journal
@@ -57,38 +60,48 @@
         let started = call
             .last_attempt()
             .filter(|started| started.attempt == attempt);
-        let leftover = match started {
-            _ if call.unsent_at == Some(epoch) => Leftover::Unsent,
+        let inherited = match started {
+            _ if call.unsent_at == Some(epoch) => InheritedAttempt::Unsent,
             Some(started) => match &started.engine {
-                Some(engine) => Leftover::OnEngine(attempt, engine.clone()),
-                None => Leftover::MaybeSent(attempt),
+                Some(engine) => InheritedAttempt::OnEngine(attempt, engine.clone()),
+                None => InheritedAttempt::MaybeSent(attempt),
             },
-            None if repeatable => Leftover::MaybeSent(attempt),
-            None => Leftover::Unsent,
+            None if repeatable => InheritedAttempt::MaybeSent(attempt),
+            None => InheritedAttempt::Unsent,
         };
-        let charged = call.spent.0 > 0;
+        let has_charged_attempt = call.spent.0 > 0;
         let mut open = OpenCall::new(id.number, Callers::default());
         open.answer = AnswerBuffer::continuing(call.continue_text.clone(), call.continue_chunks);
         open.recovered = true;
-        open.ran_before = charged || !matches!(leftover, Leftover::Unsent);
-        self.soft.work(run, now).open = Some(open);
-        self.soft.notes.begin(id, now);
-        self.soft.notes.line(id, "taken over from an earlier owner");
-        self.take_up(now, id, repeatable, leftover);
+        open.may_have_run = has_charged_attempt || !matches!(inherited, InheritedAttempt::Unsent);
+        self.soft.activity(run, now).open = Some(open);
+        self.soft.notes.start(id, now);
+        self.soft
+            .notes
+            .add_line(id, "taken over from the previous owner");
+        self.recover_by_status(now, id, repeatable, inherited);
     }
 
-    fn take_up(&mut self, now: Timestamp, id: CallId, repeatable: bool, leftover: Leftover) {
-        match leftover {
-            Leftover::Unsent => self.begin_attempt(now, id),
-            Leftover::MaybeSent(attempt) if self.settings.faults.resend_after_takeover() => {
+    fn recover_by_status(
+        &mut self,
+        now: Timestamp,
+        id: CallId,
+        repeatable: bool,
+        inherited: InheritedAttempt,
+    ) {
+        match inherited {
+            InheritedAttempt::Unsent => self.start_attempt(now, id),
+            InheritedAttempt::MaybeSent(attempt)
+                if self.settings.faults.resend_after_takeover() =>
+            {
                 self.dispatch(now, id, attempt);
             }
-            Leftover::OnEngine(attempt, engine) => self.resume(now, id, attempt, engine),
-            Leftover::MaybeSent(_) if repeatable => {
+            InheritedAttempt::OnEngine(attempt, engine) => self.resume(now, id, attempt, engine),
+            InheritedAttempt::MaybeSent(_) if repeatable => {
                 let plan = self.recovery_plan(now, id);
                 self.try_retry(now, id, plan);
             }
-            Leftover::MaybeSent(attempt) => {
+            InheritedAttempt::MaybeSent(attempt) => {
                 self.query_or_unknown(now, id, attempt, UnknownReason::OwnerLost);
             }
         }
@@ -101,16 +114,16 @@
         let from_chunk = call.continue_chunks;
         let limit = call.terms.timeout + self.settings.timeout_grace;
         if let Some(open) = self.soft.open(id.run, id.number) {
-            open.stage = Stage::Running(Running {
+            open.stage = Stage::Running(RunningAttempt {
                 attempt,
-                source: Source::Resumed,
+                origin: AttemptOrigin::Resumed,
                 sent: Some(now),
             });
         }
         self.counters.resumed += 1;
         self.soft
             .notes
-            .attempt(id, attempt, Some(engine.clone()), now);
+            .add_attempt(id, attempt, Some(engine.clone()), now);
         self.wake_at(now + limit, id.run);
         self.emit(Effect::Resume {
             call: id,
@@ -120,25 +133,26 @@
         });
     }
 
-    /// The next attempt of a call of which an earlier owner may have sent one: its reservation is
-    /// charged in full, since nobody can say what it consumed.
-    fn recovery_plan(&self, now: Timestamp, id: CallId) -> Backoff {
+    /// Returns the plan for the next attempt of a call that the previous owner may have sent. The
+    /// consumption of that attempt is unknown, so its whole reservation is charged.
+    fn recovery_plan(&self, now: Timestamp, id: CallId) -> RetryPlan {
         let spent = self
             .journal
             .open_call(id)
             .map_or_else(Default::default, |call| call.held());
-        Backoff {
-            until: now,
+        RetryPlan {
+            due_at: now,
             since: now,
             spent,
             reason: FailureReason::AttemptsExhausted,
-            retry_after: Some(SHORT_RETRY),
+            retry_after: Some(SHORT_RETRY_AFTER),
             for_recovery: true,
         }
     }
 
-    /// The engine could not go on with an attempt of an earlier owner. Before the call is run anew
-    /// its caller has a while to say what it holds of the answer, so that it can be continued.
+    /// Handles an attempt of the previous owner that could not be resumed. If no caller of a model
+    /// call is connected, waits for one to report which part of the answer it has received, so that
+    /// the next attempt can continue it.
     pub(super) fn on_resume_failed(
         &mut self,
         now: Timestamp,
@@ -159,7 +173,7 @@
         }
         self.soft
             .notes
-            .line(id, format!("attempt {attempt} could not be resumed"));
+            .add_line(id, format!("attempt {attempt} could not be resumed"));
         let plan = self.recovery_plan(now, id);
         let wait = self.settings.resubmission_wait;
         let Some(open) = self.soft.open(id.run, id.number) else {
@@ -168,24 +182,28 @@
         if !is_model || !open.callers.is_empty() {
             return self.try_retry(now, id, plan);
         }
-        let until = now + wait;
-        open.stage = Stage::AwaitingCaller { until, then: plan };
-        self.wake_at(until, id.run);
+        let due_at = now + wait;
+        open.stage = Stage::AwaitingCaller {
+            due_at,
+            retry: plan,
+        };
+        self.wake_at(due_at, id.run);
     }
 
     fn treat_as_dispatched(&mut self, id: CallId, attempt: Attempt) {
         if let Some(running) = self.running(id, attempt) {
-            running.source = Source::Dispatched;
+            running.origin = AttemptOrigin::Dispatched;
         }
     }
 
-    /// A caller is back, and has said what it holds.
+    /// Handles a resubmission by a caller, which reports the part of the answer that it has
+    /// received.
     pub(super) fn on_caller_returned(&mut self, now: Timestamp, id: CallId) {
         let Some(open) = self.soft.open(id.run, id.number) else {
             return;
         };
-        if let Stage::AwaitingCaller { then, .. } = &open.stage {
-            let plan = then.clone();
+        if let Stage::AwaitingCaller { retry, .. } = &open.stage {
+            let plan = retry.clone();
             self.try_retry(now, id, plan);
         }
     }
--- a/crates/execution/src/soft/notes.rs
+++ b/crates/execution/src/soft_state/call_notes.rs
@@ -1,36 +1,36 @@
-//! What `explain` shows beyond the journal.
+//! Notes on recent calls, shown by `explain` in addition to the journal.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use elderworks_protocol::sidecar::AttemptView;
 use elderworks_types::{Attempt, CallId, EngineId, Timestamp};
 
-/// Most lines kept of one call.
-const MAX_LINES: usize = 24;
+/// Maximum number of lines, and of attempts, kept per call.
+const MAX_NOTES_PER_CALL: usize = 24;
 
-/// Notes on recent calls; the oldest are dropped first.
+/// Notes on recent calls; the oldest are removed first.
 #[derive(Debug)]
-pub(crate) struct Notebook {
+pub(crate) struct CallNoteStore {
     limit: usize,
     calls: BTreeMap<CallId, CallNotes>,
     order: VecDeque<CallId>,
 }
 
-/// Notes on one call.
+/// Notes on one call, shown by `explain`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallNotes {
-    /// When it arrived.
+    /// Time of arrival.
     pub received: Timestamp,
-    /// When it ended.
+    /// Time of the end.
     pub ended: Option<Timestamp>,
-    /// Its attempts.
+    /// Attempts sent, with their times.
     pub attempts: Vec<AttemptView>,
-    /// One line for each wait and decision.
+    /// Descriptions of waits and decisions, one per line.
     pub lines: Vec<String>,
 }
 
-impl Notebook {
-    /// A notebook for this many calls.
+impl CallNoteStore {
+    /// Creates a store for at most `limit` calls.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -39,22 +39,22 @@
         }
     }
 
-    /// Begins the notes of a call.
-    pub fn begin(&mut self, call: CallId, received: Timestamp) {
+    /// Creates the notes of a call.
+    pub fn start(&mut self, call: CallId, received: Timestamp) {
         let notes = self.entry(call);
         notes.received = received;
     }
 
-    /// Adds a line.
-    pub fn line(&mut self, call: CallId, line: impl Into<String>) {
+    /// Adds a line to the notes of a call.
+    pub fn add_line(&mut self, call: CallId, line: impl Into<String>) {
         let notes = self.entry(call);
-        if notes.lines.len() < MAX_LINES {
+        if notes.lines.len() < MAX_NOTES_PER_CALL {
             notes.lines.push(line.into());
         }
     }
 
-    /// An attempt was sent.
-    pub fn attempt(
+    /// Records that an attempt was sent.
+    pub fn add_attempt(
         &mut self,
         call: CallId,
         attempt: Attempt,
@@ -63,7 +63,7 @@
     ) {
         let notes = self.entry(call);
         notes.attempts.retain(|view| view.attempt != attempt);
-        if notes.attempts.len() < MAX_LINES {
+        if notes.attempts.len() < MAX_NOTES_PER_CALL {
             notes.attempts.push(AttemptView {
                 attempt,
                 engine,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// A chunk of an attempt arrived.
-    pub fn chunk(&mut self, call: CallId, attempt: Attempt, now: Timestamp) {
+    /// Records the arrival of a chunk; only the time of an attempt's first chunk is kept.
+    pub fn record_chunk(&mut self, call: CallId, attempt: Attempt, now: Timestamp) {
         let notes = self.entry(call);
         let view = notes
             .attempts
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The call ended.
-    pub fn end(&mut self, call: CallId, now: Timestamp) {
+    /// Records the end of a call.
+    pub fn record_end(&mut self, call: CallId, now: Timestamp) {
         self.entry(call).ended = Some(now);
     }
 
-    /// The notes of a call, if they are still kept.
+    /// Returns the notes of a call if they are still kept.
     pub fn get(&self, call: CallId) -> Option<&CallNotes> {
         self.calls.get(&call)
     }
--- a/crates/node/src/engine_polls.rs
+++ b/crates/node/src/engine_polls.rs
@@ -1,4 +1,5 @@
-//! Polling of engines: state, load, cache events and holdings, at the pace that the core sets.
+//! Polling of engines for state, load, cache events and holdings, at intervals set by the state
+//! machine.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,7 +17,7 @@
 use crate::clock::Clock;
 use crate::input::{Input, InputSender};
 
-/// Engines being polled.
+/// Polling tasks by engine.
 pub(crate) struct EnginePolls {
     http: HttpClient,
     inputs: InputSender,
@@ -24,6 +25,7 @@
     polls: BTreeMap<EngineId, WatchedEngine>,
 }
 
+/// The polling task of an engine, and the channel that sets its pace.
 struct WatchedEngine {
     task: JoinHandle<()>,
     pace: watch::Sender<EnginePace>,
@@ -39,8 +41,9 @@
         }
     }
 
+    /// Starts polling an engine, replacing an earlier polling task.
     pub(crate) fn watch(&mut self, engine: EngineId, url: &str) {
-        let (pace, pace_changes) = watch::channel(EnginePace::Resting);
+        let (pace, pace_changes) = watch::channel(EnginePace::Idle);
         let poll = EnginePoll {
             engine: engine.clone(),
             client: engine_client(&self.http, url),
@@ -57,12 +60,14 @@
         }
     }
 
+    /// Changes the pace at which an engine is polled.
     pub(crate) fn pace(&self, engine: &EngineId, pace: EnginePace) {
         if let Some(watched) = self.polls.get(engine) {
             watched.pace.send_replace(pace);
         }
     }
 
+    /// Stops polling an engine.
     pub(crate) fn forget(&mut self, engine: &EngineId) {
         if let Some(watched) = self.polls.remove(engine) {
             watched.task.abort();
@@ -70,13 +75,17 @@
     }
 }
 
+/// State of an engine's polling task.
 struct EnginePoll {
     engine: EngineId,
     client: HttpEngineClient,
     inputs: InputSender,
     clock: Clock,
+    /// Time of the last successful poll.
     last_answer: Instant,
+    /// Instance number that the engine last reported; a restart changes it.
     instance: Option<u64>,
+    /// Sequence number of the last received cache event.
     last_event: u64,
     pace: watch::Receiver<EnginePace>,
 }
@@ -100,15 +109,15 @@
                 return;
             }
             round = round.wrapping_add(1);
-            if self.pace_changed_within(pace.interval()).await {
-                // Everything is asked for at once.
+            if self.wait_for_pace_change(pace.interval()).await {
+                // The first round of the new pace polls everything.
                 round = 0;
             }
         }
     }
 
-    /// Waits until the next poll is due; whether that is because of another pace.
-    async fn pace_changed_within(&mut self, interval: Duration) -> bool {
+    /// Waits for `interval`, or until the pace changes. Returns whether the pace changed.
+    async fn wait_for_pace_change(&mut self, interval: Duration) -> bool {
         let changed = actix_rt::time::timeout(interval, self.pace.changed());
         matches!(changed.await, Ok(Ok(())))
     }
@@ -167,7 +176,7 @@
     }
 
     async fn report(&self, event: Event) {
-        // The node has stopped if nobody takes it.
+        // The receiver is gone only if the node has stopped.
         let _ = self.inputs.send(Input::Event(Box::new(event))).await;
     }
 }
--- a/crates/simulation/src/world/callers/requests.rs
+++ b/crates/simulation/src/world/callers/requests.rs
@@ -104,7 +104,11 @@
             format_args!("caller {}: no reply for {:?}", pending.caller, pending.kind),
         );
         let start = self.sidecar_start(pending.sidecar);
-        self.deliver_to_sidecar_later(start, LOCAL_DELAY, SidecarEvent::CallerGone { request });
+        self.deliver_to_sidecar_later(
+            start,
+            LOCAL_DELAY,
+            SidecarEvent::CallerDisconnected { request },
+        );
         self.change_sidecar(pending.caller);
         self.retry_later(pending.caller, pending.kind, LOCAL_DELAY);
     }
