--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -4,7 +4,7 @@
 
 use std::process::ExitCode;
 
-use elderworks_simulation::broken::Broken;
+use elderworks_simulation::broken::BrokenVariant;
 use elderworks_simulation::shrink::shrink;
 use elderworks_simulation::table::fault_table;
 use elderworks_simulation::{FaultKind, Plan, Preset, Report, run as simulate};
@@ -56,7 +56,7 @@
     Ok(name.unwrap_or("lublin").parse()?)
 }
 
-fn parse_broken(name: Option<&str>) -> eyre::Result<Option<Broken>> {
+fn parse_broken(name: Option<&str>) -> eyre::Result<Option<BrokenVariant>> {
     name.map(|name| name.parse().map_err(|problem| eyre!("{problem}")))
         .transpose()
 }
@@ -67,15 +67,19 @@
     seed: u64,
     preset: Preset,
     faults: Option<&str>,
-    broken: Option<Broken>,
+    broken: Option<BrokenVariant>,
 ) -> eyre::Result<Vec<Plan>> {
     let mut plans = match faults {
         Some("table") => fault_table(seed, preset),
         None if broken.is_some() => {
             let kinds = broken.map_or(&[][..], |broken| broken.faults);
-            vec![Plan::drawn(seed, preset, kinds)]
+            vec![Plan::with_random_faults(seed, preset, kinds)]
         }
-        names => vec![Plan::drawn(seed, preset, &parse_faults(names)?)],
+        names => vec![Plan::with_random_faults(
+            seed,
+            preset,
+            &parse_faults(names)?,
+        )],
     };
     if let Some(broken) = broken {
         for plan in &mut plans {
--- a/crates/lab/tests/simulate.rs
+++ b/crates/lab/tests/simulate.rs
@@ -38,7 +38,7 @@
 #[cfg(feature = "broken")]
 #[test]
 fn every_broken_variant_exits_1() {
-    for variant in elderworks_simulation::broken::Broken::all() {
+    for variant in elderworks_simulation::broken::BrokenVariant::all() {
         let output = simulate(&["--seeds", "0..60", "--broken", variant.name]);
         assert_eq!(output.status.code(), Some(1), "{}", variant.name);
     }
--- a/crates/simulation/src/broken.rs
+++ b/crates/simulation/src/broken.rs
@@ -13,7 +13,7 @@
 
 /// A deliberately broken variant of the system.
 #[derive(Clone, Copy)]
-pub struct Broken {
+pub struct BrokenVariant {
     /// Name on the command line.
     pub name: &'static str,
     /// Invariant whose checker must report a violation.
@@ -23,9 +23,9 @@
     enable: fn(&mut Faults),
 }
 
-impl Broken {
+impl BrokenVariant {
     /// Returns every variant.
-    pub fn all() -> &'static [Broken] {
+    pub fn all() -> &'static [BrokenVariant] {
         VARIANTS
     }
 
@@ -35,13 +35,13 @@
     }
 }
 
-impl fmt::Debug for Broken {
+impl fmt::Debug for BrokenVariant {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(self.name)
     }
 }
 
-/// Error for a name that matches no [`Broken`] variant.
+/// Error for a name that matches no [`BrokenVariant`] variant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownVariant {
     /// No variant has this name.
@@ -52,7 +52,7 @@
     Build,
 }
 
-impl FromStr for Broken {
+impl FromStr for BrokenVariant {
     type Err = UnknownVariant;
 
     fn from_str(text: &str) -> Result<Self, UnknownVariant> {
@@ -70,7 +70,7 @@
 const VARIANTS: &[Broken] = &[];
 
 #[cfg(feature = "broken")]
-const VARIANTS: &[Broken] = &[
+const VARIANTS: &[BrokenVariant] = &[
     variant("dispatch-before-turn", Invariant::Order, &[], |faults| {
         faults.dispatch_before_turn = true;
     }),
@@ -174,8 +174,8 @@
     invariant: Invariant,
     faults: &'static [FaultKind],
     enable: fn(&mut Faults),
-) -> Broken {
-    Broken {
+) -> BrokenVariant {
+    BrokenVariant {
         name,
         invariant,
         faults,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -27,7 +27,7 @@
 
 impl Plan {
     /// Creates a plan with a schedule of faults drawn at random from `kinds`.
-    pub fn drawn(seed: u64, preset: Preset, kinds: &[FaultKind]) -> Self {
+    pub fn with_random_faults(seed: u64, preset: Preset, kinds: &[FaultKind]) -> Self {
         let mut random = Random::new(seed, Purpose::Faults);
         Self {
             seed,
@@ -42,7 +42,7 @@
     pub fn with_schedule(seed: u64, preset: Preset, schedule: Vec<Fault>) -> Self {
         Self {
             schedule,
-            ..Self::drawn(seed, preset, &[])
+            ..Self::with_random_faults(seed, preset, &[])
         }
     }
 }
--- a/crates/simulation/tests/broken.rs
+++ b/crates/simulation/tests/broken.rs
@@ -1,14 +1,14 @@
 //! Each deliberately broken variant is detected by the checker of the invariant that it breaks.
 
-use elderworks_simulation::broken::Broken;
+use elderworks_simulation::broken::BrokenVariant;
 use elderworks_simulation::{Plan, Preset, run};
 
 /// Number of seeds within which each variant must be detected.
 const SEEDS: u64 = 100;
 
-fn is_caught(variant: &Broken) -> bool {
+fn is_caught(variant: &BrokenVariant) -> bool {
     (0..SEEDS).any(|seed| {
-        let mut plan = Plan::drawn(seed, Preset::Lublin, variant.faults);
+        let mut plan = Plan::with_random_faults(seed, Preset::Lublin, variant.faults);
         let unbroken = run(&plan);
         let detected_unbroken = unbroken
             .violations
@@ -26,11 +26,11 @@
 
 #[test]
 fn every_variant_is_caught() {
-    let missed: Vec<&str> = Broken::all()
+    let missed: Vec<&str> = BrokenVariant::all()
         .iter()
         .filter(|variant| !is_caught(variant))
         .map(|variant| variant.name)
         .collect();
     assert!(missed.is_empty(), "not caught: {missed:?}");
-    assert!(!Broken::all().is_empty());
+    assert!(!BrokenVariant::all().is_empty());
 }
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -9,7 +9,7 @@
     let kinds: Vec<FaultKind> = FaultKind::all().collect();
     for seed in SEEDS {
         for preset in [Preset::Lublin, Preset::Ulaanbaatar] {
-            let plan = Plan::drawn(seed, preset, &kinds);
+            let plan = Plan::with_random_faults(seed, preset, &kinds);
             let first = run(&plan);
             let second = run(&plan);
             assert_eq!(first.digest, second.digest, "seed {seed}, {preset:?}");
--- a/crates/simulation/tests/faults.rs
+++ b/crates/simulation/tests/faults.rs
@@ -44,7 +44,7 @@
 fn drawn_schedules_of_the_first_deployment_hold() {
     let kinds: Vec<FaultKind> = FaultKind::all().collect();
     for seed in 0..150 {
-        assert_holds(&Plan::drawn(seed, Preset::Lublin, &kinds));
+        assert_holds(&Plan::with_random_faults(seed, Preset::Lublin, &kinds));
     }
 }
 
@@ -52,7 +52,7 @@
 fn drawn_schedules_of_the_second_deployment_hold() {
     let kinds: Vec<FaultKind> = FaultKind::all().collect();
     for seed in 0..150 {
-        assert_holds(&Plan::drawn(seed, Preset::Ulaanbaatar, &kinds));
+        assert_holds(&Plan::with_random_faults(seed, Preset::Ulaanbaatar, &kinds));
     }
 }
 
