--- a/crates/engine-model/src/engine.rs
+++ b/crates/engine-model/src/engine.rs
@@ -156,7 +156,8 @@
         self.cache.holdings()
     }
 
-    /// Evicts a run's current blocks only after all unleased ones, for the duration of `lease`.
+    /// Leases a run's current blocks for the duration of `lease`, so that they are evicted only after all
+    /// unleased ones.
     pub fn retain(&mut self, now: Timestamp, run: RunId, lease: Duration) {
         self.cache.retain(run, now + lease);
     }
--- a/crates/engine-model/tests/engine.rs
+++ b/crates/engine-model/tests/engine.rs
@@ -275,7 +275,7 @@
     let mut second = engine(EngineParameters::default());
     let request = synthetic_request("a", 1, 640, 64, 0);
     let Work::Synthetic { chain, .. } = request.work.clone() else {
-        panic!("counted");
+        panic!("not a synthetic request");
     };
     first.submit(Timestamp(0), request).unwrap();
     let (now, _) = run_until_idle(&mut first);
--- a/crates/lab/src/compare/tests.rs
+++ b/crates/lab/src/compare/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_figures() {
+fn equal_seeds_give_equal_metrics() {
     for policy in [PolicyKind::LeastLoaded, PolicyKind::Elderworks] {
         let first = experiment::run(&small_experiment(policy));
         let second = experiment::run(&small_experiment(policy));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn intervals_follow_student() {
+fn confidence_intervals_use_the_student_t_quantile() {
     let estimate = Estimate::of(&[1.0, 3.0]);
     assert_eq!(estimate.mean, 2.0);
     assert!((estimate.half_width - 12.706).abs() < 1e-9);
--- a/crates/lab/src/workload/capacity.rs
+++ b/crates/lab/src/workload/capacity.rs
@@ -1,8 +1,9 @@
 //! Capacity of a fleet in programs per second.
 //!
-//! Capacity is `workers / mean engine time of a program`, assuming that no prefix of a run and no
-//! handbook is prefilled twice and that every batch is as large as the cache allows. A load of 0.9
-//! therefore leaves a policy little room for recomputation.
+//! Capacity is `workers / mean engine time of a program`, assuming that system prompts and handbooks
+//! are always cached, that no other prefix of a run is prefilled twice and that every batch is as
+//! large as the cache and `max_batch` allow. A load of 0.9 therefore leaves a policy little room for
+//! recomputation.
 
 use std::time::Duration;
 
@@ -43,7 +44,8 @@
     preset.workers as f64 / mean_seconds
 }
 
-/// Returns the engine time of some work, in seconds, with batches as large as the cache allows.
+/// Returns the engine time of some work, in seconds, with batches as large as the cache and
+/// `max_batch` allow.
 pub fn engine_seconds(parameters: &EngineParameters, work: Work) -> f64 {
     let mean_context = work.context / work.output.max(1.0);
     let memory = (parameters.cache_blocks * TOKENS_PER_BLOCK) as f64;
--- a/crates/lab/src/workload/generate.rs
+++ b/crates/lab/src/workload/generate.rs
@@ -144,13 +144,13 @@
     let mut document_random = ChaCha8Rng::seed_from_u64(document_identity ^ system);
     let length = class.document.draw(&mut document_random) as u64;
     let unique = random.random();
-    let shared = [
+    let parts = [
         (system, class.system),
         (handbook, class.handbook),
         (document_identity, length),
         (unique, BLOCK_TOKENS),
     ];
-    shared
+    parts
         .into_iter()
         .map(|(identity, tokens)| Segment {
             identity,
--- a/crates/lab/src/workload/tests.rs
+++ b/crates/lab/src/workload/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn class_shares_add_up() {
+fn arrival_fractions_add_up_to_one() {
     for name in PRESETS {
         let preset = Preset::named(name).unwrap();
         let sum: f64 = preset
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn chains_share_exactly_the_common_segments() {
+fn block_hashes_match_exactly_for_common_segments() {
     let segment = |identity, blocks| Segment {
         identity,
         tokens: blocks * BLOCK_TOKENS,
--- a/crates/platform-model/src/tool.rs
+++ b/crates/platform-model/src/tool.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether the answer to the current invocation is lost. `rng` decides faults that have a
-    /// probability. Must be called once per invocation, because it counts down `lose_next_answers`.
+    /// probability. Must be called at most once per invocation, because it counts down `lose_next_answers`.
     pub fn loses_answer(&mut self, rng: &mut dyn RngCore) -> bool {
         if self.faults.lose_next_answers > 0 {
             self.faults.lose_next_answers -= 1;
--- a/crates/platform-model/tests/log.rs
+++ b/crates/platform-model/tests/log.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn faults() {
+fn appends_and_reads_follow_the_active_fault() {
     let table = [
         FaultCase {
             name: "none",
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn capacity_bounds_the_log() {
+fn appends_beyond_the_capacity_are_refused() {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let mut log = LogModel::with_capacity(4);
     let first = log.request_append("stream", vec![0; 3], &mut rng);
--- a/crates/platform-model/tests/tool.rs
+++ b/crates/platform-model/tests/tool.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn faults() {
+fn invocations_follow_the_active_fault() {
     let id = ExecutionId(1);
     let table = [
         FaultCase {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn tables_are_bounded() {
+fn running_and_retained_executions_are_limited() {
     let mut tool = ToolModel::new(ToolSettings {
         max_running: 1,
         max_remembered: 2,
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -67,7 +67,8 @@
     },
     /// The changed workers.
     Workers(WorkersUpdate),
-    /// The receiver cannot answer the request.
+    /// The reader does not have the requested content, for example because it has not read the stream
+    /// yet.
     Nothing,
 }
 
--- a/crates/protocol/src/gateway.rs
+++ b/crates/protocol/src/gateway.rs
@@ -76,7 +76,7 @@
     /// answered, in microseconds.
     pub answered_us: Option<u64>,
     /// Whether the sender considers the log unresponsive. If not, the report asks the receiver whether
-    /// the log has answered it in the meantime.
+    /// the log has answered the receiver since.
     pub is_silent: bool,
 }
 
--- a/crates/protocol/src/gossip.rs
+++ b/crates/protocol/src/gossip.rs
@@ -27,11 +27,13 @@
     pub zone: ZoneId,
     /// UDP address for gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// TCP address for connections from sidecars and peers.
+    /// TCP address for connections from sidecars and other nodes. Gateways use the same address and
+    /// port number for both.
     pub address: SocketAddr,
 }
 
-/// State of a member.
+/// State of a member. Among updates of the same incarnation and refutation, the greater state in the
+/// order of the variants takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// The node replies to probes.
@@ -74,7 +76,8 @@
     pub control_next: Offset,
 }
 
-/// Reachability of a cell. Among digests of the same version, the state declared later wins.
+/// Reachability of a cell. Among digests of the same version, the greater state in the order of the
+/// variants takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum CellState {
     /// A representative replies to probes.
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -96,7 +96,7 @@
     },
 }
 
-/// One process start of a node that remembers whether an overdraft is used.
+/// One process start of a node that records whether an overdraft is used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
     /// The node.
@@ -108,9 +108,9 @@
 /// What a witness is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WitnessAction {
-    /// Record that the overdraft is used.
+    /// Record that the overdraft is used, unless it has been fenced.
     Activate,
-    /// Reject any later activation of the overdraft.
+    /// Reject any later activation of the overdraft, unless it has been activated.
     Fence,
 }
 
@@ -132,8 +132,8 @@
     Activated,
     /// The overdraft can no longer be activated at this witness.
     Fenced,
-    /// The request was meant for an earlier start of the node, or the witness no longer has (or has no
-    /// room for) an entry for the overdraft.
+    /// The request was meant for an earlier start of the node, or the witness has received requests about
+    /// more overdrafts than it can record.
     Unknown,
 }
 
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -12,7 +12,7 @@
 pub enum Hello {
     /// The client is a sidecar: it sends [`SidecarMessage`]s and receives [`NodeMessage`]s.
     Sidecar {
-        /// Random id of the sidecar process.
+        /// Random id that the sidecar process keeps for its lifetime.
         sidecar: u64,
     },
     /// The client is a node: both sides send [`PeerMessage`]s.
--- a/crates/protocol/src/sidecar.rs
+++ b/crates/protocol/src/sidecar.rs
@@ -77,8 +77,8 @@
 pub struct SubmissionTag {
     /// The submission.
     pub id: SubmissionId,
-    /// Whether an earlier copy may have been accepted by another owner. A refusal is then final only if
-    /// the journal bars the submission for every owner.
+    /// Whether a node may have accepted an earlier copy. A refusal is then final only if the journal bars
+    /// the submission for every owner.
     pub resubmitted: bool,
 }
 
--- a/crates/protocol/tests/decoding.rs
+++ b/crates/protocol/tests/decoding.rs
@@ -83,15 +83,15 @@
 
 #[test]
 fn malformed_messages_return_a_specific_error() {
-    let whole = encode(&samples()[3]);
-    let mut longer = whole.clone();
+    let encoded = encode(&samples()[3]);
+    let mut longer = encoded.clone();
     longer.push(0);
-    let mut newer = whole.clone();
+    let mut newer = encoded.clone();
     newer[0] = 2;
     let cases: [(&[u8], DecodeError); 4] = [
         (&[], DecodeError::Empty),
         (&newer, DecodeError::UnknownVersion(2)),
-        (&whole[..whole.len() - 1], DecodeError::Malformed),
+        (&encoded[..encoded.len() - 1], DecodeError::Malformed),
         (&longer, DecodeError::Malformed),
     ];
     for (bytes, expected) in cases {
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -18,7 +18,7 @@
     Json,
 }
 
-/// The `logging` table, which the settings of every process contain.
+/// The optional `logging` table in the settings of every process.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoggingSettings {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -16,7 +16,7 @@
 use super::{EngineFaults, EngineSettings};
 
 /// Maximum number of runs whose block hashes are kept for export. At the limit, runs that hold no
-/// blocks are dropped.
+/// blocks are dropped, then those with the lowest ids.
 const MAX_CHAINS: usize = 16_384;
 
 /// Number of requests unknown to the engine that may accumulate before they are pruned.
@@ -144,7 +144,7 @@
         self.engine.release(now, run)
     }
 
-    /// Protects a run's blocks from eviction for the time of a lease.
+    /// Leases a run's blocks, so that they are evicted only after all unleased ones.
     pub(super) fn retain(&mut self, now: Timestamp, run: RunId, lease: Duration) -> Holding {
         self.engine.retain(now, run, lease);
         let nothing = Holding {
--- a/crates/standin/src/tool.rs
+++ b/crates/standin/src/tool.rs
@@ -43,7 +43,7 @@
     pub seed: u64,
 }
 
-/// Query of `GET /v1/invocations`.
+/// Query parameters of `GET /v1/invocations`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ExecutionsQuery {
     /// Id of the last execution that the reader has seen.
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 /// Timeout that exceeds the duration of any request in these tests.
-pub const GENEROUS: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn free_port() -> TcpListener {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -20,14 +20,14 @@
 }
 
 pub fn endpoint(server: &ServerHandle) -> Endpoint {
-    Endpoint::new(HttpClient::new(), &server.url(), GENEROUS)
+    Endpoint::new(HttpClient::new(), &server.url(), TEST_TIMEOUT)
 }
 
-/// Polls a condition until it holds; panics after `GENEROUS`.
+/// Polls a condition until it holds; panics after `TEST_TIMEOUT`.
 pub async fn eventually<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < GENEROUS, "{what} did not come true");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{what} did not come true");
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -53,7 +53,7 @@
     headers: &[(&str, &str)],
     body: impl Into<Vec<u8>>,
 ) -> RawAnswer {
-    let client = awc::Client::builder().timeout(GENEROUS).finish();
+    let client = awc::Client::builder().timeout(TEST_TIMEOUT).finish();
     let mut request = client.request(method, format!("{}{path}", server.url()));
     for header in headers {
         request = request.insert_header(*header);
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use awc::http::Method;
-use common::{GENEROUS, endpoint, eventually, free_port, put_faults};
+use common::{TEST_TIMEOUT, endpoint, eventually, free_port, put_faults};
 use elderworks_backend::{
     AnswerItem, BackendError, EngineClient, Finish, GenerateRequest, HttpEngineClient, transfer,
 };
@@ -65,7 +65,7 @@
         priority: 0,
         continue_text: String::new(),
         first_chunk: 0,
-        timeout: GENEROUS,
+        timeout: TEST_TIMEOUT,
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_is_streamed_whole_with_its_usage() {
+async fn an_answer_is_streamed_completely_with_its_usage() {
     let (_server, client) = start();
     let (text, chunks, finish) = generate(&client, request("first")).await;
     assert_eq!(text, expected_text());
@@ -135,10 +135,10 @@
         panic!("the answer ended with its first chunk");
     };
     drop(stream);
-    let rest = client.resume("broken", index + 1, GENEROUS);
+    let rest = client.resume("broken", index + 1, TEST_TIMEOUT);
     let (rest, end, finish) = join_chunks(rest.try_collect().await.expect("the rest"));
     assert_eq!(head + &rest, expected_text());
-    let again = client.resume("broken", 0, GENEROUS);
+    let again = client.resume("broken", 0, TEST_TIMEOUT);
     let again = join_chunks(again.try_collect().await.expect("a complete answer"));
     assert_eq!(again, (expected_text(), end, finish));
 }
@@ -146,8 +146,8 @@
 #[actix_rt::test]
 async fn an_answer_continues_on_another_engine() {
     let (_server, client) = start();
-    let whole = expected_text();
-    let (head, tail) = whole.split_at(32);
+    let full_answer = expected_text();
+    let (head, tail) = full_answer.split_at(32);
     let continued = GenerateRequest {
         continue_text: head.to_owned(),
         first_chunk: 5,
@@ -169,7 +169,7 @@
 async fn unknown_requests_are_not_found() {
     let (_server, client) = start();
     let resumed: Result<Vec<AnswerItem>, BackendError> =
-        client.resume("never", 0, GENEROUS).try_collect().await;
+        client.resume("never", 0, TEST_TIMEOUT).try_collect().await;
     assert!(resumed.expect_err("unknown").is_not_found());
     assert_eq!(client.cancel("never").await, Ok(false));
 }
@@ -204,10 +204,14 @@
     reading.abort();
     eventually("idle", || is_idle(&load_client)).await;
     let resumed: Result<Vec<AnswerItem>, BackendError> = load_client
-        .resume("abandoned", 0, GENEROUS)
+        .resume("abandoned", 0, TEST_TIMEOUT)
         .try_collect()
         .await;
-    assert!(resumed.expect_err("forgotten").is_not_found());
+    assert!(
+        resumed
+            .expect_err("the cancelled request is unknown")
+            .is_not_found()
+    );
 }
 
 struct RefusalRow {
@@ -219,7 +223,7 @@
 }
 
 #[actix_rt::test]
-async fn refusals_say_that_nothing_was_run() {
+async fn refusals_report_that_the_request_was_not_run() {
     let (server, client) = start();
     let table = [
         RefusalRow {
@@ -286,14 +290,14 @@
         assert_eq!(code, row.code, "{}", row.name);
         assert_eq!(retry_after.is_some(), row.has_retry_after, "{}", row.name);
         let resumed: Result<Vec<AnswerItem>, BackendError> =
-            client.resume(&id, 0, GENEROUS).try_collect().await;
+            client.resume(&id, 0, TEST_TIMEOUT).try_collect().await;
         assert!(resumed.expect_err("not run").is_not_found(), "{}", row.name);
     }
     assert!(client.holdings().await.expect("holdings").runs.is_empty());
 }
 
 #[actix_rt::test]
-async fn an_engine_that_is_leaving_finishes_what_it_has() {
+async fn a_leaving_engine_completes_its_requests() {
     let (server, client) = start();
     let mut stream = client.generate(request("open"));
     let first = stream.next().await.expect("an item").expect("a chunk");
@@ -326,7 +330,7 @@
     let error = fails(&client, hurried).await;
     assert!(matches!(error, BackendError::Lost { .. }), "{error:?}");
     put_faults(&server, &EngineFaults::default()).await;
-    let resumed = client.resume("hung", 0, GENEROUS);
+    let resumed = client.resume("hung", 0, TEST_TIMEOUT);
     let resumed = join_chunks(resumed.try_collect().await.expect("a resumed answer"));
     assert_eq!(resumed.0, expected_text());
 }
@@ -343,7 +347,7 @@
 }
 
 #[actix_rt::test]
-async fn release_is_idempotent_and_leaves_nothing() {
+async fn release_is_idempotent_and_frees_all_blocks() {
     let (_server, client) = start();
     generate(&client, request("held")).await;
     let lease = Duration::from_secs(60);
@@ -443,7 +447,7 @@
 }
 
 #[actix_rt::test]
-async fn cache_events_are_numbered_and_a_restart_shows() {
+async fn cache_events_are_numbered_and_a_restart_changes_the_instance() {
     let (server, client) = start();
     generate(&client, request("cached")).await;
     let events = client.cache_events(0).await.expect("events");
--- a/crates/standin/tests/engine_requests.rs
+++ b/crates/standin/tests/engine_requests.rs
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn a_whole_answer_has_the_openai_form() {
+async fn a_complete_answer_has_the_openai_format() {
     let server = start();
     // Unknown fields must be ignored, since existing clients send many.
     let body = json!({
--- a/crates/standin/tests/lists_contract.rs
+++ b/crates/standin/tests/lists_contract.rs
@@ -72,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn the_machine_list_shows_changes_late() {
+async fn machine_list_changes_become_visible_after_the_lag() {
     // First a lag longer than the test, then one that elapses during the test.
     let (server, client) = start_machines(Duration::from_secs(3_600));
     replace(&server, &list_of(MachineState::Leaving)).await;
--- a/crates/standin/tests/log_contract.rs
+++ b/crates/standin/tests/log_contract.rs
@@ -7,8 +7,8 @@
 use awc::http::Method;
 use bytes::Bytes;
 use common::{
-    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, assert_refused,
-    endpoint, free_port, put_faults,
+    BadRequest, INVALID, NOT_FOUND, OVERSIZED, TEST_TIMEOUT, TOO_LARGE, WRONG_METHOD,
+    assert_refused, endpoint, free_port, put_faults,
 };
 use elderworks_backend::{BackendError, HttpLogClient, LogClient, LostReason};
 use elderworks_platform_model::LogFaults;
@@ -53,7 +53,7 @@
 #[actix_rt::test]
 async fn a_read_waits_for_the_next_record() {
     let (_server, client) = start();
-    let reader = client.read("stream", Offset(0), PAGE_BYTES, GENEROUS);
+    let reader = client.read("stream", Offset(0), PAGE_BYTES, TEST_TIMEOUT);
     let reader = actix_rt::spawn(reader);
     actix_rt::task::yield_now().await;
     let appended = client.append("stream", Bytes::from_static(b"late")).await;
@@ -114,7 +114,7 @@
 }
 
 #[actix_rt::test]
-async fn a_log_that_is_gone_was_surely_not_reached() {
+async fn an_append_to_a_stopped_log_is_reported_as_not_sent() {
     let (server, client) = start();
     server.stop().await;
     let append = client.append("stream", Bytes::from_static(b"x")).await;
--- a/crates/standin/tests/tool_contract.rs
+++ b/crates/standin/tests/tool_contract.rs
@@ -6,8 +6,8 @@
 
 use awc::http::Method;
 use common::{
-    BadRequest, GENEROUS, INVALID, NOT_FOUND, OVERSIZED, TOO_LARGE, WRONG_METHOD, assert_refused,
-    endpoint, eventually, free_port, put_faults, raw,
+    BadRequest, INVALID, NOT_FOUND, OVERSIZED, TEST_TIMEOUT, TOO_LARGE, WRONG_METHOD,
+    assert_refused, endpoint, eventually, free_port, put_faults, raw,
 };
 use elderworks_backend::{BackendError, HttpToolClient, ToolClient, ToolInvocation};
 use elderworks_platform_api::ErrorCode;
@@ -50,7 +50,7 @@
         tool: ToolName::new(TOOL),
         idempotency_key: KEY.to_owned(),
         arguments: arguments().to_string(),
-        timeout: GENEROUS,
+        timeout: TEST_TIMEOUT,
     }
 }
 
@@ -136,7 +136,7 @@
                 busy: true,
                 ..none()
             },
-            timeout: GENEROUS,
+            timeout: TEST_TIMEOUT,
             known: Known::NotRun,
             runs: 0,
             status: InvocationStatus::Unknown,
@@ -147,7 +147,7 @@
                 down: true,
                 ..none()
             },
-            timeout: GENEROUS,
+            timeout: TEST_TIMEOUT,
             known: Known::MayHaveRun,
             runs: 0,
             status: InvocationStatus::Unknown,
@@ -158,7 +158,7 @@
                 lose_next_answers: 1,
                 ..none()
             },
-            timeout: GENEROUS,
+            timeout: TEST_TIMEOUT,
             known: Known::MayHaveRun,
             runs: 1,
             status: completed,
@@ -180,7 +180,7 @@
                 fail: true,
                 ..none()
             },
-            timeout: GENEROUS,
+            timeout: TEST_TIMEOUT,
             known: Known::Errored,
             runs: 1,
             status: failed,
@@ -226,7 +226,7 @@
 }
 
 #[actix_rt::test]
-async fn an_invocation_runs_to_its_end_without_its_client() {
+async fn an_invocation_completes_without_its_client() {
     let (server, client) = start_with(ToolSettings {
         latency: Duration::from_millis(50),
         ..ToolSettings::default()
@@ -246,7 +246,7 @@
 }
 
 #[actix_rt::test]
-async fn a_key_that_no_header_can_carry_is_not_sent() {
+async fn a_key_that_is_invalid_in_a_header_is_not_sent() {
     let (server, client) = start();
     let unsendable = ToolInvocation {
         idempotency_key: "two\nlines".to_owned(),
--- a/crates/types/src/resource.rs
+++ b/crates/types/src/resource.rs
@@ -72,7 +72,7 @@
     /// Names of the `Service` resources that its runs may call.
     pub services: Vec<ResourceName>,
     /// Name of the `Budget` resource to which its runs are charged, in addition to the run's own
-    /// budget.
+    /// budget; `None` if only the run's own budget applies.
     #[serde(default)]
     pub budget: Option<ResourceName>,
     /// Maximum spending of one run.
