--- a/crates/lab/src/command_line.rs
+++ b/crates/lab/src/command_line.rs
@@ -7,13 +7,13 @@
 use crate::seeds::SeedRange;
 
 xflags::xflags! {
-    /// Experiments on elderworks; not for production use.
+    /// Experiments on elderworks: nothing here runs in production.
     cmd lab-command {
         /// Compare placement policies on a simulated fleet.
         cmd compare {
             /// Workload and fleet: lublin, ulaanbaatar or target.
             required --preset name: String
-            /// Loads as fractions of the fleet's capacity, separated by commas.
+            /// Loads as shares of the fleet's capacity, separated by commas.
             required --load shares: String
             /// Seeds A..B, B excluded.
             required --seeds range: SeedRange
@@ -30,18 +30,18 @@
             repeated --target url: String
             /// Bearer token.
             optional --token token: String
-            /// Name of the runs' `Program` resource.
+            /// Program that the runs are of.
             optional --program name: String
-            /// Runs started per second.
+            /// Runs started a second.
             optional --rate runs_per_second: f64
-            /// Total number of runs.
+            /// Runs in all.
             optional --runs count: usize
             /// Seed of arrivals and prompts.
             optional --seed seed: u64
             /// Write the figures as JSON.
             optional --json file: PathBuf
         }
-        /// Run the complete system on a virtual clock under faults, and check every invariant.
+        /// Run the whole system on a virtual clock under faults, and check every invariant.
         cmd simulate {
             /// Seeds A..B, B excluded.
             required --seeds range: SeedRange
@@ -51,7 +51,7 @@
             optional --faults names: String
             /// Run a deliberately broken variant (builds with the `broken` feature only).
             optional --broken name: String
-            /// Write the summary as JSON.
+            /// Write the outcome as JSON.
             optional --json file: PathBuf
         }
     }
