--- a/crates/backend/src/engine/mod.rs
+++ b/crates/backend/src/engine/mod.rs
@@ -64,9 +64,10 @@
     Finished(Finish),
 }
 
-/// The items of an answer in order. The stream always ends with [`AnswerItem::Finished`] or an error.
-/// Dropping it closes the connection; the engine then cancels the request after a grace period
-/// unless the request is resumed.
+/// The items of an answer in order.
+///
+/// The stream always ends with [`AnswerItem::Finished`] or an error. Dropping it closes the connection;
+/// the engine then cancels the request after a grace period unless the request is resumed.
 pub type AnswerStream = LocalBoxStream<'static, Result<AnswerItem, BackendError>>;
 
 /// Future of a request to an engine.
--- a/crates/node-core/src/attempt_reports.rs
+++ b/crates/node-core/src/attempt_reports.rs
@@ -31,7 +31,7 @@
             engine: engine.clone(),
             first_chunk_seen: false,
         };
-        let AttemptState::Waiting(work) = std::mem::replace(&mut record.state, placed) else {
+        let AttemptState::Waiting(attempt) = std::mem::replace(&mut record.state, placed) else {
             return;
         };
         self.agenda.partition(
@@ -51,13 +51,13 @@
             ticket,
             engine,
             url,
-            model: work.model,
-            messages: work.messages,
-            continue_text: work.continue_text,
-            first_chunk: work.continue_chunks,
-            max_output: work.max_output,
+            model: attempt.model,
+            messages: attempt.messages,
+            continue_text: attempt.continue_text,
+            first_chunk: attempt.continue_chunks,
+            max_output: attempt.max_output,
             engine_priority,
-            timeout: work.timeout,
+            timeout: attempt.timeout,
         })));
     }
 
--- a/crates/node-core/src/counters.rs
+++ b/crates/node-core/src/counters.rs
@@ -9,7 +9,7 @@
     pub not_owner: u64,
     /// Requests held back during a takeover or while the stream was read to its end.
     pub requests_held: u64,
-    /// Requests redirected because too many were held back.
+    /// Requests redirected because too many were already held back; also counted in `not_owner`.
     pub held_overflow: u64,
     /// Attempts refused because too many were in progress.
     pub attempts_overflow: u64,
--- a/crates/node-core/src/dispatch.rs
+++ b/crates/node-core/src/dispatch.rs
@@ -124,7 +124,7 @@
                 continue_chunks,
                 max_output,
             } => {
-                let work = ModelAttempt {
+                let attempt = ModelAttempt {
                     model,
                     messages,
                     continue_text,
@@ -132,20 +132,20 @@
                     max_output,
                     timeout: hints.timeout,
                 };
-                self.dispatch_model(partition, ticket, work, hints);
+                self.dispatch_model(partition, ticket, attempt, hints);
             }
             BackendRequest::Tool {
                 tool,
                 arguments,
                 idempotency_key,
             } => {
-                let work = ToolAttempt {
+                let attempt = ToolAttempt {
                     tool,
                     arguments,
                     idempotency_key,
                     timeout: hints.timeout,
                 };
-                self.dispatch_tool(partition, ticket, work);
+                self.dispatch_tool(partition, ticket, attempt);
             }
         }
     }
@@ -154,17 +154,17 @@
         &mut self,
         partition: PartitionId,
         ticket: Ticket,
-        work: ModelAttempt,
+        attempt: ModelAttempt,
         hints: DispatchHints,
     ) {
-        let mut prompt = render_prompt(&work.messages);
-        prompt.push_str(&work.continue_text);
+        let mut prompt = render_prompt(&attempt.messages);
+        prompt.push_str(&attempt.continue_text);
         let ready = ReadyCall {
             ticket,
-            model: work.model.clone(),
+            model: attempt.model.clone(),
             blocks: block_hashes(&prompt),
             prompt: token_count(&prompt),
-            max_output: work.max_output,
+            max_output: attempt.max_output,
             tenant: hints.tenant,
             program: hints.program,
             run_started: hints.run_started,
@@ -176,13 +176,13 @@
             parent: hints.parent,
         };
         self.attempts
-            .insert(ticket, partition, AttemptState::Waiting(work));
+            .insert(ticket, partition, AttemptState::Waiting(attempt));
         self.agenda
             .placement(placement::Event::CallReady(Box::new(ready)));
     }
 
-    fn dispatch_tool(&mut self, partition: PartitionId, ticket: Ticket, work: ToolAttempt) {
-        let Some(service) = self.control.tool_terms(&work.tool) else {
+    fn dispatch_tool(&mut self, partition: PartitionId, ticket: Ticket, attempt: ToolAttempt) {
+        let Some(service) = self.control.tool_terms(&attempt.tool) else {
             let refusal = Refusal {
                 reason: RefusalReason::NoBackend,
                 retry_after: None,
@@ -191,7 +191,7 @@
             return;
         };
         let url = service.url.to_owned();
-        let note = format!("tool {} at {url}", work.tool);
+        let note = format!("tool {} at {url}", attempt.tool);
         self.attempts
             .insert(ticket, partition, AttemptState::AtTool);
         self.agenda.partition(
@@ -205,11 +205,11 @@
         );
         self.agenda.effect(Effect::InvokeTool {
             ticket,
-            tool: work.tool,
+            tool: attempt.tool,
             url,
-            arguments: work.arguments,
-            idempotency_key: work.idempotency_key,
-            timeout: work.timeout,
+            arguments: attempt.arguments,
+            idempotency_key: attempt.idempotency_key,
+            timeout: attempt.timeout,
         });
     }
 
--- a/crates/node-core/src/loading.rs
+++ b/crates/node-core/src/loading.rs
@@ -40,8 +40,9 @@
 }
 
 impl NodeCore {
-    /// Returns the writer of control records. It uses the nonce as its incarnation, because the real one is
-    /// only known once the start record has been written.
+    /// Returns the writer of control records. It uses the nonce as its incarnation, which distinguishes its
+    /// records from those of earlier starts: the real incarnation is only known once the start record has
+    /// been read back.
     pub(crate) fn control_writer(&self) -> Writer {
         Writer {
             node: self.settings.node.clone(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Repeats the current read of the control state if it is due.
+    /// Sends the current read of the control state if it is due.
     pub(crate) fn continue_control_loading(&mut self) {
         let Some(loading) = &mut self.control_loading else {
             return;
--- a/crates/node-core/src/ownership.rs
+++ b/crates/node-core/src/ownership.rs
@@ -50,7 +50,7 @@
 pub(crate) struct FollowedPartition {
     pub(crate) machine: Partition,
     pub(crate) phase: Phase,
-    /// Epoch in which this node owns the partition.
+    /// Epoch in which this node owns the partition; `None` if it doesn't.
     pub(crate) epoch: Option<Epoch>,
     /// Offset at which the replay started.
     pub(crate) start: Offset,
--- a/crates/node-core/src/sidecars.rs
+++ b/crates/node-core/src/sidecars.rs
@@ -170,7 +170,8 @@
         self.send(connection, located);
     }
 
-    /// Returns whether requests wait because this node should own the partition or its owner is unknown.
+    /// Returns whether to hold back requests for a partition that this node doesn't own yet: the partition
+    /// is assigned to this node or to no known one, and the node isn't draining.
     fn should_hold(&self, partition: PartitionId) -> bool {
         if self.draining() {
             return false;
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Redirects the requests held back for a partition unless this node should own it.
+    /// Redirects the requests held back for a partition, unless they should still be held back.
     pub(crate) fn redirect_requests_for(&mut self, partition: PartitionId) {
         if self.should_hold(partition) {
             return;
--- a/crates/node-core/tests/node/ownership.rs
+++ b/crates/node-core/tests/node/ownership.rs
@@ -94,8 +94,8 @@
     });
     world.node(0).sent.clear();
 
-    // Its records are void until it owns the partition again, so that it may only report a start that is
-    // recorded in a valid epoch.
+    // Records of its lost epoch are void, so it may only report a start that is kept. It can become the
+    // owner again and start the run then.
     world.resume(0);
     let run = run_in(partition);
     world.send(0, start_run(run));
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at calls to engines and tools, one task per attempt.
+//! Attempts sent to engines and tools, one task per attempt.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the node in the OpenMetrics text format.
+//! Metrics of the node in the `OpenMetrics` text format.
 
 use elderworks_execution as execution;
 use elderworks_node_core::Counters;
--- a/crates/placement/src/engines.rs
+++ b/crates/placement/src/engines.rs
@@ -13,7 +13,7 @@
 use crate::event::{LoadReport, ReadyCall};
 use crate::health::Health;
 
-/// Age from which a load report is ignored in favour of this node's own counts.
+/// Age above which the load in a report is ignored in favour of this node's own counts.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
 /// Weight of one load report in the moving average [`EngineTable::own_fraction`].
@@ -50,7 +50,8 @@
     /// Blocks of this node's paused runs whose last call was here.
     pub(crate) paused_blocks: u32,
     report: Option<LoadReport>,
-    /// End times of attempts that ended after the last report was measured and are included in it.
+    /// End times of this node's attempts that are counted in the last report, but ended after it was
+    /// measured.
     ended_since_report: VecDeque<Timestamp>,
 }
 
@@ -109,7 +110,8 @@
         (reported + self.sent_since(report.measured).count() as u32).max(own)
     }
 
-    /// Returns the number of prompt tokens that wait to be prefilled.
+    /// Returns the estimated number of prompt tokens that wait to be prefilled. Without a fresh report,
+    /// only those of this node's attempts are known.
     pub(crate) fn prefill_backlog(&self, now: Timestamp) -> Tokens {
         let Some(report) = self.fresh_report(now) else {
             let waiting = self.open.values().filter(|call| !call.has_started);
@@ -164,6 +166,7 @@
         report.filter(|report| now.since(report.measured) <= MAX_REPORT_AGE)
     }
 
+    /// Returns the open attempts that a report measured at `measured` does not include yet.
     fn sent_since(&self, measured: Timestamp) -> impl Iterator<Item = &OpenCall> {
         self.open.values().filter(move |call| call.sent > measured)
     }
@@ -180,7 +183,8 @@
 pub(crate) struct EngineTable {
     slots: Vec<Engine>,
     by_id: BTreeMap<EngineId, usize>,
-    /// Moving average of this node's fraction of all requests at the engines.
+    /// Fraction of the requests at the engines that this node sent: a moving average over all load reports,
+    /// by which its own counts are divided to estimate those of all nodes.
     pub(crate) own_fraction: f64,
 }
 
--- a/crates/placement/src/index.rs
+++ b/crates/placement/src/index.rs
@@ -1,8 +1,8 @@
 //! Index of the blocks in the prefix caches of the engines.
 //!
-//! Each block has a bit set with one bit per engine, so that a prompt is matched against all engines in
-//! one pass. The size is bounded by two generations: when the young one is full it becomes the old one,
-//! whose entries are discarded. Storing a block moves its entry to the young generation.
+//! Each block maps to a set of engines with one bit per engine, so that a prompt is matched against all
+//! engines in one pass. Two generations bound the size: when the young one is full, it replaces the old
+//! one, whose entries are discarded. Storing a block moves its entry to the young generation.
 
 use elderworks_types::text::{BlockHash, BlockMap};
 
--- a/crates/placement/src/policy/choice.rs
+++ b/crates/placement/src/policy/choice.rs
@@ -11,11 +11,12 @@
 use crate::engines::Engine;
 use crate::event::ReadyCall;
 
-/// Fraction of an engine's memory in use from which no new run starts there.
+/// Fraction of an engine's memory in use from which no new run starts there, unless it is idle.
 const MAX_MEMORY_FRACTION: f64 = 0.7;
 /// Weight of the blocks of paused runs in the memory in use.
 const PAUSED_WEIGHT: f64 = 1.0;
-/// Number of requests from which an engine only takes calls of runs whose last call it served.
+/// Number of running and waiting requests from which an engine only takes calls of runs whose last call
+/// was sent to it.
 const ADMISSION_REQUEST_LIMIT: u32 = cost::ENGINE_BATCH;
 /// Weight of the time to prefill uncached tokens, which delays all calls at the engine.
 const RECOMPUTE_WEIGHT: u32 = 20;
@@ -57,7 +58,8 @@
         best.map(|(_, choice)| choice)
     }
 
-    /// Returns whether an engine other than the last one of the run may take the call.
+    /// Returns whether an engine other than the last one of the run may take the call. An engine without
+    /// requests always may.
     fn has_capacity(&self, now: Timestamp, engine: &Engine, call: &ReadyCall) -> bool {
         let own_fraction = self.engines.own_fraction;
         let requests = engine.requests(now, own_fraction);
@@ -68,7 +70,8 @@
             return false;
         }
         let memory = engine.memory_fraction(now, own_fraction, PAUSED_WEIGHT);
-        // The memory limit admits new runs. A started run or a sub-agent has been admitted before.
+        // The memory limit only holds back new runs: a started run and the parent of a sub-agent have been
+        // admitted already.
         let is_under_way = call.turns > 0 || call.parent.is_some();
         is_under_way || memory < MAX_MEMORY_FRACTION
     }
--- a/crates/sidecar-core/src/core.rs
+++ b/crates/sidecar-core/src/core.rs
@@ -35,7 +35,7 @@
 /// Silence of a call's node after which another node is asked for the partition's owner.
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence of a call's node after which the call is resubmitted to it.
+/// Silence of a call's node after which the call is resubmitted.
 pub const RESUBMIT_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Silence of a node after which a request other than a call is resent, and another node is asked
--- a/crates/sidecar-core/src/messages.rs
+++ b/crates/sidecar-core/src/messages.rs
@@ -284,7 +284,7 @@
         self.abandon_call(call, outcome);
     }
 
-    /// Ends a call whose fate is unknown.
+    /// Ends a call whose outcome no node has settled.
     pub(crate) fn abandon_call(&mut self, id: CallId, outcome: Outcome) {
         self.finish_call(id, None, outcome);
         self.finished.mark_abandoned(id);
--- a/crates/sidecar-core/src/request.rs
+++ b/crates/sidecar-core/src/request.rs
@@ -102,7 +102,7 @@
         is_waiting && !self.possibly_accepted && self.copies.all_answered()
     }
 
-    /// Queues it for sending after a node may have accepted it.
+    /// Queues it for sending again, although its node may have accepted it.
     pub fn requeue(&mut self, now: Timestamp) {
         self.abandon_copies();
         self.state = RequestState::Waiting { retry_at: now };
@@ -114,8 +114,8 @@
         self.copies = UnansweredCopies::default();
     }
 
-    /// Queues it for sending to its silent node again. Copies of a run's start stay counted, since
-    /// the node answers each of them.
+    /// Queues it for sending again because its node is silent. Copies of a run's start stay counted,
+    /// since the node answers each of them.
     pub fn resend(&mut self, now: Timestamp) {
         match self.operation {
             Operation::StartRun(_) => self.state = RequestState::Waiting { retry_at: now },
--- a/crates/sidecar/src/http/mod.rs
+++ b/crates/sidecar/src/http/mod.rs
@@ -39,7 +39,7 @@
 pub struct App {
     /// Handle to the state machine.
     pub core: CoreClient,
-    /// Cache of recently used runs.
+    /// Cache of the runs' tenants and call numbers.
     pub known_runs: Arc<KnownRuns>,
     /// Metrics of the process.
     pub metrics: Arc<Metrics>,
--- a/crates/sidecar/src/known_runs.rs
+++ b/crates/sidecar/src/known_runs.rs
@@ -1,11 +1,12 @@
-//! Cache of recently used runs, which saves most calls a read of their run from its node.
+//! Cache of runs, which saves most calls a read of their run from its node.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 use elderworks_types::{CallNumber, RunId, TenantId};
 
-/// Maximum number of cached runs; evicted ones are read from their node again when needed.
+/// Maximum number of cached runs. Beyond it the run with the lowest id is evicted, and read from its node
+/// again when needed.
 const MAX_KNOWN_RUNS: usize = 16_384;
 
 #[derive(Clone, Debug)]
@@ -14,7 +15,7 @@
     next_number: CallNumber,
 }
 
-/// Tenant and next call number of recently used runs.
+/// Tenant and next call number of the cached runs.
 #[derive(Debug, Default)]
 pub struct KnownRuns {
     runs: Mutex<BTreeMap<RunId, KnownRun>>,
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the Prometheus text format.
+//! Metrics of the sidecar in the `OpenMetrics` text format.
 
 use std::sync::atomic::AtomicI64;
 use std::time::Duration;
@@ -116,7 +116,7 @@
         self.call_seconds.observe(duration.as_secs_f64());
     }
 
-    /// Renders the metrics in the Prometheus text format.
+    /// Renders the metrics in the `OpenMetrics` text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string does not fail");
--- a/crates/sidecar/tests/callers/bad_input.rs
+++ b/crates/sidecar/tests/callers/bad_input.rs
@@ -1,4 +1,4 @@
-//! Invalid requests get typed errors and do not reach the node.
+//! Invalid requests get typed errors, and the sidecar keeps serving.
 
 use std::time::Duration;
 
