--- a/crates/gateway-core/src/engine_memory/reading.rs
+++ b/crates/gateway-core/src/engine_memory/reading.rs
@@ -70,7 +70,7 @@
     started: Timestamp,
     /// When a listing was last read or requested without success.
     last_listing: Option<Timestamp>,
-    heard: Option<Timestamp>,
+    observed_at: Option<Timestamp>,
 }
 
 impl EngineReader {
@@ -85,7 +85,7 @@
             needs_listing: false,
             started: now,
             last_listing: None,
-            heard: None,
+            observed_at: None,
         }
     }
 
@@ -128,7 +128,7 @@
             }
         };
         self.failures = 0;
-        self.heard = Some(sent);
+        self.observed_at = Some(sent);
         self.needs_listing |= change == LogChange::Gap;
         let pause = match change {
             LogChange::Restarted => Duration::ZERO,
@@ -145,7 +145,7 @@
 
     /// Returns when the last successful call was sent, or `None` if there was none.
     pub fn observed_at(&self) -> Option<Timestamp> {
-        self.heard
+        self.observed_at
     }
 
     fn backoff(&self) -> Duration {
--- a/crates/gateway-core/src/engine_memory/snapshots.rs
+++ b/crates/gateway-core/src/engine_memory/snapshots.rs
@@ -87,11 +87,11 @@
 
     /// Returns the number of cached prefixes at all engines together.
     pub fn held_prefixes(&self) -> usize {
-        let parts = self
+        let prefixes = self
             .snapshots
             .values()
             .flat_map(|snapshot| &snapshot.prefixes);
-        parts.filter(|(_, tokens)| **tokens > 0).count()
+        prefixes.filter(|(_, tokens)| **tokens > 0).count()
     }
 
     /// Returns the age of the oldest snapshot.
--- a/crates/gateway-core/src/evacuations.rs
+++ b/crates/gateway-core/src/evacuations.rs
@@ -23,20 +23,20 @@
 /// The latest order for each zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    wishes: BTreeMap<String, EvacuationOrder>,
+    orders: BTreeMap<String, EvacuationOrder>,
 }
 
 impl Evacuations {
     /// Applies an order unless a newer one is known; returns whether it changed the zone's state.
     pub fn note(&mut self, zone: &str, order: EvacuationOrder) -> bool {
-        let known = self.wishes.get(zone).copied();
+        let known = self.orders.get(zone).copied();
         if known.is_some_and(|known| known.offset >= order.offset) {
             return false;
         }
-        if known.is_none() && self.wishes.len() >= MAX_ZONES && !self.drop_lifted() {
+        if known.is_none() && self.orders.len() >= MAX_ZONES && !self.drop_lifted() {
             return false;
         }
-        self.wishes.insert(zone.to_owned(), order);
+        self.orders.insert(zone.to_owned(), order);
         known.is_some_and(|known| known.is_on) != order.is_on
     }
 
@@ -44,7 +44,7 @@
     /// not `listed` and whose order is older; returns these zones.
     pub fn lift_unlisted(&mut self, listed: &BTreeSet<&str>, end: Offset) -> Vec<String> {
         let mut lifted = Vec::new();
-        for (zone, order) in &mut self.wishes {
+        for (zone, order) in &mut self.orders {
             let is_over = order.is_on && order.offset < end && !listed.contains(zone.as_str());
             if is_over {
                 *order = EvacuationOrder {
@@ -59,29 +59,29 @@
 
     /// Returns whether a zone is evacuated.
     pub fn is_on(&self, zone: &str) -> bool {
-        self.wishes.get(zone).is_some_and(|order| order.is_on)
+        self.orders.get(zone).is_some_and(|order| order.is_on)
     }
 
     /// Returns the evacuated zones.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
-        let wishes = self.wishes.iter();
-        wishes
+        let orders = self.orders.iter();
+        orders
             .filter(|(_, order)| order.is_on)
             .map(|(zone, _)| zone.as_str())
     }
 
     /// Returns all orders, including those that ended an evacuation, for reports to other nodes.
     pub fn orders(&self) -> impl Iterator<Item = (&str, EvacuationOrder)> {
-        let wishes = self.wishes.iter();
-        wishes.map(|(zone, order)| (zone.as_str(), *order))
+        let orders = self.orders.iter();
+        orders.map(|(zone, order)| (zone.as_str(), *order))
     }
 
     fn drop_lifted(&mut self) -> bool {
-        let mut lifted = self.wishes.iter().filter(|(_, order)| !order.is_on);
+        let mut lifted = self.orders.iter().filter(|(_, order)| !order.is_on);
         let Some(zone) = lifted.next().map(|(zone, _)| zone.clone()) else {
             return false;
         };
-        self.wishes.remove(&zone);
+        self.orders.remove(&zone);
         true
     }
 }
--- a/crates/gateway-core/src/ledger/plan.rs
+++ b/crates/gateway-core/src/ledger/plan.rs
@@ -80,7 +80,7 @@
     request: &LedgerRequest,
 ) -> Option<LedgerReply> {
     match request {
-        LedgerRequest::Begin(begin) => begin_from_memory(state, wallets, now, credit, begin),
+        LedgerRequest::Begin(begin) => start_from_memory(state, wallets, now, credit, begin),
         LedgerRequest::Finish(finish) => finish_from_memory(state, wallets, now, finish),
         LedgerRequest::Conversation { turn } => {
             let conversation = state.conversation(turn)?;
@@ -91,7 +91,7 @@
     }
 }
 
-fn begin_from_memory(
+fn start_from_memory(
     state: &LedgerState,
     wallets: &mut Wallets,
     now: Timestamp,
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -204,17 +204,17 @@
 
     /// Records the report of another node. Returns whether this node knows of a later answer, which
     /// the sender should be informed of.
-    pub fn on_peer_status(&mut self, now: Timestamp, node: NodeId, word: LogStatus) -> bool {
-        if let Some(age) = word.answered {
+    pub fn on_peer_status(&mut self, now: Timestamp, node: NodeId, status: LogStatus) -> bool {
+        if let Some(age) = status.answered {
             self.record_answer(now - age);
         }
-        let since = word.oldest_wait.map(|waits| now - waits);
+        let since = status.oldest_wait.map(|waits| now - waits);
         let is_refuted = self
             .latest_answered
             .is_some_and(|at| since.is_some_and(|since| since <= at));
         match since.filter(|_| !is_refuted) {
             Some(since) => {
-                let is_silent = word.is_silent;
+                let is_silent = status.is_silent;
                 let report = PeerReport {
                     since,
                     received: now,
--- a/crates/gateway-core/src/outage_wait.rs
+++ b/crates/gateway-core/src/outage_wait.rs
@@ -13,9 +13,9 @@
 /// Minimum time reserved for running the turn once the log answers again.
 const MIN_TURN_TIME: Duration = Duration::from_millis(150);
 
-/// Returns how long a turn with `left` until its deadline waits for a silent log if `share` of that
+/// Returns how long a turn with `left` until its deadline waits for a silent log if `fraction` of that
 /// time may be spent on waiting.
-pub fn outage_wait(left: Duration, share: f64) -> Duration {
-    let wait = left.mul_f64(share.clamp(0.0, 1.0));
+pub fn outage_wait(left: Duration, fraction: f64) -> Duration {
+    let wait = left.mul_f64(fraction.clamp(0.0, 1.0));
     wait.min(left.saturating_sub(MIN_TURN_TIME))
 }
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -11,12 +11,12 @@
 //!
 //! [`grant`]: QuotaBook::grant
 
-mod begun;
+mod allowance;
+mod fleet_sizes;
 mod lessor;
 mod sliding;
-mod standing;
+mod started_programs;
 mod turns;
-mod widths;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -25,13 +25,13 @@
 
 use crate::tenants::{Quota, TenantKey};
 
+use fleet_sizes::RecentFleetSizes;
 use lessor::Grants;
 use sliding::{SlidingCount, Slots};
-use widths::RecentFleetSizes;
 
-pub use begun::StartedPrograms;
 pub use lessor::lessor_of;
 pub use sliding::Slot;
+pub use started_programs::StartedPrograms;
 pub use turns::ReportTurns;
 
 /// Interval between two reports of a node.
@@ -95,7 +95,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Division {
     /// In proportion to the demand that nodes report.
-    Told,
+    Reported,
     /// Evenly.
     Even,
 }
@@ -338,7 +338,7 @@
                 sent: account.sent.total() + before_start.ceil() as u32,
                 asked: account.asked.total(),
             };
-            if f64::from(own.sent) >= standing::report_threshold(account.limit, fleet) {
+            if f64::from(own.sent) >= allowance::report_threshold(account.limit, fleet) {
                 reported.push((f64::from(own.sent) / account.limit, *tenant, own));
             }
         }
--- a/crates/gateway-core/src/run_moves/backups.rs
+++ b/crates/gateway-core/src/run_moves/backups.rs
@@ -52,7 +52,7 @@
 impl Backups {
     /// Starts a backup of a run if the limits allow it, and returns the bytes charged for it. The
     /// caller must call [`Backups::end`] once the run has ended.
-    pub fn begin(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
+    pub fn start(&mut self, rules: &BackupRules, run: &RunSize, now: Timestamp) -> Option<u64> {
         let bytes = run.backup_bytes();
         let max_bytes = rules
             .max_bytes_per_token
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -119,7 +119,7 @@
 
     /// Starts a migration. `candidate` is another engine with a free slot. Also called when the
     /// stream breaks off during a migration for another reason.
-    pub fn leave(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
+    pub fn migrate(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
         let is_unforced = reason != MigrationReason::Broken;
         if self.moves >= MAX_MIGRATIONS || (is_unforced && self.unforced >= MAX_UNFORCED_ATTEMPTS) {
             return self.fall_back(reason, EndReason::MigrationLimit);
@@ -219,7 +219,7 @@
             }
             AttemptEnd::Unknown => {
                 self.note_running_at(at, &copy);
-                self.leave(MigrationReason::Broken, candidate)
+                self.migrate(MigrationReason::Broken, candidate)
             }
         }
     }
--- a/crates/gateway-core/src/workers/memory.rs
+++ b/crates/gateway-core/src/workers/memory.rs
@@ -17,9 +17,9 @@
 impl WorkerDirectory {
     /// Stores the snapshot of a known engine's memory unless a newer one is stored; returns whether it
     /// did.
-    pub fn apply_memory_snapshot(&mut self, engine: WorkerKey, belief: MemorySnapshot) -> bool {
+    pub fn apply_memory_snapshot(&mut self, engine: WorkerKey, snapshot: MemorySnapshot) -> bool {
         let is_known = self.workers.values().any(|worker| worker.key == engine);
-        is_known && self.memories.update(engine, belief)
+        is_known && self.memories.update(engine, snapshot)
     }
 
     /// Drops expired snapshots.
@@ -37,19 +37,19 @@
     pub fn snapshot_of(
         &self,
         worker: &Worker,
-        heard: Timestamp,
+        observed_at: Timestamp,
         log: &EngineLog,
     ) -> MemorySnapshot {
         let demand = self.prefix_demand.get(&worker.record.service);
         let wanted = demand.map(|demand| demand.most_requested(MAX_REPORTED_PREFIXES));
         let wanted = wanted.into_iter().flatten();
-        let parts: BTreeMap<PrefixKey, u64> = wanted
+        let prefixes: BTreeMap<PrefixKey, u64> = wanted
             .filter_map(|prefix| Some((prefix, log.held(prefix)?)))
             .collect();
         MemorySnapshot {
             born: worker.record.born,
-            observed_at: heard,
-            prefixes: parts,
+            observed_at,
+            prefixes,
         }
     }
 
--- a/crates/gateway-core/tests/admission.rs
+++ b/crates/gateway-core/tests/admission.rs
@@ -127,8 +127,8 @@
 #[test]
 fn turns_are_ordered_by_urgency_then_program_state_then_deadline() {
     let finish = |milliseconds| Some(after(milliseconds));
-    let with = |urgency, standing, finish| Turn {
-        program_state: standing,
+    let with = |urgency, program_state, finish| Turn {
+        program_state,
         finish,
         ..turn(urgency)
     };
@@ -287,11 +287,8 @@
         waits(&mut admission, turn(1));
     }
     let mut pauses: Vec<Duration> = (0..8)
-        .map(|spread| {
-            let turn = Turn {
-                seed: spread,
-                ..turn(1)
-            };
+        .map(|seed| {
+            let turn = Turn { seed, ..turn(1) };
             match admission.arrive(START, SERVICE, ROOM, turn).arrival {
                 Arrival::Refuse(refused) => refused.retry_after,
                 other => panic!("{other:?}"),
--- a/crates/gateway-core/tests/admission_load.rs
+++ b/crates/gateway-core/tests/admission_load.rs
@@ -168,7 +168,7 @@
         start - now
     }
 
-    fn arrive(&mut self, node: usize, now: u64, index: usize, load: Load, spread: u64) {
+    fn arrive(&mut self, node: usize, now: u64, index: usize, load: Load, seed: u64) {
         let turn = Turn {
             urgency: load.urgency,
             tenant: Some(TenantKey(load.tenant)),
@@ -177,7 +177,7 @@
             latest_start: at(now + MAX_WAIT_MS),
             prompt_tokens: 1_000,
             bytes: 1_000,
-            seed: spread,
+            seed,
         };
         self.outcomes[index].arrivals += 1;
         let room = self.room(node, now);
--- a/crates/gateway-core/tests/admission_room.rs
+++ b/crates/gateway-core/tests/admission_room.rs
@@ -104,7 +104,7 @@
     }
 }
 
-fn turn(spread: u64) -> Turn {
+fn turn(seed: u64) -> Turn {
     Turn {
         urgency: 1,
         tenant: None,
@@ -113,7 +113,7 @@
         latest_start: NOW + Duration::from_millis(1_500),
         prompt_tokens: 1_000,
         bytes: 10,
-        seed: spread,
+        seed,
     }
 }
 
--- a/crates/gateway-core/tests/cold.rs
+++ b/crates/gateway-core/tests/cold.rs
@@ -38,7 +38,7 @@
     WorkerDirectory::new(Policy::default()).with_cold_senders(senders)
 }
 
-fn chosen(workers: &WorkerDirectory, now: Timestamp, spread: u64) -> Option<String> {
+fn chosen(workers: &WorkerDirectory, now: Timestamp, seed: u64) -> Option<String> {
     let query = PlacementQuery {
         service: SERVICE,
         key: None,
@@ -46,7 +46,7 @@
         repeatable: true,
         tried: &[],
         turn: None,
-        seed: spread,
+        seed,
         is_connected: &|_| false,
     };
     choose(workers, &query, now).map(|worker| worker.record.id.clone())
--- a/crates/gateway-core/tests/engine_memory.rs
+++ b/crates/gateway-core/tests/engine_memory.rs
@@ -266,10 +266,10 @@
     );
 }
 
-fn snapshot(born: u64, heard: Timestamp, parts: &[(&str, u64)]) -> MemorySnapshot {
+fn snapshot(born: u64, observed_at: Timestamp, parts: &[(&str, u64)]) -> MemorySnapshot {
     MemorySnapshot {
         born,
-        observed_at: heard,
+        observed_at,
         prefixes: parts
             .iter()
             .map(|(prefix, tokens)| (key(prefix), *tokens))
@@ -318,9 +318,9 @@
 #[test]
 fn changes_are_reported_soon_and_unchanged_snapshots_periodically() {
     let mut reporter = MemoryReporter::default();
-    let present = |heard, tokens| {
+    let present = |observed_at, tokens| {
         let engine = WorkerKey::of("engine");
-        BTreeMap::from([(engine, snapshot(1, heard, &[("a", tokens)]))])
+        BTreeMap::from([(engine, snapshot(1, observed_at, &[("a", tokens)]))])
     };
     assert_eq!(reporter.due(START, present(START, 0)).len(), 1, "new");
     assert!(reporter.due(at(300), present(at(200), 0)).is_empty());
--- a/crates/gateway-core/tests/evacuations.rs
+++ b/crates/gateway-core/tests/evacuations.rs
@@ -21,15 +21,15 @@
 
 #[test]
 fn the_latest_order_applies_in_any_order_of_arrival() {
-    let wishes = [
+    let orders = [
         order(4, true),
         order(7, false),
         order(9, true),
         order(12, false),
     ];
-    for first in 0..wishes.len() {
+    for first in 0..orders.len() {
         let mut evacuations = Evacuations::default();
-        let arrivals = wishes[first..].iter().chain(&wishes[..first]);
+        let arrivals = orders[first..].iter().chain(&orders[..first]);
         for order in arrivals {
             evacuations.note("a", *order);
         }
--- a/crates/gateway-core/tests/log_outage.rs
+++ b/crates/gateway-core/tests/log_outage.rs
@@ -145,27 +145,27 @@
     for round in 0..50 {
         let from = 1_000 + round * 20;
         silent = silent.or(model.simulate(from..from + 20, |_| None, always).1);
-        let word = LogStatus {
+        let status = LogStatus {
             oldest_wait: None,
             answered: Some(ms(5)),
             is_silent: false,
         };
         model
             .watch
-            .on_peer_status(at(from + 20), NodeId::new("n2"), word);
+            .on_peer_status(at(from + 20), NodeId::new("n2"), status);
     }
     assert_eq!(silent, None);
     // It also refutes reports of other nodes.
-    let word = waiting(500, 510, true);
+    let status = waiting(500, 510, true);
     assert!(
         model
             .watch
-            .on_peer_status(at(2_000), NodeId::new("n3"), word)
+            .on_peer_status(at(2_000), NodeId::new("n3"), status)
     );
     assert!(
         model
             .watch
-            .on_peer_status(at(2_000), NodeId::new("n4"), word)
+            .on_peer_status(at(2_000), NodeId::new("n4"), status)
     );
     assert!(!model.watch.state().is_silent());
 }
--- a/crates/gateway-core/tests/quota.rs
+++ b/crates/gateway-core/tests/quota.rs
@@ -37,7 +37,7 @@
     Timestamp((60_000 + ms) * 1_000)
 }
 
-fn book(division: Division) -> QuotaTracker {
+fn tracker(division: Division) -> QuotaTracker {
     QuotaTracker::new(RULES, division, 1, Timestamp(1))
 }
 
@@ -46,8 +46,8 @@
 }
 
 /// Returns how many of `count` simultaneous requests are admitted.
-fn admitted(book: &mut QuotaTracker, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
-    let admitted = (0..count).filter(|_| book.admit(now, TENANT, QUOTA, fleet).is_ok());
+fn admitted(tracker: &mut QuotaTracker, now: Timestamp, fleet: Fleet, count: u32) -> u32 {
+    let admitted = (0..count).filter(|_| tracker.admit(now, TENANT, QUOTA, fleet).is_ok());
     u32::try_from(admitted.count()).expect("few")
 }
 
@@ -58,19 +58,19 @@
 
 #[test]
 fn a_single_node_enforces_the_whole_quota() {
-    let mut book = book(Division::Told);
-    let first = admitted(&mut book, at(0), SINGLE_NODE, 100);
+    let mut tracker = tracker(Division::Reported);
+    let first = admitted(&mut tracker, at(0), SINGLE_NODE, 100);
     assert!(is_about(first, 60), "{first}");
-    assert_eq!(admitted(&mut book, at(4_800), SINGLE_NODE, 10), 0);
-    let second = admitted(&mut book, at(5_200), SINGLE_NODE, 100);
+    assert_eq!(admitted(&mut tracker, at(4_800), SINGLE_NODE, 10), 0);
+    let second = admitted(&mut tracker, at(5_200), SINGLE_NODE, 100);
     assert!(is_about(second, 60), "{second}");
 }
 
 #[test]
 fn refusals_contain_a_retry_delay() {
-    let mut book = book(Division::Told);
-    admitted(&mut book, at(0), SINGLE_NODE, 100);
-    let over = book
+    let mut tracker = tracker(Division::Reported);
+    admitted(&mut tracker, at(0), SINGLE_NODE, 100);
+    let over = tracker
         .admit(at(1), TENANT, QUOTA, SINGLE_NODE)
         .expect_err("used up");
     // One of 60 requests fits every 83 ms, which is below the minimum delay.
@@ -80,7 +80,7 @@
         burst: 0.0,
     };
     let other = TenantKey(8);
-    let over = (0..5).find_map(|_| book.admit(at(1), other, small, SINGLE_NODE).err());
+    let over = (0..5).find_map(|_| tracker.admit(at(1), other, small, SINGLE_NODE).err());
     assert_eq!(over.expect("used up").retry_after, Duration::from_secs(2));
 }
 
@@ -95,67 +95,67 @@
         (&[(10, 30), (0, 30), (0, 30)], 25),
     ];
     for (others, expected) in cases {
-        let mut book = book(Division::Told);
+        let mut tracker = tracker(Division::Reported);
         for (number, (sent, asked)) in others.iter().enumerate() {
             let node = NodeId::new(format!("n{number}"));
-            book.take_report(at(0), node, uses(*sent, *asked));
+            tracker.take_report(at(0), node, uses(*sent, *asked));
         }
-        let count = admitted(&mut book, at(10), FOUR_NODES, 100);
+        let count = admitted(&mut tracker, at(10), FOUR_NODES, 100);
         assert!(count.abs_diff(expected) <= 3, "{others:?}: {count}");
     }
 }
 
 #[test]
 fn a_reserve_is_kept_for_nodes_that_do_not_report() {
-    let mut book = book(Division::Told);
-    let count = admitted(&mut book, at(0), FOUR_NODES, 100);
+    let mut tracker = tracker(Division::Reported);
+    let count = admitted(&mut tracker, at(0), FOUR_NODES, 100);
     // A tenth of an even share is reserved for each of the three others.
     assert!(is_about(count, 60 - 4), "{count}");
 }
 
 #[test]
 fn even_division_ignores_reports() {
-    let mut book = book(Division::Even);
-    book.take_report(at(0), NodeId::new("n1"), uses(60, 60));
-    let count = admitted(&mut book, at(0), FOUR_NODES, 100);
+    let mut tracker = tracker(Division::Even);
+    tracker.take_report(at(0), NodeId::new("n1"), uses(60, 60));
+    let count = admitted(&mut tracker, at(0), FOUR_NODES, 100);
     assert!(is_about(count, 15), "{count}");
 }
 
 #[test]
 fn an_isolated_node_uses_less_than_an_even_share() {
-    let mut book = book(Division::Told);
+    let mut tracker = tracker(Division::Reported);
     let fleet = Fleet {
         is_cut_off: true,
         ..FOUR_NODES
     };
-    let count = admitted(&mut book, at(0), fleet, 100);
+    let count = admitted(&mut tracker, at(0), fleet, 100);
     assert!(is_about(count, 6), "{count}");
     // A node that receives reports is not isolated.
     for number in 0..3 {
         let node = NodeId::new(format!("n{number}"));
-        book.take_report(at(10), node, uses(0, 0));
+        tracker.take_report(at(10), node, uses(0, 0));
     }
-    assert!(admitted(&mut book, at(20), fleet, 100) > 30);
+    assert!(admitted(&mut tracker, at(20), fleet, 100) > 30);
 }
 
 #[test]
 fn a_new_process_assumes_usage_before_its_start() {
     let started = at(0);
-    let new_book = || QuotaTracker::new(RULES, Division::Told, 1, started);
+    let new_tracker = || QuotaTracker::new(RULES, Division::Reported, 1, started);
     // milliseconds since the start, requests admitted out of 100
     for (after, expected) in [(0, 0), (2_500, 30), (5_000, 60)] {
         let now = started + Duration::from_millis(after);
-        let count = admitted(&mut new_book(), now, SINGLE_NODE, 100);
+        let count = admitted(&mut new_tracker(), now, SINGLE_NODE, 100);
         assert!(is_about(count, expected), "{after} ms: {count}");
     }
-    let mut book = new_book();
-    let _ = book.admit(at(1), TENANT, QUOTA, FOUR_NODES);
-    let reported = book.report(at(1), FOUR_NODES);
+    let mut tracker = new_tracker();
+    let _ = tracker.admit(at(1), TENANT, QUOTA, FOUR_NODES);
+    let reported = tracker.report(at(1), FOUR_NODES);
     assert_eq!(reported.len(), 1);
     assert!(is_about(reported[0].1.sent, 15), "{reported:?}");
-    let mut book = new_book();
-    book.note_new_machine();
-    let count = admitted(&mut book, at(2_000), SINGLE_NODE, 100);
+    let mut tracker = new_tracker();
+    tracker.note_new_machine();
+    let count = admitted(&mut tracker, at(2_000), SINGLE_NODE, 100);
     assert!(
         is_about(count, 60),
         "no earlier process forwarded requests: {count}"
@@ -164,54 +164,56 @@
 
 #[test]
 fn requests_that_were_not_sent_are_given_back() {
-    let mut book = book(Division::Told);
+    let mut tracker = tracker(Division::Reported);
     let tickets: Vec<Ticket> = (0..60)
-        .filter_map(|_| book.admit(at(0), TENANT, QUOTA, SINGLE_NODE).ok())
+        .filter_map(|_| tracker.admit(at(0), TENANT, QUOTA, SINGLE_NODE).ok())
         .collect();
-    assert_eq!(admitted(&mut book, at(0), SINGLE_NODE, 10), 0);
+    assert_eq!(admitted(&mut tracker, at(0), SINGLE_NODE, 10), 0);
     for ticket in &tickets[..20] {
-        book.give_back(*ticket);
+        tracker.give_back(*ticket);
     }
-    let count = admitted(&mut book, at(0), SINGLE_NODE, 100);
+    let count = admitted(&mut tracker, at(0), SINGLE_NODE, 100);
     assert!(is_about(count, 20), "{count}");
 }
 
 #[test]
 fn every_send_counts_from_its_own_time() {
-    let mut book = book(Division::Told);
-    let ticket = book.admit(at(0), TENANT, QUOTA, SINGLE_NODE).expect("room");
-    book.note_send(at(1_000), ticket);
-    book.note_resend(at(2_000), ticket);
-    assert_eq!(book.used_by(TENANT), 2);
-    book.report(at(5_500), SINGLE_NODE);
-    assert_eq!(book.used_by(TENANT), 2, "sent 4.5 s ago");
-    book.report(at(6_500), SINGLE_NODE);
-    assert_eq!(book.used_by(TENANT), 1);
-    book.report(at(8_000), SINGLE_NODE);
-    assert_eq!(book.used_by(TENANT), 0);
+    let mut tracker = tracker(Division::Reported);
+    let ticket = tracker
+        .admit(at(0), TENANT, QUOTA, SINGLE_NODE)
+        .expect("room");
+    tracker.note_send(at(1_000), ticket);
+    tracker.note_resend(at(2_000), ticket);
+    assert_eq!(tracker.used_by(TENANT), 2);
+    tracker.report(at(5_500), SINGLE_NODE);
+    assert_eq!(tracker.used_by(TENANT), 2, "sent 4.5 s ago");
+    tracker.report(at(6_500), SINGLE_NODE);
+    assert_eq!(tracker.used_by(TENANT), 1);
+    tracker.report(at(8_000), SINGLE_NODE);
+    assert_eq!(tracker.used_by(TENANT), 0);
 }
 
 #[test]
 fn a_lower_quota_takes_effect_immediately() {
-    let mut book = book(Division::Told);
-    admitted(&mut book, at(0), SINGLE_NODE, 30);
+    let mut tracker = tracker(Division::Reported);
+    admitted(&mut tracker, at(0), SINGLE_NODE, 30);
     let lower = Quota {
         per_second: 4.0,
         burst: 0.0,
     };
-    assert!(book.admit(at(10), TENANT, lower, SINGLE_NODE).is_err());
-    assert!(book.admit(at(10), TENANT, QUOTA, SINGLE_NODE).is_ok());
+    assert!(tracker.admit(at(10), TENANT, lower, SINGLE_NODE).is_err());
+    assert!(tracker.admit(at(10), TENANT, QUOTA, SINGLE_NODE).is_ok());
 }
 
 #[test]
 fn low_usage_is_not_reported() {
-    let mut book = book(Division::Told);
-    assert!(book.report(at(0), FOUR_NODES).is_empty());
-    admitted(&mut book, at(0), FOUR_NODES, 1);
+    let mut tracker = tracker(Division::Reported);
+    assert!(tracker.report(at(0), FOUR_NODES).is_empty());
+    admitted(&mut tracker, at(0), FOUR_NODES, 1);
     assert!(
-        book.report(at(0), FOUR_NODES).is_empty(),
+        tracker.report(at(0), FOUR_NODES).is_empty(),
         "a fifteenth of its share"
     );
-    admitted(&mut book, at(0), FOUR_NODES, 3);
-    assert_eq!(book.report(at(0), FOUR_NODES).len(), 1);
+    admitted(&mut tracker, at(0), FOUR_NODES, 3);
+    assert_eq!(tracker.report(at(0), FOUR_NODES).len(), 1);
 }
--- a/crates/gateway-core/tests/quota_lessor.rs
+++ b/crates/gateway-core/tests/quota_lessor.rs
@@ -41,22 +41,22 @@
 }
 
 fn lessor() -> QuotaTracker {
-    QuotaTracker::new(RULES, Division::Told, 1, Timestamp(1)).with_program_priority(true)
+    QuotaTracker::new(RULES, Division::Reported, 1, Timestamp(1)).with_program_priority(true)
 }
 
 fn node(number: usize) -> NodeId {
     NodeId::new(format!("n{number}"))
 }
 
-fn ask(book: &mut QuotaTracker, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
+fn ask(tracker: &mut QuotaTracker, ms: u64, quota: Quota, order: Order) -> Result<(), OverQuota> {
     let to = node(1);
-    let decided = book.grant(at(ms), TENANT, quota, FOUR_NODES, Some(&to), order);
+    let decided = tracker.grant(at(ms), TENANT, quota, FOUR_NODES, Some(&to), order);
     decided.expect("a decision")
 }
 
 /// Returns how many of `count` simultaneous requests are granted.
-fn granted(book: &mut QuotaTracker, ms: u64, quota: Quota, count: usize) -> usize {
-    let answers = (0..count).map(|_| ask(book, ms, quota, Order::Continuation));
+fn granted(tracker: &mut QuotaTracker, ms: u64, quota: Quota, count: usize) -> usize {
+    let answers = (0..count).map(|_| ask(tracker, ms, quota, Order::Continuation));
     answers.filter(Result::is_ok).count()
 }
 
@@ -66,80 +66,80 @@
 
 #[test]
 fn one_node_can_use_all_remaining_quota() {
-    let mut book = lessor();
-    book.take_report(at(0), node(1), uses(0));
-    book.take_report(at(0), node(2), uses(40));
-    book.take_report(at(0), node(3), uses(5));
-    assert_eq!(granted(&mut book, 10, QUOTA, 100), 15);
+    let mut tracker = lessor();
+    tracker.take_report(at(0), node(1), uses(0));
+    tracker.take_report(at(0), node(2), uses(40));
+    tracker.take_report(at(0), node(3), uses(5));
+    assert_eq!(granted(&mut tracker, 10, QUOTA, 100), 15);
 }
 
 #[test]
 fn grants_count_once_whether_reported_or_not() {
-    let mut book = lessor();
-    let report = |book: &mut QuotaTracker, ms, sent| {
-        book.take_report(at(ms), node(1), uses(sent));
-        book.take_report(at(ms), node(2), uses(0));
-        book.take_report(at(ms), node(3), uses(0));
+    let mut tracker = lessor();
+    let report = |tracker: &mut QuotaTracker, ms, sent| {
+        tracker.take_report(at(ms), node(1), uses(sent));
+        tracker.take_report(at(ms), node(2), uses(0));
+        tracker.take_report(at(ms), node(3), uses(0));
     };
-    report(&mut book, 0, 0);
-    assert_eq!(granted(&mut book, 10, QUOTA, 25), 25);
-    report(&mut book, 200, 25);
+    report(&mut tracker, 0, 0);
+    assert_eq!(granted(&mut tracker, 10, QUOTA, 25), 25);
+    report(&mut tracker, 200, 25);
     // Half of the quota stays reserved for low usage, and the reported requests are part of it.
-    assert_eq!(granted(&mut book, 210, QUOTA, 100), 30);
-    report(&mut book, 400, 55);
-    assert_eq!(granted(&mut book, 410, QUOTA, 100), 5);
+    assert_eq!(granted(&mut tracker, 210, QUOTA, 100), 30);
+    report(&mut tracker, 400, 55);
+    assert_eq!(granted(&mut tracker, 410, QUOTA, 100), 5);
     // The report still includes requests that have left the window since.
-    report(&mut book, 4_900, 60);
-    assert_eq!(granted(&mut book, 5_150, QUOTA, 100), 25);
+    report(&mut tracker, 4_900, 60);
+    assert_eq!(granted(&mut tracker, 5_150, QUOTA, 100), 25);
 }
 
 #[test]
 fn a_lowered_limit_counts_earlier_requests_and_a_raised_one_applies_immediately() {
-    let mut book = lessor();
-    assert_eq!(granted(&mut book, 0, QUOTA, 20), 20);
-    assert_eq!(granted(&mut book, 100, LOWER_QUOTA, 100), 0);
-    book.take_report(at(200), node(1), uses(20));
-    assert_eq!(granted(&mut book, 4_900, LOWER_QUOTA, 100), 0);
+    let mut tracker = lessor();
+    assert_eq!(granted(&mut tracker, 0, QUOTA, 20), 20);
+    assert_eq!(granted(&mut tracker, 100, LOWER_QUOTA, 100), 0);
+    tracker.take_report(at(200), node(1), uses(20));
+    assert_eq!(granted(&mut tracker, 4_900, LOWER_QUOTA, 100), 0);
     // Half of the quota is reserved for low usage.
-    assert_eq!(granted(&mut book, 4_950, QUOTA, 100), 30);
-    book.take_report(at(9_000), node(1), uses(30));
-    assert_eq!(granted(&mut book, 9_900, LOWER_QUOTA, 100), 0);
-    book.take_report(at(10_200), node(1), uses(0));
-    assert_eq!(granted(&mut book, 10_300, LOWER_QUOTA, 100), 6);
+    assert_eq!(granted(&mut tracker, 4_950, QUOTA, 100), 30);
+    tracker.take_report(at(9_000), node(1), uses(30));
+    assert_eq!(granted(&mut tracker, 9_900, LOWER_QUOTA, 100), 0);
+    tracker.take_report(at(10_200), node(1), uses(0));
+    assert_eq!(granted(&mut tracker, 10_300, LOWER_QUOTA, 100), 6);
 }
 
 #[test]
 fn started_programs_have_precedence_under_overload() {
-    let mut book = lessor();
-    let report = |book: &mut QuotaTracker, ms, sent, asked| {
+    let mut tracker = lessor();
+    let report = |tracker: &mut QuotaTracker, ms, sent, asked| {
         let used = TenantUse { sent, asked };
-        book.take_report(at(ms), node(2), [(TENANT, used)]);
+        tracker.take_report(at(ms), node(2), [(TENANT, used)]);
     };
     // 12 requests per second are 60 per window.
-    report(&mut book, 0, 50, 13);
+    report(&mut tracker, 0, 50, 13);
     assert_eq!(
-        ask(&mut book, 10, QUOTA, Order::NewProgram),
+        ask(&mut tracker, 10, QUOTA, Order::NewProgram),
         Ok(()),
         "no request was refused yet"
     );
-    report(&mut book, 100, 60, 13);
-    let full = ask(&mut book, 110, QUOTA, Order::Continuation).expect_err("full");
+    report(&mut tracker, 100, 60, 13);
+    let full = ask(&mut tracker, 110, QUOTA, Order::Continuation).expect_err("full");
     assert!(!full.is_held_back);
-    report(&mut book, 200, 50, 13);
-    let held_back = ask(&mut book, 210, QUOTA, Order::NewProgram).expect_err("short");
+    report(&mut tracker, 200, 50, 13);
+    let held_back = ask(&mut tracker, 210, QUOTA, Order::NewProgram).expect_err("short");
     assert!(held_back.is_held_back);
-    assert_eq!(ask(&mut book, 210, QUOTA, Order::Continuation), Ok(()));
-    report(&mut book, 400, 50, 12);
-    assert_eq!(ask(&mut book, 410, QUOTA, Order::NewProgram), Ok(()));
+    assert_eq!(ask(&mut tracker, 210, QUOTA, Order::Continuation), Ok(()));
+    report(&mut tracker, 400, 50, 12);
+    assert_eq!(ask(&mut tracker, 410, QUOTA, Order::NewProgram), Ok(()));
 }
 
 #[test]
 fn retry_delays_of_refused_requests_are_staggered() {
-    let mut book = lessor();
-    book.take_report(at(0), node(2), uses(60));
+    let mut tracker = lessor();
+    tracker.take_report(at(0), node(2), uses(60));
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        let over = ask(&mut book, 10, QUOTA, Order::Continuation).expect_err("full");
+        let over = ask(&mut tracker, 10, QUOTA, Order::Continuation).expect_err("full");
         pauses.push(over.retry_after);
     }
     assert!(pauses.is_sorted(), "{pauses:?}");
@@ -150,7 +150,7 @@
 #[test]
 fn a_node_without_complete_counts_makes_no_decision() {
     let order = Order::Continuation;
-    let mut started = QuotaTracker::new(RULES, Division::Told, 1, at(0));
+    let mut started = QuotaTracker::new(RULES, Division::Reported, 1, at(0));
     assert_eq!(
         started.grant(at(4_000), TENANT, QUOTA, FOUR_NODES, None, order),
         None
@@ -159,7 +159,7 @@
         started.grant(at(5_100), TENANT, QUOTA, FOUR_NODES, None, order),
         Some(Ok(()))
     );
-    let mut new = QuotaTracker::new(RULES, Division::Told, 1, at(0));
+    let mut new = QuotaTracker::new(RULES, Division::Reported, 1, at(0));
     new.note_new_machine();
     assert_eq!(
         new.grant(at(500), TENANT, QUOTA, FOUR_NODES, None, order),
@@ -181,13 +181,13 @@
 
 #[test]
 fn a_node_in_a_sudden_minority_grants_nothing_for_a_window() {
-    let mut book = lessor();
-    assert_eq!(granted(&mut book, 0, QUOTA, 1), 1);
+    let mut tracker = lessor();
+    assert_eq!(granted(&mut tracker, 0, QUOTA, 1), 1);
     let alone = Fleet {
         nodes: 1,
         is_cut_off: false,
     };
-    let mut decided = |ms| book.grant(at(ms), TENANT, QUOTA, alone, None, Order::Continuation);
+    let mut decided = |ms| tracker.grant(at(ms), TENANT, QUOTA, alone, None, Order::Continuation);
     assert_eq!(decided(1_500), None);
     assert_eq!(decided(5_500), Some(Ok(())));
 }
@@ -195,13 +195,13 @@
 /// Guards against an isolated node treating itself as a fleet of one and using the whole quota.
 #[test]
 fn an_isolated_node_keeps_to_its_share_of_the_earlier_fleet() {
-    let mut book = lessor();
-    book.report(at(0), FOUR_NODES);
+    let mut tracker = lessor();
+    tracker.report(at(0), FOUR_NODES);
     let cut_off = Fleet {
         nodes: 1,
         is_cut_off: true,
     };
-    let admitted = (0..100).filter(|_| book.admit(at(9_000), TENANT, QUOTA, cut_off).is_ok());
+    let admitted = (0..100).filter(|_| tracker.admit(at(9_000), TENANT, QUOTA, cut_off).is_ok());
     // Two fifths of a quarter of 60 requests.
     assert!((5..=7).contains(&admitted.count()));
 }
--- a/crates/gateway-core/tests/quota_model.rs
+++ b/crates/gateway-core/tests/quota_model.rs
@@ -115,7 +115,7 @@
 
 struct Node {
     name: NodeId,
-    book: QuotaTracker,
+    tracker: QuotaTracker,
     starts_at: u64,
     next_report: u64,
     turns: ReportTurns,
@@ -138,10 +138,10 @@
 fn simulate(scenario: &Scenario, method: Method, seed: u64) -> Outcome {
     let division = match method {
         Method::Even => Division::Even,
-        Method::Reports | Method::Lessor => Division::Told,
+        Method::Reports | Method::Lessor => Division::Reported,
     };
     let mut random = Random(seed);
-    let book = |number: usize, started: Timestamp| {
+    let tracker = |number: usize, started: Timestamp| {
         QuotaTracker::new(RULES, division, number as u64, started)
     };
     let mut nodes: Vec<Node> = (0..scenario.nodes + scenario.added)
@@ -152,11 +152,11 @@
             } else {
                 at(starts_at)
             };
-            let mut book = book(number, started);
-            book.note_new_machine();
+            let mut tracker = tracker(number, started);
+            tracker.note_new_machine();
             Node {
                 name: NodeId::new(format!("n{number}")),
-                book,
+                tracker,
                 starts_at,
                 next_report: starts_at + (number as u64 * 37) % 200,
                 turns: ReportTurns::default(),
@@ -181,10 +181,10 @@
         let is_down = |number: usize| is_crashed(number) && (11_000..11_700).contains(&now);
         if now == 11_700 {
             for number in (0..scenario.nodes).filter(|&number| is_crashed(number)) {
-                nodes[number].book = book(number, at(now));
+                nodes[number].tracker = tracker(number, at(now));
                 let restarted = nodes[number].name.clone();
                 for node in &mut nodes {
-                    node.book.note_restart(&restarted);
+                    node.tracker.note_restart(&restarted);
                 }
             }
         }
@@ -222,7 +222,7 @@
             }
             nodes[number].next_report =
                 now + u64::try_from(REPORT_INTERVAL.as_millis()).expect("short");
-            let reports = nodes[number].book.report(at(now), fleet(number));
+            let reports = nodes[number].tracker.report(at(now), fleet(number));
             let name = nodes[number].name.clone();
             let others = (0..count).filter(|&other| other != number).collect();
             for other in nodes[number].turns.take(others) {
@@ -233,7 +233,7 @@
                     && !is_paused(other);
                 if reaches && random.next() >= scenario.lost {
                     let reports = reports.iter().copied();
-                    receiver.book.take_report(at(now), name.clone(), reports);
+                    receiver.tracker.take_report(at(now), name.clone(), reports);
                 }
             }
         }
@@ -274,13 +274,13 @@
                 let lost = 1.0 - (1.0 - scenario.lost).powi(2);
                 !is_partitioned && !is_unavailable && random.next() >= lost.powi(2)
             };
-            let book = &mut nodes[number].book;
-            book.note_asked(at(now), TENANT, scenario.quota);
+            let tracker = &mut nodes[number].tracker;
+            tracker.note_asked(at(now), TENANT, scenario.quota);
             let low_usage =
-                lessor.and_then(|_| book.admit_low_usage(at(now), TENANT, scenario.quota, own));
+                lessor.and_then(|_| tracker.admit_low_usage(at(now), TENANT, scenario.quota, own));
             let granted = match lessor {
                 _ if low_usage.is_some() => Some(Ok(())),
-                Some(other) if other == number => book.grant(
+                Some(other) if other == number => tracker.grant(
                     at(now),
                     TENANT,
                     scenario.quota,
@@ -291,7 +291,7 @@
                 Some(other) if reaches(other, &mut random) => {
                     let to = Some(&names[number]);
                     let theirs = fleet(other);
-                    let lessor = &mut nodes[other].book;
+                    let lessor = &mut nodes[other].tracker;
                     lessor.grant(
                         at(now),
                         TENANT,
@@ -303,14 +303,14 @@
                 }
                 _ => None,
             };
-            let book = &mut nodes[number].book;
+            let tracker = &mut nodes[number].tracker;
             let is_admitted = match granted {
                 Some(Ok(())) if low_usage.is_none() => {
-                    book.record_granted(at(now), TENANT, scenario.quota);
+                    tracker.record_granted(at(now), TENANT, scenario.quota);
                     true
                 }
                 Some(result) => result.is_ok(),
-                None => book
+                None => tracker
                     .admit_by_reports(at(now), TENANT, scenario.quota, own)
                     .is_ok(),
             };
--- a/crates/gateway-core/tests/run_moves.rs
+++ b/crates/gateway-core/tests/run_moves.rs
@@ -114,7 +114,7 @@
     for (answers, with_backup, without) in cases {
         for (kept, expected) in [(Some(backup()), with_backup), (None, without)] {
             let mut migration = migration(kept, 2);
-            let mut action = migration.leave(MigrationReason::Broken, Some(target()));
+            let mut action = migration.migrate(MigrationReason::Broken, Some(target()));
             for answer in &answers {
                 assert!(
                     matches!(action, RunAction::Stop(_)),
@@ -136,18 +136,18 @@
     ] {
         let mut run = migration(None, 2);
         assert!(matches!(
-            run.leave(reason, Some(target())),
+            run.migrate(reason, Some(target())),
             RunAction::Copy(_)
         ));
         assert_eq!(run.after_copy(CallEnd::NotReached), RunAction::Read);
         assert!(matches!(
-            run.leave(reason, Some(target())),
+            run.migrate(reason, Some(target())),
             RunAction::Copy(_)
         ));
         assert_eq!(run.after_copy(copied("a")), stop_at_target());
         assert_eq!(run.after_stop(CallEnd::Refused), RunAction::Read);
         assert_eq!(run.take_unused_copies(), [copy("a")]);
-        assert_eq!(run.leave(reason, None), RunAction::Read);
+        assert_eq!(run.migrate(reason, None), RunAction::Read);
     }
 }
 
@@ -155,7 +155,7 @@
 fn a_refused_copy_returns_to_the_source_engine_and_is_finally_freed() {
     let mut run = migration(None, 2);
     assert_eq!(
-        run.leave(MigrationReason::Broken, Some(target())),
+        run.migrate(MigrationReason::Broken, Some(target())),
         stop_at_target()
     );
     let at_target = RunAction::Resume {
@@ -177,7 +177,7 @@
 #[test]
 fn a_target_whose_stream_breaks_is_stopped_as_well() {
     let mut run = migration(None, 3);
-    run.leave(MigrationReason::Broken, Some(target()));
+    run.migrate(MigrationReason::Broken, Some(target()));
     run.after_stop(copied("h"));
     let action = run.after_attempt(AttemptEnd::Unknown, Some(backup()));
     let expected = RunAction::Stop(CopyPath {
@@ -191,14 +191,14 @@
         run.after_attempt(AttemptEnd::Answered, None),
         RunAction::Read
     );
-    let action = run.leave(MigrationReason::Broken, Some(source()));
+    let action = run.migrate(MigrationReason::Broken, Some(source()));
     assert_eq!(action, RunAction::End(EndReason::MigrationLimit));
 }
 
 #[test]
 fn a_run_limited_to_one_engine_resumes_there() {
     let mut run = migration(None, 1);
-    run.leave(MigrationReason::Broken, Some(target()));
+    run.migrate(MigrationReason::Broken, Some(target()));
     let expected = RunAction::Resume {
         at: source(),
         copy: copy("h"),
@@ -216,14 +216,14 @@
         MigrationReason::Slow,
     ] {
         let mut run = migration(None, 1);
-        assert_eq!(run.leave(reason, Some(target())), RunAction::Read);
+        assert_eq!(run.migrate(reason, Some(target())), RunAction::Read);
         let mut run = migration(None, 2);
-        run.leave(MigrationReason::Silent, Some(target()));
+        run.migrate(MigrationReason::Silent, Some(target()));
         run.after_stop(copied("h"));
         run.after_attempt(AttemptEnd::Answered, None);
-        assert_eq!(run.leave(reason, Some(backup())), RunAction::Read);
+        assert_eq!(run.migrate(reason, Some(backup())), RunAction::Read);
         assert!(matches!(
-            run.leave(reason, Some(source())),
+            run.migrate(reason, Some(source())),
             RunAction::Stop(_) | RunAction::Copy(_)
         ));
     }
@@ -232,14 +232,14 @@
 #[test]
 fn a_lost_engine_does_not_count_towards_the_engine_limit() {
     let mut run = migration(Some(backup()), 1);
-    run.leave(MigrationReason::Broken, None);
+    run.migrate(MigrationReason::Broken, None);
     let expected = RunAction::Resume {
         at: backup(),
         copy: copy("r1"),
     };
     assert_eq!(run.after_stop(CallEnd::NotReached), expected);
     let mut run = migration(Some(backup()), 1);
-    run.leave(MigrationReason::Broken, None);
+    run.migrate(MigrationReason::Broken, None);
     let stopped = CallEnd::Answered(MoveOutcome::NoSuchRun);
     let expected = RunAction::End(EndReason::EngineLimit);
     assert_eq!(run.after_stop(stopped), expected, "this engine is not lost");
@@ -248,14 +248,14 @@
 #[test]
 fn a_silent_engine_is_abandoned_only_if_unreachable() {
     let mut run = migration(Some(backup()), 2);
-    run.leave(MigrationReason::Silent, None);
+    run.migrate(MigrationReason::Silent, None);
     let gone = CallEnd::Answered(MoveOutcome::NoSuchRun);
     assert_eq!(
         run.after_stop(gone),
         RunAction::Read,
         "the end of the stream may still arrive"
     );
-    run.leave(MigrationReason::Silent, None);
+    run.migrate(MigrationReason::Silent, None);
     let action = run.after_stop(CallEnd::NotReached);
     assert!(matches!(action, RunAction::Resume { .. }), "{action:?}");
 }
@@ -336,18 +336,18 @@
 fn backups_are_limited_to_runs_with_few_bytes_per_remaining_token() {
     let now = Timestamp(1);
     let mut backups = Backups::default();
-    assert_eq!(backups.begin(&RULES, &SHORT_RUN, now), None);
-    let bytes = backups.begin(&RULES, &LONG_RUN, now);
+    assert_eq!(backups.start(&RULES, &SHORT_RUN, now), None);
+    let bytes = backups.start(&RULES, &LONG_RUN, now);
     assert_eq!(bytes, Some(5_000 * 18_432));
     let off = BackupRules {
         max_bytes_per_token: 0,
         ..RULES
     };
-    assert_eq!(Backups::default().begin(&off, &LONG_RUN, now), None);
-    assert!(backups.begin(&RULES, &LONG_RUN, now).is_some());
-    assert_eq!(backups.begin(&RULES, &LONG_RUN, now), None, "two at a time");
+    assert_eq!(Backups::default().start(&off, &LONG_RUN, now), None);
+    assert!(backups.start(&RULES, &LONG_RUN, now).is_some());
+    assert_eq!(backups.start(&RULES, &LONG_RUN, now), None, "two at a time");
     backups.end();
-    assert!(backups.begin(&RULES, &LONG_RUN, now).is_some());
+    assert!(backups.start(&RULES, &LONG_RUN, now).is_some());
 }
 
 proptest! {
@@ -370,7 +370,7 @@
         for (tokens, remaining_tokens, delay_us) in runs {
             now = now + Duration::from_micros(delay_us);
             let run = RunSize { tokens, remaining_tokens, token_bytes: 18_432 };
-            if let Some(bytes) = backups.begin(&rules, &run, now) {
+            if let Some(bytes) = backups.start(&rules, &run, now) {
                 transferred += bytes;
                 let elapsed = now.since(Timestamp(1)).as_secs_f64() + BURST_S as f64;
                 let max_bytes = rules.bytes_per_s as f64 * elapsed;
--- a/crates/gateway-core/tests/run_moves_model.rs
+++ b/crates/gateway-core/tests/run_moves_model.rs
@@ -308,22 +308,22 @@
                         RunAction::Read
                     }
                     Occurrence::Migrate(reason) if is_read => {
-                        migration.leave(reason, candidate.map(engine))
+                        migration.migrate(reason, candidate.map(engine))
                     }
                     Occurrence::Reset(continues) if is_read && continues => {
-                        migration.leave(MigrationReason::Broken, candidate.map(engine))
+                        migration.migrate(MigrationReason::Broken, candidate.map(engine))
                     }
                     Occurrence::Reset(_) if is_read => {
                         world.executing.remove(&at);
-                        migration.leave(MigrationReason::Broken, candidate.map(engine))
+                        migration.migrate(MigrationReason::Broken, candidate.map(engine))
                     }
                     // Otherwise the engine has crashed or was stopped by a call whose response was
                     // lost, and the stream breaks off.
                     Occurrence::Crash if is_read => {
                         world.crash(at);
-                        migration.leave(MigrationReason::Broken, candidate.map(engine))
+                        migration.migrate(MigrationReason::Broken, candidate.map(engine))
                     }
-                    _ => migration.leave(MigrationReason::Broken, candidate.map(engine)),
+                    _ => migration.migrate(MigrationReason::Broken, candidate.map(engine)),
                 }
             }
             RunAction::End(_) => break,
--- a/crates/gateway-core/tests/workers.rs
+++ b/crates/gateway-core/tests/workers.rs
@@ -97,9 +97,9 @@
     let mut workers = WorkerDirectory::default();
     workers.upsert(record("far", "b"), START);
     workers.upsert(record("near", "a"), START);
-    for spread in 0..20 {
+    for seed in 0..20 {
         let query = PlacementQuery {
-            seed: spread,
+            seed,
             ..query(None, &[])
         };
         let worker = choose(&workers, &query, START).expect("a worker");
@@ -127,13 +127,13 @@
 fn requests_without_a_key_prefer_connected_workers_at_equal_load() {
     let mut workers = directory(&["w1", "w2", "w3"]);
     let chosen_workers = |workers: &WorkerDirectory| -> BTreeSet<String> {
-        let query = |spread| PlacementQuery {
-            seed: spread,
+        let query = |seed| PlacementQuery {
+            seed,
             is_connected: &|worker| worker == "w2",
             ..query(None, &[])
         };
         (0..32)
-            .filter_map(|spread| choose(workers, &query(spread), START))
+            .filter_map(|seed| choose(workers, &query(seed), START))
             .map(|worker| worker.record.id.clone())
             .collect()
     };
@@ -339,10 +339,10 @@
     let now = START + Duration::from_millis(400);
     let chosen_workers = |workers: &WorkerDirectory, repeatable: bool| -> BTreeSet<String> {
         (0..40)
-            .map(|spread| {
+            .map(|seed| {
                 let query = PlacementQuery {
                     repeatable,
-                    seed: spread,
+                    seed,
                     ..query(None, &[])
                 };
                 let chosen = choose(workers, &query, now).expect("a worker");
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -50,8 +50,8 @@
             Endpoints::Metrics => metrics(&gateway),
         };
         let close = gateway.stage() == Stage::Closing;
-        let share = gateway.memory.reservation(BufferKind::Callers);
-        let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, close);
+        let reservation = gateway.memory.reservation(BufferKind::Callers);
+        let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, reservation, close);
         let sent = caller
             .send_whole(response.status, &response.headers(), &response.body)
             .await;
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! Reads which prompt parts engines have cached, for the engines that are assigned to this node.
+//! Reads which prompt prefixes engines have cached, for the engines that are assigned to this node.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -71,14 +71,14 @@
     }
 
     /// Returns what this node currently knows of the memory of the engines that it reads.
-    pub(crate) fn beliefs(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, MemorySnapshot> {
+    pub(crate) fn snapshots(&self, gateway: &Gateway) -> BTreeMap<WorkerKey, MemorySnapshot> {
         let workers = gateway.workers.borrow();
         let readings = self.readings.borrow();
         let known = readings.iter().filter_map(|(start, reading)| {
             let worker = workers.get(&start.worker)?;
             let read_at = reading.reader.observed_at()?;
-            let belief = workers.snapshot_of(worker, read_at, reading.reader.log());
-            Some((worker.key(), belief))
+            let snapshot = workers.snapshot_of(worker, read_at, reading.reader.log());
+            Some((worker.key(), snapshot))
         });
         known.collect()
     }
--- a/crates/gateway/src/feed/catch_up.rs
+++ b/crates/gateway/src/feed/catch_up.rs
@@ -16,37 +16,40 @@
 
 /// Starts to catch up if a reader's heartbeat shows that this node has missed changes, unless a
 /// catch-up is already in progress.
-pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, beat: &FeedHeartbeat) {
+pub(super) fn ask_if_behind(gateway: &Rc<Gateway>, address: SocketAddr, heartbeat: &FeedHeartbeat) {
     let feed = &gateway.feed;
-    if feed.is_catching_up.get() || !is_behind(gateway, beat) {
+    if feed.is_catching_up.get() || !is_behind(gateway, heartbeat) {
         return;
     }
     feed.is_catching_up.set(true);
-    let (gateway, beat) = (gateway.clone(), beat.clone());
+    let (gateway, heartbeat) = (gateway.clone(), heartbeat.clone());
     actix_rt::spawn(async move {
-        if let Err(reason) = catch_up(&gateway, address, &beat).await {
-            log::warn!(node = beat.node.as_str(), reason:? = reason; "cannot catch up: a reader of the log did not answer");
+        if let Err(reason) = catch_up(&gateway, address, &heartbeat).await {
+            log::warn!(node = heartbeat.node.as_str(), reason:? = reason; "cannot catch up: a reader of the log did not answer");
         }
         gateway.feed.is_catching_up.set(false);
     });
 }
 
-fn is_behind(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
+fn is_behind(gateway: &Gateway, heartbeat: &FeedHeartbeat) -> bool {
     let feed = &gateway.feed;
-    has_newer_configuration(gateway, beat)
-        || feed.nodes_end.get().is_none_or(|end| end < beat.nodes_end)
-        || *feed.source.borrow() != Some(source_of(beat, beat.workers_revision))
+    has_newer_configuration(gateway, heartbeat)
+        || feed
+            .nodes_end
+            .get()
+            .is_none_or(|end| end < heartbeat.nodes_end)
+        || *feed.source.borrow() != Some(source_of(heartbeat, heartbeat.workers_revision))
 }
 
-fn has_newer_configuration(gateway: &Gateway, beat: &FeedHeartbeat) -> bool {
-    gateway.config_proof.borrow().version() < beat.config_version
+fn has_newer_configuration(gateway: &Gateway, heartbeat: &FeedHeartbeat) -> bool {
+    gateway.config_proof.borrow().version() < heartbeat.config_version
 }
 
 /// Returns the reader and the revision of its workers that a heartbeat names.
-fn source_of(beat: &FeedHeartbeat, revision: u64) -> Source {
+fn source_of(heartbeat: &FeedHeartbeat, revision: u64) -> Source {
     Source {
-        node: beat.node.clone(),
-        boot: beat.boot,
+        node: heartbeat.node.clone(),
+        boot: heartbeat.boot,
         revision,
     }
 }
@@ -54,28 +57,29 @@
 async fn catch_up(
     gateway: &Rc<Gateway>,
     address: SocketAddr,
-    beat: &FeedHeartbeat,
+    heartbeat: &FeedHeartbeat,
 ) -> Result<(), NoReply> {
     let ask = |question| {
         gateway
             .peers
-            .ask_feed(gateway, &beat.node, address, question)
+            .ask_feed(gateway, &heartbeat.node, address, question)
     };
-    if has_newer_configuration(gateway, beat)
+    if has_newer_configuration(gateway, heartbeat)
         && let FeedResponse::Configuration(copy) = ask(FeedRequest::Configuration).await?
     {
         watch::apply_publication(gateway, &record_of(copy));
     }
     let since = gateway.feed.nodes_end.get().unwrap_or_default();
-    if gateway.feed.nodes_end.get().is_none() || since < beat.nodes_end {
+    if gateway.feed.nodes_end.get().is_none() || since < heartbeat.nodes_end {
         apply_nodes(gateway, ask(FeedRequest::Nodes { since }).await?);
     }
     let known = gateway.feed.source.borrow().clone();
-    let known = known.filter(|known| (&known.node, known.boot) == (&beat.node, beat.boot));
+    let known =
+        known.filter(|known| (&known.node, known.boot) == (&heartbeat.node, heartbeat.boot));
     let since = known.map(|known| known.revision);
-    if since != Some(beat.workers_revision) {
+    if since != Some(heartbeat.workers_revision) {
         let answer = ask(FeedRequest::Workers { since }).await?;
-        apply_workers(gateway, beat, answer);
+        apply_workers(gateway, heartbeat, answer);
     }
     Ok(())
 }
@@ -98,7 +102,7 @@
     gateway.feed.nodes_received.send_replace(true);
 }
 
-fn apply_workers(gateway: &Rc<Gateway>, beat: &FeedHeartbeat, answer: FeedResponse) {
+fn apply_workers(gateway: &Rc<Gateway>, heartbeat: &FeedHeartbeat, answer: FeedResponse) {
     let FeedResponse::Workers(update) = answer else {
         return;
     };
@@ -106,7 +110,7 @@
         // This node has become a reader since it asked.
         return;
     }
-    let source = source_of(beat, update.revision);
+    let source = source_of(heartbeat, update.revision);
     workers::apply_update(gateway, update);
     *gateway.feed.source.borrow_mut() = Some(source);
     gateway.reach_milestone(Milestone::Workers);
--- a/crates/gateway/src/feed/heartbeats.rs
+++ b/crates/gateway/src/feed/heartbeats.rs
@@ -21,22 +21,22 @@
     if !feed.reads_for_others() {
         return;
     }
-    let Some(beat) = current_heartbeat(gateway) else {
+    let Some(heartbeat) = current_heartbeat(gateway) else {
         return;
     };
     let now = gateway.now();
     let is_early = |at| now.since(at) < feed.times.heartbeat_interval;
     let has_changed = feed
-        .last_beat
+        .last_heartbeat
         .borrow()
         .as_ref()
-        .is_none_or(|last| differs(last, &beat));
-    if feed.beat_sent_at.get().is_some_and(is_early) && !has_changed {
+        .is_none_or(|last| differs(last, &heartbeat));
+    if feed.heartbeat_sent_at.get().is_some_and(is_early) && !has_changed {
         return;
     }
-    feed.beat_sent_at.set(Some(now));
-    let datagram = encode(&GatewayDatagram::Beat(beat.clone()));
-    *feed.last_beat.borrow_mut() = Some(beat);
+    feed.heartbeat_sent_at.set(Some(now));
+    let datagram = encode(&GatewayDatagram::Beat(heartbeat.clone()));
+    *feed.last_heartbeat.borrow_mut() = Some(heartbeat);
     let others = feed.zone.borrow().others.clone();
     for to in others.iter() {
         // A lost heartbeat is superseded by the next one.
@@ -68,34 +68,34 @@
 }
 
 /// Returns whether two heartbeats differ in anything but their age.
-fn differs(last: &FeedHeartbeat, beat: &FeedHeartbeat) -> bool {
+fn differs(last: &FeedHeartbeat, heartbeat: &FeedHeartbeat) -> bool {
     let same_age = FeedHeartbeat {
         age_us: last.age_us,
-        ..beat.clone()
+        ..heartbeat.clone()
     };
     *last != same_age
 }
 
 /// Handles a reader's heartbeat.
-pub(crate) fn receive(gateway: &Rc<Gateway>, from: SocketAddr, beat: &FeedHeartbeat) {
+pub(crate) fn receive(gateway: &Rc<Gateway>, from: SocketAddr, heartbeat: &FeedHeartbeat) {
     let feed = &gateway.feed;
-    if beat.node == gateway.settings.node {
+    if heartbeat.node == gateway.settings.node {
         return;
     }
     let now = gateway.now();
-    let age = Duration::from_micros(beat.age_us);
+    let age = Duration::from_micros(heartbeat.age_us);
     feed.roles
         .borrow_mut()
-        .record_heartbeat(now, &beat.node, age, beat.reads);
-    peers::receive_zone_reports(gateway, &beat.zones);
-    if !feed.depends_on_others() || !feed.roles.borrow().is_working(now, &beat.node) {
+        .record_heartbeat(now, &heartbeat.node, age, heartbeat.reads);
+    peers::receive_zone_reports(gateway, &heartbeat.zones);
+    if !feed.depends_on_others() || !feed.roles.borrow().is_working(now, &heartbeat.node) {
         return;
     }
     feed.worker_count
-        .set(usize::try_from(beat.worker_count).ok());
-    record_age(gateway, beat, age);
-    if is_source(gateway, &beat.node) {
-        catch_up::ask_if_behind(gateway, from, beat);
+        .set(usize::try_from(heartbeat.worker_count).ok());
+    record_age(gateway, heartbeat, age);
+    if is_source(gateway, &heartbeat.node) {
+        catch_up::ask_if_behind(gateway, from, heartbeat);
     }
 }
 
@@ -111,9 +111,9 @@
 }
 
 /// Counts a heartbeat like a read of the configuration by this node, as old as the reader's own read.
-fn record_age(gateway: &Gateway, beat: &FeedHeartbeat, age: Duration) {
+fn record_age(gateway: &Gateway, heartbeat: &FeedHeartbeat, age: Duration) {
     let mut proof = gateway.config_proof.borrow_mut();
-    if proof.version() == beat.config_version {
+    if proof.version() == heartbeat.config_version {
         proof.record_heartbeat(gateway.now(), age);
     }
 }
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -102,10 +102,10 @@
     nodes_received: watch::Sender<bool>,
     /// When the role was last decided.
     decided_at: Cell<Option<Timestamp>>,
-    beat_sent_at: Cell<Option<Timestamp>>,
+    heartbeat_sent_at: Cell<Option<Timestamp>>,
     upkeep_at: Cell<Option<Timestamp>>,
     /// The last heartbeat that this node sent.
-    last_beat: RefCell<Option<FeedHeartbeat>>,
+    last_heartbeat: RefCell<Option<FeedHeartbeat>>,
 }
 
 impl Feed {
@@ -135,9 +135,9 @@
             is_catching_up: Cell::default(),
             nodes_received: watch::Sender::new(false),
             decided_at: Cell::default(),
-            beat_sent_at: Cell::default(),
+            heartbeat_sent_at: Cell::default(),
             upkeep_at: Cell::default(),
-            last_beat: RefCell::default(),
+            last_heartbeat: RefCell::default(),
         }
     }
 
@@ -173,7 +173,7 @@
 
     /// Starts to take part once this node's entry is written. In a fleet that seems small, the node
     /// becomes a reader immediately; otherwise, the role is decided later.
-    pub(crate) fn begin(&self, seemed_small: bool) {
+    pub(crate) fn start(&self, seemed_small: bool) {
         self.has_entry.set(true);
         self.seemed_small.set(seemed_small);
         self.is_zone_stale.set(true);
--- a/crates/gateway/src/forward/migration.rs
+++ b/crates/gateway/src/forward/migration.rs
@@ -135,7 +135,7 @@
     ) -> Result<Option<RunningResponse>, CallError> {
         let mut run = self.migratable_run(from);
         let candidate = self.candidate(run.life.at());
-        let mut order = run.life.leave(reason, candidate);
+        let mut order = run.life.migrate(reason, candidate);
         loop {
             order = match order {
                 RunAction::Copy(hop) => run.life.after_copy(self.request_copy(hop, None).await),
@@ -325,9 +325,16 @@
             bytes_per_s: policy.backup_bytes_per_s,
         };
         let workers = self.gateway.workers.borrow();
-        let wish = ZonePreference::Other;
-        let worker = targets::choose(&workers, &self.service, &target.worker, &[], wish, now)?;
-        let bytes = self.gateway.backups.borrow_mut().begin(&rules, size, now)?;
+        let preference = ZonePreference::Other;
+        let worker = targets::choose(
+            &workers,
+            &self.service,
+            &target.worker,
+            &[],
+            preference,
+            now,
+        )?;
+        let bytes = self.gateway.backups.borrow_mut().start(&rules, size, now)?;
         self.gateway.metrics.backups.inc();
         self.gateway.metrics.backup_bytes.inc_by(bytes);
         Some(RunBackup {
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -116,7 +116,7 @@
                 FlowStep::Chunk(chunk) => chunk,
                 FlowStep::End if splitter.pending_bytes() == 0 => return Ok(PartEnd::Complete),
                 FlowStep::End => {
-                    return Ok(PartEnd::Broken("stream ended within an event".to_owned()));
+                    return Ok(PartEnd::Broken("incomplete last event".to_owned()));
                 }
                 FlowStep::Broken(reason) => return Ok(PartEnd::Broken(reason)),
                 FlowStep::ReleaseWorker => return Ok(PartEnd::Released),
--- a/crates/gateway/src/forward/turn.rs
+++ b/crates/gateway/src/forward/turn.rs
@@ -295,7 +295,7 @@
         let Ok(answered) = actix_rt::time::timeout(max_wait, requesting).await else {
             return Err(PermitUnavailable::TooSlow.refusal());
         };
-        permit.granter = answered.by;
+        permit.granter = answered.node;
         match answered.reply {
             LedgerReply::Granted { conversation } => {
                 // The log may have failed since; dropping the permit returns the reservation.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -131,7 +131,7 @@
         };
         let clock = Clock::start();
         let division = match policy.shared_quotas {
-            true => Division::Told,
+            true => Division::Reported,
             false => Division::Even,
         };
         let metrics = Metrics::new();
--- a/crates/gateway/src/ledger/mod.rs
+++ b/crates/gateway/src/ledger/mod.rs
@@ -72,7 +72,7 @@
     /// The ledger's reply.
     pub(crate) reply: LedgerReply,
     /// The node that replied, or at which the request failed.
-    pub(crate) by: NodeId,
+    pub(crate) node: NodeId,
 }
 
 /// Maximum number of attempts to withdraw a turn at a node.
@@ -101,22 +101,22 @@
     candidates.truncate(MAX_CANDIDATES_ASKED);
     let is_candidate = candidates.contains(own);
     let before_own = candidates.into_iter().take_while(|node| node != own);
-    for by in before_own {
-        asked.insert(&by);
-        let reason = match ask_peer(gateway, &by, partition, request.clone()).await {
+    for node in before_own {
+        asked.insert(&node);
+        let reason = match ask_peer(gateway, &node, partition, request.clone()).await {
             // The log may refuse only that node.
             Ok(LedgerReply::Unavailable) => SkipReason::Unavailable,
-            Ok(reply) => return LedgerAnswer { reply, by },
+            Ok(reply) => return LedgerAnswer { reply, node },
             Err(NoReply::Unreachable | NoReply::Silent) => SkipReason::Absent,
             // The log is slow, and a second owner of the partition would only add load.
             Err(NoReply::TooSlow) => {
                 let reply = LedgerReply::Unavailable;
-                return LedgerAnswer { reply, by };
+                return LedgerAnswer { reply, node };
             }
         };
         if !may_skip(gateway, reason) {
             let reply = LedgerReply::Unavailable;
-            return LedgerAnswer { reply, by };
+            return LedgerAnswer { reply, node };
         }
     }
     let may_act = gateway.log_reach.borrow().may_serve(is_candidate) && may_act_alone(gateway);
@@ -126,8 +126,8 @@
     } else {
         LedgerReply::Unavailable
     };
-    let by = own.clone();
-    LedgerAnswer { reply, by }
+    let node = own.clone();
+    LedgerAnswer { reply, node }
 }
 
 fn acting_state(gateway: &Gateway) -> StartupGrace {
--- a/crates/gateway/src/log_outage.rs
+++ b/crates/gateway/src/log_outage.rs
@@ -52,11 +52,11 @@
 
     /// Applies another node's report. Returns whether the log has answered this node since, which is then
     /// to be reported back.
-    pub(crate) fn apply_report(&self, gateway: &Gateway, node: NodeId, word: LogStatus) -> bool {
+    pub(crate) fn apply_report(&self, gateway: &Gateway, node: NodeId, status: LogStatus) -> bool {
         let is_refuted = self
             .watch
             .borrow_mut()
-            .on_peer_status(gateway.now(), node, word);
+            .on_peer_status(gateway.now(), node, status);
         self.publish(gateway);
         is_refuted
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -70,7 +70,7 @@
     pub(crate) engine: &'static str,
 }
 
-/// Label of calls that read which prompt parts an engine has cached.
+/// Label of calls that read which prompt prefixes an engine has cached.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct EngineReadLabel {
     /// Kind of the call.
@@ -188,7 +188,7 @@
     pub(crate) far_bytes: CrossZoneBytes,
     pub(crate) unreadable_entries: Counter,
     pub(crate) config_version: Gauge,
-    pub(crate) proofs_told: Counter,
+    pub(crate) proofs_sent: Counter,
     pub(crate) over_quota: Counter,
     quota_refusals: Family<QuotaRefusalLabel, Counter>,
     quota_grants: Family<QuotaGrantLabel, Counter>,
@@ -258,7 +258,7 @@
             far_bytes: CrossZoneBytes::default(),
             unreadable_entries: Counter::default(),
             config_version: Gauge::default(),
-            proofs_told: Counter::default(),
+            proofs_sent: Counter::default(),
             over_quota: Counter::default(),
             quota_refusals: Family::default(),
             quota_grants: Family::default(),
@@ -347,7 +347,7 @@
             .inc();
     }
 
-    /// Counts a call that reads which prompt parts an engine has cached.
+    /// Counts a call that reads which prompt prefixes an engine has cached.
     pub(crate) fn note_engine_read(&self, call: &'static str, outcome: &'static str) {
         let label = EngineReadLabel { call, outcome };
         self.engine_reads.get_or_create(&label).inc();
@@ -358,14 +358,14 @@
         self.engines_read.set(saturating_i64(engines));
     }
 
-    /// Sets the number of cached prompt parts known, and the age of the oldest knowledge of an engine.
-    pub(crate) fn note_memories(&self, parts: usize, oldest: Option<Duration>) {
-        self.parts_known.set(saturating_i64(parts));
+    /// Sets the number of cached prompt prefixes known, and the age of the oldest knowledge of an engine.
+    pub(crate) fn note_memories(&self, prefixes: usize, oldest: Option<Duration>) {
+        self.parts_known.set(saturating_i64(prefixes));
         let age = oldest.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
         self.belief_age_ms.set(age);
     }
 
-    /// Counts a prompt part that an engine was asked to fetch from another engine.
+    /// Counts a prompt prefix that an engine was asked to fetch from another engine.
     pub(crate) fn note_prompt_fetch(&self, bytes: u64) {
         self.prompt_fetches.inc();
         self.prompt_fetched_bytes.inc_by(bytes);
@@ -543,7 +543,7 @@
         registry.register(
             "proofs_told",
             "Proofs of the configuration that other nodes gave",
-            self.proofs_told.clone(),
+            self.proofs_sent.clone(),
         );
         registry.register(
             "over_quota",
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,7 +9,7 @@
 mod memories;
 mod outages;
 mod owners;
-mod parts;
+mod prefix_usage;
 mod proofs;
 mod queue;
 mod quotas;
--- a/crates/gateway/src/peers/gossip.rs
+++ b/crates/gateway/src/peers/gossip.rs
@@ -13,7 +13,7 @@
 use super::loads::{self, LOAD_INTERVAL, LoadSender};
 use super::memories::{self, MemorySender};
 use super::outages::{self, OutageReporter};
-use super::parts::{self, PartDemandSender};
+use super::prefix_usage::{self, PrefixUsageSender};
 use super::proofs::{self, ProofRequester};
 use super::quotas::{self, QuotaSender};
 use super::{PROBE_INTERVAL, cross_zone, zones};
@@ -33,7 +33,7 @@
     let mut ticks = actix_rt::time::interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut load_sender = LoadSender::default();
-    let mut part_sender = PartDemandSender::default();
+    let mut prefix_sender = PrefixUsageSender::default();
     let mut memory_sender = MemorySender::default();
     let mut quota_sender = QuotaSender::default();
     let mut demand_sender = DemandSender::default();
@@ -59,7 +59,7 @@
                 quota_sender.send_if_due(&gateway, &socket);
                 gateway.lessors.introduce(&gateway);
                 demand_sender.send(&gateway, &socket);
-                part_sender.send_if_due(&gateway, &socket);
+                prefix_sender.send_if_due(&gateway, &socket);
                 memory_sender.send_changes(&gateway, &socket);
                 feed::tick(&gateway, &socket);
                 cross_zone::report_zone_changes(&gateway);
@@ -84,7 +84,7 @@
                         continue;
                     }
                     Ok(GatewayDatagram::Parts(report)) => {
-                        parts::receive(&gateway, report);
+                        prefix_usage::receive(&gateway, report);
                         continue;
                     }
                     Ok(GatewayDatagram::Demand(report)) => {
@@ -95,8 +95,8 @@
                         proofs::answer(&gateway, &socket, from, question);
                         continue;
                     }
-                    Ok(GatewayDatagram::Beat(beat)) => {
-                        feed::receive_heartbeat(&gateway, from, &beat);
+                    Ok(GatewayDatagram::Beat(heartbeat)) => {
+                        feed::receive_heartbeat(&gateway, from, &heartbeat);
                         continue;
                     }
                     Ok(GatewayDatagram::Memory(report)) => {
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -1,4 +1,4 @@
-//! Exchange of engine memories: nodes that read engines report to the serving nodes which prompt parts
+//! Exchange of engine memories: nodes that read engines report to the serving nodes which prompt prefixes
 //! each engine has cached.
 
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
             return;
         }
         let now = gateway.now();
-        let present = gateway.engines.beliefs(gateway);
+        let present = gateway.engines.snapshots(gateway);
         apply_beliefs(gateway, now, &present);
         let due = self.reporter.due(now, present);
         if due.is_empty() {
@@ -40,7 +40,7 @@
         }
         let engines = due
             .into_iter()
-            .map(|(engine, belief)| engine_report(now, engine, belief));
+            .map(|(engine, snapshot)| engine_report(now, engine, snapshot));
         let report = MemoryReport {
             node: gateway.settings.node.clone(),
             engines: engines.collect(),
@@ -70,8 +70,8 @@
     present: impl IntoIterator<Item = (&'a WorkerKey, &'a MemorySnapshot)>,
 ) {
     let mut workers = gateway.workers.borrow_mut();
-    for (engine, belief) in present {
-        workers.apply_memory_snapshot(*engine, belief.clone());
+    for (engine, snapshot) in present {
+        workers.apply_memory_snapshot(*engine, snapshot.clone());
     }
     workers.drop_old_memories(now);
     let memories = workers.memories();
@@ -80,14 +80,20 @@
         .note_memories(memories.held_prefixes(), memories.oldest_age(now));
 }
 
-fn engine_report(now: Timestamp, engine: WorkerKey, belief: MemorySnapshot) -> EngineMemoryReport {
-    let age = now.since(belief.observed_at).as_millis();
-    let parts = belief.prefixes.into_iter();
+fn engine_report(
+    now: Timestamp,
+    engine: WorkerKey,
+    snapshot: MemorySnapshot,
+) -> EngineMemoryReport {
+    let age = now.since(snapshot.observed_at).as_millis();
+    let prefixes = snapshot.prefixes.into_iter();
     EngineMemoryReport {
         engine: engine.0,
-        born: belief.born,
+        born: snapshot.born,
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
-        parts: parts.map(|(part, tokens)| (part.0, tokens)).collect(),
+        parts: prefixes
+            .map(|(prefix, tokens)| (prefix.0, tokens))
+            .collect(),
     }
 }
 
@@ -99,14 +105,14 @@
     let now = gateway.now();
     let mut workers = gateway.workers.borrow_mut();
     for reported in report.engines {
-        let parts = reported.parts.into_iter().take(MAX_REPORTED_PREFIXES);
-        let belief = MemorySnapshot {
+        let prefixes = reported.parts.into_iter().take(MAX_REPORTED_PREFIXES);
+        let snapshot = MemorySnapshot {
             born: reported.born,
             observed_at: now - Duration::from_millis(u64::from(reported.age_ms)),
-            prefixes: parts
-                .map(|(part, tokens)| (PrefixKey(part), tokens))
+            prefixes: prefixes
+                .map(|(prefix, tokens)| (PrefixKey(prefix), tokens))
                 .collect(),
         };
-        workers.apply_memory_snapshot(WorkerKey(reported.engine), belief);
+        workers.apply_memory_snapshot(WorkerKey(reported.engine), snapshot);
     }
 }
--- a/crates/gateway/src/peers/outages.rs
+++ b/crates/gateway/src/peers/outages.rs
@@ -39,26 +39,26 @@
     /// Reports contain only what this node's own calls have shown.
     pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
         let now = gateway.now();
-        let word = gateway.log_outage.own_report(gateway);
+        let status = gateway.log_outage.own_report(gateway);
         let is_due = |last: Option<Timestamp>, pause| last.is_none_or(|at| now.since(at) >= pause);
         match gateway.log_outage.state() {
             LogState::Late { .. } if is_due(self.asked_at, ASK_INTERVAL) => {
                 self.asked_at = Some(now);
-                send(gateway, socket, word, owners(gateway));
+                send(gateway, socket, status, owners(gateway));
             }
             LogState::Silent { .. }
-                if word.oldest_wait.is_some()
+                if status.oldest_wait.is_some()
                     && (!self.was_silent || is_due(self.reported_at, REPORT_INTERVAL)) =>
             {
                 self.was_silent = true;
                 self.reported_at = Some(now);
                 let others = self.rotation.pick(others(gateway), MAX_RECIPIENTS);
-                send(gateway, socket, word, others);
+                send(gateway, socket, status, others);
             }
             LogState::Normal if self.was_silent => {
                 self.was_silent = false;
                 let others = self.rotation.pick(others(gateway), MAX_RECIPIENTS);
-                send(gateway, socket, word, others);
+                send(gateway, socket, status, others);
             }
             _ => {}
         }
@@ -70,24 +70,27 @@
     if report.node == gateway.settings.node || !gateway.settings.policy.silence_watch {
         return;
     }
-    let word = LogStatus {
+    let status = LogStatus {
         oldest_wait: report.waits_us.map(Duration::from_micros),
         answered: report.answered_us.map(Duration::from_micros),
         is_silent: report.is_silent,
     };
-    if gateway.log_outage.apply_report(gateway, report.node, word) {
-        let word = gateway.log_outage.own_report(gateway);
-        send(gateway, socket, word, vec![from]);
+    if gateway
+        .log_outage
+        .apply_report(gateway, report.node, status)
+    {
+        let status = gateway.log_outage.own_report(gateway);
+        send(gateway, socket, status, vec![from]);
     }
 }
 
-fn send(gateway: &Gateway, socket: &UdpSocket, word: LogStatus, to: Vec<SocketAddr>) {
+fn send(gateway: &Gateway, socket: &UdpSocket, status: LogStatus, to: Vec<SocketAddr>) {
     let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     let report = LogReport {
         node: gateway.settings.node.clone(),
-        waits_us: word.oldest_wait.map(micros),
-        answered_us: word.answered.map(micros),
-        is_silent: word.is_silent,
+        waits_us: status.oldest_wait.map(micros),
+        answered_us: status.answered.map(micros),
+        is_silent: status.is_silent,
     };
     let datagram = encode(&GatewayDatagram::Log(report));
     for to in to {
--- a/crates/gateway/src/peers/parts.rs
+++ b/crates/gateway/src/peers/prefix_usage.rs
@@ -1,4 +1,4 @@
-//! Exchange of the demand for first prompt parts, so that all nodes of a zone compute the same homes
+//! Exchange of the demand for prompt prefixes, so that all nodes of a zone compute the same homes
 //! for them.
 
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
 
 /// Sends the demand at this node to the other nodes of its zone.
 #[derive(Debug, Default)]
-pub(super) struct PartDemandSender {
+pub(super) struct PrefixUsageSender {
     sent_at: Option<Timestamp>,
     rotation: RoundRobin,
 }
 
-impl PartDemandSender {
+impl PrefixUsageSender {
     /// Sends a report if one is due. Other zones receive none: their demand is similar, and traffic
     /// between zones is expensive.
     pub(super) fn send_if_due(&mut self, gateway: &Gateway, socket: &UdpSocket) {
@@ -49,7 +49,7 @@
                 service: service.to_owned(),
                 uses: uses
                     .iter()
-                    .map(|(part, used)| use_report(*part, used))
+                    .map(|(prefix, used)| usage_report(*prefix, used))
                     .collect(),
             };
             let datagram = encode(&GatewayDatagram::Parts(report));
@@ -75,9 +75,9 @@
     }
 }
 
-fn use_report(part: PrefixKey, used: &PrefixUsage) -> PrefixUsageReport {
+fn usage_report(prefix: PrefixKey, used: &PrefixUsage) -> PrefixUsageReport {
     PrefixUsageReport {
-        part: part.0,
+        part: prefix.0,
         tokens: used.tokens,
         turn_tenths: (used.turns * 10.0) as u32,
     }
--- a/crates/gateway/src/peers/proofs.rs
+++ b/crates/gateway/src/peers/proofs.rs
@@ -84,7 +84,7 @@
         let mut proof = gateway.config_proof.borrow_mut();
         match proof.record_peer_proof(answer.version, asked, age) {
             PeerProof::Counts => {
-                gateway.metrics.proofs_told.inc();
+                gateway.metrics.proofs_sent.inc();
             }
             PeerProof::Older => {}
             PeerProof::Newer => self.request_configuration(gateway, from, answer.version),
--- a/crates/gateway/src/peers/zones.rs
+++ b/crates/gateway/src/peers/zones.rs
@@ -10,21 +10,21 @@
 /// Returns the evacuations known to this node.
 pub(crate) fn reports(gateway: &Gateway) -> Vec<ZoneReport> {
     let evacuations = gateway.evacuations.borrow();
-    let wishes = evacuations.orders().map(|(zone, wish)| ZoneReport {
+    let reports = evacuations.orders().map(|(zone, order)| ZoneReport {
         zone: zone.to_owned(),
-        offset: wish.offset,
-        is_on: wish.is_on,
+        offset: order.offset,
+        is_on: order.is_on,
     });
-    wishes.collect()
+    reports.collect()
 }
 
 /// Applies the evacuations known to another node.
 pub(crate) fn receive(gateway: &Gateway, reports: &[ZoneReport]) {
     for report in reports {
-        let wish = EvacuationOrder {
+        let order = EvacuationOrder {
             offset: report.offset,
             is_on: report.is_on,
         };
-        watch::apply_zone_wish(gateway, &report.zone, wish, "node");
+        watch::apply_evacuation_order(gateway, &report.zone, order, "node");
     }
 }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -195,7 +195,7 @@
     let incarnation = write_entry(&gateway).await;
     let listed = u64::from(gateway.nodes.borrow().count());
     let written = incarnation.0.saturating_sub(before.map_or(0, |end| end.0));
-    gateway.feed.begin(seems_small(listed, written));
+    gateway.feed.start(seems_small(listed, written));
     // Read after the entry is written: of two nodes that start together, at least one sees the
     // other.
     let end = wait_for_entries(&gateway, before).await;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -115,8 +115,9 @@
             }
             Err(ReadEnd::Closed) => break,
             Err(ReadEnd::Refuse(refusal)) => {
-                let share = gateway.memory.reservation(BufferKind::Callers);
-                let mut caller = Caller::new(&mut reader.codec, &mut reader.sender, share, true);
+                let reservation = gateway.memory.reservation(BufferKind::Callers);
+                let mut caller =
+                    Caller::new(&mut reader.codec, &mut reader.sender, reservation, true);
                 // The caller may have disconnected already.
                 let _ = caller.send_refusal(&refusal).await;
                 reader.sender.shut_down().await;
@@ -150,8 +151,8 @@
     let received = request.received;
     gateway.in_flight.set(gateway.in_flight.get() + 1);
     gateway.metrics.in_flight.inc();
-    let share = gateway.memory.reservation(BufferKind::Callers);
-    let mut caller = Caller::new(codec, sender, share, closing);
+    let reservation = gateway.memory.reservation(BufferKind::Callers);
+    let mut caller = Caller::new(codec, sender, reservation, closing);
     let handled = tokio::select! {
         biased;
         handled = forward::handle(gateway, &mut caller, request) => handled.is_ok(),
--- a/crates/gateway/src/watch/configuration.rs
+++ b/crates/gateway/src/watch/configuration.rs
@@ -104,7 +104,7 @@
         Ok(Publication::Configuration(config)) => apply_configuration(gateway, record, config),
         Ok(Publication::Evacuation { zone, is_on }) => {
             let offset = record.offset;
-            apply_zone_wish(gateway, &zone, EvacuationOrder { offset, is_on }, "log");
+            apply_evacuation_order(gateway, &zone, EvacuationOrder { offset, is_on }, "log");
         }
         Ok(Publication::Other) => {}
         Err(error) => {
@@ -116,15 +116,20 @@
 
 /// Applies an evacuation request, from the log or from another node, unless a newer one for the zone is
 /// known. `by` names the origin in the log.
-pub(crate) fn apply_zone_wish(gateway: &Gateway, zone: &str, wish: EvacuationOrder, by: &str) {
-    if !gateway.evacuations.borrow_mut().note(zone, wish) {
+pub(crate) fn apply_evacuation_order(
+    gateway: &Gateway,
+    zone: &str,
+    order: EvacuationOrder,
+    by: &str,
+) {
+    if !gateway.evacuations.borrow_mut().note(zone, order) {
         return;
     }
-    let message = match wish.is_on {
+    let message = match order.is_on {
         true => "zone evacuated: it receives no new requests",
         false => "zone evacuation lifted",
     };
-    log::info!(zone = zone, offset = wish.offset.0, by = by; "{message}");
+    log::info!(zone = zone, offset = order.offset.0, by = by; "{message}");
     gateway.apply_evacuations();
 }
 
--- a/crates/gateway/src/watch/mod.rs
+++ b/crates/gateway/src/watch/mod.rs
@@ -16,7 +16,7 @@
 use crate::ports::{NewestPage, ReadLimits, StoreError, StreamRecord};
 
 pub(crate) use configuration::{
-    apply_publication, apply_zone_wish, follow_configuration, prove_configuration,
+    apply_evacuation_order, apply_publication, follow_configuration, prove_configuration,
 };
 pub(crate) use nodes::{apply_nodes, follow_nodes, read_nodes};
 pub(crate) use workers::follow_workers;
--- a/crates/logstream/src/reader.rs
+++ b/crates/logstream/src/reader.rs
@@ -6,13 +6,13 @@
 
 /// Whether the known end of the stream is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndState {
+enum Staleness {
     /// The known end is current as of the last completed read.
-    Current,
+    None,
     /// The known end may be stale, and the open read was started before it became so.
-    StaleWithOpenRead,
+    UntilReadAfterNext,
     /// The known end may be stale until the next read completes.
-    Stale,
+    UntilNextRead,
 }
 
 /// Tracks the position in the stream and schedules reads. At most one read is open.
@@ -23,7 +23,7 @@
     known_end: Offset,
     /// Whether any read has completed.
     has_read: bool,
-    end_state: EndState,
+    staleness: Staleness,
     read_open: bool,
     /// Time from which the next read is due.
     read_after: Timestamp,
@@ -35,7 +35,7 @@
             next: start,
             known_end: start,
             has_read: false,
-            end_state: EndState::Current,
+            staleness: Staleness::None,
             read_open: false,
             read_after: Timestamp(0),
         }
@@ -46,14 +46,14 @@
     }
 
     pub(crate) fn caught_up(&self) -> bool {
-        self.end_state == EndState::Current && self.has_read && self.next >= self.known_end
+        self.staleness == Staleness::None && self.has_read && self.next >= self.known_end
     }
 
     /// Marks the known end as stale until a read that starts from now on completes.
     pub(crate) fn mark_end_stale(&mut self, now: Timestamp) {
-        self.end_state = match self.read_open {
-            true => EndState::StaleWithOpenRead,
-            false => EndState::Stale,
+        self.staleness = match self.read_open {
+            true => Staleness::UntilReadAfterNext,
+            false => Staleness::UntilNextRead,
         };
         self.read_immediately(now);
     }
@@ -80,11 +80,11 @@
             ReadMode::Follow => now,
             ReadMode::Poll { interval } => now + interval,
         };
-        self.end_state = match self.end_state {
-            EndState::StaleWithOpenRead => EndState::Stale,
-            EndState::Current | EndState::Stale => EndState::Current,
+        self.staleness = match self.staleness {
+            Staleness::UntilReadAfterNext => Staleness::UntilNextRead,
+            Staleness::None | Staleness::UntilNextRead => Staleness::None,
         };
-        if self.end_state != EndState::Current {
+        if self.staleness != Staleness::None {
             self.read_immediately(now);
         }
     }
@@ -92,8 +92,8 @@
     pub(crate) fn read_failed(&mut self, now: Timestamp, settings: &StreamSettings) {
         self.read_open = false;
         self.read_after = now + settings.retry_backoff;
-        if self.end_state == EndState::StaleWithOpenRead {
-            self.end_state = EndState::Stale;
+        if self.staleness == Staleness::UntilReadAfterNext {
+            self.staleness = Staleness::UntilNextRead;
         }
     }
 
