--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -138,7 +138,7 @@
             Arrival::Refuse(Refused {
                 queue_full,
                 ahead,
-                retry_after: with_jitter(wait, turn.spread),
+                retry_after: with_jitter(wait, turn.seed),
             })
         };
         let is_next = ahead == 0;
@@ -154,7 +154,7 @@
             };
         }
         if self.queue.len() == 0 {
-            self.init_allotment(turn.spread);
+            self.init_allotment(turn.seed);
         }
         self.queue.push(usage, ticket, turn);
         Decision {
@@ -244,17 +244,17 @@
         rules: &AdmissionRules,
         room: Room,
         waiting_elsewhere: PeerWaiting,
-        spread: u64,
+        seed: u64,
     ) -> Duration {
         let ahead = saturating_u32(self.queue.len()).saturating_add(waiting_elsewhere.0.total());
         let rate = self.turn_time.completion_rate(places(rules, room));
-        with_jitter(Duration::from_secs_f64(f64::from(ahead) / rate), spread)
+        with_jitter(Duration::from_secs_f64(f64::from(ahead) / rate), seed)
     }
 
     /// Starts with a random fraction of a place. Nodes with small shares would otherwise all reach a
     /// whole place at the same time.
-    fn init_allotment(&mut self, spread: u64) {
-        self.allotted = unit_fraction(spread);
+    fn init_allotment(&mut self, seed: u64) {
+        self.allotted = unit_fraction(seed);
     }
 
     /// Adds this node's share of the places that became free since the last call: the expected
@@ -351,20 +351,20 @@
 /// Returns the maximum expected wait with which a turn is accepted into the queue.
 fn max_wait(turn: &QueuedTurn, now: Timestamp) -> Duration {
     let patience = turn.patience(now);
-    match turn.standing {
+    match turn.program_state {
         ProgramState::Started => patience,
         ProgramState::New => patience.mul_f64(NEW_PROGRAM_PATIENCE_FRACTION),
     }
 }
 
-fn with_jitter(wait: Duration, spread: u64) -> Duration {
-    wait.mul_f64(1.0 + RETRY_JITTER_FRACTION * unit_fraction(spread))
+fn with_jitter(wait: Duration, seed: u64) -> Duration {
+    wait.mul_f64(1.0 + RETRY_JITTER_FRACTION * unit_fraction(seed))
         .max(MIN_RETRY_AFTER)
 }
 
 /// Hashes a seed to a number from 0 to 1.
-fn unit_fraction(spread: u64) -> f64 {
-    xxh3_64(&spread.to_le_bytes()) as f64 / u64::MAX as f64
+fn unit_fraction(seed: u64) -> f64 {
+    xxh3_64(&seed.to_le_bytes()) as f64 / u64::MAX as f64
 }
 
 fn floor_fraction(rules: &AdmissionRules) -> f64 {
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -2,7 +2,7 @@
 //! which are refused.
 //!
 //! Engines serve requests in order of arrival, so turns are prioritized before they are sent. While
-//! a service has free places, turns are admitted immediately. Otherwise they wait in the [`queue`],
+//! a service has free places, turns are admitted immediately. Otherwise they wait in a queue,
 //! and a turn that can't get a place in time is refused immediately. Places are counted per
 //! service; the [`balancer`](crate::balancer) chooses the engine.
 //!
@@ -166,11 +166,11 @@
     }
 
     /// Returns when the caller of a turn that was never released should retry.
-    pub fn retry_after(&self, service: &str, room: Room, spread: u64) -> Duration {
+    pub fn retry_after(&self, service: &str, room: Room, seed: u64) -> Duration {
         let waiting_elsewhere = self.waiting_elsewhere(service);
         let gate = self.gates.get(service);
         gate.map_or(Duration::ZERO, |gate| {
-            gate.retry_after(&self.rules, room, waiting_elsewhere, spread)
+            gate.retry_after(&self.rules, room, waiting_elsewhere, seed)
         })
     }
 
--- a/crates/gateway-core/src/admission/tenant_shares.rs
+++ b/crates/gateway-core/src/admission/tenant_shares.rs
@@ -25,7 +25,7 @@
 /// Counters below this many tokens are dropped.
 const MIN_TOKENS: f64 = 16.0;
 
-/// Highest excess level; each level stands for twice the usage of the one below.
+/// Highest excess level; each level corresponds to twice the usage of the one below.
 const MAX_EXCESS: u8 = 4;
 
 /// Decaying counts of the tokens that one node served, by tenant.
--- a/crates/gateway-core/src/admission/turn.rs
+++ b/crates/gateway-core/src/admission/turn.rs
@@ -43,12 +43,12 @@
 pub struct QueuedTurn {
     pub(super) urgency: u8,
     pub(super) excess: u8,
-    pub(super) standing: ProgramState,
+    pub(super) program_state: ProgramState,
     pub(super) finish: Option<Timestamp>,
     pub(super) arrived: Timestamp,
     pub(super) latest_start: Timestamp,
     pub(super) bytes: usize,
-    pub(super) spread: u64,
+    pub(super) seed: u64,
 }
 
 /// Sort key of waiting turns; the smallest is released first.
@@ -64,12 +64,12 @@
         Self {
             urgency: turn.urgency,
             excess,
-            standing: turn.program_state,
+            program_state: turn.program_state,
             finish: turn.finish,
             arrived: now,
             latest_start: turn.latest_start,
             bytes: turn.bytes,
-            spread: turn.seed,
+            seed: turn.seed,
         }
     }
 
@@ -85,7 +85,7 @@
             self.urgency,
             self.is_late(now, min_turn_time),
             self.excess,
-            self.standing,
+            self.program_state,
             due,
             self.arrived,
         )
--- a/crates/gateway-core/src/engine_memory/fetching.rs
+++ b/crates/gateway-core/src/engine_memory/fetching.rs
@@ -63,7 +63,7 @@
         Duration::from_millis(self.tokens / READ_TOKENS_PER_MS)
     }
 
-    /// Returns whether the fetch saves at least [`MIN_SAVING`].
+    /// Returns whether the fetch saves at least `MIN_SAVING`.
     pub fn saves_time(&self, moves: &MemoryMoves) -> bool {
         self.transfer_time(moves)
             .is_some_and(|transfer| transfer + MIN_SAVING <= self.reading_time())
--- a/crates/gateway-core/src/engine_memory/mod.rs
+++ b/crates/gateway-core/src/engine_memory/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! An engine accepts few concurrent calls for its events, so one node reads each engine
 //! ([`readers`]). The reader follows the engine's events ([`log`]) at a limited rate ([`reading`])
-//! and reports changes of the prefixes in demand to the other nodes ([`telling`]). Each node stores
-//! its own and the reported data as snapshots that expire ([`beliefs`]). They never decide whether or
+//! and reports changes of the prefixes in demand to the other nodes ([`reporting`]). Each node stores
+//! its own and the reported data as snapshots that expire ([`snapshots`]). They never decide whether or
 //! where a request runs, only whether its engine fetches the prompt's prefix from another one
 //! ([`fetching`]).
 
--- a/crates/gateway-core/src/ledger/owner.rs
+++ b/crates/gateway-core/src/ledger/owner.rs
@@ -218,7 +218,7 @@
         !self.is_preferred && now < self.yields_until
     }
 
-    /// Reports that the call in progress takes longer than [`super::SLOW_CALL`].
+    /// Reports that the call in progress takes longer than [`SLOW_CALL_THRESHOLD`].
     pub fn note_slow_call(&mut self, now: Timestamp) {
         self.overdraft.record_degraded();
         if !self.queue.is_empty() {
--- a/crates/gateway-core/src/log_outage.rs
+++ b/crates/gateway-core/src/log_outage.rs
@@ -13,7 +13,7 @@
 
 use elderworks_types::{NodeId, Timestamp};
 
-/// Interval at which the driver calls [`LogOutageDetector::look`] while calls are in progress.
+/// Interval at which the driver calls [`LogOutageDetector::poll`] while calls are in progress.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time between two polls that indicates that the process was suspended or starved.
@@ -175,7 +175,7 @@
         self.update_state(now);
     }
 
-    /// Updates the state. Must be called every [`LOOK_INTERVAL`] while calls are in progress, and
+    /// Updates the state. Must be called every [`POLL_INTERVAL`] while calls are in progress, and
     /// occasionally otherwise.
     pub fn poll(&mut self, now: Timestamp) {
         let gap = now.since(self.last_poll);
--- a/crates/gateway-core/src/placement/homes.rs
+++ b/crates/gateway-core/src/placement/homes.rs
@@ -65,7 +65,7 @@
     xxh3_64_with_seed(engine.as_bytes(), u64::from(prefix.0))
 }
 
-/// Returns the number of homes for a fraction of `engines`, at least [`MIN_HOMES`] if there are
+/// Returns the number of homes for a fraction of `engines`, at least `MIN_HOMES` if there are
 /// that many.
 pub fn home_count(fraction: f64, engines: usize) -> usize {
     let homes = (fraction * engines as f64).ceil().max(MIN_HOMES);
--- a/crates/gateway-core/src/quota/mod.rs
+++ b/crates/gateway-core/src/quota/mod.rs
@@ -9,7 +9,7 @@
 //! exceed the quota. Errors due to late reports are bounded by the operator's tolerance. See
 //! decisions 0093 and 0098.
 //!
-//! [`grant`]: QuotaBook::grant
+//! [`grant`]: QuotaTracker::grant
 
 mod allowance;
 mod fleet_sizes;
--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Handles the outcome of [`Order::Copy`].
+    /// Handles the outcome of [`RunAction::Copy`].
     pub fn after_copy(&mut self, end: CallEnd) -> RunAction {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
@@ -157,7 +157,7 @@
         self.stop()
     }
 
-    /// Handles the outcome of [`Order::Stop`].
+    /// Handles the outcome of [`RunAction::Stop`].
     pub fn after_stop(&mut self, end: CallEnd) -> RunAction {
         let Step::Migrating {
             reason,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a
+    /// Handles the outcome of the attempt of [`RunAction::Resume`]. `candidate` is another engine with a
     /// free slot.
     pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> RunAction {
         let Step::Resuming {
--- a/crates/gateway-core/src/stream_reads.rs
+++ b/crates/gateway-core/src/stream_reads.rs
@@ -51,7 +51,7 @@
 const MAX_WORKERS_DELAY: Duration = Duration::from_secs(1);
 
 /// Delay between two reads of the nodes' stream, so that the entries of nodes that start together
-/// arrive in few reads. Gossip reports which nodes are alive in the mean time.
+/// arrive in few reads. Gossip reports which nodes are alive until then.
 const NODES_DELAY: Duration = Duration::from_millis(250);
 
 /// Deadlines for acting on updates, from the settings.
--- a/crates/gateway-core/src/unreadable.rs
+++ b/crates/gateway-core/src/unreadable.rs
@@ -13,7 +13,7 @@
 }
 
 impl UnreadableKeys {
-    /// Records a key and returns whether to log it. At most [`MAX_KEYS`] keys are logged.
+    /// Records a key and returns whether to log it. At most `MAX_KEYS` keys are logged.
     pub fn note(&mut self, key: &str) -> bool {
         self.keys.len() < MAX_KEYS && self.keys.insert(key.to_owned())
     }
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -334,7 +334,7 @@
     }
 
     /// Records that a request is sent to a worker; the returned value has to be passed to
-    /// [`Self::note_end`].
+    /// [`Self::note_completion`].
     pub fn note_start(&mut self, id: &str, now: Timestamp) -> WorkerInstance {
         let mut life = WorkerInstance {
             id: id.to_owned(),
--- a/crates/gateway-core/src/workers/throttling.rs
+++ b/crates/gateway-core/src/workers/throttling.rs
@@ -15,7 +15,7 @@
 
 impl WorkerDirectory {
     /// Sets the zones whose workers get no new requests. Workers of reopened zones count as cold for
-    /// [`COLD_AFTER_EVACUATION`] or until their records say otherwise.
+    /// `COLD_AFTER_EVACUATION` or until their records say otherwise.
     pub fn close_zones<'a>(&mut self, zones: impl Iterator<Item = &'a str>, now: Timestamp) {
         let closed: BTreeSet<String> = zones.map(str::to_owned).collect();
         let previously_closed = std::mem::replace(&mut self.closed_zones, closed);
--- a/crates/gateway-core/src/workers/zones.rs
+++ b/crates/gateway-core/src/workers/zones.rs
@@ -47,20 +47,20 @@
     }
 
     /// Returns whether a request should use a worker only if there is no other, because its zone is
-    /// suspected or is recovering and receives only a fraction of its requests. `spread` is a
+    /// suspected or is recovering and receives only a fraction of its requests. `seed` is a
     /// uniformly distributed number that selects the requests of that fraction.
-    pub fn is_zone_avoided(&self, worker: &Worker, spread: u64, now: Timestamp) -> bool {
+    pub fn is_zone_avoided(&self, worker: &Worker, seed: u64, now: Timestamp) -> bool {
         let zone = worker.record.zone.as_str();
         match self.zone_health.status(now, zone, ZonePart::Workers) {
             ZoneStatus::Healthy => false,
             ZoneStatus::Suspected => true,
-            ZoneStatus::Recovering(fraction) => unit_fraction(zone, spread) >= fraction,
+            ZoneStatus::Recovering(fraction) => unit_fraction(zone, seed) >= fraction,
         }
     }
 }
 
 /// Hashes a zone and a seed to a uniformly distributed number from 0 to 1.
-fn unit_fraction(zone: &str, spread: u64) -> f64 {
-    let hash = xxh3_64_with_seed(zone.as_bytes(), spread);
+fn unit_fraction(zone: &str, seed: u64) -> f64 {
+    let hash = xxh3_64_with_seed(zone.as_bytes(), seed);
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/crates/gateway/src/forward/admission.rs
+++ b/crates/gateway/src/forward/admission.rs
@@ -38,7 +38,7 @@
         let arrived = Instant::now();
         let latest_start = self.latest_start();
         let admission_turn = self.admission_turn(latest_start);
-        let (urgency, spread) = (admission_turn.urgency, admission_turn.seed);
+        let (urgency, seed) = (admission_turn.urgency, admission_turn.seed);
         let room = admission::room_of(gateway, &self.service);
         let decision = {
             let mut core = gateway.admission.core.borrow_mut();
@@ -78,7 +78,7 @@
                 };
                 let room = admission::room_of(gateway, &self.service);
                 let core = gateway.admission.core.borrow();
-                let pause = core.retry_after(&self.service, room, spread);
+                let pause = core.retry_after(&self.service, room, seed);
                 drop(core);
                 Err(self.refuse_admission(&fields, ahead, reason, pause))
             }
--- a/crates/gateway/src/forward/stream.rs
+++ b/crates/gateway/src/forward/stream.rs
@@ -115,9 +115,7 @@
             let chunk = match step {
                 FlowStep::Chunk(chunk) => chunk,
                 FlowStep::End if splitter.pending_bytes() == 0 => return Ok(PartEnd::Complete),
-                FlowStep::End => {
-                    return Ok(PartEnd::Broken("incomplete last event".to_owned()));
-                }
+                FlowStep::End => return Ok(PartEnd::Broken("incomplete last event".to_owned())),
                 FlowStep::Broken(reason) => return Ok(PartEnd::Broken(reason)),
                 FlowStep::ReleaseWorker => return Ok(PartEnd::Released),
                 FlowStep::Silent => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! The gateway that callers connect to: drives the state machines of `elderworks-gateway-core`.
 //!
-//! All tasks run on one thread and share one [`gateway::Gateway`]. This crate does the I/O and the
+//! All tasks run on one thread and share one `gateway::Gateway`. This crate does the I/O and the
 //! encoding; decisions are made in `elderworks-gateway-core`. The platform's own names and formats
 //! are confined to the adapter behind [`ports::Platform`].
 
--- a/crates/gateway/src/peers/memories.rs
+++ b/crates/gateway/src/peers/memories.rs
@@ -33,7 +33,7 @@
         }
         let now = gateway.now();
         let present = gateway.engines.snapshots(gateway);
-        apply_beliefs(gateway, now, &present);
+        apply_snapshots(gateway, now, &present);
         let due = self.reporter.due(now, present);
         if due.is_empty() {
             return;
@@ -64,7 +64,7 @@
 }
 
 /// Updates placement and the metrics with what is currently known of the engines.
-fn apply_beliefs<'a>(
+fn apply_snapshots<'a>(
     gateway: &Gateway,
     now: Timestamp,
     present: impl IntoIterator<Item = (&'a WorkerKey, &'a MemorySnapshot)>,
--- a/crates/logstream/src/stream.rs
+++ b/crates/logstream/src/stream.rs
@@ -121,7 +121,7 @@
         wait: Duration,
     },
     /// The bytes of the stream's next batch, followed by one [`Self::Deliver`] for each of its records.
-    /// Emitted only with [`StreamSettings::give_batches`].
+    /// Emitted only with [`StreamSettings::emit_batches`].
     Batch {
         /// Offset of the batch.
         offset: Offset,
