--- a/crates/gateway-core/src/run_moves/mod.rs
+++ b/crates/gateway-core/src/run_moves/mod.rs
@@ -119,7 +119,7 @@
 
     /// Starts a migration. `candidate` is another engine with a free slot. Also called when the
     /// stream breaks off during a migration for another reason.
-    pub fn leave(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
+    pub fn migrate(&mut self, reason: MigrationReason, candidate: Option<Engine>) -> RunAction {
         let is_unforced = reason != MigrationReason::Broken;
         if self.moves >= MAX_MIGRATIONS || (is_unforced && self.unforced >= MAX_UNFORCED_ATTEMPTS) {
             return self.fall_back(reason, EndReason::MigrationLimit);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Handles the outcome of [`Order::Copy`].
+    /// Handles the outcome of [`RunAction::Copy`].
     pub fn after_copy(&mut self, end: CallEnd) -> RunAction {
         let CallEnd::Answered(MoveOutcome::Copied { handle, .. }) = end else {
             self.step = Step::Running;
@@ -157,7 +157,7 @@
         self.stop()
     }
 
-    /// Handles the outcome of [`Order::Stop`].
+    /// Handles the outcome of [`RunAction::Stop`].
     pub fn after_stop(&mut self, end: CallEnd) -> RunAction {
         let Step::Migrating {
             reason,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Handles the outcome of the attempt of [`Order::GoOn`]. `candidate` is another engine with a
+    /// Handles the outcome of the attempt of [`RunAction::Resume`]. `candidate` is another engine with a
     /// free slot.
     pub fn after_attempt(&mut self, end: AttemptEnd, candidate: Option<Engine>) -> RunAction {
         let Step::Resuming {
@@ -219,7 +219,7 @@
             }
             AttemptEnd::Unknown => {
                 self.note_running_at(at, &copy);
-                self.leave(MigrationReason::Broken, candidate)
+                self.migrate(MigrationReason::Broken, candidate)
             }
         }
     }
