--- a/crates/cli/src/request_log.rs
+++ b/crates/cli/src/request_log.rs
@@ -222,14 +222,17 @@
     if node_lines.is_empty() {
         return;
     }
-    let _ = writeln!(report, "its node in the two seconds before and until then:");
+    let _ = writeln!(
+        report,
+        "its node from two seconds before the request until its end:"
+    );
     for line in node_lines.iter().take(MAX_DEPENDENCY_LINES) {
         let _ = writeln!(report, "  {}: {}", line.message(), line.details());
     }
     if node_lines.len() > MAX_DEPENDENCY_LINES {
         let _ = writeln!(
             report,
-            "  and {} lines more",
+            "  and {} more lines",
             node_lines.len() - MAX_DEPENDENCY_LINES
         );
     }
@@ -328,7 +331,7 @@
                 .to_owned()
         }
         "caller left" | "caller lost" => "the caller's side closed first".to_owned(),
-        _ => format!("no known pattern; the outcome is: {outcome}"),
+        _ => format!("no explanation is known for this outcome: {outcome}"),
     }
 }
 
--- a/crates/cli/src/verbs/apply.rs
+++ b/crates/cli/src/verbs/apply.rs
@@ -80,6 +80,11 @@
 
 /// Applies one document and returns the line to print. Retries for at most `wait` while no node
 /// accepts changes.
+///
+/// # Errors
+///
+/// Fails if the change is rejected, no node accepts changes within `wait`, or it remains unknown
+/// whether the change was made.
 pub async fn apply(
     client: &ApiClient,
     manifest: &Manifest,
--- a/crates/cli/src/verbs/client.rs
+++ b/crates/cli/src/verbs/client.rs
@@ -47,6 +47,10 @@
 
     /// Lists all resources of a collection. A node lists only the runs that it owns, so runs are
     /// collected from every reachable server.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no server can be reached, a node responds with an error, or the response is invalid.
     pub async fn list(&self, collection: Collection) -> Result<ListDocument, VerbError> {
         let path = format!("{API_PREFIX}/{collection}");
         if collection != Collection::Runs {
@@ -79,6 +83,11 @@
 
     /// Returns one resource. A run is requested from each server in turn, since only the node that
     /// owns it can return it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no server can be reached, a node responds with an error, for example because the
+    /// resource does not exist, or the response is invalid.
     pub async fn get(&self, collection: Collection, name: &str) -> Result<Document, VerbError> {
         let path = format!("{API_PREFIX}/{collection}/{name}");
         self.call(Method::GET, &path, None, Vec::new()).await
@@ -86,6 +95,11 @@
 
     /// Creates or replaces a resource. If the document has a revision, the request fails unless the
     /// stored resource has the same one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no server can be reached or a node rejects the change. After
+    /// [`VerbError::ConnectionLost`] it is unknown whether the change was made.
     pub async fn put(
         &self,
         collection: Collection,
@@ -99,6 +113,11 @@
     }
 
     /// Deletes a resource. With `expected`, the request fails if the resource has another revision.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no server can be reached or a node rejects the deletion. After
+    /// [`VerbError::ConnectionLost`] it is unknown whether the resource was deleted.
     pub async fn delete(
         &self,
         collection: Collection,
--- a/crates/cli/src/verbs/delete.rs
+++ b/crates/cli/src/verbs/delete.rs
@@ -6,6 +6,10 @@
 
 /// Deletes a resource and returns the line to print. With `expected`, the deletion fails if the
 /// resource has another revision.
+///
+/// # Errors
+///
+/// Fails if [`ApiClient::delete`] fails.
 pub async fn delete(
     client: &ApiClient,
     collection: Collection,
--- a/crates/cli/src/verbs/explain.rs
+++ b/crates/cli/src/verbs/explain.rs
@@ -8,6 +8,10 @@
 use super::{ApiClient, OutputFormat, VerbError, table};
 
 /// Fetches a run and formats its state and all of its calls.
+///
+/// # Errors
+///
+/// Fails if the run cannot be fetched or its status cannot be parsed.
 pub async fn run(client: &ApiClient, id: &str, format: OutputFormat) -> Result<String, VerbError> {
     let document = client.get(Collection::Runs, id).await?;
     let status = document.status.clone().unwrap_or_default();
--- a/crates/cli/src/verbs/get.rs
+++ b/crates/cli/src/verbs/get.rs
@@ -7,6 +7,10 @@
 use super::{ApiClient, OutputFormat, VerbError, table};
 
 /// Fetches one resource, or all of a collection, and formats the result.
+///
+/// # Errors
+///
+/// Fails if the resources cannot be fetched or formatted.
 pub async fn get(
     client: &ApiClient,
     collection: Collection,
@@ -28,6 +32,10 @@
 }
 
 /// Returns every field of a resource as YAML, and the programs that refer to it.
+///
+/// # Errors
+///
+/// Fails if the resource or the list of programs cannot be fetched or formatted.
 pub async fn describe(
     client: &ApiClient,
     collection: Collection,
--- a/crates/cli/src/verbs/watch.rs
+++ b/crates/cli/src/verbs/watch.rs
@@ -84,6 +84,10 @@
 /// Passes every change to `sink` until it returns `Break`. After a connection failure, the watch
 /// resumes after the last revision received; if a node no longer has that revision, all resources
 /// are listed again.
+///
+/// # Errors
+///
+/// Fails on errors that a retry cannot resolve, for example if the operator is not authorized.
 pub async fn watch(
     client: &ApiClient,
     target: &WatchTarget,
@@ -224,6 +228,10 @@
 }
 
 /// Formats one change.
+///
+/// # Errors
+///
+/// Fails if the change cannot be serialized.
 pub fn format_line(line: &WatchLine, format: OutputFormat) -> Result<String, VerbError> {
     if format == OutputFormat::Json {
         // Compact JSON keeps each change on one line, so that programs can parse the stream by
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads a number_from_env from an environment variable.
+/// Returns the number in an environment variable, or `None` if it is unset or not a number.
 fn number_from_env(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
--- a/crates/cli/tests/verbs.rs
+++ b/crates/cli/tests/verbs.rs
@@ -23,7 +23,7 @@
 
 /// Applies one budget; returns the printed line.
 async fn apply_budget(client: &ApiClient, name: &str, limit: u64) -> Result<String, VerbError> {
-    let manifests = from_yaml(&budget(name, limit)).expect("a sound budget");
+    let manifests = from_yaml(&budget(name, limit)).expect("a valid budget");
     apply::apply(client, &manifests[0], Duration::ZERO).await
 }
 
@@ -44,7 +44,7 @@
         "boundary-correction.yaml",
         "services.yaml",
     ];
-    let manifests = apply::read_files(&files.map(example)).expect("the examples are sound");
+    let manifests = apply::read_files(&files.map(example)).expect("the examples are valid");
     for (round, status) in ["created", "unchanged"].into_iter().enumerate() {
         for manifest in &manifests {
             let line = apply::apply(&client, manifest, WAIT_TIMEOUT).await;
@@ -138,7 +138,7 @@
     let both = client(&format!("{},{}", url(&first), url(&second)));
     let program = "apiVersion: elderworks/v1\nkind: Program\nmetadata: {name: empty}\n\
                    spec: {services: [], runBudget: 10, maxTurns: 1, maxHistory: 1, maxDuration: 1h}";
-    let manifests = from_yaml(program).expect("a sound program");
+    let manifests = from_yaml(program).expect("a valid program");
     let applied = apply::apply(&both, &manifests[0], WAIT_TIMEOUT).await;
     applied.expect("it is accepted");
     let sidecar = sidecar(&first);
--- a/crates/control/src/configuration/keys.rs
+++ b/crates/control/src/configuration/keys.rs
@@ -65,7 +65,7 @@
     },
     KnownKey {
         key: "call.maxAttempts",
-        description: "maximum number of attempts per call, including the first; only repeatable calls are retried",
+        description: "maximum number of attempts per call, including the first; a call that may have run is retried only if it is repeatable",
         unit: Unit::Count {
             min: 1,
             max: 10,
--- a/crates/control/src/validation/names.rs
+++ b/crates/control/src/validation/names.rs
@@ -4,7 +4,7 @@
 
 use crate::ControlError;
 
-/// Maximum length of a name.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
 /// Checks the name of a resource, engine, zone or tenant: lower-case letters, digits, `-` and `.`,
--- a/crates/execution/src/effect.rs
+++ b/crates/execution/src/effect.rs
@@ -88,7 +88,7 @@
         tenant: TenantId,
         /// Number of the request, ascending per tenant and requesting partition.
         request: Sequence,
-        /// Credits requested or granted.
+        /// Requested credits.
         amount: Credits,
     },
     /// Respond to another partition's request for an allotment.
@@ -99,7 +99,7 @@
         partition: PartitionId,
         /// Number of the request, ascending per tenant and requesting partition.
         request: Sequence,
-        /// Credits requested or granted.
+        /// Granted credits; zero if none can be granted.
         amount: Credits,
     },
     /// This node has become the owner of the partition, or has ceased to be it.
--- a/crates/execution/src/partition/failures.rs
+++ b/crates/execution/src/partition/failures.rs
@@ -88,8 +88,8 @@
         let Some(call) = self.journal.open_call(id) else {
             return;
         };
-        let asked = retry_after.unwrap_or_default();
-        let wait = backoff(&self.settings, id, attempt).max(asked);
+        let requested_delay = retry_after.unwrap_or_default();
+        let wait = backoff(&self.settings, id, attempt).max(requested_delay);
         let plan = RetryPlan {
             due_at: now + wait.min(self.settings.retry_backoff_limit),
             since: now,
--- a/crates/execution/src/partition/refusals.rs
+++ b/crates/execution/src/partition/refusals.rs
@@ -88,8 +88,8 @@
     /// limited.
     fn can_bar(&self, id: CallId, reason: RefusalReason) -> bool {
         let run = self.journal.runs.get(&id.run);
-        let has_place = run.is_some_and(|run| run.barred.len() < MAX_BARRED_PER_RUN);
-        has_place && !reason.is_transient() && reason != RefusalReason::RunNotFound
+        let has_capacity = run.is_some_and(|run| run.barred.len() < MAX_BARRED_PER_RUN);
+        has_capacity && !reason.is_transient() && reason != RefusalReason::RunNotFound
     }
 
     /// Journals a refusal, which is sent once the record is read back. While the log doesn't
--- a/crates/execution/src/partition/release.rs
+++ b/crates/execution/src/partition/release.rs
@@ -71,7 +71,8 @@
         self.append_release();
     }
 
-    /// Returns whether nothing blocks the release any more, or the maximum wait is over.
+    /// Returns whether a requested release can be appended: the log responds, and nothing blocks the
+    /// release or [`crate::ExecutionSettings::release_wait`] is over.
     fn is_release_due(&self, now: Timestamp) -> bool {
         let Some(release) = self.soft.release else {
             return false;
@@ -83,6 +84,8 @@
         overdue || !self.is_release_blocked()
     }
 
+    /// Returns whether own records are in flight or a call is running that another owner could not
+    /// resume.
     fn is_release_blocked(&self) -> bool {
         if !self.soft.in_flight.is_empty() {
             return true;
--- a/crates/execution/tests/failures.rs
+++ b/crates/execution/tests/failures.rs
@@ -146,12 +146,12 @@
     let mut world = started();
     world.event(0, submit(RUN, tool_call(1)));
     world.advance_time(Duration::from_secs(32));
-    let asked = world
+    let queries = world
         .take_effects(0)
         .iter()
         .filter(|effect| matches!(effect, Effect::QueryTool { .. }))
         .count();
-    assert_eq!(asked, 1);
+    assert_eq!(queries, 1);
     world.advance_time(Duration::from_secs(32));
     let outcomes = world.take_outcomes(0);
     let [(_, outcome)] = outcomes.as_slice() else {
--- a/crates/membership/src/detector/foreign.rs
+++ b/crates/membership/src/detector/foreign.rs
@@ -96,20 +96,20 @@
     /// and joins unknown members that it names, which reconnects the parts of a partitioned cell.
     fn merge_own_cell_digest(&mut self, now: Timestamp, digest: CellDigest) {
         self.join_unknown_representatives(now, &digest);
-        let accused = digest.state != CellState::Alive;
+        let needs_refutation = digest.state != CellState::Alive;
         if self.cells.merge(now, digest.clone()) == MergeOutcome::Stale {
             return;
         }
-        if accused && self.is_relay() {
+        if needs_refutation && self.is_relay() {
             self.refute_own_cell(now, digest.version);
         } else {
             self.digests.push(digest.cell.clone(), digest);
         }
     }
 
-    fn refute_own_cell(&mut self, now: Timestamp, accused_version: u64) {
+    fn refute_own_cell(&mut self, now: Timestamp, refuted_version: u64) {
         let mut digest = self.describe_own_cell();
-        digest.version = accused_version.saturating_add(1);
+        digest.version = refuted_version.saturating_add(1);
         self.cells.merge(now, digest.clone());
         self.digests.push(digest.cell.clone(), digest);
     }
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -235,7 +235,7 @@
     }
 
     /// Returns the number of times that each update is sent. It grows with the logarithm of the number
-    /// of receivers, so that every one receives the update with high probability.
+    /// of receivers, so that all of them receive the update with high probability.
     fn retransmit_limit(&self) -> u32 {
         let receivers = self.table.count().max(self.cells.count()) as u32;
         RETRANSMIT_FACTOR * (u32::BITS - receivers.leading_zeros()).max(1)
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct Entry<V> {
     item: V,
-    /// Encoded size.
+    /// Encoded size, in bytes.
     bytes: usize,
     /// Number of times sent so far.
     sent: u32,
