--- a/crates/cli/src/command_line.rs
+++ b/crates/cli/src/command_line.rs
@@ -11,28 +11,28 @@
 xflags::xflags! {
     /// A scheduler for agent programs.
     cmd elderworks {
-        /// Base URLs of nodes for operators' commands, separated by commas; the first
-        /// reachable one is used. Otherwise ELDERWORKS_SERVER, or the first node of the examples.
+        /// Base URLs of nodes for operators' commands, separated by commas; the first that can be
+        /// reached is asked. Otherwise ELDERWORKS_SERVER, or the first node of the examples.
         optional --server urls: String
-        /// Operator token. Otherwise ELDERWORKS_TOKEN, or none.
+        /// Token that operators show. Otherwise ELDERWORKS_TOKEN, or none.
         optional --token token: String
         /// Run a node.
         cmd node {
             /// Settings file.
             optional file: PathBuf
-            /// KEY=VALUE, overrides the file; may be repeated.
+            /// KEY=VALUE, laid over the file; may be repeated.
             repeated --set setting: Override
         }
         /// Run a sidecar.
         cmd sidecar {
             /// Settings file.
             optional file: PathBuf
-            /// KEY=VALUE, overrides the file; may be repeated.
+            /// KEY=VALUE, laid over the file; may be repeated.
             repeated --set setting: Override
         }
         /// Run a node on the platform whose settings file the environment names.
         cmd gateway {
-            /// KEY=VALUE of the policy, overrides its defaults; may be repeated.
+            /// KEY=VALUE of the policy, laid over its defaults; may be repeated.
             repeated --set setting: Override
         }
         /// Check settings files.
@@ -46,7 +46,7 @@
         cmd apply {
             /// YAML or JSON file; - for standard input; may be repeated.
             repeated -f, --file file: String
-            /// How long to try again while no node accepts changes, in seconds.
+            /// How long to try again while no node takes changes, in seconds.
             optional --wait seconds: u64
         }
         /// List resources of a kind, or show one.
--- a/crates/gateway-core/src/admission/gate.rs
+++ b/crates/gateway-core/src/admission/gate.rs
@@ -7,9 +7,9 @@
 
 use super::allotment::{PeerWaiting, node_share};
 use super::demand::{Waiting, level_of};
+use super::pace::{ArrivalRate, TurnTime};
 use super::queue::{Queue, Ticket, Usage};
 use super::room::Room;
-use super::throughput::{ArrivalRate, TurnTime};
 use super::turn::{ProgramState, QueuedTurn};
 use super::{AdmissionMode, AdmissionRules};
 
--- a/crates/gateway-core/src/admission/mod.rs
+++ b/crates/gateway-core/src/admission/mod.rs
@@ -12,10 +12,10 @@
 mod allotment;
 mod demand;
 mod gate;
+mod pace;
 mod queue;
 mod room;
 mod tenant_shares;
-mod throughput;
 mod turn;
 
 use std::collections::BTreeMap;
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod attempt;
 pub mod balancer;
 pub mod call;
-pub mod cold;
+pub mod cold_workers;
 pub mod config;
 pub mod config_proof;
 pub mod departures;
--- a/crates/gateway-core/src/workers/mod.rs
+++ b/crates/gateway-core/src/workers/mod.rs
@@ -11,7 +11,7 @@
 pub use elderworks_protocol::feed::WorkerRecord;
 use elderworks_types::{NodeId, Timestamp};
 
-use crate::cold::ColdSenders;
+use crate::cold_workers::ColdSenders;
 use crate::engine_memory::fetching::FetchLimiter;
 use crate::engine_memory::snapshots::EngineMemories;
 use crate::peer_loads::{PeerLoads, WorkerKey};
--- a/crates/gateway-core/src/workers/throttling.rs
+++ b/crates/gateway-core/src/workers/throttling.rs
@@ -6,7 +6,7 @@
 use elderworks_types::Timestamp;
 
 use super::{Worker, WorkerDirectory};
-use crate::cold::ColdSenders;
+use crate::cold_workers::ColdSenders;
 use crate::config::ServingConfig;
 
 /// How long workers of a reopened zone count as cold unless their records say otherwise. They may
--- a/crates/gateway-core/tests/cold.rs
+++ b/crates/gateway-core/tests/cold_workers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use elderworks_gateway_core::balancer::{PlacementQuery, choose};
-use elderworks_gateway_core::cold::{ColdRules, ColdSenders};
+use elderworks_gateway_core::cold_workers::{ColdRules, ColdSenders};
 use elderworks_gateway_core::policy::Policy;
 use elderworks_gateway_core::workers::{UpsertOutcome, WorkerDirectory, WorkerRecord};
 use elderworks_types::{NodeId, Timestamp};
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -13,7 +13,7 @@
 mod stream;
 mod turn;
 mod worker_use;
-mod zone_traffic;
+mod zones;
 
 use std::cell::Cell;
 use std::io;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,7 +7,7 @@
 
 use actix_http::ServiceConfig;
 use elderworks_gateway_core::access::KeyLeases;
-use elderworks_gateway_core::cold::ColdSenders;
+use elderworks_gateway_core::cold_workers::ColdSenders;
 use elderworks_gateway_core::config::{ActiveConfig, ServingConfig};
 use elderworks_gateway_core::config_proof::{
     ConfigProof, denial_lease_of, lease_of, proof_request_age,
