--- a/crates/simulation/src/broken.rs
+++ b/crates/simulation/src/broken.rs
@@ -67,7 +67,7 @@
 }
 
 #[cfg(not(feature = "broken"))]
-const VARIANTS: &[Broken] = &[];
+const VARIANTS: &[BrokenVariant] = &[];
 
 #[cfg(feature = "broken")]
 const VARIANTS: &[BrokenVariant] = &[
